--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -7,16 +7,16 @@
 
 	"github.com/charmbracelet/log"
 
-	"myrtlewinch/control"
-	"myrtlewinch/program"
-	"myrtlewinch/settings"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/settings"
 )
 
 func main() {
-	program.Begin("controller", "Keeps the control state of a site, on a core machine.")
+	cli.Begin("controller", "Keeps the control state of a site, on a core machine.")
 	var flags settings.Flags
 	flags.Add(true)
-	program.Run("controller", true, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (program.Daemon, error) {
-		return control.NewOffice(set, peers, web, logger)
+	cli.Run("controller", true, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
+		return consensus.NewOffice(set, peers, web, logger)
 	})
 }
--- a/cmd/drill/main.go
+++ b/cmd/faultsim/main.go
@@ -11,13 +11,13 @@
 
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/drill"
-	"myrtlewinch/program"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/simulation/faultsim"
+	"myrtlewinch/internal/threads"
 )
 
 func main() {
-	program.Begin("drill", "Plays failures on a site of the platform's path in virtual time and checks the rules.")
+	cli.Begin("faultsim", "Plays failures on a site of the platform's path in virtual time and checks the rules.")
 	scenario := "campaign"
 	var seed, seeds int64 = 1, 1
 	count := 12
@@ -29,35 +29,35 @@
 	flaggy.Bool(&trace, "", "trace", "print the trace also where no rule is broken")
 	flaggy.Bool(&list, "", "list", "print the names of the faults instead")
 	flaggy.Bool(&pairs, "", "pairs", "play each fault with each other one, over the seeds")
-	program.Parse()
+	cli.Parse()
 	if list {
-		fmt.Println(strings.Join(drill.Names(), "\n"))
+		fmt.Println(strings.Join(faultsim.Names(), "\n"))
 		return
 	}
 	if seeds < 1 || count < 1 {
-		program.Misused("seeds, faults: must be above 0")
+		cli.Misused("seeds, faults: must be above 0")
 	}
-	play := func(seed int64) (drill.Result, bool) { return drill.Campaign(seed, count), true }
+	play := func(seed int64) (faultsim.Result, bool) { return faultsim.Campaign(seed, count), true }
 	if scenario != "campaign" {
-		play = func(seed int64) (drill.Result, bool) { return drill.Play(seed, strings.Split(scenario, "+")...) }
+		play = func(seed int64) (faultsim.Result, bool) { return faultsim.Play(seed, strings.Split(scenario, "+")...) }
 	}
 	broken := 0
 	if pairs {
-		for _, pair := range drill.Pairs() {
-			broken += playAll(func(seed int64) (drill.Result, bool) { return drill.Play(seed, pair...) }, seed, seeds, trace)
+		for _, pair := range faultsim.Pairs() {
+			broken += playAll(func(seed int64) (faultsim.Result, bool) { return faultsim.Play(seed, pair...) }, seed, seeds, trace)
 		}
 	} else {
 		broken = playAll(play, seed, seeds, trace)
 	}
 	fmt.Printf("%d runs broke a rule\n", broken)
 	if broken > 0 {
-		os.Exit(program.ExitFailed)
+		os.Exit(cli.ExitFailed)
 	}
 }
 
 // playAll plays the seeds on all processors and prints what they showed; it
 // gives how many broke a rule.
-func playAll(play func(seed int64) (drill.Result, bool), seed, seeds int64, trace bool) int {
+func playAll(play func(seed int64) (faultsim.Result, bool), seed, seeds int64, trace bool) int {
 	broken := 0
 	var mu sync.Mutex
 	var under sync.WaitGroup
@@ -65,11 +65,11 @@
 	for s := seed; s < seed+seeds; s++ {
 		places <- struct{}{}
 		under.Add(1)
-		crew.Side(func() {
+		threads.Side(func() {
 			defer func() { <-places; under.Done() }()
 			r, ok := play(s)
 			if !ok {
-				program.Misused("scenario: it is not known; --list prints what is")
+				cli.Misused("scenario: it is not known; --list prints what is")
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/cmd/daycheck/main.go
+++ b/cmd/journalcheck/main.go
@@ -11,15 +11,15 @@
 
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/program"
+	"myrtlewinch/internal/cli"
 )
 
 func main() {
-	program.Begin("daycheck", "Prints what the days in entries of the bench's journal broke; the files are named after --.")
+	cli.Begin("journalcheck", "Prints what the days in entries of the bench's journal broke; the files are named after --.")
 	flaggy.Parse()
 	files := flaggy.TrailingArguments
 	if len(files) == 0 {
-		program.Misused("no journal entry named")
+		cli.Misused("no journal entry named")
 	}
 	entries := make([]Entry, 0, len(files))
 	for _, file := range files {
@@ -34,18 +34,18 @@
 			site, tally.Played, tally.RulesBroken, tally.Faults, tally.GateFailed, tally.Unfinished)
 	}
 	if failed {
-		os.Exit(program.ExitFailed)
+		os.Exit(cli.ExitFailed)
 	}
 }
 
 func read(file string) Entry {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		program.Misused("%v", err)
+		cli.Misused("%v", err)
 	}
 	entry, err := ReadEntry(text)
 	if err != nil {
-		program.Misused("%s: %v", file, err)
+		cli.Misused("%s: %v", file, err)
 	}
 	return entry
 }
--- a/cmd/sender/main.go
+++ b/cmd/loadgen/main.go
@@ -10,15 +10,15 @@
 
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/daemon"
-	"myrtlewinch/description"
-	"myrtlewinch/program"
-	"myrtlewinch/rules"
-	"myrtlewinch/stand"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/simulation/invariants"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 func main() {
-	program.Begin("sender", "Stand-in: asks the services of a description and tallies the answers.")
+	cli.Begin("loadgen", "Stand-in: asks the services of a description and tallies the answers.")
 	var file, routers string
 	seconds, small, other := 10, 30.0, 4.0
 	flaggy.String(&file, "d", "description", "the description whose services are asked")
@@ -26,25 +26,25 @@
 	flaggy.Int(&seconds, "", "seconds", "how long to ask")
 	flaggy.Float64(&small, "", "small", "requests a second to each repeatable service")
 	flaggy.Float64(&other, "", "other", "requests a second to each other service")
-	program.Parse()
+	cli.Parse()
 	text, err := os.ReadFile(file)
 	if err != nil {
-		program.Misused("description: %v", err)
+		cli.Misused("description: %v", err)
 	}
 	var named struct{ Site string }
 	_ = json.Unmarshal(text, &named)
 	d, faults := description.Read(text, named.Site)
 	if len(faults) > 0 {
-		program.Misused("description: %v", faults)
+		cli.Misused("description: %v", faults)
 	}
-	if len(program.List(routers)) == 0 {
-		program.Misused("routers: must be given")
+	if len(cli.List(routers)) == 0 {
+		cli.Misused("routers: must be given")
 	}
 	if seconds <= 0 || small <= 0 || other <= 0 {
-		program.Misused("seconds, small, other: must be above 0")
+		cli.Misused("seconds, small, other: must be above 0")
 	}
-	book := rules.New(d.Store.LoadsPer10s, d.SecondGoes)
-	sender := stand.NewSender(fmt.Sprintf("sender-%d", os.Getpid()), program.List(routers), stand.MixOf(d, small, other), book, daemon.NewClock().NowMs, 1)
+	book := invariants.New(d.Store.LoadsPer10s, d.SecondGoes)
+	sender := testbackend.NewSender(fmt.Sprintf("sender-%d", os.Getpid()), cli.List(routers), testbackend.MixOf(d, small, other), book, process.NewClock().NowMs, 1)
 	sender.For(time.Duration(seconds) * time.Second)
 	for _, line := range sender.Lines() {
 		fmt.Println(line)
@@ -53,6 +53,6 @@
 		for _, breach := range breaches {
 			fmt.Println("rule broken:", breach)
 		}
-		os.Exit(program.ExitFailed)
+		os.Exit(cli.ExitFailed)
 	}
 }
--- a/cmd/fleet/main.go
+++ b/cmd/localcluster/main.go
@@ -12,16 +12,16 @@
 	"github.com/charmbracelet/log"
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/description"
-	"myrtlewinch/program"
-	"myrtlewinch/site"
-	"myrtlewinch/stand"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/simulation/localcluster"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 const patience = 60 * time.Second
 
 func main() {
-	program.Begin("fleet", "Runs a whole site in one process with traffic, or writes settings for separate processes.")
+	cli.Begin("localcluster", "Runs a whole site in one process with traffic, or writes settings for separate processes.")
 	file, write := "examples/zagreb.json", ""
 	seconds, port := 15, 7100
 	small, other := 30.0, 4.0
@@ -37,16 +37,16 @@
 	flaggy.Int64(&workMs, "", "workMs", "how long an answer takes, or a piece of a telling")
 	flaggy.Bool(&measure, "", "measure", "no traffic: measure the way through a router against a direct call, and a total loss")
 	flaggy.Bool(&quiet, "q", "quiet", "no log of the daemons")
-	program.Parse()
+	cli.Parse()
 	if seconds <= 0 || small <= 0 || other <= 0 || loadMs < 0 || workMs < 0 {
-		program.Misused("seconds, small, other, loadMs, workMs: must not be negative or nought")
+		cli.Misused("seconds, small, other, loadMs, workMs: must not be negative or nought")
 	}
 	if port < 1 || port > 65000 {
-		program.Misused("port: %d is not from 1 to 65000", port)
+		cli.Misused("port: %d is not from 1 to 65000", port)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		program.Misused("description: %v", err)
+		cli.Misused("description: %v", err)
 	}
 	if write != "" {
 		writeSite(text, write, port)
@@ -55,11 +55,11 @@
 	if measure {
 		workMs = 0
 	}
-	run(text, loadMs, workMs, quiet, func(fleet *site.Fleet) (int, error) {
+	run(text, loadMs, workMs, quiet, func(fleet *localcluster.Fleet) (int, error) {
 		if measure {
 			return 0, fleet.Measure(os.Stdout)
 		}
-		sender := stand.NewSender("s", fleet.RouterAddresses(), stand.MixOf(fleet.Description, small, other), fleet.Book, fleet.Clock.NowMs, 1)
+		sender := testbackend.NewSender("s", fleet.RouterAddresses(), testbackend.MixOf(fleet.Description, small, other), fleet.Book, fleet.Clock.NowMs, 1)
 		sender.For(time.Duration(seconds) * time.Second)
 		return fleet.Report(os.Stdout, sender)
 	})
@@ -70,30 +70,30 @@
 	_ = json.Unmarshal(text, &named)
 	d, faults := description.Read(text, named.Site)
 	if len(faults) > 0 {
-		program.Misused("description: %v", faults)
+		cli.Misused("description: %v", faults)
 	}
 	if len(d.Controllers) < 3 {
-		program.Misused("description: a site has at least three controllers")
+		cli.Misused("description: a site has at least three controllers")
 	}
-	if err := site.Write(d, text, folder, port); err != nil {
-		program.Failed("write: %v", err)
+	if err := localcluster.Write(d, text, folder, port); err != nil {
+		cli.Failed("write: %v", err)
 	}
 	fmt.Println("wrote", folder)
 }
 
-func run(text []byte, loadMs, workMs int64, quiet bool, work func(*site.Fleet) (int, error)) {
-	data, clean, err := site.TempData()
+func run(text []byte, loadMs, workMs int64, quiet bool, work func(*localcluster.Fleet) (int, error)) {
+	data, clean, err := localcluster.TempData()
 	if err != nil {
-		program.Failed("data: %v", err)
+		cli.Failed("data: %v", err)
 	}
 	defer clean()
-	logger := program.Log("fleet")
+	logger := cli.Log("fleet")
 	if quiet {
 		logger = log.New(io.Discard)
 	}
-	fleet, err := site.New(site.Options{Text: text, Data: data, LoadMs: loadMs, WorkMs: workMs, Pieces: 8, Log: logger})
+	fleet, err := localcluster.New(localcluster.Options{Text: text, Data: data, LoadMs: loadMs, WorkMs: workMs, Pieces: 8, Log: logger})
 	if err != nil {
-		program.Misused("%v", err)
+		cli.Misused("%v", err)
 	}
 	broken, err := 0, begin(fleet, text)
 	if err == nil {
@@ -102,16 +102,16 @@
 	fleet.Stop()
 	if err != nil {
 		clean()
-		program.Failed("%v", err)
+		cli.Failed("%v", err)
 	}
 	if broken > 0 {
 		clean()
-		os.Exit(program.ExitFailed)
+		os.Exit(cli.ExitFailed)
 	}
 }
 
 // begin founds the site, hands the description over and waits for the routers.
-func begin(fleet *site.Fleet, text []byte) error {
+func begin(fleet *localcluster.Fleet, text []byte) error {
 	if err := fleet.Found(patience); err != nil {
 		return err
 	}
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -9,12 +9,12 @@
 
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/modelcheck"
-	"myrtlewinch/program"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/simulation/modelcheck"
 )
 
 func main() {
-	program.Begin("modelcheck", "Explores the election and replication machines for every placement of a few faults.")
+	cli.Begin("modelcheck", "Explores the election and replication machines for every placement of a few faults.")
 	scope := modelcheck.Scope{
 		Members: modelcheck.DefaultMembers, Losses: modelcheck.DefaultLosses, Deviations: modelcheck.DefaultDeviations,
 		Depth: modelcheck.DefaultDepth, States: modelcheck.DefaultStates, Workers: 2, ProbeDeviations: -1,
@@ -34,17 +34,17 @@
 	flaggy.String(&faults, "", "faults", "kinds of faults, separated by commas; empty is all")
 	flaggy.String(&messages, "", "messages", "types of messages that faults of messages apply to, separated by commas; empty is all")
 	flaggy.Bool(&trace, "", "trace", "print the trace of the shortest violation")
-	program.Parse()
+	cli.Parse()
 	kinds, err := modelcheck.ParseFaults(faults)
 	if err != nil {
-		program.Misused("faults: %v; there are: %v", err, modelcheck.FaultKinds())
+		cli.Misused("faults: %v; there are: %v", err, modelcheck.FaultKinds())
 	}
 	scope.Faults = kinds
 	if messages != "" {
 		scope.Messages = strings.Split(messages, ",")
 	}
 	if scope.Members < 2*scope.Losses+1 || scope.Losses < 1 || scope.Depth < 1 || scope.States < 1 || scope.Workers < 1 {
-		program.Misused("members must be at least twice the losses and one more; losses, depth, states and workers above 0")
+		cli.Misused("members must be at least twice the losses and one more; losses, depth, states and workers above 0")
 	}
 	violated := false
 	for _, chosen := range chooseScenarios(scenario) {
@@ -52,7 +52,7 @@
 		violated = check(scope, trace) || violated
 	}
 	if violated {
-		os.Exit(program.ExitFailed)
+		os.Exit(cli.ExitFailed)
 	}
 }
 
@@ -66,7 +66,7 @@
 		for _, s := range modelcheck.Scenarios {
 			names = append(names, s.Name)
 		}
-		program.Misused("scenario: there is no %q; there are: all, %s", name, strings.Join(names, ", "))
+		cli.Misused("scenario: there is no %q; there are: all, %s", name, strings.Join(names, ", "))
 	}
 	return []modelcheck.Scenario{chosen}
 }
--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -17,13 +17,13 @@
 	"github.com/cockroachdb/errors"
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/daemon"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
+	"myrtlewinch/internal/threads"
 	"myrtlewinch/platform"
-	"myrtlewinch/program"
-	"myrtlewinch/relay"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
 )
 
 // site is the name that all processes of one site share. A deployment has
@@ -40,12 +40,12 @@
 
 // part is a process of a site that can be told of changed settings.
 type part interface {
-	program.Daemon
+	cli.Daemon
 	Reseed(seeds []string)
 }
 
 func main() {
-	program.Begin("myrtlewinch", "Runs one process of a site: a router or a controller.")
+	cli.Begin("myrtlewinch", "Runs one process of a site: a router or a controller.")
 	var file string
 	router := flaggy.NewSubcommand("router")
 	router.Description = "take requests and send them to runners"
@@ -55,17 +55,17 @@
 		command.String(&file, "s", "settings", "settings file (YAML); the platform's own where it is left out")
 		flaggy.AttachSubcommand(command, 1)
 	}
-	program.Parse()
+	cli.Parse()
 	if file == "" {
 		file = platform.Path()
 	}
 	switch {
 	case router.Used:
-		run(wire.Router, file, newRouter)
+		run(protocol.Router, file, newRouter)
 	case controller.Used:
-		run(wire.Controller, file, newController)
+		run(protocol.Controller, file, newController)
 	default:
-		program.Misused("which part to run must be given: router or controller")
+		cli.Misused("which part to run must be given: router or controller")
 	}
 }
 
@@ -74,27 +74,27 @@
 	hangups := signalled(syscall.SIGHUP)
 	place, err := platform.Load(file)
 	if err != nil {
-		program.Misused("%v", err)
+		cli.Misused("%v", err)
 	}
-	logger := program.Log(name + " " + place.Name)
+	logger := cli.Log(name + " " + place.Name)
 	defer func() {
 		if cause := recover(); cause != nil {
 			logger.Error("panic", "cause", cause, "stack", string(debug.Stack()))
-			os.Exit(program.ExitFailed)
+			os.Exit(cli.ExitFailed)
 		}
 	}()
 	thrift(place.MemoryMb)
 	made, err := make(place, logger)
 	if err != nil {
-		program.Failed("%v", err)
+		cli.Failed("%v", err)
 	}
-	var c crew.Crew
+	var c threads.Crew
 	made.Join(&c)
 	c.Signals(made.Leave)
 	newReload(file, place, made, logger).join(&c, hangups)
 	logger.Info("running", "address", place.Inner())
 	if err := c.Run(); err != nil {
-		program.Failed("%v", err)
+		cli.Failed("%v", err)
 	}
 	logger.Info("stopped")
 }
@@ -122,8 +122,8 @@
 }
 
 // self is this process as its peers know it.
-func self(place platform.Place, part string) wire.Place {
-	return wire.Place{Name: place.Name, Address: place.Inner(), Zone: place.Zone, Part: part}
+func self(place platform.Place, part string) protocol.Place {
+	return protocol.Place{Name: place.Name, Address: place.Inner(), Zone: place.Zone, Part: part}
 }
 
 func newRouter(place platform.Place, logger *log.Logger) (part, error) {
@@ -134,7 +134,7 @@
 	if _, err := rand.Read(token); err != nil {
 		return nil, err
 	}
-	me := self(place, wire.Router)
+	me := self(place, protocol.Router)
 	// A router keeps nothing, so each start is another.
 	me.Incarnation = hex.EncodeToString(token)
 	peers, err := listen("for peers", place.Inner())
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return relay.NewGate(relay.Settings{
+	return proxy.NewGate(proxy.Settings{
 		Site: site, Self: me, Seeds: place.InnerSeeds(), Bounds: place.Bounds, ListAddress: place.List.Address,
 		MemoryMb: place.MemoryMb, OpenFiles: place.OpenFiles,
 	}, platform.Tongue{}, platform.Format{}, platform.Calls{}, peers, front, ready, logger)
@@ -171,11 +171,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return steward.NewOffice(steward.OfficeSettings{
-		Site: site, Self: self(place, wire.Controller), Seeds: place.InnerSeeds(), Losses: place.Losses,
+	return controller.NewOffice(controller.OfficeSettings{
+		Site: site, Self: self(place, protocol.Controller), Seeds: place.InnerSeeds(), Losses: place.Losses,
 		FirstStart: place.FirstStart, Bounds: place.Bounds, ListAddress: place.List.Address,
 		ListPerSec: place.List.CallsPerSec, ControlPort: port, Data: place.Data,
-	}, platform.Format{}, platform.Calls{}, func(shell *daemon.Shell) http.Handler {
+	}, platform.Format{}, platform.Calls{}, func(shell *process.Shell) http.Handler {
 		return platform.Operators(shell, place.Bounds.AckMs)
 	}, peers, web, logger)
 }
--- a/cmd/sim/main.go
+++ b/cmd/nativesim/main.go
@@ -9,12 +9,12 @@
 
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/program"
-	"myrtlewinch/sim"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/simulation/nativesim"
 )
 
 func main() {
-	program.Begin("sim", "Plays failures on a simulated site in virtual time and checks the rules.")
+	cli.Begin("nativesim", "Plays failures on a simulated site in virtual time and checks the rules.")
 	file, scenario := "examples/zagreb.json", "campaign"
 	var seed, seeds int64 = 1, 1
 	count := 20
@@ -29,35 +29,35 @@
 	flaggy.Bool(&measure, "", "measure", "print the table of measurements instead, over the seeds")
 	pairs := false
 	flaggy.Bool(&pairs, "", "pairs", "play each fault alone and with each other one, over the seeds, and print the table")
-	program.Parse()
+	cli.Parse()
 	text, err := os.ReadFile(file)
 	if err != nil {
-		program.Misused("description: %v", err)
+		cli.Misused("description: %v", err)
 	}
-	played, known := sim.Scenarios[scenario]
+	played, known := nativesim.Scenarios[scenario]
 	if !known && scenario != "campaign" {
-		program.Misused("scenario: there is no %q; there are: campaign, %s", scenario, strings.Join(sim.Names(), ", "))
+		cli.Misused("scenario: there is no %q; there are: campaign, %s", scenario, strings.Join(nativesim.Names(), ", "))
 	}
 	if seeds < 1 || count < 1 {
-		program.Misused("seeds, faults: must be above 0")
+		cli.Misused("seeds, faults: must be above 0")
 	}
 	if measure {
-		fmt.Print("| what | middle | worst |\n| --- | --- | --- |\n" + sim.Measure(string(text), seeds))
+		fmt.Print("| what | middle | worst |\n| --- | --- | --- |\n" + nativesim.Measure(string(text), seeds))
 		return
 	}
 	if pairs {
 		if playPairs(string(text), seed, seeds) > 0 {
-			os.Exit(program.ExitFailed)
+			os.Exit(cli.ExitFailed)
 		}
 		return
 	}
 	broken := 0
 	for s := seed; s < seed+seeds; s++ {
-		var r sim.Result
+		var r nativesim.Result
 		if known {
-			r = sim.Play(string(text), s, played)
+			r = nativesim.Play(string(text), s, played)
 		} else {
-			r = sim.Campaign(string(text), s, count)
+			r = nativesim.Campaign(string(text), s, count)
 		}
 		if len(r.Breaches) > 0 {
 			broken++
@@ -71,6 +71,6 @@
 	}
 	fmt.Printf("%d of %d seeds broke a rule\n", broken, seeds)
 	if broken > 0 {
-		os.Exit(program.ExitFailed)
+		os.Exit(cli.ExitFailed)
 	}
 }
--- a/cmd/sim/pairs.go
+++ b/cmd/nativesim/pairs.go
@@ -5,24 +5,24 @@
 	"runtime"
 	"sync"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/sim"
+	"myrtlewinch/internal/simulation/nativesim"
+	"myrtlewinch/internal/threads"
 )
 
 // playPairs plays each fault alone and with each other one over the seeds, on
 // all processors, and prints the table. It gives how many runs broke a rule.
 func playPairs(text string, seed, seeds int64) int {
-	cells := sim.Cells()
-	played := make([]sim.Cell, len(cells)*int(seeds))
+	cells := nativesim.Cells()
+	played := make([]nativesim.Cell, len(cells)*int(seeds))
 	var under sync.WaitGroup
 	places := make(chan struct{}, runtime.NumCPU())
 	for s := range seeds {
 		for i, cell := range cells {
 			places <- struct{}{}
 			under.Add(1)
-			crew.Side(func() {
+			threads.Side(func() {
 				defer under.Done()
-				played[int(s)*len(cells)+i] = sim.PlayCell(text, seed+s, cell)
+				played[int(s)*len(cells)+i] = nativesim.PlayCell(text, seed+s, cell)
 				<-places
 			})
 		}
@@ -35,7 +35,7 @@
 			fmt.Printf("seed %d, %q with %q: %v\n%s\n", c.Seed, c.First, c.Second, c.Broken, c.Trace)
 		}
 	}
-	fmt.Print(sim.Table(played))
+	fmt.Print(nativesim.Table(played))
 	fmt.Printf("%d of %d runs broke a rule\n", broken, len(played))
 	return broken
 }
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -13,10 +13,10 @@
 	"github.com/cockroachdb/errors"
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/program"
-	"myrtlewinch/site"
-	"myrtlewinch/topology"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/topology"
+	"myrtlewinch/internal/simulation/localcluster"
 )
 
 type command struct {
@@ -37,7 +37,7 @@
 )
 
 func main() {
-	program.Begin("operator", "Hands descriptions over, reads them, and shows the state of a site.")
+	cli.Begin("operator", "Hands descriptions over, reads them, and shows the state of a site.")
 	flaggy.String(&controllers, "c", "controllers", "http addresses of controllers, with commas")
 	commands := []command{
 		add("found", "begin a new site on the first controller named; all witnesses must be blank", found, func(s *flaggy.Subcommand) {
@@ -60,17 +60,17 @@
 		}),
 	}
 	commands[len(commands)-1].alone = true
-	program.Parse()
+	cli.Parse()
 	for _, c := range commands {
 		if c.sub.Used {
-			if len(program.List(controllers)) == 0 && !c.alone {
-				program.Misused("controllers: must be given")
+			if len(cli.List(controllers)) == 0 && !c.alone {
+				cli.Misused("controllers: must be given")
 			}
 			c.work()
 			return
 		}
 	}
-	program.Misused("a command must be given: found, recover, put, patch, get, history, topology or status")
+	cli.Misused("a command must be given: found, recover, put, patch, get, history, topology or status")
 }
 
 func add(name, about string, work func(), flags func(*flaggy.Subcommand)) command {
@@ -91,20 +91,20 @@
 // primary asks each controller until one does not say that it is another.
 func primary(method, path string, body []byte) {
 	var last string
-	for _, address := range program.List(controllers) {
-		code, text, err := site.Ask(method, address, path, base, body)
+	for _, address := range cli.List(controllers) {
+		code, text, err := localcluster.Ask(method, address, path, base, body)
 		if err != nil {
 			// An answer that was lost on the way may still have taken effect;
 			// one that was never dialled has not.
 			var dial *net.OpError
 			if method != http.MethodGet && !(errors.As(err, &dial) && dial.Op == "dial") {
-				program.Failed("%s: no answer (%v); it may have taken effect: read the description to find out", address, err)
+				cli.Failed("%s: no answer (%v); it may have taken effect: read the description to find out", address, err)
 			}
 			last = err.Error()
 			continue
 		}
-		var said defect.Answer
-		if code != http.StatusOK && json.Unmarshal(text, &said) == nil && said.Kind == defect.NotPrimary {
+		var said errkind.Answer
+		if code != http.StatusOK && json.Unmarshal(text, &said) == nil && said.Kind == errkind.NotPrimary {
 			last = fmt.Sprintf("%s is not the primary (it knows of %q)", address, said.Primary)
 			continue
 		}
@@ -116,33 +116,33 @@
 			if said.Revision > 0 {
 				fmt.Fprintf(os.Stderr, "  the revision in force is %d\n", said.Revision)
 			}
-			os.Exit(program.ExitFailed)
+			os.Exit(cli.ExitFailed)
 		}
 		_, _ = os.Stdout.Write(text)
 		return
 	}
-	program.Failed("no controller answered as the primary: %s", last)
+	cli.Failed("no controller answered as the primary: %s", last)
 }
 
 func found() {
-	body, _ := json.Marshal(map[string]any{"witnesses": program.List(witnesses), "backup": backup})
-	controllers = program.List(controllers)[0]
+	body, _ := json.Marshal(map[string]any{"witnesses": cli.List(witnesses), "backup": backup})
+	controllers = cli.List(controllers)[0]
 	primary(http.MethodPost, "/found", body)
 }
 
 func recovered() {
-	body, _ := json.Marshal(map[string]any{"witnesses": program.List(witnesses), "backup": backup, "change": change, "revision": revision})
-	controllers = program.List(controllers)[0]
+	body, _ := json.Marshal(map[string]any{"witnesses": cli.List(witnesses), "backup": backup, "change": change, "revision": revision})
+	controllers = cli.List(controllers)[0]
 	primary(http.MethodPost, "/recover", body)
 }
 
 func hand(method string) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		program.Misused("file: %v", err)
+		cli.Misused("file: %v", err)
 	}
 	if base == "" {
-		program.Misused("base: must be given")
+		cli.Misused("base: must be given")
 	}
 	primary(method, "/description", text)
 }
@@ -151,14 +151,14 @@
 func drawn() {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		program.Misused("file: %v", err)
+		cli.Misused("file: %v", err)
 	}
 	parts, faults := topology.Read(text)
 	if len(faults) > 0 {
 		for _, fault := range faults {
 			fmt.Fprintln(os.Stderr, "  "+fault)
 		}
-		program.Misused("file: %s does not fit", file)
+		cli.Misused("file: %s does not fit", file)
 	}
 	fmt.Println(string(parts.Text()))
 }
@@ -169,19 +169,19 @@
 }
 
 func show(path string) {
-	for _, address := range program.List(controllers) {
-		if code, text, err := site.Ask(http.MethodGet, address, path, "", nil); err == nil && code == http.StatusOK {
+	for _, address := range cli.List(controllers) {
+		if code, text, err := localcluster.Ask(http.MethodGet, address, path, "", nil); err == nil && code == http.StatusOK {
 			indent(text)
 			return
 		}
 	}
-	program.Failed("no controller answered")
+	cli.Failed("no controller answered")
 }
 
 func status() {
 	answered := false
-	for _, address := range program.List(controllers) {
-		code, text, err := site.Ask(http.MethodGet, address, "/status", "", nil)
+	for _, address := range cli.List(controllers) {
+		code, text, err := localcluster.Ask(http.MethodGet, address, "/status", "", nil)
 		if err != nil || code != http.StatusOK {
 			fmt.Fprintf(os.Stderr, "%s: no answer\n", address)
 			continue
@@ -190,7 +190,7 @@
 		indent(text)
 	}
 	if !answered {
-		program.Failed("no controller answered")
+		cli.Failed("no controller answered")
 	}
 }
 
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -6,16 +6,16 @@
 
 	"github.com/charmbracelet/log"
 
-	"myrtlewinch/program"
-	"myrtlewinch/settings"
-	"myrtlewinch/traffic"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/settings"
 )
 
 func main() {
-	program.Begin("router", "Takes requests and sends them to runners, on an edge machine.")
+	cli.Begin("router", "Takes requests and sends them to runners, on an edge machine.")
 	var flags settings.Flags
 	flags.Add(false)
-	program.Run("router", false, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (program.Daemon, error) {
-		return traffic.NewGate(set, peers, web, logger)
+	cli.Run("router", false, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
+		return router.NewGate(set, peers, web, logger)
 	})
 }
--- a/cmd/comparison/main.go
+++ b/cmd/statediff/main.go
@@ -10,24 +10,24 @@
 
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/comparison"
-	"myrtlewinch/program"
-	"myrtlewinch/site"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/native/statediff"
+	"myrtlewinch/internal/simulation/localcluster"
 )
 
 func main() {
-	program.Begin("comparison", "Shows what two daemons believe differently; exits 0 alike, 1 different, 2 could not tell.")
+	cli.Begin("statediff", "Shows what two daemons believe differently; exits 0 alike, 1 different, 2 could not tell.")
 	var left, right string
 	machine := false
 	flaggy.String(&left, "", "left", "http address of a controller or router")
 	flaggy.String(&right, "", "right", "http address of another")
 	flaggy.Bool(&machine, "", "json", "print the differences as JSON")
-	program.Parse()
+	cli.Parse()
 	l, r := read("left", left), read("right", right)
-	differences := comparison.Compare(l, r)
+	differences := statediff.Compare(l, r)
 	if machine {
 		if differences == nil {
-			differences = []comparison.Difference{}
+			differences = []statediff.Difference{}
 		}
 		_ = json.NewEncoder(os.Stdout).Encode(map[string]any{"left": l.Name, "right": r.Name, "differences": differences})
 	} else {
@@ -36,7 +36,7 @@
 		}
 	}
 	if len(differences) > 0 {
-		os.Exit(program.ExitFailed)
+		os.Exit(cli.ExitFailed)
 	}
 }
 
@@ -47,20 +47,20 @@
 	return fmt.Sprintf("  (%d ms old)", ms)
 }
 
-func read(field, address string) comparison.Belief {
+func read(field, address string) statediff.Belief {
 	if address == "" {
-		program.Misused("%s: must be given", field)
+		cli.Misused("%s: must be given", field)
 	}
-	code, text, err := site.Ask(http.MethodGet, address, "/status", "", nil)
+	code, text, err := localcluster.Ask(http.MethodGet, address, "/status", "", nil)
 	if err != nil {
-		program.Misused("%s: %v", field, err)
+		cli.Misused("%s: %v", field, err)
 	}
 	if code != http.StatusOK {
-		program.Misused("%s: %s answered %d", field, address, code)
+		cli.Misused("%s: %s answered %d", field, address, code)
 	}
-	belief, err := comparison.Read(text)
+	belief, err := statediff.Read(text)
 	if err != nil {
-		program.Misused("%s: %v", field, err)
+		cli.Misused("%s: %v", field, err)
 	}
 	return belief
 }
--- a/cmd/platform/main.go
+++ b/cmd/testplatform/main.go
@@ -5,14 +5,14 @@
 import (
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/program"
-	"myrtlewinch/stand"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 func main() {
-	program.Begin("platform", "Stand-in: lists runners (GET /runners) and marks leavers (POST /runners/NAME/leaving).")
+	cli.Begin("testplatform", "Stand-in: lists runners (GET /runners) and marks leavers (POST /runners/NAME/leaving).")
 	http := ""
 	flaggy.String(&http, "", "http", "IP:port to listen at")
-	program.Parse()
-	program.Web(program.Listen("http", http), stand.NewPlatform())
+	cli.Parse()
+	cli.Web(cli.Listen("http", http), testbackend.NewPlatform())
 }
--- a/cmd/runner/main.go
+++ b/cmd/testrunner/main.go
@@ -12,14 +12,14 @@
 
 	"github.com/integrii/flaggy"
 
-	"myrtlewinch/daemon"
-	"myrtlewinch/program"
-	"myrtlewinch/stand"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 func main() {
-	program.Begin("runner", "Stand-in: a runner that holds models, announced to the platform.")
+	cli.Begin("testrunner", "Stand-in: a runner that holds models, announced to the platform.")
 	var name, address, platform string
 	var room, loadMs, workMs int64 = 96, 3000, 200
 	pieces := 8
@@ -30,29 +30,29 @@
 	flaggy.Int64(&loadMs, "", "loadMs", "how long a load takes")
 	flaggy.Int64(&workMs, "", "workMs", "how long an answer takes, or a piece of a telling")
 	flaggy.Int(&pieces, "", "pieces", "pieces of a telling")
-	program.Parse()
+	cli.Parse()
 	switch {
 	case name == "":
-		program.Misused("name: must be given")
+		cli.Misused("name: must be given")
 	case platform == "":
-		program.Misused("platform: must be given")
+		cli.Misused("platform: must be given")
 	case room < 0 || loadMs < 0 || workMs < 0 || pieces < 0:
-		program.Misused("room, loadMs, workMs, pieces: must not be negative")
+		cli.Misused("room, loadMs, workMs, pieces: must not be negative")
 	}
-	at := program.Listen("http", address)
+	at := cli.Listen("http", address)
 	token := make([]byte, 8)
 	if _, err := rand.Read(token); err != nil {
-		program.Failed("%v", err)
+		cli.Failed("%v", err)
 	}
 	incarnation := hex.EncodeToString(token)
-	if err := announce(platform, wire.Listed{Name: name, Address: address, Incarnation: incarnation}); err != nil {
-		program.Failed("platform: %v", err)
+	if err := announce(platform, protocol.Listed{Name: name, Address: address, Incarnation: incarnation}); err != nil {
+		cli.Failed("platform: %v", err)
 	}
-	runner := stand.NewRunner(name, incarnation, room, loadMs, nil)
-	program.Web(at, stand.NewRunnerDoor(runner, daemon.NewClock().NowMs, workMs, pieces))
+	runner := testbackend.NewRunner(name, incarnation, room, loadMs, nil)
+	cli.Web(at, testbackend.NewRunnerDoor(runner, process.NewClock().NowMs, workMs, pieces))
 }
 
-func announce(platform string, listed wire.Listed) error {
+func announce(platform string, listed protocol.Listed) error {
 	text, _ := json.Marshal(listed)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/program/page_test.go
+++ b/internal/cli/page_test.go
@@ -1,4 +1,4 @@
-package program
+package cli
 
 import (
 	"os"
@@ -14,13 +14,13 @@
 // daemons have.
 func TestOperatorsPageIsWhole(t *testing.T) {
 	c := qt.New(t)
-	text, err := os.ReadFile("../docs/operators.md")
+	text, err := os.ReadFile("../../docs/operators.md")
 	c.Assert(err, qt.IsNil)
 	page := strings.Join(strings.Fields(string(text)), " ")
-	kinds, err := os.ReadFile("../defect/kind.go")
+	kinds, err := os.ReadFile("../errkind/kind.go")
 	c.Assert(err, qt.IsNil)
 	counters, fields, lines := 0, 0, 0
-	for _, folder := range []string{"control", "traffic", "daemon"} {
+	for _, folder := range []string{"consensus", "native/router", "process"} {
 		files, err := filepath.Glob("../" + folder + "/*.go")
 		c.Assert(err, qt.IsNil)
 		for _, name := range files {
@@ -33,7 +33,7 @@
 				counters++
 				c.Check(strings.Contains(page, "| "+found[1]+" |"), qt.IsTrue, qt.Commentf("counter %q is not on the page", found[1]))
 			}
-			for _, found := range regexp.MustCompile(`\.count\(defect\.(\w+)\)`).FindAllStringSubmatch(string(code), -1) {
+			for _, found := range regexp.MustCompile(`\.count\(errkind\.(\w+)\)`).FindAllStringSubmatch(string(code), -1) {
 				counters++
 				kind := regexp.MustCompile(found[1] + ` +Kind = "([^"]+)"`).FindStringSubmatch(string(kinds))
 				c.Assert(kind, qt.HasLen, 2)
--- a/servicemap/check.go
+++ b/internal/config/check.go
@@ -1,4 +1,4 @@
-package servicemap
+package config
 
 import (
 	"fmt"
--- a/servicemap/servicemap.go
+++ b/internal/config/servicemap.go
@@ -1,8 +1,8 @@
-// Package servicemap is the service map that operators write: which requests
+// Package config is the service map that operators write: which requests
 // there are, by host and path, which services they may go to, and what the
 // runners of a service can hold. Its words are the product's; how an operator
 // writes one is the door's business.
-package servicemap
+package config
 
 import "strings"
 
--- a/control/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // keepTenant keeps one row and tells what happened to it.
@@ -18,11 +18,11 @@
 	row          string
 }
 
-func (k *keepTenant) Changed(h Host)                   { k.row = h.Row("row") }
-func (k *keepTenant) Began(h Host)                     { k.began++; k.row = h.Row("row") }
-func (k *keepTenant) Ended(Host)                       { k.ended++ }
-func (k *keepTenant) Receive(Host, wire.Envelope) bool { return false }
-func (k *keepTenant) Tick(Host)                        {}
+func (k *keepTenant) Changed(h Host)                       { k.row = h.Row("row") }
+func (k *keepTenant) Began(h Host)                         { k.began++; k.row = h.Row("row") }
+func (k *keepTenant) Ended(Host)                           { k.ended++ }
+func (k *keepTenant) Receive(Host, protocol.Envelope) bool { return false }
+func (k *keepTenant) Tick(Host)                            {}
 
 type put struct {
 	row  string
@@ -56,14 +56,14 @@
 	machine *Machine
 	tenant  *keepTenant
 	keys    map[string]string
-	place   wire.Place
+	place   protocol.Place
 	down    bool
 	// gone says that the machine was removed for good.
 	gone bool
 	life int
 	// saveMs replaces the usual time that a save takes.
 	saveMs int64
-	saves  []wire.Save
+	saves  []protocol.Save
 	saving bool
 	// departed, where it is set, is called once a planned stop was answered.
 	departed func()
@@ -83,8 +83,8 @@
 	}
 	for i := range count {
 		name := fmt.Sprintf("core-%d", i+1)
-		w.nodes[name] = &coreNode{place: wire.Place{
-			Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3), Part: wire.Controller, Incarnation: name + "-disk",
+		w.nodes[name] = &coreNode{place: protocol.Place{
+			Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3), Part: protocol.Controller, Incarnation: name + "-disk",
 		}}
 		w.start(name, map[string]string{}, true)
 	}
@@ -101,7 +101,7 @@
 	}
 	slices.Sort(seeds)
 	w.seeds = seeds[:min(3, len(seeds))]
-	w.nodes[name] = &coreNode{place: wire.Place{Name: name, Address: address, Zone: zone, Part: wire.Controller, Incarnation: name + "-disk"}}
+	w.nodes[name] = &coreNode{place: protocol.Place{Name: name, Address: address, Zone: zone, Part: protocol.Controller, Incarnation: name + "-disk"}}
 	w.start(name, map[string]string{}, false)
 }
 
@@ -152,7 +152,7 @@
 		from := n.place
 		for _, to := range slices.Sorted(maps.Keys(w.nodes)) {
 			if w.nodes[to].place.Address == send.Address && !w.cut[name+">"+to] {
-				w.after(w.delayMs(), func() { w.step(to, wire.Envelope{Site: "s", From: from, To: send.To, Body: send.Body}) })
+				w.after(w.delayMs(), func() { w.step(to, protocol.Envelope{Site: "s", From: from, To: send.To, Body: send.Body}) })
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 		keys := maps.Clone(n.keys)
 		save.Write.Apply(keys)
 		n.keys = keys
-		w.step(n.place.Name, wire.Saved{Number: save.Number, Ok: true})
+		w.step(n.place.Name, protocol.Saved{Number: save.Number, Ok: true})
 		w.saveNext(n, life)
 	})
 }
@@ -203,7 +203,7 @@
 		}
 		if w.nowMs%50 == 0 {
 			for _, name := range slices.Sorted(maps.Keys(w.nodes)) {
-				w.step(name, wire.Tick{})
+				w.step(name, protocol.Tick{})
 			}
 		}
 	}
@@ -233,7 +233,7 @@
 	return &answered
 }
 
-func (w *core) record() wire.Record { return w.nodes[w.primary()].machine.record }
+func (w *core) record() protocol.Record { return w.nodes[w.primary()].machine.record }
 
 func (w *core) until(ms int64, what string, ok func() bool) {
 	for range ms / 50 {
@@ -460,7 +460,7 @@
 			}
 		}
 		slices.Sort(w.seeds)
-		w.nodes[name] = &coreNode{place: wire.Place{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: wire.Controller, Incarnation: name}}
+		w.nodes[name] = &coreNode{place: protocol.Place{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: protocol.Controller, Incarnation: name}}
 		w.start(name, map[string]string{}, false)
 		w.run(4000)
 		w.until(2500, "a primary", w.serves)
--- a/control/departure_test.go
+++ b/internal/consensus/departure_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // leaveForGood tells a member to stop and takes it away once it says that it
@@ -72,7 +72,7 @@
 // lose kills as many members as may be lost, of those that the newest record
 // names as copies or as witnesses.
 func (w *core) lose(which string, count int) {
-	var newest wire.Record
+	var newest protocol.Record
 	for _, n := range w.nodes {
 		if !n.down && n.machine.record.Epoch > newest.Epoch {
 			newest = n.machine.record
@@ -136,7 +136,7 @@
 			for i, seat := range record.Witnesses {
 				if seat.Name == member {
 					record.Witnesses = slices.Clone(record.Witnesses)
-					record.Witnesses[i] = wire.Seat{Name: name, Incarnation: n.place.Incarnation}
+					record.Witnesses[i] = protocol.Seat{Name: name, Incarnation: n.place.Incarnation}
 				}
 			}
 		}
@@ -173,7 +173,7 @@
 	w := served(qt.New(t), 1, 4)
 	leaver := w.backup()
 	for name, n := range w.nodes {
-		if !w.record().HasReplica(wire.Seat{Name: name, Incarnation: n.place.Incarnation}) {
+		if !w.record().HasReplica(protocol.Seat{Name: name, Incarnation: n.place.Incarnation}) {
 			n.saveMs = 100_000
 		}
 	}
--- a/control/duty.go
+++ b/internal/consensus/duty.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"math"
@@ -6,9 +6,9 @@
 	"sort"
 	"strings"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -32,7 +32,7 @@
 	reading      bool
 	platformMs   int64
 	platformOkMs int64
-	listing      map[string]wire.Listed
+	listing      map[string]protocol.Listed
 	seen         map[string]*seenRunner
 	wants        map[ledger.Item]*want
 	placeMs      int64
@@ -64,7 +64,7 @@
 	okMs     int64
 	orderMs  int64
 	burden   int64
-	report   wire.Report
+	report   protocol.Report
 	// since says from when each item has been held, for the minimum stay.
 	since map[string]int64
 	// orders counts what was intended for it; quiet says that none was open
@@ -101,7 +101,7 @@
 }
 
 func newDuty() duty {
-	return duty{loadMs: firstLoadMs, turnsMs: map[string]int64{}, listing: map[string]wire.Listed{}, seen: map[string]*seenRunner{}, wants: map[ledger.Item]*want{}}
+	return duty{loadMs: firstLoadMs, turnsMs: map[string]int64{}, listing: map[string]protocol.Listed{}, seen: map[string]*seenRunner{}, wants: map[ledger.Item]*want{}}
 }
 
 // begin forgets what an earlier primacy knew; the pace's bucket starts empty.
@@ -113,8 +113,8 @@
 	d.pace = pace{atMs: nowMs}
 }
 
-func (d *duty) soft(nowMs int64) wire.Soft {
-	soft := wire.Soft{Burdens: map[string]int64{}, Turns: d.turns}
+func (d *duty) soft(nowMs int64) protocol.Soft {
+	soft := protocol.Soft{Burdens: map[string]int64{}, Turns: d.turns}
 	for name, s := range d.seen {
 		soft.Burdens[name] = s.burden
 		if nowMs-s.okMs > darkMs {
@@ -126,15 +126,15 @@
 }
 
 // marks lists the leaving incarnations, also those not yet on the disks.
-func (d *duty) marks(s *ledger.State) []wire.Mark {
-	var marks []wire.Mark
+func (d *duty) marks(s *ledger.State) []protocol.Mark {
+	var marks []protocol.Mark
 	for mark := range s.Marks {
 		if row := s.Rows[mark.Runner]; row == nil || row.Incarnation == mark.Incarnation {
 			marks = append(marks, mark)
 		}
 	}
 	for _, listed := range d.listing {
-		mark := wire.Mark{Runner: listed.Name, Incarnation: listed.Incarnation}
+		mark := protocol.Mark{Runner: listed.Name, Incarnation: listed.Incarnation}
 		if listed.Leaving && !slices.Contains(marks, mark) {
 			marks = append(marks, mark)
 		}
@@ -143,7 +143,7 @@
 	return marks
 }
 
-func (d *duty) demanded(nowMs int64, said wire.Demand) {
+func (d *duty) demanded(nowMs int64, said protocol.Demand) {
 	for key, count := range said.Counts {
 		parts := strings.SplitN(key, "/", 3)
 		if len(parts) != 3 || parts[1] == "" {
@@ -189,7 +189,7 @@
 	d := &m.duty
 	if m.nowMs-d.platformMs >= platformMs && !d.reading {
 		d.platformMs, d.reading = m.nowMs, true
-		m.out.Calls = append(m.out.Calls, wire.Call{Address: m.set.Platform, Body: wire.PlatformCall{}})
+		m.out.Calls = append(m.out.Calls, protocol.Call{Address: m.set.Platform, Body: protocol.PlatformCall{}})
 	}
 	for _, name := range d.names() {
 		listed := d.listing[name]
@@ -204,7 +204,7 @@
 			s.asking = d.calls
 			row := m.state.Rows[name]
 			s.quiet, s.askedOrders = row != nil && row.Intent == nil, s.orders
-			m.out.Calls = append(m.out.Calls, wire.Call{Address: listed.Address, Body: wire.ReportCall{Runner: name, Number: s.asking, Epoch: m.record.Epoch}})
+			m.out.Calls = append(m.out.Calls, protocol.Call{Address: listed.Address, Body: protocol.ReportCall{Runner: name, Number: s.asking, Epoch: m.record.Epoch}})
 		}
 	}
 	if m.mayOrder() {
@@ -248,7 +248,7 @@
 	return true
 }
 
-func (m *Machine) listed(in wire.Listing) {
+func (m *Machine) listed(in protocol.Listing) {
 	d := &m.duty
 	if !m.isPrimary() {
 		return
@@ -260,10 +260,10 @@
 		return
 	}
 	d.platformOkMs = m.nowMs
-	listing := map[string]wire.Listed{}
+	listing := map[string]protocol.Listed{}
 	for _, l := range in.Runners {
 		listing[l.Name] = l
-		mark := wire.Mark{Runner: l.Name, Incarnation: l.Incarnation}
+		mark := protocol.Mark{Runner: l.Name, Incarnation: l.Incarnation}
 		if l.Leaving && !m.state.Marks[mark] {
 			m.note("%s is leaving", l.Name)
 			m.submit(func(bool) {}, ledger.MarkLeaving{Mark: mark})
@@ -277,7 +277,7 @@
 	}
 }
 
-func (m *Machine) reported(in wire.Reported) {
+func (m *Machine) reported(in protocol.Reported) {
 	s := m.duty.seen[in.Runner]
 	if !m.isPrimary() || s == nil {
 		return
@@ -297,11 +297,11 @@
 		return
 	}
 	if in.Report.Runner != in.Runner {
-		m.count(defect.OtherRunner)
+		m.count(errkind.OtherRunner)
 		return
 	}
 	if in.Report.Epoch > m.record.Epoch {
-		m.count(defect.LowerEpoch)
+		m.count(errkind.LowerEpoch)
 		return
 	}
 	if s.fencedMs == 0 && in.Report.Epoch >= m.duty.beganEpoch {
@@ -320,22 +320,22 @@
 		}
 	}
 	// Only a report that can't have crossed an order speaks of all it holds.
-	if s.quiet && s.orders == s.askedOrders && row.Intent == nil && in.Report.LastState != wire.OrderUnderWay && !row.Agrees(in.Report) {
+	if s.quiet && s.orders == s.askedOrders && row.Intent == nil && in.Report.LastState != protocol.OrderUnderWay && !row.Agrees(in.Report) {
 		m.note("%s holds other things than the ledger says; the ledger is corrected", in.Runner)
 		m.submit(func(bool) {}, ledger.Correct{Report: in.Report})
 		return
 	}
 	// An unknown order is settled only by a report that names it.
-	if row.Intent != nil && in.Report.LastOrder == row.Intent.Number && in.Report.LastState != wire.OrderUnderWay {
-		done := in.Report.LastState == wire.OrderDone
+	if row.Intent != nil && in.Report.LastOrder == row.Intent.Number && in.Report.LastState != protocol.OrderUnderWay {
+		done := in.Report.LastState == protocol.OrderDone
 		if !done {
 			m.note("%s could not %s %s", in.Runner, row.Intent.Action, row.Intent.Model)
 		}
-		if row.Intent.Action == wire.Load && done && s.firstMs > 0 {
+		if row.Intent.Action == protocol.Load && done && s.firstMs > 0 {
 			// The latest counts a quarter, so that one slow load says little.
 			m.duty.loadMs += (m.nowMs - s.firstMs - m.duty.loadMs) / 4
 		}
-		if row.Intent.Action == wire.Unload && done {
+		if row.Intent.Action == protocol.Unload && done {
 			delete(s.since, ledger.Item{Model: row.Intent.Model, Adapter: row.Intent.Adapter}.String())
 		}
 		m.submit(func(bool) {}, ledger.Settle{
@@ -358,7 +358,7 @@
 		}
 		// A load that is sent again may begin only now, so it is paced anew:
 		// after a take-over or a cut many may be open at once.
-		if row.Intent.Action == wire.Load && !m.duty.pace.take(m.nowMs, m.described.Store.LoadsPer10s) {
+		if row.Intent.Action == protocol.Load && !m.duty.pace.take(m.nowMs, m.described.Store.LoadsPer10s) {
 			continue
 		}
 		m.sendOrder(name)
@@ -378,9 +378,9 @@
 		s.firstOrder, s.firstMs = row.Intent.Number, m.nowMs
 	}
 	s.orderMs = m.nowMs
-	m.out.Calls = append(m.out.Calls, wire.Call{Address: row.Address, Body: wire.OrderCall{
+	m.out.Calls = append(m.out.Calls, protocol.Call{Address: row.Address, Body: protocol.OrderCall{
 		Runner: name, UntilMs: m.election.leaseUntilMs,
-		Order: wire.Order{
+		Order: protocol.Order{
 			Holder: m.set.Self.Name, Epoch: m.record.Epoch, Number: row.Intent.Number, Incarnation: row.Incarnation, Action: row.Intent.Action,
 			Model: row.Intent.Model, Adapter: row.Intent.Adapter, Size: row.Intent.Size,
 		},
--- a/control/duty_test.go
+++ b/internal/consensus/duty_test.go
@@ -1,12 +1,12 @@
-package control
+package consensus
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 const described = `{
@@ -22,19 +22,19 @@
 
 // serving makes a primary whose pair is whole, at 100 s of its clock.
 func serving(t *testing.T) *Machine {
-	self := wire.Place{Name: "a", Address: "a:1", Zone: "z", Part: wire.Controller, Incarnation: "1"}
+	self := protocol.Place{Name: "a", Address: "a:1", Zone: "z", Part: protocol.Controller, Incarnation: "1"}
 	m, err := New(Settings{Site: "s", Self: self, Platform: "platform"}, map[string]string{}, 100_000)
 	qt.Assert(t, err, qt.IsNil)
-	a, b, c := wire.Seat{Name: "a", Incarnation: "1"}, wire.Seat{Name: "b", Incarnation: "1"}, wire.Seat{Name: "c", Incarnation: "1"}
-	set := []wire.Seat{a, b, c}
+	a, b, c := protocol.Seat{Name: "a", Incarnation: "1"}, protocol.Seat{Name: "b", Incarnation: "1"}, protocol.Seat{Name: "c", Incarnation: "1"}
+	set := []protocol.Seat{a, b, c}
 	for _, name := range []string{"b", "c"} {
-		m.roster.Heard(100_000, wire.Place{Name: name, Address: name + ":1", Zone: "y", Part: wire.Controller, Incarnation: "1"})
+		m.roster.Heard(100_000, protocol.Place{Name: name, Address: name + ":1", Zone: "y", Part: protocol.Controller, Incarnation: "1"})
 	}
-	m.state.Do(wire.Position{Epoch: 1, Number: 1}, []ledger.Command{ledger.Accept{Text: described, Epoch: 1}})
+	m.state.Do(protocol.Position{Epoch: 1, Number: 1}, []ledger.Command{ledger.Accept{Text: described, Epoch: 1}})
 	qt.Assert(t, m.describe(), qt.IsNil)
 	m.replication.synced, m.replication.taken = m.state.Position, m.state.Position
-	m.election.grants = map[wire.Seat]int64{a: 1 << 40, b: 1 << 40}
-	m.becomePrimary(wire.Record{Epoch: 1, Primary: "a", Replicas: []wire.Seat{a, b}, Witnesses: set, Before: set})
+	m.election.grants = map[protocol.Seat]int64{a: 1 << 40, b: 1 << 40}
+	m.becomePrimary(protocol.Record{Epoch: 1, Primary: "a", Replicas: []protocol.Seat{a, b}, Witnesses: set, Before: set})
 	settle(m, 100_000)
 	qt.Assert(t, m.active(), qt.IsTrue)
 	return m
@@ -43,15 +43,15 @@
 // settle ends all writes, on this disk and on the backup's.
 func settle(m *Machine, nowMs int64) {
 	for number := range m.saves {
-		m.Step(nowMs, wire.Saved{Number: number, Ok: true})
+		m.Step(nowMs, protocol.Saved{Number: number, Ok: true})
 	}
-	m.Step(nowMs, wire.Envelope{
-		Site: "s", To: "a", From: wire.Place{Name: "b", Address: "b:1", Zone: "y", Part: wire.Controller, Incarnation: "1"},
-		Body: wire.Followed{Epoch: 1, At: m.state.Position},
+	m.Step(nowMs, protocol.Envelope{
+		Site: "s", To: "a", From: protocol.Place{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
+		Body: protocol.Followed{Epoch: 1, At: m.state.Position},
 	})
 }
 
-func calls[T any](effects wire.Effects) []T {
+func calls[T any](effects protocol.Effects) []T {
 	var out []T
 	for _, call := range effects.Calls {
 		if body, ok := call.Body.(T); ok {
@@ -62,18 +62,18 @@
 }
 
 // answerAll answers each question to a runner but those that are left out.
-func answerAll(m *Machine, nowMs int64, asked []wire.ReportCall, epoch uint64, out ...string) {
+func answerAll(m *Machine, nowMs int64, asked []protocol.ReportCall, epoch uint64, out ...string) {
 	for _, call := range asked {
-		said := wire.Reported{Runner: call.Runner, Address: call.Runner + ":1", Number: call.Number}
+		said := protocol.Reported{Runner: call.Runner, Address: call.Runner + ":1", Number: call.Number}
 		if len(out) == 0 || call.Runner != out[0] {
 			said.Ok = true
-			said.Report = wire.Report{Runner: call.Runner, Incarnation: "1", Room: 10, Epoch: epoch}
+			said.Report = protocol.Report{Runner: call.Runner, Incarnation: "1", Room: 10, Epoch: epoch}
 		}
 		m.Step(nowMs, said)
 	}
 }
 
-var bothRunners = wire.Listing{Ok: true, Runners: []wire.Listed{
+var bothRunners = protocol.Listing{Ok: true, Runners: []protocol.Listed{
 	{Name: "r", Address: "r:1", Incarnation: "1"}, {Name: "q", Address: "q:1", Incarnation: "1"},
 }}
 
@@ -82,30 +82,30 @@
 func TestReportsInOrder(t *testing.T) {
 	cases := []struct {
 		about string
-		say   func(asked wire.ReportCall) wire.Reported
+		say   func(asked protocol.ReportCall) protocol.Reported
 		row   bool
 	}{
-		{"the answer", func(asked wire.ReportCall) wire.Reported {
-			return wire.Reported{Runner: "r", Address: "r:1", Number: asked.Number, Ok: true}
+		{"the answer", func(asked protocol.ReportCall) protocol.Reported {
+			return protocol.Reported{Runner: "r", Address: "r:1", Number: asked.Number, Ok: true}
 		}, true},
-		{"a late one of another question", func(asked wire.ReportCall) wire.Reported {
-			return wire.Reported{Runner: "r", Address: "r:1", Number: asked.Number + 7, Ok: true}
+		{"a late one of another question", func(asked protocol.ReportCall) protocol.Reported {
+			return protocol.Reported{Runner: "r", Address: "r:1", Number: asked.Number + 7, Ok: true}
 		}, false},
-		{"the answer to an order", func(wire.ReportCall) wire.Reported {
-			return wire.Reported{Runner: "r", Address: "r:1", Ok: true}
+		{"the answer to an order", func(protocol.ReportCall) protocol.Reported {
+			return protocol.Reported{Runner: "r", Address: "r:1", Ok: true}
 		}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			m := serving(t)
 			m.Step(100_010, bothRunners)
-			asked := calls[wire.ReportCall](m.Step(100_020, wire.Tick{}))
+			asked := calls[protocol.ReportCall](m.Step(100_020, protocol.Tick{}))
 			qt.Assert(t, asked, qt.HasLen, 2)
-			qt.Assert(t, calls[wire.ReportCall](m.Step(101_500, wire.Tick{})), qt.HasLen, 0)
+			qt.Assert(t, calls[protocol.ReportCall](m.Step(101_500, protocol.Tick{})), qt.HasLen, 0)
 			for _, call := range asked {
 				if call.Runner == "r" {
 					said := test.say(call)
-					said.Report = wire.Report{Runner: "r", Incarnation: "1", Room: 10, Epoch: 1}
+					said.Report = protocol.Report{Runner: "r", Incarnation: "1", Room: 10, Epoch: 1}
 					m.Step(101_510, said)
 				}
 			}
@@ -134,21 +134,21 @@
 		t.Run(test.about, func(t *testing.T) {
 			m := serving(t)
 			m.Step(100_010, bothRunners)
-			var orders []wire.OrderCall
+			var orders []protocol.OrderCall
 			for nowMs := int64(100_020); nowMs <= 100_020+test.waitMs; nowMs += 50 {
-				effects := m.Step(nowMs, wire.Tick{})
-				orders = append(orders, calls[wire.OrderCall](effects)...)
-				answerAll(m, nowMs, calls[wire.ReportCall](effects), test.epoch, test.silent)
+				effects := m.Step(nowMs, protocol.Tick{})
+				orders = append(orders, calls[protocol.OrderCall](effects)...)
+				answerAll(m, nowMs, calls[protocol.ReportCall](effects), test.epoch, test.silent)
 				// The hold and the backup live on.
 				m.election.leaseUntilMs = nowMs + 1000
 				for len(m.saves) > 0 {
 					for number := range m.saves {
-						orders = append(orders, calls[wire.OrderCall](m.Step(nowMs, wire.Saved{Number: number, Ok: true}))...)
+						orders = append(orders, calls[protocol.OrderCall](m.Step(nowMs, protocol.Saved{Number: number, Ok: true}))...)
 					}
 				}
-				orders = append(orders, calls[wire.OrderCall](m.Step(nowMs, wire.Envelope{
-					Site: "s", To: "a", From: wire.Place{Name: "b", Address: "b:1", Zone: "y", Part: wire.Controller, Incarnation: "1"},
-					Body: wire.Followed{Epoch: 1, At: m.state.Position},
+				orders = append(orders, calls[protocol.OrderCall](m.Step(nowMs, protocol.Envelope{
+					Site: "s", To: "a", From: protocol.Place{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
+					Body: protocol.Followed{Epoch: 1, At: m.state.Position},
 				}))...)
 			}
 			// One that is not answered is repeated under its number.
--- a/control/election.go
+++ b/internal/consensus/election.go
@@ -1,11 +1,11 @@
-package control
+package consensus
 
 import (
 	"fmt"
 	"slices"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // gapMs passes between the last possible order of one holder and the
@@ -33,21 +33,21 @@
 	renewMs int64
 	askedMs int64
 	round   uint64
-	ballot  wire.Ballot
+	ballot  protocol.Ballot
 	opposed bool
 	// asked holds whom the promise was asked of; granted who gave it.
-	asked   map[wire.Seat]bool
-	granted map[wire.Seat]bool
+	asked   map[protocol.Seat]bool
+	granted map[protocol.Seat]bool
 	// refused holds who refused for the sake of a higher ballot.
-	refused map[wire.Seat]bool
-	top     wire.Record
-	topKept wire.Ballot
+	refused map[protocol.Seat]bool
+	top     protocol.Record
+	topKept protocol.Ballot
 	// proposal is the record being kept, by this ballot.
-	proposal  *wire.Record
-	keepers   map[wire.Seat]bool
+	proposal  *protocol.Record
+	keepers   map[protocol.Seat]bool
 	completes bool
 	// grants holds when the last renewal that was granted had been sent.
-	grants       map[wire.Seat]int64
+	grants       map[protocol.Seat]int64
 	leaseUntilMs int64
 	ordersMs     int64
 	takesMs      int64
@@ -58,7 +58,7 @@
 	// learnMs is when peers were last asked for a newer record.
 	learnMs int64
 	// first is the record that the founding under way would make.
-	first wire.Record
+	first protocol.Record
 	// finishes says that first is another's attempt, which this one completes.
 	finishes bool
 }
@@ -72,7 +72,7 @@
 }
 
 // entitled says whether this disk may become primary under the record.
-func (m *Machine) entitled(record wire.Record) bool {
+func (m *Machine) entitled(record protocol.Record) bool {
 	// The older interface has no one who takes over from a daemon that stops.
 	stops := m.leaving.wanted && m.set.Tenant == nil
 	return !m.broken && !stops && record.HasReplica(m.ownSeat())
@@ -132,7 +132,7 @@
 		if m.nowMs-s.renewMs >= m.waits.RenewMs {
 			s.renewMs = m.nowMs
 			for _, voter := range m.record.Voters() {
-				m.sendName(voter.Name, wire.Renew{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
+				m.sendName(voter.Name, protocol.Renew{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
 			}
 			if s.proposal != nil {
 				m.sendKeeps()
@@ -168,7 +168,7 @@
 	m.election.proposal = nil
 	if f := m.election.founding; f != nil {
 		m.election.founding = nil
-		m.answer(f.ID, wire.Dropped{Kind: defect.NotTaken, Detail: "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it"})
+		m.answer(f.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it"})
 	}
 }
 
@@ -178,7 +178,7 @@
 	m.election.role = asking
 	m.election.sinceMs = m.nowMs
 	m.election.opposed = false
-	asked := m.roster.Part(wire.Controller)
+	asked := m.roster.Part(protocol.Controller)
 	for _, place := range m.roster.Watchers(m.record.Primary) {
 		if !slices.Contains(asked, place) && place.Name != m.set.Self.Name {
 			asked = append(asked, place)
@@ -186,27 +186,27 @@
 	}
 	for _, place := range asked {
 		if place.Name != m.record.Primary {
-			m.send(place, wire.Opinion{Epoch: m.record.Epoch})
+			m.send(place, protocol.Opinion{Epoch: m.record.Epoch})
 		}
 	}
 }
 
-func (m *Machine) opinion(e wire.Envelope, ask wire.Opinion) {
+func (m *Machine) opinion(e protocol.Envelope, ask protocol.Opinion) {
 	// What counts is the primary's own word, not that its daemon lives: it may
 	// have lost its disk or stepped down.
 	heardMs := m.nowMs - m.election.heardMs
 	if m.isPrimary() {
 		heardMs = 0
 	}
-	m.reply(e, wire.Opined{Epoch: ask.Epoch, HeardMs: heardMs, Record: m.record})
+	m.reply(e, protocol.Opined{Epoch: ask.Epoch, HeardMs: heardMs, Record: m.record})
 }
 
 // opined takes what a peer knows. One that asked by an older record goes by the
 // newer one from then on, and asks anew: those who know the newest record may
 // hold no copy, and then only those who don't know it can take over.
-func (m *Machine) opined(_ wire.Place, said wire.Opined) {
+func (m *Machine) opined(_ protocol.Place, said protocol.Opined) {
 	if len(said.Record.Replicas) > 0 && said.Record.Epoch > m.record.Epoch && !m.isPrimary() {
-		m.adopt(said.Record, wire.Ballot{})
+		m.adopt(said.Record, protocol.Ballot{})
 		if m.election.role == asking {
 			m.retreat(0)
 		}
@@ -225,14 +225,14 @@
 		return
 	}
 	s.learnMs = m.nowMs
-	for _, place := range m.roster.Part(wire.Controller) {
-		m.send(place, wire.Opinion{Epoch: m.record.Epoch})
+	for _, place := range m.roster.Part(protocol.Controller) {
+		m.send(place, protocol.Opinion{Epoch: m.record.Epoch})
 	}
 }
 
-func (m *Machine) transferred(from wire.Place, said wire.Transfer) {
+func (m *Machine) transferred(from protocol.Place, said protocol.Transfer) {
 	if said.Record.Primary == from.Name && !m.isPrimary() {
-		m.adopt(said.Record, wire.Ballot{})
+		m.adopt(said.Record, protocol.Ballot{})
 	}
 	if said.Record.Epoch == m.record.Epoch && from.Name == m.record.Primary && m.entitled(m.record) && m.election.role == follower {
 		m.askPromises(false)
@@ -244,8 +244,8 @@
 	s.role = promising
 	s.sinceMs, s.askedMs = m.nowMs, m.nowMs
 	s.round = max(s.round, m.ballot.Round, m.witness.Promised.Round) + 1
-	s.ballot = wire.Ballot{Round: s.round, Name: m.set.Self.Name}
-	s.asked, s.granted, s.refused = map[wire.Seat]bool{}, map[wire.Seat]bool{}, map[wire.Seat]bool{}
+	s.ballot = protocol.Ballot{Round: s.round, Name: m.set.Self.Name}
+	s.asked, s.granted, s.refused = map[protocol.Seat]bool{}, map[protocol.Seat]bool{}, map[protocol.Seat]bool{}
 	s.top, s.topKept = m.record, m.ballot
 	// What only this daemon's own witness keeps names whom to ask, too: of a
 	// bootstrap that was cut short there is nothing else.
@@ -253,18 +253,18 @@
 		s.top, s.topKept = m.witness.Record, m.witness.Kept
 	}
 	if found {
-		s.top, s.topKept = s.first, wire.Ballot{}
+		s.top, s.topKept = s.first, protocol.Ballot{}
 	}
 	m.askMore()
 }
 
 // promise is what a candidate asks of each witness.
-func (m *Machine) promise() wire.Promise {
+func (m *Machine) promise() protocol.Promise {
 	f := m.election.founding
 	// Seeds that have not kept a half-recorded first record are blank still; they
 	// must be able to agree to its end.
 	finishes := m.set.Tenant != nil && f == nil && m.record.Epoch == 0 && m.election.top.Epoch == firstEpoch
-	return wire.Promise{
+	return protocol.Promise{
 		Ballot: m.election.ballot, Found: finishes || f != nil && !f.Recover, Recover: f != nil && f.Recover,
 		AllSeeds: f != nil && len(f.Witnesses) == len(m.set.Seeds),
 	}
@@ -279,7 +279,7 @@
 	}
 }
 
-func (m *Machine) promised(from wire.Place, said wire.Promised) {
+func (m *Machine) promised(from protocol.Place, said protocol.Promised) {
 	s := &m.election
 	s.round = max(s.round, said.Highest.Round)
 	if s.role != promising || said.Ballot != s.ballot {
@@ -311,12 +311,12 @@
 		}
 		return
 	}
-	s.granted[wire.Seat{Name: from.Name, Incarnation: from.Incarnation}] = true
+	s.granted[protocol.Seat{Name: from.Name, Incarnation: from.Incarnation}] = true
 	if s.founding != nil {
 		m.foundWith()
 		return
 	}
-	if s.top.Majority(func(v wire.Seat) bool { return s.granted[v] }) && s.top.Epoch > 0 {
+	if s.top.Majority(func(v protocol.Seat) bool { return s.granted[v] }) && s.top.Epoch > 0 {
 		m.keep(s.top, true)
 	}
 }
@@ -325,15 +325,15 @@
 // for its sake that no majority is left. Two that go on side by side hold each
 // other's witnesses off for as long as both of them try; but one witness may
 // remember a ballot of long ago.
-func (m *Machine) heedRival(from wire.Place, highest wire.Ballot, record wire.Record, agreed map[wire.Seat]bool) {
+func (m *Machine) heedRival(from protocol.Place, highest protocol.Ballot, record protocol.Record, agreed map[protocol.Seat]bool) {
 	s := &m.election
 	if s.founding != nil || !s.ballot.Less(highest) {
 		return
 	}
-	s.refused[wire.Seat{Name: from.Name, Incarnation: from.Incarnation}] = true
+	s.refused[protocol.Seat{Name: from.Name, Incarnation: from.Incarnation}] = true
 	// Right after its start this daemon has not heard of the others yet.
 	started := m.nowMs-m.startMs < m.waits.MissMs
-	mayAgree := func(voter wire.Seat) bool {
+	mayAgree := func(voter protocol.Seat) bool {
 		there := started || voter == m.ownSeat() || m.roster.Live(m.nowMs, voter.Name)
 		return agreed[voter] || there && !s.refused[voter]
 	}
@@ -343,14 +343,14 @@
 	if s.role == keeping {
 		// What witnesses granted with the record would keep the other out.
 		for _, voter := range s.proposal.Voters() {
-			m.sendName(voter.Name, wire.Release{Epoch: s.proposal.Epoch, Ballot: s.ballot})
+			m.sendName(voter.Name, protocol.Release{Epoch: s.proposal.Epoch, Ballot: s.ballot})
 		}
 	}
 	m.retreat(m.waits.AttemptMs)
 }
 
 // keep asks the witnesses to store a record under the present ballot.
-func (m *Machine) keep(record wire.Record, completes bool) {
+func (m *Machine) keep(record protocol.Record, completes bool) {
 	s := &m.election
 	if s.role != primary {
 		s.role = keeping
@@ -358,9 +358,9 @@
 	}
 	s.proposal = &record
 	s.completes = completes
-	s.keepers = map[wire.Seat]bool{}
+	s.keepers = map[protocol.Seat]bool{}
 	if s.role != primary {
-		s.grants = map[wire.Seat]int64{}
+		s.grants = map[protocol.Seat]int64{}
 	}
 	m.sendKeeps()
 }
@@ -370,20 +370,20 @@
 		if m.election.keepers[voter] {
 			continue
 		}
-		m.sendName(voter.Name, wire.Keep{Ballot: m.election.ballot, Record: *m.election.proposal, EchoMs: m.nowMs})
+		m.sendName(voter.Name, protocol.Keep{Ballot: m.election.ballot, Record: *m.election.proposal, EchoMs: m.nowMs})
 	}
 }
 
-func (m *Machine) kept(from wire.Place, said wire.Kept) {
+func (m *Machine) kept(from protocol.Place, said protocol.Kept) {
 	s := &m.election
 	s.round = max(s.round, said.Highest.Round)
-	voter := wire.Seat{Name: from.Name, Incarnation: from.Incarnation}
+	voter := protocol.Seat{Name: from.Name, Incarnation: from.Incarnation}
 	if said.Ballot != s.ballot || !said.Granted {
 		// A new witness that missed the record that took it in is blank still,
 		// and takes no renewal: it is given that record again.
 		missed := said.Ballot == s.ballot && said.Record.Epoch < m.record.Epoch && !s.ballot.Less(said.Highest)
 		if missed && s.role == primary && slices.Contains(m.record.Witnesses, voter) {
-			m.send(from, wire.Keep{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
+			m.send(from, protocol.Keep{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
 		}
 		if s.role == keeping && said.Ballot == s.ballot {
 			m.heedRival(from, said.Highest, *s.proposal, s.keepers)
@@ -401,7 +401,7 @@
 		return
 	}
 	s.keepers[voter] = true
-	if !s.proposal.Majority(func(v wire.Seat) bool { return s.keepers[v] }) {
+	if !s.proposal.Majority(func(v protocol.Seat) bool { return s.keepers[v] }) {
 		return
 	}
 	record := *s.proposal
@@ -420,7 +420,7 @@
 			m.retreat(m.waits.MissMs)
 			return
 		}
-		m.keep(wire.Record{
+		m.keep(protocol.Record{
 			Epoch: record.Epoch + 1, Primary: m.set.Self.Name, Replicas: record.Replicas,
 			Witnesses: record.Witnesses, Before: record.Witnesses, Gone: record.Gone,
 		}, false)
@@ -439,14 +439,14 @@
 	}
 	slices.Sort(sent)
 	for _, at := range slices.Backward(sent) {
-		if m.record.Majority(func(v wire.Seat) bool { given, ok := s.grants[v]; return ok && given >= at }) {
+		if m.record.Majority(func(v protocol.Seat) bool { given, ok := s.grants[v]; return ok && given >= at }) {
 			s.leaseUntilMs = max(s.leaseUntilMs, at+m.waits.LeaseMs)
 			return
 		}
 	}
 }
 
-func (m *Machine) becomePrimary(record wire.Record) {
+func (m *Machine) becomePrimary(record protocol.Record) {
 	s := &m.election
 	m.adopt(record, s.ballot)
 	s.role = primary
@@ -478,7 +478,7 @@
 			m.election.quietMs = m.nowMs + RouterHoldMs
 		}
 		m.offer.current = m.state.Revision
-		m.offer.token = fmt.Sprintf("%s-%d", wire.Sum(m.state.Revision.Text), m.record.Epoch)
+		m.offer.token = fmt.Sprintf("%s-%d", protocol.Sum(m.state.Revision.Text), m.record.Epoch)
 		m.nudge()
 		m.note("the pair is whole; epoch %d serves", m.record.Epoch)
 		if f := m.election.founding; f != nil {
@@ -509,7 +509,7 @@
 	}
 	if f := m.election.founding; f != nil {
 		m.election.founding = nil
-		m.answer(f.ID, wire.Dropped{Kind: defect.AcceptanceUnknown, Detail: "the founding may have been recorded; ask for the status"})
+		m.answer(f.ID, protocol.Dropped{Kind: errkind.AcceptanceUnknown, Detail: "the founding may have been recorded; ask for the status"})
 	}
 }
 
@@ -524,9 +524,9 @@
 	m.losePrimacy(why)
 	m.election.nextMs = m.nowMs + 2*m.waits.LeaseMs
 	for _, voter := range voters {
-		m.sendName(voter.Name, wire.Release{Epoch: epoch, Ballot: m.election.ballot})
+		m.sendName(voter.Name, protocol.Release{Epoch: epoch, Ballot: m.election.ballot})
 	}
 	if paired {
-		m.sendName(peer.Name, wire.Transfer{Record: m.record})
+		m.sendName(peer.Name, protocol.Transfer{Record: m.record})
 	}
 }
--- a/control/founding.go
+++ b/internal/consensus/founding.go
@@ -1,11 +1,11 @@
-package control
+package consensus
 
 import (
 	"slices"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/disk"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
 )
 
 // firstEpoch is the epoch of the record that founds a site.
@@ -22,23 +22,23 @@
 // just what this very founding would give it, since an earlier go at it was
 // cut short. Nothing else ever takes a blank disk for a beginning.
 func (m *Machine) found(f Founding) {
-	drop := func(kind defect.Kind, detail string) { m.answer(f.ID, wire.Dropped{Kind: kind, Detail: detail}) }
+	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Dropped{Kind: kind, Detail: detail}) }
 	if m.record.Epoch > 0 || m.state.Position.Number > 0 {
-		drop(defect.AlreadyFounded, "this controller belongs to a founded site")
+		drop(errkind.AlreadyFounded, "this controller belongs to a founded site")
 		return
 	}
 	if m.election.founding != nil || m.election.role != follower && m.witness.Record.Epoch == 0 {
-		drop(defect.NotTaken, "a founding is under way")
+		drop(errkind.NotTaken, "a founding is under way")
 		return
 	}
 	first, fault := m.firstRecord(f)
 	if fault != "" {
-		drop(defect.BadRequest, fault)
+		drop(errkind.BadRequest, fault)
 		return
 	}
 	m.election.first = first
 	if m.witness.Record.Epoch > 0 && !same(m.witness.Record, m.election.first) {
-		drop(defect.AlreadyFounded, "this controller's witness belongs to another founding")
+		drop(errkind.AlreadyFounded, "this controller's witness belongs to another founding")
 		return
 	}
 	m.election.founding, m.election.finishes = &f, false
@@ -46,41 +46,41 @@
 }
 
 // firstRecord is the record that an operator's act would make, or why it can't.
-func (m *Machine) firstRecord(f Founding) (wire.Record, string) {
+func (m *Machine) firstRecord(f Founding) (protocol.Record, string) {
 	set := map[string]bool{}
-	var witnesses []wire.Seat
+	var witnesses []protocol.Seat
 	for _, name := range f.Witnesses {
 		set[name] = true
 		place, ok := m.roster.Place(name)
-		if !ok || place.Part != wire.Controller {
-			return wire.Record{}, "witnesses: no controller named " + name + " is known here"
+		if !ok || place.Part != protocol.Controller {
+			return protocol.Record{}, "witnesses: no controller named " + name + " is known here"
 		}
-		witnesses = append(witnesses, wire.Seat{Name: name, Incarnation: place.Incarnation})
+		witnesses = append(witnesses, protocol.Seat{Name: name, Incarnation: place.Incarnation})
 	}
 	if len(f.Witnesses) != 3 && m.set.Tenant == nil || len(set) != len(f.Witnesses) {
-		return wire.Record{}, "witnesses: must be three different controllers"
+		return protocol.Record{}, "witnesses: must be three different controllers"
 	}
 	if m.set.Tenant != nil {
 		return m.seedsRecord(witnesses), ""
 	}
 	backup, ok := m.roster.Place(f.Backup)
-	if !ok || backup.Part != wire.Controller || f.Backup == m.set.Self.Name {
-		return wire.Record{}, "backup: must be another controller that is known here"
+	if !ok || backup.Part != protocol.Controller || f.Backup == m.set.Self.Name {
+		return protocol.Record{}, "backup: must be another controller that is known here"
 	}
-	return wire.Record{
+	return protocol.Record{
 		Epoch: 1, Primary: m.set.Self.Name,
-		Replicas:  []wire.Seat{m.ownSeat(), {Name: backup.Name, Incarnation: backup.Incarnation}},
+		Replicas:  []protocol.Seat{m.ownSeat(), {Name: backup.Name, Incarnation: backup.Incarnation}},
 		Witnesses: witnesses, Before: witnesses,
 	}, ""
 }
 
 // same says whether two records are of one act.
-func same(a, b wire.Record) bool {
+func same(a, b protocol.Record) bool {
 	return a.Epoch == b.Epoch && a.Primary == b.Primary && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Witnesses, b.Witnesses)
 }
 
 // otherFounding ends a founding once a witness is seen to hold another record.
-func (m *Machine) otherFounding(from wire.Place, said wire.Promised) bool {
+func (m *Machine) otherFounding(from protocol.Place, said protocol.Promised) bool {
 	s := &m.election
 	if s.founding.Recover {
 		return m.otherRecovery(from, said)
@@ -103,7 +103,7 @@
 	s.founding = nil
 	// Whoever keeps that record finishes it, if it is left the time.
 	m.retreat(foundAfterMs)
-	m.answer(id, wire.Dropped{Kind: defect.AlreadyFounded, Detail: "a witness belongs to another founding"})
+	m.answer(id, protocol.Dropped{Kind: errkind.AlreadyFounded, Detail: "a witness belongs to another founding"})
 	return true
 }
 
@@ -112,7 +112,7 @@
 // finish another's attempt a majority will do, as for any half-recorded record.
 func (m *Machine) foundWith() {
 	if m.election.finishes {
-		if m.election.first.Majority(func(v wire.Seat) bool { return m.election.granted[v] }) {
+		if m.election.first.Majority(func(v protocol.Seat) bool { return m.election.granted[v] }) {
 			m.keep(m.election.first, true)
 		}
 		return
@@ -150,7 +150,7 @@
 		return
 	}
 	m.firstDisk = true
-	m.save(disk.Write{Sets: map[string]string{bootstrapKey: "first start"}}, nil)
+	m.save(storage.Write{Sets: map[string]string{bootstrapKey: "first start"}}, nil)
 }
 
 // tickFounding founds the site by itself, where this is the first start of
@@ -194,8 +194,8 @@
 
 // seedsRecord is the first record of a site that its seeds found: as many of
 // them as may be lost, and one more, hold copies.
-func (m *Machine) seedsRecord(witnesses []wire.Seat) wire.Record {
-	record := wire.Record{Epoch: 1, Primary: m.set.Self.Name, Replicas: []wire.Seat{m.ownSeat()}, Witnesses: witnesses, Before: witnesses}
+func (m *Machine) seedsRecord(witnesses []protocol.Seat) protocol.Record {
+	record := protocol.Record{Epoch: 1, Primary: m.set.Self.Name, Replicas: []protocol.Seat{m.ownSeat()}, Witnesses: witnesses, Before: witnesses}
 	for _, seat := range witnesses {
 		if seat != m.ownSeat() && len(record.Replicas) < m.set.Losses+1 {
 			record.Replicas = append(record.Replicas, seat)
--- a/control/index.go
+++ b/internal/consensus/index.go
@@ -1,10 +1,10 @@
-package control
+package consensus
 
 import (
 	"sort"
 
-	"myrtlewinch/choice"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/choice"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -30,10 +30,10 @@
 	return m.nowMs - m.election.heardMs
 }
 
-func (m *Machine) lookUp(e wire.Envelope, ask wire.LookUp) {
+func (m *Machine) lookUp(e protocol.Envelope, ask protocol.LookUp) {
 	m.index.looked++
 	key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-	answer := wire.Index{ID: ask.ID, Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Behind: m.described == nil}
+	answer := protocol.Index{ID: ask.ID, Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Behind: m.described == nil}
 	if m.described != nil {
 		if service, ok := m.described.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
 			m.index.counts[key.String()]++
@@ -52,14 +52,14 @@
 }
 
 // turnOf is the turn of a key that no runner holds.
-func turnOf(soft wire.Soft, key choice.Key, line choice.Line) int64 {
+func turnOf(soft protocol.Soft, key choice.Key, line choice.Line) int64 {
 	if len(line.Holders) > 0 {
 		return 0
 	}
 	return soft.Turns[key.Item().String()]
 }
 
-func (m *Machine) softNow() wire.Soft {
+func (m *Machine) softNow() protocol.Soft {
 	if m.isPrimary() {
 		return m.duty.soft(m.nowMs)
 	}
@@ -89,9 +89,9 @@
 			line = m.table.Look(key, m.described, m.state, m.softNow())
 		}
 		if len(line.Holders) > 0 {
-			for _, place := range m.roster.Part(wire.Router) {
+			for _, place := range m.roster.Part(protocol.Router) {
 				if _, asked := routers[place.Name]; asked {
-					m.send(place, wire.Index{Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Holders: line.Holders})
+					m.send(place, protocol.Index{Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Holders: line.Holders})
 				}
 			}
 		}
@@ -102,7 +102,7 @@
 }
 
 // tellWaited tells a router what is loaded of what its requests wait for.
-func (m *Machine) tellWaited(to wire.Place, keys []wire.LookUp) {
+func (m *Machine) tellWaited(to protocol.Place, keys []protocol.LookUp) {
 	if m.described == nil {
 		return
 	}
@@ -110,11 +110,11 @@
 		key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
 		line := m.table.Look(key, m.described, m.state, m.softNow())
 		if len(line.Holders) > 0 {
-			m.send(to, wire.Index{Key: key.String(), At: m.state.Position, Holders: line.Holders})
+			m.send(to, protocol.Index{Key: key.String(), At: m.state.Position, Holders: line.Holders})
 			continue
 		}
 		if turnMs := turnOf(m.softNow(), key, line); turnMs > 0 {
-			m.send(to, wire.Index{Key: key.String(), At: m.state.Position, Loading: line.Loading, TurnMs: turnMs})
+			m.send(to, protocol.Index{Key: key.String(), At: m.state.Position, Loading: line.Loading, TurnMs: turnMs})
 		}
 		if service, ok := m.described.Service(ask.Service); ok && service.Allows(ask.Model) {
 			m.duty.waited(m.nowMs, ask.Model, ask.Adapter)
@@ -134,14 +134,14 @@
 	if len(m.index.counts) == 0 {
 		return
 	}
-	demand := wire.Demand{Counts: m.index.counts}
+	demand := protocol.Demand{Counts: m.index.counts}
 	m.index.counts = map[string]int64{}
 	if m.record.Primary != "" {
 		m.sendName(m.record.Primary, demand)
 	}
 }
 
-func (m *Machine) demanded(said wire.Demand) {
+func (m *Machine) demanded(said protocol.Demand) {
 	if m.isPrimary() {
 		m.duty.demanded(m.nowMs, said)
 	}
--- a/control/index_test.go
+++ b/internal/consensus/index_test.go
@@ -1,26 +1,26 @@
-package control
+package consensus
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 // asks brings a router's look-up and gives the answers that leave.
-func asks(m *Machine, nowMs int64, service, model string) []wire.Index {
-	return indexed(m.Step(nowMs, wire.Envelope{
-		Site: "s", To: "a", From: wire.Place{Name: "e", Address: "e:1", Part: wire.Router, Incarnation: "1"},
-		Body: wire.LookUp{ID: 7, Service: service, Model: model},
+func asks(m *Machine, nowMs int64, service, model string) []protocol.Index {
+	return indexed(m.Step(nowMs, protocol.Envelope{
+		Site: "s", To: "a", From: protocol.Place{Name: "e", Address: "e:1", Part: protocol.Router, Incarnation: "1"},
+		Body: protocol.LookUp{ID: 7, Service: service, Model: model},
 	}))
 }
 
-func indexed(effects wire.Effects) []wire.Index {
-	var out []wire.Index
+func indexed(effects protocol.Effects) []protocol.Index {
+	var out []protocol.Index
 	for _, send := range effects.Sends {
-		if index, ok := send.Body.(wire.Index); ok {
+		if index, ok := send.Body.(protocol.Index); ok {
 			out = append(out, index)
 		}
 	}
@@ -43,16 +43,18 @@
 		{"held by two", func(m *Machine) { m.state.Rows["r"].Held["m"], m.state.Rows["q"].Held["m"] = item, item }, "v", "m", 2, false, 0, true},
 		{"held by a leaver", func(m *Machine) {
 			m.state.Rows["r"].Held["m"] = item
-			m.state.Marks[wire.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
 		}, "v", "m", 0, false, 0, true},
 		{"held by a dark one", func(m *Machine) {
 			m.state.Rows["r"].Held["m"] = item
 			m.duty.seen["r"].okMs = m.nowMs - darkMs - 100
 		}, "v", "m", 0, false, 0, true},
-		{"being loaded", func(m *Machine) { m.state.Rows["r"].Intent = &ledger.Intent{Action: wire.Load, Model: "m", Size: 6} }, "v", "m", 0, true, 0, true},
+		{"being loaded", func(m *Machine) {
+			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.Load, Model: "m", Size: 6}
+		}, "v", "m", 0, true, 0, true},
 		{"being unloaded", func(m *Machine) {
 			m.state.Rows["r"].Held["m"] = item
-			m.state.Rows["r"].Intent = &ledger.Intent{Action: wire.Unload, Model: "m"}
+			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.Unload, Model: "m"}
 		}, "v", "m", 0, false, 0, true},
 		{"its turn is known", func(m *Machine) { m.duty.turns = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
 		{"no such service", func(*Machine) {}, "x", "m", 0, false, 0, false},
@@ -89,7 +91,7 @@
 		for _, s := range m.duty.seen {
 			s.okMs = nowMs
 		}
-		for _, index := range indexed(m.Step(nowMs, wire.Tick{})) {
+		for _, index := range indexed(m.Step(nowMs, protocol.Tick{})) {
 			qt.Assert(t, index.Holders, qt.HasLen, 1)
 			qt.Assert(t, index.ID, qt.Equals, uint64(0))
 			told++
--- a/control/machine.go
+++ b/internal/consensus/machine.go
@@ -1,6 +1,6 @@
-// Package control is the control plane as one state machine: epochs and
+// Package consensus is the control plane as one state machine: epochs and
 // holds, the copied state, descriptions, the index and the orders.
-package control
+package consensus
 
 import (
 	"encoding/json"
@@ -10,20 +10,20 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/choice"
-	"myrtlewinch/defect"
-	"myrtlewinch/description"
-	"myrtlewinch/disk"
-	"myrtlewinch/ledger"
-	"myrtlewinch/watch"
-	"myrtlewinch/wire"
-	"myrtlewinch/witness"
+	"myrtlewinch/internal/election/witness"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/failuredetector"
+	"myrtlewinch/internal/native/choice"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
 )
 
 // Settings is what a controller knows before it knows anyone.
 type Settings struct {
 	Site     string
-	Self     wire.Place
+	Self     protocol.Place
 	Seeds    []string
 	Platform string
 	// GapMs replaces the usual gap between the orders of two holders.
@@ -64,8 +64,8 @@
 
 // remembered is the record with the ballot it was kept under.
 type remembered struct {
-	Record wire.Record `json:"record"`
-	Ballot wire.Ballot `json:"ballot"`
+	Record protocol.Record `json:"record"`
+	Ballot protocol.Ballot `json:"ballot"`
 }
 
 // Machine is one controller. It reads no clock, no socket and no disk.
@@ -73,14 +73,14 @@
 	set     Settings
 	waits   Timing
 	nowMs   int64
-	out     wire.Effects
-	local   []wire.Envelope
+	out     protocol.Effects
+	local   []protocol.Envelope
 	witness *witness.Witness
 	state   *ledger.State
 	// described is the description in force, compiled; nil while none is.
 	described *description.Description
-	record    wire.Record
-	ballot    wire.Ballot
+	record    protocol.Record
+	ballot    protocol.Ballot
 	saves     map[uint64]func(ok bool)
 	saved     uint64
 	// minCopies is how many disks must have a change before it is answered.
@@ -97,7 +97,7 @@
 	leaving      departure
 	// retired says that this disk's name has passed to another for good.
 	retired bool
-	roster  *watch.Roster
+	roster  *failuredetector.Roster
 	// peers is the list last kept on the disk, peersSum what names it, and
 	// peersMs when it was written.
 	peers       string
@@ -148,7 +148,7 @@
 	if m.witness.Record.Epoch > 0 && m.record.Epoch == 0 {
 		m.record.Witnesses, m.record.Before = m.witness.Record.Witnesses, m.witness.Record.Before
 	}
-	var places []wire.Place
+	var places []protocol.Place
 	if text := keys[peersKey]; text != "" {
 		if err := json.Unmarshal([]byte(text), &places); err != nil {
 			return nil, errors.Wrap(err, "the remembered peers on the disk can't be read")
@@ -162,7 +162,7 @@
 			return nil, err
 		}
 	}
-	m.roster = watch.New(set.Self, set.Seeds, places)
+	m.roster = failuredetector.New(set.Self, set.Seeds, places)
 	m.election = election{heardMs: nowMs}
 	m.replication = replication{waits: set.Timing, synced: m.state.Position, taken: m.state.Position}
 	m.offer.forget()
@@ -191,8 +191,8 @@
 	return nil
 }
 
-func (m *Machine) ownSeat() wire.Seat {
-	return wire.Seat{Name: m.set.Self.Name, Incarnation: m.set.Self.Incarnation}
+func (m *Machine) ownSeat() protocol.Seat {
+	return protocol.Seat{Name: m.set.Self.Name, Incarnation: m.set.Self.Incarnation}
 }
 
 // Inputs beside those of package wire.
@@ -222,9 +222,9 @@
 )
 
 // Step takes one input and returns what to do.
-func (m *Machine) Step(nowMs int64, input any) wire.Effects {
+func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
 	m.nowMs = nowMs
-	m.out = wire.Effects{}
+	m.out = protocol.Effects{}
 	if m.retired {
 		m.stepRetired(input)
 		return m.out
@@ -232,9 +232,9 @@
 	// A hold that ran out while nothing was done is noticed before anything else.
 	m.checkLease()
 	switch in := input.(type) {
-	case wire.Envelope:
+	case protocol.Envelope:
 		m.receive(in)
-	case wire.Saved:
+	case protocol.Saved:
 		then := m.saves[in.Number]
 		delete(m.saves, in.Number)
 		if then != nil {
@@ -243,9 +243,9 @@
 		if !in.Ok {
 			m.breakDisk()
 		}
-	case wire.Reported:
+	case protocol.Reported:
 		m.reported(in)
-	case wire.Listing:
+	case protocol.Listing:
 		m.listed(in)
 	case HandOver:
 		m.handOver(in)
@@ -262,7 +262,7 @@
 		m.roster.Reseed(in.Seeds)
 	case Look:
 		m.look(in)
-	case wire.Tick:
+	case protocol.Tick:
 		m.tick()
 	default:
 		if m.set.Tenant == nil || !m.set.Tenant.Input(host{m}, input) {
@@ -308,20 +308,20 @@
 		return
 	}
 	m.peers = string(text)
-	m.save(disk.Write{Sets: map[string]string{peersKey: m.peers}}, nil)
+	m.save(storage.Write{Sets: map[string]string{peersKey: m.peers}}, nil)
 }
 
-func (m *Machine) receive(e wire.Envelope) {
+func (m *Machine) receive(e protocol.Envelope) {
 	if e.Site != m.set.Site {
-		m.count(defect.OtherSite)
+		m.count(errkind.OtherSite)
 		return
 	}
 	// An address may have passed to another daemon.
 	if e.To != "" && e.To != m.set.Self.Name {
-		m.count(defect.OtherDaemon)
+		m.count(errkind.OtherDaemon)
 		return
 	}
-	if e.From.Part == wire.Controller && !m.heeds(e) {
+	if e.From.Part == protocol.Controller && !m.heeds(e) {
 		return
 	}
 	m.roster.Heard(m.nowMs, e.From)
@@ -329,74 +329,74 @@
 		return
 	}
 	switch body := e.Body.(type) {
-	case wire.Heartbeat:
-	case wire.Hello:
-		m.reply(e, wire.Known{Peers: m.known(e.From), Record: m.record})
-	case wire.Known:
+	case protocol.Heartbeat:
+	case protocol.Hello:
+		m.reply(e, protocol.Known{Peers: m.known(e.From), Record: m.record})
+	case protocol.Known:
 		m.roster.Learn(m.nowMs, body.Peers)
 		// What a core peer holds as its record is complete, so it may be
 		// taken; a router knows only the epoch and who is primary.
 		if len(body.Record.Replicas) > 0 && body.Record.Epoch > m.record.Epoch && !m.isPrimary() {
-			m.adopt(body.Record, wire.Ballot{})
+			m.adopt(body.Record, protocol.Ballot{})
 		}
-	case wire.Retire:
+	case protocol.Retire:
 		m.heedRetire(body.Record)
-	case wire.Sightings:
+	case protocol.Sightings:
 		for _, s := range body.Seen {
 			m.roster.Told(m.nowMs, s)
 		}
-	case wire.Promise:
+	case protocol.Promise:
 		if body.Found && !body.AllSeeds && !m.mayBootstrap() {
-			m.count(defect.NotFirstDisk)
-			m.reply(e, wire.Promised{Ballot: body.Ballot, NotFirstDisk: true})
+			m.count(errkind.NotFirstDisk)
+			m.reply(e, protocol.Promised{Ballot: body.Ballot, NotFirstDisk: true})
 			return
 		}
 		answer, changed := m.witness.Promise(m.nowMs, e.From.Name, body)
 		answer.At = m.replication.synced
 		m.saveWitness(changed, func() { m.reply(e, answer) })
-	case wire.Keep:
+	case protocol.Keep:
 		answer, changed := m.witness.Keep(m.nowMs, body)
 		m.saveWitness(changed, func() { m.reply(e, answer) })
-	case wire.Renew:
+	case protocol.Renew:
 		answer, changed := m.witness.Renew(m.nowMs, body)
 		m.saveWitness(changed, func() { m.reply(e, answer) })
-	case wire.Release:
+	case protocol.Release:
 		m.witness.Release(e.From.Name, body)
-	case wire.Promised:
+	case protocol.Promised:
 		m.promised(e.From, body)
-	case wire.Kept:
+	case protocol.Kept:
 		m.kept(e.From, body)
-	case wire.Opinion:
+	case protocol.Opinion:
 		m.opinion(e, body)
-	case wire.Opined:
+	case protocol.Opined:
 		m.opined(e.From, body)
-	case wire.Transfer:
+	case protocol.Transfer:
 		m.transferred(e.From, body)
-	case wire.Follow:
+	case protocol.Follow:
 		m.follow(e, body)
-	case wire.Snapshot:
+	case protocol.Snapshot:
 		m.takeSnapshot(e, body)
-	case wire.Followed:
+	case protocol.Followed:
 		m.followed(e.From, body)
-	case wire.Ask:
+	case protocol.Ask:
 		m.asked(e, body)
-	case wire.LookUp:
+	case protocol.LookUp:
 		m.lookUp(e, body)
-	case wire.Demand:
+	case protocol.Demand:
 		m.demanded(body)
 	default:
-		m.count(defect.Malformed)
+		m.count(errkind.Malformed)
 	}
 }
 
 // known is what another daemon is told of the site. A router of a service map
 // needs the controllers only, and all routers ask at once while a primary is
 // missing.
-func (m *Machine) known(to wire.Place) []wire.Place {
-	if m.set.Tenant == nil || to.Part != wire.Router {
+func (m *Machine) known(to protocol.Place) []protocol.Place {
+	if m.set.Tenant == nil || to.Part != protocol.Router {
 		return m.roster.Places()
 	}
-	return append(m.roster.Part(wire.Controller), m.set.Self)
+	return append(m.roster.Part(protocol.Controller), m.set.Self)
 }
 
 // saveWitness saves the witness where it changed, and then answers. What a
@@ -408,7 +408,7 @@
 	case m.broken:
 	case changed:
 		m.witnessSaves++
-		m.save(disk.Write{Sets: map[string]string{witness.Key: m.witness.Text()}}, func(ok bool) {
+		m.save(storage.Write{Sets: map[string]string{witness.Key: m.witness.Text()}}, func(ok bool) {
 			m.witnessSaves--
 			if ok {
 				then()
@@ -435,12 +435,12 @@
 }
 
 // save asks for a change of the disk and goes on with then once it ended.
-func (m *Machine) save(w disk.Write, then func(ok bool)) {
+func (m *Machine) save(w storage.Write, then func(ok bool)) {
 	m.saved++
 	if then != nil {
 		m.saves[m.saved] = then
 	}
-	m.out.Saves = append(m.out.Saves, wire.Save{Number: m.saved, Write: w})
+	m.out.Saves = append(m.out.Saves, protocol.Save{Number: m.saved, Write: w})
 }
 
 // breakDisk is the end of this daemon's part in writes until it is restarted:
@@ -454,14 +454,14 @@
 	m.stepDown("disk defect")
 }
 
-func (m *Machine) reply(e wire.Envelope, body any) { m.send(e.From, body) }
+func (m *Machine) reply(e protocol.Envelope, body any) { m.send(e.From, body) }
 
-func (m *Machine) send(to wire.Place, body any) {
+func (m *Machine) send(to protocol.Place, body any) {
 	if to.Name == m.set.Self.Name {
-		m.local = append(m.local, wire.Envelope{Site: m.set.Site, From: m.set.Self, To: to.Name, Body: body})
+		m.local = append(m.local, protocol.Envelope{Site: m.set.Site, From: m.set.Self, To: to.Name, Body: body})
 		return
 	}
-	m.out.Sends = append(m.out.Sends, wire.Send{To: to.Name, Address: to.Address, Body: body})
+	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
 func (m *Machine) sendName(name string, body any) {
@@ -474,14 +474,14 @@
 	m.out.Notes = append(m.out.Notes, fmt.Sprintf(format, args...))
 }
 
-func (m *Machine) count(kind defect.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
+func (m *Machine) count(kind errkind.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
 
 func (m *Machine) answer(id uint64, body any) {
-	m.out.Answers = append(m.out.Answers, wire.Answer{ID: id, Body: body})
+	m.out.Answers = append(m.out.Answers, protocol.Answer{ID: id, Body: body})
 }
 
 // adopt takes a complete record as the one in force.
-func (m *Machine) adopt(record wire.Record, ballot wire.Ballot) {
+func (m *Machine) adopt(record protocol.Record, ballot protocol.Ballot) {
 	if record.Epoch < m.record.Epoch {
 		return
 	}
@@ -499,6 +499,6 @@
 	}
 	if changed && !m.broken {
 		text, _ := json.Marshal(remembered{m.record, m.ballot})
-		m.save(disk.Write{Sets: map[string]string{recordKey: string(text)}}, nil)
+		m.save(storage.Write{Sets: map[string]string{recordKey: string(text)}}, nil)
 	}
 }
--- a/control/machine_witness_test.go
+++ b/internal/consensus/machine_witness_test.go
@@ -1,26 +1,26 @@
-package control
+package consensus
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // A witness answers nothing before what it rests on is on its disk, also when
 // the same is asked again meanwhile.
 func TestWitnessAnswersOnceItIsSynced(t *testing.T) {
-	ballot := wire.Ballot{Round: 90, Name: "core-9"}
+	ballot := protocol.Ballot{Round: 90, Name: "core-9"}
 	cases := []struct {
 		about string
 		ask   func(m *Machine) any
 	}{
-		{"a promise", func(*Machine) any { return wire.Promise{Ballot: ballot} }},
+		{"a promise", func(*Machine) any { return protocol.Promise{Ballot: ballot} }},
 		{"a record", func(m *Machine) any {
 			next := m.record
 			next.Epoch++
-			return wire.Keep{Ballot: ballot, Record: next}
+			return protocol.Keep{Ballot: ballot, Record: next}
 		}},
 	}
 	for _, test := range cases {
@@ -28,10 +28,10 @@
 			w := served(qt.New(t), 1, 3)
 			name := w.backup()
 			m := w.nodes[name].machine
-			m.witness.Release(m.record.Primary, wire.Release{Epoch: m.record.Epoch, Ballot: m.witness.Kept})
-			ask := wire.Envelope{
+			m.witness.Release(m.record.Primary, protocol.Release{Epoch: m.record.Epoch, Ballot: m.witness.Kept})
+			ask := protocol.Envelope{
 				Site: "s", To: name, Body: test.ask(m),
-				From: wire.Place{Name: "core-9", Address: "10.0.0.9:7", Part: wire.Controller, Incarnation: "1"},
+				From: protocol.Place{Name: "core-9", Address: "10.0.0.9:7", Part: protocol.Controller, Incarnation: "1"},
 			}
 			first := m.Step(w.nowMs, ask)
 			qt.Assert(t, first.Saves, qt.HasLen, 1)
@@ -39,7 +39,7 @@
 			again := m.Step(w.nowMs+1, ask)
 			qt.Assert(t, again.Saves, qt.HasLen, 0)
 			qt.Assert(t, again.Sends, qt.HasLen, 0)
-			synced := m.Step(w.nowMs+2, wire.Saved{Number: first.Saves[0].Number, Ok: true})
+			synced := m.Step(w.nowMs+2, protocol.Saved{Number: first.Saves[0].Number, Ok: true})
 			qt.Assert(t, synced.Sends, qt.HasLen, 2)
 		})
 	}
--- a/control/membership.go
+++ b/internal/consensus/membership.go
@@ -1,9 +1,9 @@
-package control
+package consensus
 
 import (
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // tendRecord recruits a new backup for a lost one and takes a blank witness in.
@@ -44,8 +44,8 @@
 // whose names have passed to another, if the copies should change: by one
 // member at a time. Of a lost or leaving copy nothing is given up before
 // another has taken its place; only what is over the number that must be is.
-func (m *Machine) nextCopies() (copies, gone []wire.Seat, changes bool) {
-	var bad, extra wire.Seat
+func (m *Machine) nextCopies() (copies, gone []protocol.Seat, changes bool) {
+	var bad, extra protocol.Seat
 	for _, seat := range m.record.Replicas {
 		switch {
 		case seat == m.ownSeat():
@@ -59,14 +59,14 @@
 	// over, so that none is recruited needlessly; but none is given up because of
 	// one that has not answered.
 	want, good, proven := m.set.Losses+1, m.countCopies(m.staysCopy), m.countCopies(m.provenCopy)
-	without := func(lost wire.Seat) []wire.Seat {
-		return slices.DeleteFunc(slices.Clone(m.record.Replicas), func(seat wire.Seat) bool { return seat == lost })
+	without := func(lost protocol.Seat) []protocol.Seat {
+		return slices.DeleteFunc(slices.Clone(m.record.Replicas), func(seat protocol.Seat) bool { return seat == lost })
 	}
 	switch {
-	case proven >= want && bad != wire.Seat{}:
+	case proven >= want && bad != protocol.Seat{}:
 		m.note("%s is a copy no longer; enough others are", bad.Name)
 		return without(bad), m.record.Gone, true
-	case proven > want && extra != wire.Seat{}:
+	case proven > want && extra != protocol.Seat{}:
 		m.note("%s is a copy no longer; more are kept than must be", extra.Name)
 		return without(extra), m.record.Gone, true
 	case good >= want:
@@ -86,7 +86,7 @@
 }
 
 // nextPrimary is the copy that a primary which stops on purpose asks to take over.
-func (m *Machine) nextPrimary() (wire.Seat, bool) {
+func (m *Machine) nextPrimary() (protocol.Seat, bool) {
 	for _, seat := range m.record.Replicas {
 		if seat != m.ownSeat() && m.staysCopy(seat) {
 			return seat, true
@@ -98,11 +98,11 @@
 // recruit picks a follower that holds every change that was answered, in
 // another zone if it can. What is answered from then on needs it as well, so
 // it need not have what is still on its way.
-func (m *Machine) recruit(lost wire.Seat) (wire.Seat, bool) {
-	var best wire.Seat
+func (m *Machine) recruit(lost protocol.Seat) (protocol.Seat, bool) {
+	var best protocol.Seat
 	found, other := false, false
-	for _, place := range m.roster.Part(wire.Controller) {
-		seat := wire.Seat{Name: place.Name, Incarnation: place.Incarnation}
+	for _, place := range m.roster.Part(protocol.Controller) {
+		seat := protocol.Seat{Name: place.Name, Incarnation: place.Incarnation}
 		c := m.replication.peers[place.Name]
 		if seat == lost || m.record.HasReplica(seat) || c == nil || c.acked < m.replication.committed {
 			continue
--- a/control/offer.go
+++ b/internal/consensus/offer.go
@@ -1,12 +1,12 @@
-package control
+package consensus
 
 import (
 	"fmt"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/description"
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -30,10 +30,10 @@
 	pending *candidate
 	line    []HandOver
 	// holds are by process, not by name: two of one name may live for a while.
-	holds map[wire.Seat]*routerHold
+	holds map[protocol.Seat]*routerHold
 	// numbers registers the routers' processes in the order in which they first
 	// asked; latest is the one that holds each name.
-	numbers map[wire.Seat]uint64
+	numbers map[protocol.Seat]uint64
 	latest  map[string]uint64
 }
 
@@ -62,22 +62,22 @@
 	Revision uint64 `json:"revision"`
 }
 
-func (m *Machine) drop(id uint64, kind defect.Kind, detail string, faults []string) {
-	m.answer(id, wire.Dropped{Kind: kind, Detail: detail, Faults: faults, Revision: m.offer.current.Number, Primary: m.record.Primary})
+func (m *Machine) drop(id uint64, kind errkind.Kind, detail string, faults []string) {
+	m.answer(id, protocol.Dropped{Kind: kind, Detail: detail, Faults: faults, Revision: m.offer.current.Number, Primary: m.record.Primary})
 }
 
 func (m *Machine) handOver(in HandOver) {
 	switch {
 	case len(in.Text) > description.Most:
-		m.drop(in.ID, defect.TooLarge, "a description may have at most 1 MiB", nil)
+		m.drop(in.ID, errkind.TooLarge, "a description may have at most 1 MiB", nil)
 	case m.record.Epoch == 0:
-		m.drop(in.ID, defect.NotFounded, "this site is not founded", nil)
+		m.drop(in.ID, errkind.NotFounded, "this site is not founded", nil)
 	case !m.isPrimary():
-		m.drop(in.ID, defect.NotPrimary, "the primary takes descriptions", nil)
+		m.drop(in.ID, errkind.NotPrimary, "the primary takes descriptions", nil)
 	case !m.active():
-		m.drop(in.ID, defect.NotTaken, "the pair is not whole yet", nil)
+		m.drop(in.ID, errkind.NotTaken, "the pair is not whole yet", nil)
 	case len(m.offer.line) >= lineMost:
-		m.drop(in.ID, defect.NotTaken, "too many descriptions wait", nil)
+		m.drop(in.ID, errkind.NotTaken, "too many descriptions wait", nil)
 	default:
 		m.offer.line = append(m.offer.line, in)
 		m.nextOffer()
@@ -94,7 +94,7 @@
 		// the primary before may have given.
 		if in.Base != o.current.Number {
 			o.line = o.line[1:]
-			m.drop(in.ID, defect.StaleBase, "the description in force is another by now", nil)
+			m.drop(in.ID, errkind.StaleBase, "the description in force is another by now", nil)
 			continue
 		}
 		text := []byte(in.Text)
@@ -107,9 +107,9 @@
 		}
 		if len(faults) > 0 || len(text) > description.Most {
 			o.line = o.line[1:]
-			kind := defect.FaultyDescription
+			kind := errkind.FaultyDescription
 			if len(faults) == 0 {
-				kind = defect.TooLarge
+				kind = errkind.TooLarge
 			}
 			m.drop(in.ID, kind, "the description has no effect", faults)
 			continue
@@ -120,7 +120,7 @@
 		o.line = o.line[1:]
 		o.pending = &candidate{from: in, number: o.current.Number + 1, text: string(text), sinceMs: m.nowMs}
 		o.count++
-		o.pending.token = fmt.Sprintf("%s-%d-%d", wire.Sum(string(text)), m.record.Epoch, o.count)
+		o.pending.token = fmt.Sprintf("%s-%d-%d", protocol.Sum(string(text)), m.record.Epoch, o.count)
 		m.note("revision %d is offered to the routers", o.pending.number)
 		m.nudge()
 		m.tickOffer()
@@ -129,8 +129,8 @@
 
 // nudge makes the routers ask at once rather than at their next turn.
 func (m *Machine) nudge() {
-	for _, place := range m.roster.Part(wire.Router) {
-		m.send(place, wire.Nudge{Epoch: m.record.Epoch})
+	for _, place := range m.roster.Part(protocol.Router) {
+		m.send(place, protocol.Nudge{Epoch: m.record.Epoch})
 	}
 }
 
@@ -151,7 +151,7 @@
 		if m.nowMs-o.pending.sinceMs >= giveUpMs {
 			id := o.pending.from.ID
 			o.pending = nil
-			m.drop(id, defect.NotTaken, "too few routers acknowledged it", nil)
+			m.drop(id, errkind.NotTaken, "too few routers acknowledged it", nil)
 			m.nudge()
 			m.nextOffer()
 		}
@@ -161,7 +161,7 @@
 	pending := o.pending
 	m.submit(func(ok bool) {
 		if !ok {
-			m.drop(pending.from.ID, defect.AcceptanceUnknown, "it may be in force; read the description to find out", nil)
+			m.drop(pending.from.ID, errkind.AcceptanceUnknown, "it may be in force; read the description to find out", nil)
 			return
 		}
 		m.offer.current = ledger.Revision{Number: pending.number, Text: pending.text}
@@ -211,24 +211,24 @@
 	o.line, o.pending = nil, nil
 	o.forget()
 	for _, in := range line {
-		m.drop(in.ID, defect.NotTaken, "this controller is not the primary any more", nil)
+		m.drop(in.ID, errkind.NotTaken, "this controller is not the primary any more", nil)
 	}
 	// One that was never written can't come into force; one that was has been
 	// answered by its write's end.
 	if pending != nil && !pending.given {
-		m.drop(pending.from.ID, defect.NotTaken, "this controller is not the primary any more", nil)
+		m.drop(pending.from.ID, errkind.NotTaken, "this controller is not the primary any more", nil)
 	}
 }
 
 // forget begins the holds and the registration of routers anew.
 func (o *offer) forget() {
-	o.holds, o.numbers, o.latest = map[wire.Seat]*routerHold{}, map[wire.Seat]uint64{}, map[string]uint64{}
+	o.holds, o.numbers, o.latest = map[protocol.Seat]*routerHold{}, map[protocol.Seat]uint64{}, map[string]uint64{}
 }
 
 // register gives a router's process its number. One that shows that it got it
 // lives, and has the name unless a later one does. The rest are retired.
 // No two primacies give the same number.
-func (o *offer) register(epoch uint64, seat wire.Seat, shown uint64) (number uint64, retired bool) {
+func (o *offer) register(epoch uint64, seat protocol.Seat, shown uint64) (number uint64, retired bool) {
 	number = o.numbers[seat]
 	if number == 0 {
 		number = epoch<<24 + uint64(len(o.numbers)+1)
@@ -272,18 +272,18 @@
 }
 
 // asked answers a router. Only a router that counts is given a hold.
-func (m *Machine) asked(e wire.Envelope, ask wire.Ask) {
+func (m *Machine) asked(e protocol.Envelope, ask protocol.Ask) {
 	if !m.active() {
 		return
 	}
 	o := &m.offer
-	seat := wire.Seat{Name: e.From.Name, Incarnation: e.From.Incarnation}
+	seat := protocol.Seat{Name: e.From.Name, Incarnation: e.From.Incarnation}
 	number, retired := o.register(m.record.Epoch, seat, ask.Number)
 	if retired {
-		m.reply(e, wire.Word{EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch, Number: number, Retired: true})
+		m.reply(e, protocol.Word{EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch, Number: number, Retired: true})
 		return
 	}
-	word := wire.Word{
+	word := protocol.Word{
 		EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch,
 		Revision: o.current.Number, Sum: o.token, Number: number,
 		Leaving: m.duty.marks(m.state), Peers: m.roster.Places(),
--- a/control/offer_test.go
+++ b/internal/consensus/offer_test.go
@@ -1,24 +1,24 @@
-package control
+package consensus
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/description"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/protocol"
 )
 
-func diskOf(name, incarnation string) wire.Seat {
-	return wire.Seat{Name: name, Incarnation: incarnation}
+func diskOf(name, incarnation string) protocol.Seat {
+	return protocol.Seat{Name: name, Incarnation: incarnation}
 }
 
 // A description waits for every process that may still use the one in force,
 // and for a majority of the listed routers.
 func TestRoutersReady(t *testing.T) {
 	const nowMs = 10_000
-	holds := func(seats map[wire.Seat]routerHold) map[wire.Seat]*routerHold {
-		out := map[wire.Seat]*routerHold{}
+	holds := func(seats map[protocol.Seat]routerHold) map[protocol.Seat]*routerHold {
+		out := map[protocol.Seat]*routerHold{}
 		for s, hold := range seats {
 			out[s] = &hold
 		}
@@ -26,19 +26,19 @@
 	}
 	cases := []struct {
 		about string
-		holds map[wire.Seat]routerHold
+		holds map[protocol.Seat]routerHold
 		ready bool
 	}{
 		{"nobody was heard", nil, false},
-		{"all acknowledged", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {acked: "t"}}, true},
-		{"one may still use the old", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs + 1}}, false},
-		{"its lease has run out", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs}}, true},
-		{"no majority", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {untilMs: nowMs}, diskOf("c", "1"): {untilMs: nowMs}}, false},
-		{"what was given to peers may run", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs + 1}, diskOf("b", "1"): {acked: "t"}}, false},
-		{"that was waited out", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs}, diskOf("b", "1"): {acked: "t"}}, true},
-		{"acknowledged was another offer", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "u"}, diskOf("b", "1"): {acked: "t"}}, false},
-		{"an old process of a name may still use the old", map[wire.Seat]routerHold{diskOf("a", "1"): {untilMs: nowMs + 1}, diskOf("a", "2"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}}, false},
-		{"one who is not listed is no part of the majority", map[wire.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("x", "1"): {acked: "t"}}, false},
+		{"all acknowledged", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {acked: "t"}}, true},
+		{"one may still use the old", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs + 1}}, false},
+		{"its lease has run out", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs}}, true},
+		{"no majority", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {untilMs: nowMs}, diskOf("c", "1"): {untilMs: nowMs}}, false},
+		{"what was given to peers may run", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs + 1}, diskOf("b", "1"): {acked: "t"}}, false},
+		{"that was waited out", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs}, diskOf("b", "1"): {acked: "t"}}, true},
+		{"acknowledged was another offer", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "u"}, diskOf("b", "1"): {acked: "t"}}, false},
+		{"an old process of a name may still use the old", map[protocol.Seat]routerHold{diskOf("a", "1"): {untilMs: nowMs + 1}, diskOf("a", "2"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}}, false},
+		{"one who is not listed is no part of the majority", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("x", "1"): {acked: "t"}}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
--- a/control/office.go
+++ b/internal/consensus/office.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"context"
@@ -14,13 +14,13 @@
 
 	"github.com/charmbracelet/log"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/daemon"
-	"myrtlewinch/defect"
-	"myrtlewinch/description"
-	"myrtlewinch/disk"
-	"myrtlewinch/settings"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/settings"
+	"myrtlewinch/internal/storage"
+	"myrtlewinch/internal/threads"
 )
 
 const (
@@ -33,20 +33,20 @@
 // Office is a controller as a process: its machine in a shell, and the pages
 // that operators use.
 type Office struct {
-	shell *daemon.Shell
-	disk  *disk.Disk
+	shell *process.Shell
+	disk  *storage.Disk
 }
 
 // NewOffice opens the data folder and makes the controller; nothing runs yet.
 func NewOffice(set settings.Settings, peers, web net.Listener, logger *log.Logger) (*Office, error) {
-	d, err := disk.Open(set.Data, set.Site)
+	d, err := storage.Open(set.Data, set.Site)
 	if err != nil {
 		return nil, err
 	}
 	keys := d.Keys()
-	clock := daemon.NewClock()
-	self := wire.Place{
-		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: wire.Controller, Incarnation: keys["incarnation"],
+	clock := process.NewClock()
+	self := protocol.Place{
+		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.Controller, Incarnation: keys["incarnation"],
 	}
 	machine, err := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, keys, clock.NowMs())
 	if err != nil {
@@ -54,12 +54,12 @@
 		return nil, err
 	}
 	o := &Office{disk: d}
-	o.shell = daemon.New(daemon.Settings{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, d, peers, web, o)
+	o.shell = process.New(process.Settings{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, d, peers, web, o)
 	return o, nil
 }
 
 // Join adds the controller's duties to a crew.
-func (o *Office) Join(c *crew.Crew) { o.shell.Join(c) }
+func (o *Office) Join(c *threads.Crew) { o.shell.Join(c) }
 
 // Halt makes the controller stand still until it is released.
 func (o *Office) Halt() (release func()) { return o.shell.Halt() }
@@ -86,7 +86,7 @@
 	}
 	page, ok := pages[r.URL.Path]
 	if !ok {
-		defect.Answer{Kind: defect.UnknownPage, Detail: r.URL.Path}.Write(w)
+		errkind.Answer{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
 		return
 	}
 	handler, ok := page[r.Method]
@@ -94,7 +94,7 @@
 		for method := range page {
 			w.Header().Add("Allow", method)
 		}
-		defect.Answer{Kind: defect.WrongMethod, Detail: r.Method + " " + r.URL.Path}.Write(w)
+		errkind.Answer{Kind: errkind.WrongMethod, Detail: r.Method + " " + r.URL.Path}.Write(w)
 		return
 	}
 	handler(w, r)
@@ -111,8 +111,8 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func dropped(w http.ResponseWriter, said wire.Dropped) {
-	defect.Answer{
+func dropped(w http.ResponseWriter, said protocol.Dropped) {
+	errkind.Answer{
 		Kind: said.Kind, Detail: said.Detail, Faults: said.Faults, Revision: said.Revision, Primary: said.Primary,
 	}.Write(w)
 }
@@ -120,31 +120,31 @@
 func (o *Office) put(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, description.Most))
 	if err != nil {
-		defect.Answer{Kind: defect.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.Most)}.Write(w)
+		errkind.Answer{Kind: errkind.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.Most)}.Write(w)
 		return
 	}
 	given := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if given == "" {
-		defect.Answer{Kind: defect.NoBase, Detail: `If-Match: "REVISION" must say which revision this is based on; 0 is none`}.Write(w)
+		errkind.Answer{Kind: errkind.NoBase, Detail: `If-Match: "REVISION" must say which revision this is based on; 0 is none`}.Write(w)
 		return
 	}
 	base, err := strconv.ParseUint(given, 10, 64)
 	if err != nil {
-		defect.Answer{Kind: defect.BadRequest, Detail: "If-Match: " + given + " is not a revision"}.Write(w)
+		errkind.Answer{Kind: errkind.BadRequest, Detail: "If-Match: " + given + " is not a revision"}.Write(w)
 		return
 	}
 	answer, ok := o.ask(r, answerMs, func(id uint64) any {
 		return HandOver{ID: id, Base: base, Text: string(text), Part: r.Method == http.MethodPatch}
 	})
 	if !ok {
-		defect.Answer{Kind: defect.AcceptanceUnknown, Detail: "no outcome in time; read the description to find out"}.Write(w)
+		errkind.Answer{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; read the description to find out"}.Write(w)
 		return
 	}
 	switch said := answer.(type) {
 	case Accepted:
 		w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatUint(said.Revision, 10)))
 		writeJSON(w, said)
-	case wire.Dropped:
+	case protocol.Dropped:
 		dropped(w, said)
 	}
 }
@@ -153,7 +153,7 @@
 	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "description"} })
 	said, right := answer.(Described)
 	if !ok || !right {
-		defect.Answer{Kind: defect.NotTaken, Detail: "no answer in time"}.Write(w)
+		errkind.Answer{Kind: errkind.NotTaken, Detail: "no answer in time"}.Write(w)
 		return said, false
 	}
 	return said, true
@@ -166,11 +166,11 @@
 	}
 	// Only the primary knows what is in force; a follower may be late.
 	if !said.Sure {
-		defect.Answer{Kind: defect.NotPrimary, Detail: "the primary knows the description in force", Primary: said.Primary}.Write(w)
+		errkind.Answer{Kind: errkind.NotPrimary, Detail: "the primary knows the description in force", Primary: said.Primary}.Write(w)
 		return
 	}
 	if said.Revision.Number == 0 {
-		defect.Answer{Kind: defect.UnknownPage, Detail: "no description is in force yet"}.Write(w)
+		errkind.Answer{Kind: errkind.UnknownPage, Detail: "no description is in force yet"}.Write(w)
 		return
 	}
 	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatUint(said.Revision.Number, 10)))
@@ -187,7 +187,7 @@
 func (o *Office) status(w http.ResponseWriter, r *http.Request) {
 	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
 	if !ok {
-		defect.Answer{Kind: defect.NotTaken, Detail: "no answer in time"}.Write(w)
+		errkind.Answer{Kind: errkind.NotTaken, Detail: "no answer in time"}.Write(w)
 		return
 	}
 	writeJSON(w, answer)
@@ -199,7 +199,7 @@
 	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
 	status, right := answer.(Status)
 	if !ok || !right || status.DiskBroken || status.Retired {
-		defect.Answer{Kind: defect.NotTaken, Detail: "unsound"}.Write(w)
+		errkind.Answer{Kind: errkind.NotTaken, Detail: "unsound"}.Write(w)
 		return
 	}
 	writeJSON(w, map[string]any{"sound": true, "role": status.Role, "epoch": status.Record.Epoch})
@@ -217,7 +217,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&asked); err != nil {
-		defect.Answer{Kind: defect.BadRequest, Detail: err.Error()}.Write(w)
+		errkind.Answer{Kind: errkind.BadRequest, Detail: err.Error()}.Write(w)
 		return
 	}
 	answer, ok := o.ask(r, answerMs, func(id uint64) any {
@@ -227,13 +227,13 @@
 		}
 	})
 	if !ok {
-		defect.Answer{Kind: defect.AcceptanceUnknown, Detail: "no outcome in time; ask for the status"}.Write(w)
+		errkind.Answer{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; ask for the status"}.Write(w)
 		return
 	}
 	switch said := answer.(type) {
 	case Founded:
 		writeJSON(w, said)
-	case wire.Dropped:
+	case protocol.Dropped:
 		dropped(w, said)
 	}
 }
--- a/control/pace_test.go
+++ b/internal/consensus/pace_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"testing"
--- a/control/place.go
+++ b/internal/consensus/place.go
@@ -1,13 +1,13 @@
-package control
+package consensus
 
 import (
 	"maps"
 	"slices"
 	"sort"
 
-	"myrtlewinch/description"
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -251,7 +251,7 @@
 		}
 		// What a runner has that the ledger does not know takes room too: an
 		// order of a lost primary may have been under way.
-		if said := m.duty.seen[runner.Name].report; row.Intent == nil && (said.LastState == wire.OrderUnderWay || !row.Agrees(said)) {
+		if said := m.duty.seen[runner.Name].report; row.Intent == nil && (said.LastState == protocol.OrderUnderWay || !row.Agrees(said)) {
 			continue
 		}
 		// An adapter goes only where its model is.
@@ -277,7 +277,7 @@
 			if !m.duty.pace.take(m.nowMs, pace) {
 				return true
 			}
-			m.order(s.row, wire.Load, n.item, n.size)
+			m.order(s.row, protocol.Load, n.item, n.size)
 			return true
 		}
 	}
@@ -301,7 +301,7 @@
 	if victim == nil {
 		return false
 	}
-	m.order(victim, wire.Unload, worst, victim.Held[worst.String()].Size)
+	m.order(victim, protocol.Unload, worst, victim.Held[worst.String()].Size)
 	return true
 }
 
@@ -444,7 +444,7 @@
 // order writes the intent to the pair, and only then sends it.
 func (m *Machine) order(row *ledger.Row, action string, item ledger.Item, size int64) {
 	name := row.Runner
-	if action == wire.Load {
+	if action == protocol.Load {
 		m.duty.turnsMs[m.serviceOf(item.Model)] = m.nowMs
 	}
 	m.duty.seen[name].orders++
--- a/control/place_test.go
+++ b/internal/consensus/place_test.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 import (
 	"strings"
@@ -6,9 +6,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/description"
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 // placing makes a primary with two runners of room 10 that answer, and two
@@ -50,17 +50,17 @@
 		{"and goes with its runner", func(m *Machine) {
 			m.duty.want(m.nowMs-20_000, ledger.Item{Model: "m"}, 1)
 			m.state.Rows["r"].Held["m"] = held
-			m.state.Marks[wire.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
 		}, []string{"m"}},
 		{"goes with one runner and is held by another", func(m *Machine) {
 			m.duty.want(m.nowMs-20_000, ledger.Item{Model: "m"}, 1)
 			m.state.Rows["r"].Held["m"], m.state.Rows["q"].Held["m"] = held, held
-			m.state.Marks[wire.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"goes with its runner, and nobody has asked for long", func(m *Machine) {
 			m.duty.want(m.nowMs-60_000, ledger.Item{Model: "m"}, 1)
 			m.state.Rows["r"].Held["m"] = held
-			m.state.Marks[wire.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"a crowd earns a second copy, after first ones", func(m *Machine) {
 			m.duty.want(m.nowMs, ledger.Item{Model: "m"}, busyScore)
@@ -91,14 +91,14 @@
 		runner string
 		action string
 	}{
-		{"where there is room", func(m *Machine) { m.state.Rows["r"].Held["n"] = held }, true, "q", wire.Load},
+		{"where there is room", func(m *Machine) { m.state.Rows["r"].Held["n"] = held }, true, "q", protocol.Load},
 		{"not where the report says something else", func(m *Machine) {
-			m.duty.seen["r"].report = wire.Report{Held: []wire.Held{{Model: "x", Size: 9}}}
-			m.duty.seen["q"].report = wire.Report{Held: []wire.Held{{Model: "x", Size: 9}}}
+			m.duty.seen["r"].report = protocol.Report{Held: []protocol.Held{{Model: "x", Size: 9}}}
+			m.duty.seen["q"].report = protocol.Report{Held: []protocol.Held{{Model: "x", Size: 9}}}
 		}, false, "", ""},
 		{"not where an order of someone else is under way", func(m *Machine) {
-			m.duty.seen["r"].report.LastState = wire.OrderUnderWay
-			m.duty.seen["q"].report.LastState = wire.OrderUnderWay
+			m.duty.seen["r"].report.LastState = protocol.OrderUnderWay
+			m.duty.seen["q"].report.LastState = protocol.OrderUnderWay
 		}, false, "", ""},
 		{"not where a late order may still come", func(m *Machine) {
 			m.duty.seen["r"].fencedMs, m.duty.seen["q"].fencedMs = m.nowMs, 0
@@ -106,22 +106,22 @@
 		{"nothing goes before its stay is over", func(m *Machine) {
 			for _, name := range []string{"r", "q"} {
 				m.state.Rows[name].Held["n"] = held
-				m.duty.seen[name].report.Held = []wire.Held{{Model: "n", Size: 6}}
+				m.duty.seen[name].report.Held = []protocol.Held{{Model: "n", Size: 6}}
 				m.duty.seen[name].since["n"] = m.nowMs - stayMs + 1
 			}
 		}, false, "", ""},
 		{"the second copy goes once it is", func(m *Machine) {
 			for _, name := range []string{"r", "q"} {
 				m.state.Rows[name].Held["n"] = held
-				m.duty.seen[name].report.Held = []wire.Held{{Model: "n", Size: 6}}
+				m.duty.seen[name].report.Held = []protocol.Held{{Model: "n", Size: 6}}
 				m.duty.seen[name].since["n"] = m.nowMs - stayMs
 			}
-		}, true, "r", wire.Unload},
+		}, true, "r", protocol.Unload},
 		{"what operators want held stays", func(m *Machine) {
 			m.described.Models[1].Copies = 2
 			for _, name := range []string{"r", "q"} {
 				m.state.Rows[name].Held["n"] = held
-				m.duty.seen[name].report.Held = []wire.Held{{Model: "n", Size: 6}}
+				m.duty.seen[name].report.Held = []protocol.Held{{Model: "n", Size: 6}}
 				m.duty.seen[name].since["n"] = m.nowMs - stayMs
 			}
 		}, false, "", ""},
@@ -133,7 +133,7 @@
 			m.state.Rows["r"].Held, m.state.Rows["q"].Held = map[string]ledger.Holding{}, map[string]ledger.Holding{}
 			test.do(m)
 			if test.about == "where there is room" {
-				m.duty.seen["r"].report.Held = []wire.Held{{Model: "n", Size: 6}}
+				m.duty.seen["r"].report.Held = []protocol.Held{{Model: "n", Size: 6}}
 			}
 			m.duty.pace.tokens = 1
 			m.takeShares()
--- a/control/recovery.go
+++ b/internal/consensus/recovery.go
@@ -1,11 +1,11 @@
-package control
+package consensus
 
 import (
 	"fmt"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 // epochStep puts a recovery's epoch far above any that may have been recorded
@@ -16,36 +16,36 @@
 // were lost: an operator's explicit act, which must name what it goes on from.
 // Three live controllers must agree, blank or not; none may have a later copy.
 func (m *Machine) recoverFrom(f Founding) {
-	drop := func(kind defect.Kind, detail string) { m.answer(f.ID, wire.Dropped{Kind: kind, Detail: detail}) }
+	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Dropped{Kind: kind, Detail: detail}) }
 	at := m.state.Position
 	switch {
 	case at.Number == 0:
-		drop(defect.NotFounded, "this controller has no copy to go on from")
+		drop(errkind.NotFounded, "this controller has no copy to go on from")
 		return
 	case m.broken:
-		drop(defect.NotTaken, "this controller's disk failed")
+		drop(errkind.NotTaken, "this controller's disk failed")
 		return
 	case m.election.founding != nil:
-		drop(defect.NotTaken, "a recovery is under way")
+		drop(errkind.NotTaken, "a recovery is under way")
 		return
 	case m.isPrimary() || m.entitled(m.record) || m.mayStand():
-		drop(defect.NotTaken, "this disk is one of the pair: it takes over by itself")
+		drop(errkind.NotTaken, "this disk is one of the pair: it takes over by itself")
 		return
 	}
 	for _, seat := range m.record.Replicas {
 		if place, known := m.roster.Place(seat.Name); known && place.Incarnation == seat.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
-			drop(defect.NotTaken, "a disk of the pair is there: "+seat.Name+" takes over by itself")
+			drop(errkind.NotTaken, "a disk of the pair is there: "+seat.Name+" takes over by itself")
 			return
 		}
 	}
 	shown := fmt.Sprintf("this would go on from change %d of epoch %d, with revision %d", at.Number, at.Epoch, m.state.Revision.Number)
 	if f.Change != at.Number || f.Revision != m.state.Revision.Number {
-		drop(defect.StaleBase, shown+"; give change and revision to do it")
+		drop(errkind.StaleBase, shown+"; give change and revision to do it")
 		return
 	}
 	first, fault := m.firstRecord(f)
 	if fault != "" {
-		drop(defect.BadRequest, fault)
+		drop(errkind.BadRequest, fault)
 		return
 	}
 	first.Epoch = max(m.record.Epoch, m.witness.Record.Epoch, at.Epoch) + epochStep
@@ -53,7 +53,7 @@
 	// back, and a blank one under its name is none of it.
 	first.Gone = m.record.Gone
 	for _, seat := range m.record.Replicas {
-		lost := wire.Record{Gone: first.Gone}
+		lost := protocol.Record{Gone: first.Gone}
 		first.Gone = lost.Replaced(seat)
 	}
 	m.note("recovering: %s", shown)
@@ -63,7 +63,7 @@
 
 // otherRecovery ends a recovery where a witness has a later copy, and goes
 // above any epoch that one knows.
-func (m *Machine) otherRecovery(from wire.Place, said wire.Promised) bool {
+func (m *Machine) otherRecovery(from protocol.Place, said protocol.Promised) bool {
 	s := &m.election
 	if said.Record.Epoch >= s.first.Epoch {
 		s.first.Epoch = said.Record.Epoch + epochStep
@@ -75,7 +75,7 @@
 	id := s.founding.ID
 	s.founding = nil
 	m.retreat(0)
-	m.answer(id, wire.Dropped{Kind: defect.NotTaken, Detail: fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, said.At.Number, said.At.Epoch)})
+	m.answer(id, protocol.Dropped{Kind: errkind.NotTaken, Detail: fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, said.At.Number, said.At.Epoch)})
 	return true
 }
 
--- a/control/replication.go
+++ b/internal/consensus/replication.go
@@ -1,12 +1,12 @@
-package control
+package consensus
 
 import (
 	"maps"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/disk"
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
 )
 
 const (
@@ -24,7 +24,7 @@
 type replication struct {
 	waits Timing
 	// synced is what this disk holds; taken is what was asked of it.
-	synced, taken wire.Position
+	synced, taken protocol.Position
 	writing       bool
 	writeMs       int64
 	line          []submission
@@ -33,12 +33,12 @@
 	// primacy it is all that this disk held, since any of it may have been
 	// answered by the one before.
 	committed uint64
-	base      wire.Position
-	recent    []wire.Change
+	base      protocol.Position
+	recent    []protocol.Change
 	// recentBytes is the size of the rows in recent.
 	recentBytes int
 	peers       map[string]*followerState
-	soft        wire.Soft
+	soft        protocol.Soft
 	sentMs      int64
 	beganMs     int64
 	// away is the witness that was last said to stay away for good.
@@ -84,7 +84,7 @@
 	incarnation string
 	heardMs     int64
 	// at is the furthest position that the disk was said to hold.
-	at    wire.Position
+	at    protocol.Position
 	acked uint64
 	// sentSequence is the message that brought the newest changes.
 	sentSequence  uint64
@@ -96,7 +96,7 @@
 	// behindMs is since when it lacks changes without taking any, or nought.
 	behindMs int64
 	// contact is the follower's clock as it was last told.
-	contact wire.Contact
+	contact protocol.Contact
 	// answered says that it was heard in this primacy, and epoch by which record.
 	answered bool
 	epoch    uint64
@@ -105,14 +105,14 @@
 }
 
 // live says whether the very disk answered lately.
-func (c *replication) live(nowMs int64, seat wire.Seat) bool {
+func (c *replication) live(nowMs int64, seat protocol.Seat) bool {
 	f := c.peers[seat.Name]
 	return f != nil && f.incarnation == seat.Incarnation && nowMs-f.heardMs <= c.waits.MissMs
 }
 
 // keepsUp says whether the disk also takes writes: one that stalls lets its
 // daemon answer and would hold up every write of the site.
-func (c *replication) keepsUp(nowMs int64, seat wire.Seat) bool {
+func (c *replication) keepsUp(nowMs int64, seat protocol.Seat) bool {
 	if !c.live(nowMs, seat) {
 		return false
 	}
@@ -178,26 +178,26 @@
 		c.waiting = append(c.waiting, waiter{number, b.then})
 	}
 	c.line = nil
-	change := wire.Change{Before: m.state.Position, At: wire.Position{Epoch: m.record.Epoch, Number: number}}
+	change := protocol.Change{Before: m.state.Position, At: protocol.Position{Epoch: m.record.Epoch, Number: number}}
 	change.Rows = m.state.Do(change.At, commands)
 	m.stateChanged(change.Rows)
 	c.keepRecent(change)
 	c.writing, c.writeMs = true, m.nowMs
-	m.keepRows(disk.Write{Sets: change.Rows}, change.At, func() {
+	m.keepRows(storage.Write{Sets: change.Rows}, change.At, func() {
 		if m.isPrimary() {
 			m.replication.writing = false
 			m.advance()
 			m.pump()
 		}
 	})
-	for _, place := range m.roster.Part(wire.Controller) {
+	for _, place := range m.roster.Part(protocol.Controller) {
 		m.sendFollow(place)
 	}
 }
 
 // keepRecent keeps a change for followers that lack it, and forgets the oldest
 // beyond the bounds: who lacks one of those gets a snapshot.
-func (c *replication) keepRecent(change wire.Change) {
+func (c *replication) keepRecent(change protocol.Change) {
 	c.recent = append(c.recent, change)
 	c.recentBytes += rowBytes(change.Rows)
 	for len(c.recent) > recentMost || c.recentBytes > recentBytesMost && len(c.recent) > 1 {
@@ -217,7 +217,7 @@
 }
 
 // keepRows saves state rows; saves end in the order they were asked for.
-func (m *Machine) keepRows(w disk.Write, at wire.Position, then func()) {
+func (m *Machine) keepRows(w storage.Write, at protocol.Position, then func()) {
 	m.replication.taken = at
 	m.save(w, func(ok bool) {
 		if ok {
@@ -238,7 +238,7 @@
 		return
 	}
 	done := c.synced.Number
-	pairs := [][]wire.Seat{m.record.Replicas}
+	pairs := [][]protocol.Seat{m.record.Replicas}
 	// While a new pair is being recorded, either may turn out to be in force.
 	if m.election.proposal != nil {
 		pairs = append(pairs, m.election.proposal.Replicas)
@@ -276,12 +276,12 @@
 	if m.set.Tenant == nil {
 		m.replication.soft = m.duty.soft(m.nowMs)
 	}
-	for _, place := range m.roster.Part(wire.Controller) {
+	for _, place := range m.roster.Part(protocol.Controller) {
 		m.sendFollow(place)
 	}
 }
 
-func (m *Machine) sendFollow(to wire.Place) {
+func (m *Machine) sendFollow(to protocol.Place) {
 	c := &m.replication
 	f := c.peers[to.Name]
 	if f == nil {
@@ -292,7 +292,7 @@
 	if f.needsSnapshot && m.nowMs-f.sentMs >= m.waits.ResendMs {
 		f.sentMs, f.sent = m.nowMs, m.state.Position.Number
 		c.sequence++
-		m.send(to, wire.Snapshot{Sequence: c.sequence, Contact: f.contact, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()})
+		m.send(to, protocol.Snapshot{Sequence: c.sequence, Contact: f.contact, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()})
 		return
 	}
 	// The time runs from the last change that came through, not from the last
@@ -301,9 +301,9 @@
 		f.sent, f.sentMs = f.acked, m.nowMs
 	}
 	c.sequence++
-	follow := wire.Follow{
+	follow := protocol.Follow{
 		Record: m.record, Ballot: m.election.ballot, Last: m.state.Position, Soft: c.soft, PeersSum: m.roster.Sum(),
-		Sequence: c.sequence, MayLeave: f.leaving && m.mayLeave(wire.Seat{Name: to.Name, Incarnation: f.incarnation}),
+		Sequence: c.sequence, MayLeave: f.leaving && m.mayLeave(protocol.Seat{Name: to.Name, Incarnation: f.incarnation}),
 	}
 	// Without the lease a majority may stand behind another by now.
 	if m.nowMs < m.election.leaseUntilMs {
@@ -327,7 +327,7 @@
 }
 
 // onChain says whether a position is one this primary's state went through.
-func (c *replication) onChain(at wire.Position) bool {
+func (c *replication) onChain(at protocol.Position) bool {
 	if at == c.base {
 		return true
 	}
@@ -339,7 +339,7 @@
 	return false
 }
 
-func (m *Machine) followed(from wire.Place, said wire.Followed) {
+func (m *Machine) followed(from protocol.Place, said protocol.Followed) {
 	c := &m.replication
 	if !m.isPrimary() || said.Epoch != m.record.Epoch && said.Epoch != m.record.Epoch-1 {
 		return
@@ -351,7 +351,7 @@
 	}
 	// A disk never goes back, so what tells of less was overtaken on its way.
 	if said.At.Less(f.at) {
-		m.count(defect.Overtaken)
+		m.count(errkind.Overtaken)
 		return
 	}
 	f.at, f.answered, f.epoch = said.At, true, said.Epoch
@@ -376,16 +376,16 @@
 
 // resendGap has changes sent again that the follower lacks although it heard
 // the message that brought them or a later one.
-func (f *followerState) resendGap(said wire.Followed) {
+func (f *followerState) resendGap(said protocol.Followed) {
 	if said.Heard >= f.sentSequence && said.Taken.Number < f.sent {
 		f.sent = max(f.acked, said.Taken.Number)
 	}
 }
 
 // heedPrimary says whether a message of a primary counts.
-func (m *Machine) heedPrimary(from wire.Place, record wire.Record, ballot wire.Ballot) bool {
+func (m *Machine) heedPrimary(from protocol.Place, record protocol.Record, ballot protocol.Ballot) bool {
 	if record.Epoch < m.record.Epoch || record.Primary != from.Name || record.Epoch == 0 {
-		m.count(defect.LowerEpoch)
+		m.count(errkind.LowerEpoch)
 		return false
 	}
 	if record.Epoch > m.record.Epoch && m.isPrimary() {
@@ -397,9 +397,9 @@
 
 // hearPrimary notes that the primary lives. A message that answers what this
 // daemon said long ago was held up on its way, and tells nothing of now.
-func (m *Machine) hearPrimary(echo wire.Contact) {
+func (m *Machine) hearPrimary(echo protocol.Contact) {
 	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.waits.MissMs {
-		m.count(defect.Overtaken)
+		m.count(errkind.Overtaken)
 		return
 	}
 	m.election.heardMs = m.nowMs
@@ -409,14 +409,14 @@
 	}
 }
 
-func (m *Machine) follow(e wire.Envelope, said wire.Follow) {
+func (m *Machine) follow(e protocol.Envelope, said protocol.Follow) {
 	if m.isPrimary() && said.Record.Epoch == m.record.Epoch || !m.heedPrimary(e.From, said.Record, said.Ballot) {
 		return
 	}
 	// Changes chain, so that of a message that was overtaken they still count;
 	// all else in it is older than what is known here.
 	if m.replication.overtaken(said.Record.Epoch, said.Sequence) {
-		m.count(defect.Overtaken)
+		m.count(errkind.Overtaken)
 	} else {
 		m.hearPrimary(said.Contact)
 		m.heedWord(said)
@@ -429,7 +429,7 @@
 // takeChanges takes those that go on from what this disk has, and says whether
 // there were any. What is compiled from the state, such as a large
 // configuration, is brought up to it once for all of them.
-func (m *Machine) takeChanges(from wire.Place, changes []wire.Change) bool {
+func (m *Machine) takeChanges(from protocol.Place, changes []protocol.Change) bool {
 	changed := map[string]string{}
 	took := false
 	for _, change := range changes {
@@ -438,12 +438,12 @@
 		}
 		if err := m.state.Take(change.Rows); err != nil {
 			m.note("a change can't be read: %v", err)
-			m.count(defect.Malformed)
+			m.count(errkind.Malformed)
 			break
 		}
 		took = true
 		maps.Copy(changed, change.Rows)
-		m.keepRows(disk.Write{Sets: change.Rows}, change.At, func() { m.tellFollowed(from) })
+		m.keepRows(storage.Write{Sets: change.Rows}, change.At, func() { m.tellFollowed(from) })
 	}
 	if took {
 		m.stateChanged(changed)
@@ -452,7 +452,7 @@
 }
 
 // heedWord takes what a primary's message says beside the changes.
-func (m *Machine) heedWord(said wire.Follow) {
+func (m *Machine) heedWord(said protocol.Follow) {
 	if len(said.Peers) > 0 {
 		m.replication.peersSum = 0
 		if m.roster.Learn(m.nowMs, said.Peers) {
@@ -469,7 +469,7 @@
 
 // noteContact takes the echo of this daemon's own clock. That of another life
 // of the process says nothing here.
-func (m *Machine) noteContact(echo wire.Contact) {
+func (m *Machine) noteContact(echo protocol.Contact) {
 	if echo.StartMs != m.startMs || echo.SentMs > m.nowMs {
 		return
 	}
@@ -486,15 +486,15 @@
 	return m.replication.contactMs > 0 && m.nowMs < m.replication.contactMs+m.waits.LeaseMs
 }
 
-func (m *Machine) takeSnapshot(e wire.Envelope, said wire.Snapshot) {
-	if m.isPrimary() || m.broken || !m.heedPrimary(e.From, said.Record, wire.Ballot{}) {
+func (m *Machine) takeSnapshot(e protocol.Envelope, said protocol.Snapshot) {
+	if m.isPrimary() || m.broken || !m.heedPrimary(e.From, said.Record, protocol.Ballot{}) {
 		return
 	}
 	// An snapshot that a later change or snapshot overtook would take back what this
 	// disk has acknowledged. Positions grow along every lawful history, so one
 	// that is not further than what was taken can only be late.
 	if !m.replication.taken.Less(said.At) {
-		m.count(defect.Overtaken)
+		m.count(errkind.Overtaken)
 		m.tellFollowed(e.From)
 		return
 	}
@@ -504,24 +504,24 @@
 	fresh := ledger.New()
 	if err := fresh.Take(said.Rows); err != nil {
 		m.note("a snapshot can't be read: %v", err)
-		m.count(defect.Malformed)
+		m.count(errkind.Malformed)
 		return
 	}
 	m.state = fresh
 	m.stateChanged(said.Rows)
 	m.note("took a snapshot at change %d", said.At.Number)
-	m.keepRows(disk.Write{Clear: ledger.Prefix, Sets: said.Rows}, said.At, func() { m.tellFollowed(e.From) })
+	m.keepRows(storage.Write{Clear: ledger.Prefix, Sets: said.Rows}, said.At, func() { m.tellFollowed(e.From) })
 }
 
 // tellFollowed says how far this disk is. One that takes no writes any more
 // says nothing, so that another takes its part.
-func (m *Machine) tellFollowed(to wire.Place) {
+func (m *Machine) tellFollowed(to protocol.Place) {
 	if m.broken {
 		return
 	}
-	m.send(to, wire.Followed{
+	m.send(to, protocol.Followed{
 		Epoch: m.record.Epoch, At: m.replication.synced, WitnessBlank: m.witness.Blank(), PeersSum: m.replication.peersSum,
-		Contact: wire.Contact{SentMs: m.nowMs, StartMs: m.startMs}, Leaving: m.leaving.wanted,
+		Contact: protocol.Contact{SentMs: m.nowMs, StartMs: m.startMs}, Leaving: m.leaving.wanted,
 		Taken: m.replication.taken, Heard: m.replication.heard.sequence,
 	})
 }
--- a/control/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -1,12 +1,12 @@
-package control
+package consensus
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // backup names a copy that is not the primary's.
@@ -22,8 +22,8 @@
 }
 
 // from makes a message of one member to another.
-func (w *core) from(from, to string, body any) wire.Envelope {
-	return wire.Envelope{Site: "s", From: w.nodes[from].place, To: to, Body: body}
+func (w *core) from(from, to string, body any) protocol.Envelope {
+	return protocol.Envelope{Site: "s", From: w.nodes[from].place, To: to, Body: body}
 }
 
 // A message that a cut held up comes after later ones; right then the primary
@@ -35,13 +35,13 @@
 		late func(m *Machine) any
 	}{
 		{"a snapshot", func(m *Machine) any {
-			return wire.Snapshot{Sequence: m.replication.sequence, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()}
+			return protocol.Snapshot{Sequence: m.replication.sequence, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()}
 		}},
 		{"a snapshot that no sequence tells from a later one", func(m *Machine) any {
-			return wire.Snapshot{Sequence: 1 << 40, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()}
+			return protocol.Snapshot{Sequence: 1 << 40, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()}
 		}},
 		{"a change that was taken before", func(m *Machine) any {
-			return wire.Follow{Sequence: m.replication.sequence, Record: m.record, Ballot: m.election.ballot, Changes: m.replication.recent}
+			return protocol.Follow{Sequence: m.replication.sequence, Record: m.record, Ballot: m.election.ballot, Changes: m.replication.recent}
 		}},
 	}
 	for _, test := range cases {
@@ -76,13 +76,13 @@
 	w.write("before")
 	primary, backup := w.primary(), w.backup()
 	m := w.nodes[primary].machine
-	old := wire.Followed{Epoch: m.record.Epoch, At: m.state.Position, Taken: m.state.Position}
+	old := protocol.Followed{Epoch: m.record.Epoch, At: m.state.Position, Taken: m.state.Position}
 	w.write("after")
 	acked := m.replication.peers[backup].acked
 	w.step(primary, w.from(backup, primary, old))
 	w.c.Assert(m.replication.peers[backup].acked, qt.Equals, acked)
 	w.c.Assert(m.replication.peers[backup].needsSnapshot, qt.IsFalse)
-	w.c.Assert(m.out.Counts, qt.Contains, string(defect.Overtaken))
+	w.c.Assert(m.out.Counts, qt.Contains, string(errkind.Overtaken))
 }
 
 // A change that is lost on its way is sent again at once, also while further
@@ -105,14 +105,16 @@
 func TestContact(t *testing.T) {
 	cases := []struct {
 		about string
-		echo  func(m *Machine) wire.Contact
+		echo  func(m *Machine) protocol.Contact
 		has   bool
 	}{
-		{"an echo of just now", func(m *Machine) wire.Contact { return wire.Contact{SentMs: m.nowMs - 1, StartMs: m.startMs} }, true},
-		{"an echo of a lease ago", func(m *Machine) wire.Contact { return wire.Contact{SentMs: m.nowMs - 1500, StartMs: m.startMs} }, false},
-		{"no echo", func(*Machine) wire.Contact { return wire.Contact{} }, false},
-		{"another life's", func(m *Machine) wire.Contact { return wire.Contact{SentMs: m.nowMs - 1, StartMs: m.startMs - 1} }, false},
-		{"of the future", func(m *Machine) wire.Contact { return wire.Contact{SentMs: m.nowMs + 1, StartMs: m.startMs} }, false},
+		{"an echo of just now", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs - 1, StartMs: m.startMs} }, true},
+		{"an echo of a lease ago", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs - 1500, StartMs: m.startMs} }, false},
+		{"no echo", func(*Machine) protocol.Contact { return protocol.Contact{} }, false},
+		{"another life's", func(m *Machine) protocol.Contact {
+			return protocol.Contact{SentMs: m.nowMs - 1, StartMs: m.startMs - 1}
+		}, false},
+		{"of the future", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs + 1, StartMs: m.startMs} }, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -169,8 +171,8 @@
 		t.Run(test.about, func(t *testing.T) {
 			var c replication
 			for i := range test.count {
-				at := wire.Position{Epoch: 1, Number: uint64(i + 1)}
-				c.keepRecent(wire.Change{At: at, Rows: map[string]string{"row": string(make([]byte, test.bytes))}})
+				at := protocol.Position{Epoch: 1, Number: uint64(i + 1)}
+				c.keepRecent(protocol.Change{At: at, Rows: map[string]string{"row": string(make([]byte, test.bytes))}})
 			}
 			qt.Assert(t, c.recent, qt.HasLen, test.kept)
 			sum := 0
@@ -188,14 +190,14 @@
 func TestLateWordIsNoSignOfLife(t *testing.T) {
 	cases := []struct {
 		about string
-		echo  func(m *Machine) wire.Contact
+		echo  func(m *Machine) protocol.Contact
 		lives bool
 	}{
-		{"of just now", func(m *Machine) wire.Contact { return wire.Contact{SentMs: m.nowMs - 300, StartMs: m.startMs} }, true},
-		{"held up", func(m *Machine) wire.Contact {
-			return wire.Contact{SentMs: m.nowMs - usualTiming.MissMs - 1, StartMs: m.startMs}
+		{"of just now", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs - 300, StartMs: m.startMs} }, true},
+		{"held up", func(m *Machine) protocol.Contact {
+			return protocol.Contact{SentMs: m.nowMs - usualTiming.MissMs - 1, StartMs: m.startMs}
 		}, false},
-		{"the first, which answers nothing", func(*Machine) wire.Contact { return wire.Contact{} }, true},
+		{"the first, which answers nothing", func(*Machine) protocol.Contact { return protocol.Contact{} }, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -204,7 +206,7 @@
 			m, p := w.nodes[name].machine, w.nodes[primary].machine
 			w.kill(primary)
 			w.run(800)
-			m.Step(w.nowMs, w.from(primary, name, wire.Follow{Record: m.record, Ballot: p.election.ballot, Sequence: p.replication.sequence + 1, Contact: test.echo(m)}))
+			m.Step(w.nowMs, w.from(primary, name, protocol.Follow{Record: m.record, Ballot: p.election.ballot, Sequence: p.replication.sequence + 1, Contact: test.echo(m)}))
 			qt.Assert(t, m.election.heardMs == w.nowMs, qt.Equals, test.lives)
 		})
 	}
--- a/control/retired.go
+++ b/internal/consensus/retired.go
@@ -1,21 +1,21 @@
-package control
+package consensus
 
 import (
 	"slices"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/disk"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
 )
 
 // heeds says whether a message of a core daemon counts. A name has one disk:
 // the one that a recorded epoch names. One that was replaced is told so, and a
 // blank one waits until the recorded one is silent.
-func (m *Machine) heeds(e wire.Envelope) bool {
-	seat := wire.Seat{Name: e.From.Name, Incarnation: e.From.Incarnation}
+func (m *Machine) heeds(e protocol.Envelope) bool {
+	seat := protocol.Seat{Name: e.From.Name, Incarnation: e.From.Incarnation}
 	if slices.Contains(m.record.Gone, seat) {
-		m.count(defect.OtherDaemon)
-		m.send(e.From, wire.Retire{Record: m.record})
+		m.count(errkind.OtherDaemon)
+		m.send(e.From, protocol.Retire{Record: m.record})
 		return false
 	}
 	named, ok := m.record.Names(seat.Name)
@@ -23,14 +23,14 @@
 		return true
 	}
 	if place, known := m.roster.Place(seat.Name); known && place.Incarnation == named.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
-		m.count(defect.OtherDaemon)
+		m.count(errkind.OtherDaemon)
 		return false
 	}
 	return true
 }
 
 // heedRetire takes the word only with a record that says so and is not older.
-func (m *Machine) heedRetire(record wire.Record) {
+func (m *Machine) heedRetire(record protocol.Record) {
 	if record.Epoch >= m.record.Epoch && slices.Contains(record.Gone, m.ownSeat()) {
 		m.retire()
 	}
@@ -47,7 +47,7 @@
 	}
 	m.retired = true
 	if !m.broken {
-		m.save(disk.Write{Sets: map[string]string{retiredKey: "for good"}}, nil)
+		m.save(storage.Write{Sets: map[string]string{retiredKey: "for good"}}, nil)
 	}
 }
 
@@ -57,8 +57,8 @@
 	case Look:
 		m.look(in)
 	case HandOver:
-		m.drop(in.ID, defect.NotPrimary, "this daemon is retired", nil)
+		m.drop(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
 	case Founding:
-		m.answer(in.ID, wire.Dropped{Kind: defect.AlreadyFounded, Detail: "this daemon is retired"})
+		m.answer(in.ID, protocol.Dropped{Kind: errkind.AlreadyFounded, Detail: "this daemon is retired"})
 	}
 }
--- a/control/tenant.go
+++ b/internal/consensus/tenant.go
@@ -1,10 +1,10 @@
-package control
+package consensus
 
 import (
 	"slices"
 
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 // Tenant is what a controller does with the copied state beside keeping it:
@@ -18,7 +18,7 @@
 	// Ended says that it is the primary no more.
 	Ended(h Host)
 	// Receive takes a message of a peer or a router; false is unknown.
-	Receive(h Host, e wire.Envelope) bool
+	Receive(h Host, e protocol.Envelope) bool
 	// Input takes any other input, such as what a call outward brought.
 	Input(h Host, input any) bool
 	// Tick is called about each 50 ms, also where this is not the primary.
@@ -39,20 +39,20 @@
 	// OrdersFromMs is from when a new primary may order, since the one before
 	// may have ordered until its lease ran out.
 	OrdersFromMs() int64
-	Self() wire.Place
+	Self() protocol.Place
 	Epoch() uint64
 	// Primary is whom this daemon takes for the primary; its name may be empty.
-	Primary() wire.Place
+	Primary() protocol.Place
 	// Controllers and Routers list the live peers of a part, without itself.
-	Controllers() []wire.Place
-	Routers() []wire.Place
+	Controllers() []protocol.Place
+	Routers() []protocol.Place
 	// Row reads the copied state; a primary's own may be ahead of what is safe.
 	Row(key string) string
 	// Submit changes rows (an empty value forgets one); then runs with true
 	// once they are safe on all copies that must have them, or with false when
 	// that can't be known any more.
 	Submit(rows map[string]string, then func(ok bool))
-	Send(to wire.Place, body any)
+	Send(to protocol.Place, body any)
 	Call(address string, body any)
 	Answer(id uint64, body any)
 	Note(format string, args ...any)
@@ -62,35 +62,35 @@
 // host lets a tenant ask the machine.
 type host struct{ m *Machine }
 
-func (h host) NowMs() int64        { return h.m.nowMs }
-func (h host) Active() bool        { return h.m.active() }
-func (h host) InContact() bool     { return h.m.inContact() }
-func (h host) LeaseUntilMs() int64 { return h.m.election.leaseUntilMs }
-func (h host) OrdersFromMs() int64 { return h.m.election.ordersMs }
-func (h host) Self() wire.Place    { return h.m.set.Self }
-func (h host) Epoch() uint64       { return h.m.record.Epoch }
+func (h host) NowMs() int64         { return h.m.nowMs }
+func (h host) Active() bool         { return h.m.active() }
+func (h host) InContact() bool      { return h.m.inContact() }
+func (h host) LeaseUntilMs() int64  { return h.m.election.leaseUntilMs }
+func (h host) OrdersFromMs() int64  { return h.m.election.ordersMs }
+func (h host) Self() protocol.Place { return h.m.set.Self }
+func (h host) Epoch() uint64        { return h.m.record.Epoch }
 
-func (h host) Primary() wire.Place {
+func (h host) Primary() protocol.Place {
 	place, _ := h.m.roster.Place(h.m.record.Primary)
 	return place
 }
 
-func (h host) live(part string) []wire.Place {
-	return slices.DeleteFunc(h.m.roster.Part(part), func(p wire.Place) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
+func (h host) live(part string) []protocol.Place {
+	return slices.DeleteFunc(h.m.roster.Part(part), func(p protocol.Place) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
 }
 
-func (h host) Controllers() []wire.Place { return h.live(wire.Controller) }
-func (h host) Routers() []wire.Place     { return h.live(wire.Router) }
-func (h host) Row(key string) string     { return h.m.state.Kept[key] }
+func (h host) Controllers() []protocol.Place { return h.live(protocol.Controller) }
+func (h host) Routers() []protocol.Place     { return h.live(protocol.Router) }
+func (h host) Row(key string) string         { return h.m.state.Kept[key] }
 
 func (h host) Submit(rows map[string]string, then func(ok bool)) {
 	h.m.submit(then, ledger.Put{Rows: rows})
 }
 
-func (h host) Send(to wire.Place, body any) { h.m.send(to, body) }
+func (h host) Send(to protocol.Place, body any) { h.m.send(to, body) }
 
 func (h host) Call(address string, body any) {
-	h.m.out.Calls = append(h.m.out.Calls, wire.Call{Address: address, Body: body})
+	h.m.out.Calls = append(h.m.out.Calls, protocol.Call{Address: address, Body: body})
 }
 
 func (h host) Answer(id uint64, body any)      { h.m.answer(id, body) }
--- a/control/timing.go
+++ b/internal/consensus/timing.go
@@ -1,4 +1,4 @@
-package control
+package consensus
 
 // Timing holds the waits of election and replication, in ms.
 type Timing struct {
--- a/control/turn.go
+++ b/internal/consensus/turn.go
@@ -1,6 +1,6 @@
-package control
+package consensus
 
-import "myrtlewinch/ledger"
+import "myrtlewinch/internal/native/ledger"
 
 const (
 	// firstLoadMs is taken for a load until one has been seen.
--- a/control/turn_test.go
+++ b/internal/consensus/turn_test.go
@@ -1,11 +1,11 @@
-package control
+package consensus
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/ledger"
+	"myrtlewinch/internal/native/ledger"
 )
 
 // Turns are worked out by the pace, and by how long things stay once the room
--- a/steward/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -1,27 +1,27 @@
-package steward
+package controller
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // A controller that is cut off from a majority hands nothing out: no answer to
 // a look-up and no redirect, since what it knows may have been replaced.
 func TestNothingIsHandedOutWithoutContact(t *testing.T) {
-	primary := wire.Place{Name: "core-2", Address: "10.0.0.2:7", Part: wire.Controller}
-	router := wire.Place{Name: "edge-1", Address: "10.0.1.1:7", Part: wire.Router}
+	primary := protocol.Place{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
+	router := protocol.Place{Name: "edge-1", Address: "10.0.1.1:7", Part: protocol.Router}
 	for _, contact := range []bool{true, false} {
 		s := New(Settings{Self: wordSelf, ControlPort: "80"}, wordFormat{})
-		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []wire.Place{primary}}, primary: primary}
-		s.Receive(h, wire.Envelope{From: router, Body: wire.MapLookUp{ID: 1, Service: "llm"}})
+		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []protocol.Place{primary}}, primary: primary}
+		s.Receive(h, protocol.Envelope{From: router, Body: protocol.MapLookUp{ID: 1, Service: "llm"}})
 		qt.Assert(t, len(h.sent) > 0, qt.Equals, contact)
 		s.Input(h, Read{ID: 2})
-		said := h.answers[0].(wire.Dropped)
-		qt.Assert(t, said.Kind, qt.Equals, defect.NotPrimary)
+		said := h.answers[0].(protocol.Dropped)
+		qt.Assert(t, said.Kind, qt.Equals, errkind.NotPrimary)
 		qt.Assert(t, said.Primary != "", qt.Equals, contact)
 	}
 }
@@ -29,11 +29,11 @@
 // followerHost is a machine that is not the primary.
 type followerHost struct {
 	wordHost
-	primary wire.Place
+	primary protocol.Place
 }
 
-func (h *followerHost) Active() bool        { return false }
-func (h *followerHost) Primary() wire.Place { return h.primary }
+func (h *followerHost) Active() bool            { return false }
+func (h *followerHost) Primary() protocol.Place { return h.primary }
 
 // A follower's index never goes back to what a late snapshot tells.
 func TestLateIndexSnapshots(t *testing.T) {
--- a/steward/history.go
+++ b/internal/controller/history.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"myrtlewinch/control"
+	"myrtlewinch/internal/consensus"
 )
 
 // The configuration is one register with compare-and-set: an order names the
@@ -71,7 +71,7 @@
 func successorKey(base uint64) string { return successorPrefix + strconv.FormatUint(base, 10) }
 
 // readHistory reads what is kept; an unreadable row keeps nothing.
-func readHistory(h control.Host, current uint64) history {
+func readHistory(h consensus.Host, current uint64) history {
 	kept := history{}
 	text := h.Row(historyRow)
 	if text == "" {
@@ -85,7 +85,7 @@
 }
 
 // readSuccessor gives the order that was accepted on top of a version.
-func readSuccessor(h control.Host, base uint64) (successor, bool) {
+func readSuccessor(h consensus.Host, base uint64) (successor, bool) {
 	next := successor{}
 	text := h.Row(successorKey(base))
 	if text == "" {
@@ -100,7 +100,7 @@
 
 // standingOf looks an order up. The version is the one that it was accepted
 // under, where it was.
-func standingOf(h control.Host, current, base uint64, sum string) (standing, uint64) {
+func standingOf(h consensus.Host, current, base uint64, sum string) (standing, uint64) {
 	next, found := readSuccessor(h, base)
 	switch {
 	case found && next.Sum == sum:
@@ -121,7 +121,7 @@
 
 // acceptedRows are the rows that note an accepted order. Where more than most
 // would be kept, the oldest is forgotten in the same write.
-func acceptedRows(h control.Host, base, version uint64, sum string, most int) map[string]string {
+func acceptedRows(h consensus.Host, base, version uint64, sum string, most int) map[string]string {
 	kept := readHistory(h, base)
 	rows := map[string]string{successorKey(base): encode(successor{version, sum})}
 	kept.Count++
@@ -146,7 +146,7 @@
 	return rows
 }
 
-func readRefused(h control.Host) []refusal {
+func readRefused(h consensus.Host) []refusal {
 	var refused []refusal
 	text := h.Row(refusedRow)
 	if text == "" {
@@ -158,13 +158,13 @@
 	return refused
 }
 
-func isRefused(h control.Host, sum string) bool {
+func isRefused(h consensus.Host, sum string) bool {
 	return slices.ContainsFunc(readRefused(h), func(r refusal) bool { return r.Sum == sum })
 }
 
 // refusedRows are the rows that note a refusal; false says that there is no
 // room for one.
-func refusedRows(h control.Host, base uint64, sum string) (map[string]string, bool) {
+func refusedRows(h consensus.Host, base uint64, sum string) (map[string]string, bool) {
 	refused := readRefused(h)
 	if len(refused) >= refusedMost {
 		return nil, false
@@ -181,7 +181,7 @@
 // migratedRows turn the list of earlier releases into a history, or are nil
 // where there is no such list. It does not tell what its first order was built
 // on, so that one is left out.
-func migratedRows(h control.Host, current uint64) map[string]string {
+func migratedRows(h consensus.Host, current uint64) map[string]string {
 	text := h.Row(legacyRow)
 	if text == "" {
 		return nil
--- a/steward/history_test.go
+++ b/internal/controller/history_test.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"encoding/json"
@@ -9,8 +9,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // begunHeld is a steward that serves, on a machine whose writes wait.
@@ -71,7 +71,7 @@
 	s.maps.historyMost = most
 	chain(h, s, accepted)
 	for version := uint64(1); version <= accepted; version++ {
-		want := string(defect.AcceptanceUnknown) + " 12"
+		want := string(errkind.AcceptanceUnknown) + " 12"
 		if version >= first {
 			want = fmt.Sprintf("taken %d", version)
 		}
@@ -86,7 +86,7 @@
 	qt.Assert(t, rows, qt.Equals, most)
 	qt.Assert(t, h.counts[countUnknown], qt.Equals, int(first-1))
 	// What can't be read was never accepted, however old.
-	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 2, Text: "nonsense"}), qt.Equals, string(defect.FaultyDescription))
+	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 2, Text: "nonsense"}), qt.Equals, string(errkind.FaultyDescription))
 }
 
 // A bound that was lowered takes all surplus rows away with the next order.
@@ -96,7 +96,7 @@
 	s.maps.historyMost = 3
 	chain(h, s, 10)
 	qt.Assert(t, lastTold(h, s, chained(1, 8)), qt.Equals, "taken 8")
-	qt.Assert(t, lastTold(h, s, chained(1, 7)), qt.Equals, string(defect.AcceptanceUnknown)+" 10")
+	qt.Assert(t, lastTold(h, s, chained(1, 7)), qt.Equals, string(errkind.AcceptanceUnknown)+" 10")
 	qt.Assert(t, readHistory(h, 10), qt.Equals, history{OldestBase: 7, Count: 3})
 }
 
@@ -139,8 +139,8 @@
 	for version := uint64(201); version <= 327; version++ {
 		qt.Assert(t, lastTold(h, s, chained(1, version)), qt.Equals, fmt.Sprintf("taken %d", version))
 	}
-	qt.Assert(t, lastTold(h, s, chained(1, 200)), qt.Equals, string(defect.AcceptanceUnknown)+" 327")
-	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 300, Text: "version 305"}), qt.Equals, string(defect.StaleBase)+" 327")
+	qt.Assert(t, lastTold(h, s, chained(1, 200)), qt.Equals, string(errkind.AcceptanceUnknown)+" 327")
+	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 300, Text: "version 305"}), qt.Equals, string(errkind.StaleBase)+" 327")
 	chain(h, s, 328)
 	qt.Assert(t, lastTold(h, s, chained(1, 328)), qt.Equals, "taken 328")
 	qt.Assert(t, readHistory(h, 328), qt.Equals, history{OldestBase: 200, Count: 128})
@@ -160,10 +160,10 @@
 			for len(h.writes) > 0 {
 				h.end(true)
 			}
-			qt.Assert(t, lastTold(h, s, chained(1, 4)), qt.Equals, string(defect.AcceptanceUnknown)+" 9")
+			qt.Assert(t, lastTold(h, s, chained(1, 4)), qt.Equals, string(errkind.AcceptanceUnknown)+" 9")
 			chain(h, s, 10)
 			qt.Assert(t, lastTold(h, s, chained(1, 10)), qt.Equals, "taken 10")
-			qt.Assert(t, lastTold(h, s, chained(1, 4)), qt.Equals, string(defect.AcceptanceUnknown)+" 10")
+			qt.Assert(t, lastTold(h, s, chained(1, 4)), qt.Equals, string(errkind.AcceptanceUnknown)+" 10")
 		})
 	}
 }
@@ -172,7 +172,7 @@
 // when that version is in force and a copy of the order comes late.
 func TestARefusedOrderStaysRefused(t *testing.T) {
 	c := qt.New(t)
-	stale := string(defect.StaleBase)
+	stale := string(errkind.StaleBase)
 	h, s := begunHeld(nil)
 	chain(h, s, 1)
 	early := HandOver{ID: 1, BuiltOn: 2, Text: "version 3 early"}
@@ -207,10 +207,10 @@
 // The copied state stays small enough for a snapshot in one message, beside the
 // largest map.
 func TestHistoryFitsASnapshot(t *testing.T) {
-	row := encode(successor{math.MaxUint64, wire.Sum("")})
+	row := encode(successor{math.MaxUint64, protocol.Sum("")})
 	bytes := historyMost * (len(successorKey(math.MaxUint64)) + len(row) + len("state/kept/"))
 	t.Logf("%d bytes", bytes)
-	qt.Assert(t, bytes < wire.FrameMost/4, qt.IsTrue)
+	qt.Assert(t, bytes < protocol.FrameMost/4, qt.IsTrue)
 }
 
 // A refusal whose write has no known end is no clear answer.
@@ -218,7 +218,7 @@
 	h, s := begunHeld(nil)
 	s.Input(h, HandOver{ID: 1, BuiltOn: 2, Text: "version 3"})
 	h.end(false)
-	qt.Assert(t, h.told[1], qt.DeepEquals, []string{string(defect.AcceptanceUnknown)})
+	qt.Assert(t, h.told[1], qt.DeepEquals, []string{string(errkind.AcceptanceUnknown)})
 }
 
 // The refusals that are kept are bounded; what finds no room is not refused.
@@ -228,7 +228,7 @@
 		s.Input(h, HandOver{ID: i, BuiltOn: 7, Text: fmt.Sprintf("version 9 of %d", i)})
 		h.end(true)
 	}
-	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 7, Text: "version 9"}), qt.Equals, string(defect.NotTaken))
+	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 7, Text: "version 9"}), qt.Equals, string(errkind.NotTaken))
 	qt.Assert(t, h.writes, qt.HasLen, 0)
 }
 
--- a/steward/inputs.go
+++ b/internal/controller/inputs.go
@@ -1,7 +1,7 @@
-// Package steward is what a controller does where a service map is in use: it
+// Package controller is what a controller does where a service map is in use: it
 // takes maps, tells them to the routers, keeps the ledger of the runners that
 // the platform lists, and orders loads and unloads.
-package steward
+package controller
 
 // Inputs of operators.
 type (
@@ -19,7 +19,7 @@
 	Look struct{ ID uint64 }
 )
 
-// Answers to operators; a refusal is a wire.Dropped, whose Primary is then the
+// Answers to operators; a refusal is a protocol.Dropped, whose Primary is then the
 // address of the controller to go to, where that is known.
 type (
 	// Taken says that the map is accepted and safe.
--- a/steward/maps.go
+++ b/internal/controller/maps.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"encoding/json"
@@ -6,9 +6,9 @@
 	"strconv"
 	"strings"
 
-	"myrtlewinch/control"
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // mapRow is the row of the copied state that holds the map in force.
@@ -58,7 +58,7 @@
 	// told is the version and epoch that routers were last told.
 	told []uint64
 	// sent says which map each router was last sent.
-	sent map[wire.Place]sentMap
+	sent map[protocol.Place]sentMap
 }
 
 type sentMap struct {
@@ -67,12 +67,12 @@
 }
 
 func newMaps() maps {
-	return maps{sent: map[wire.Place]sentMap{}, historyMost: historyMost}
+	return maps{sent: map[protocol.Place]sentMap{}, historyMost: historyMost}
 }
 
 // send says whether the map in force is to be sent to a router, and notes it.
 // Another life of the router is another place.
-func (m *maps) send(nowMs int64, to wire.Place) bool {
+func (m *maps) send(nowMs int64, to protocol.Place) bool {
 	if last := m.sent[to]; last.version == m.current.version && nowMs-last.atMs < onWayMs {
 		return false
 	}
@@ -88,7 +88,7 @@
 
 // load reads the map in force from the copied state, unless it is the one that
 // was read last.
-func (m *maps) load(h control.Host, format Format) {
+func (m *maps) load(h consensus.Host, format Format) {
 	text := h.Row(mapRow)
 	if text == m.row {
 		return
@@ -102,7 +102,7 @@
 		h.Note("the map in force can't be read: %v", err)
 		return
 	}
-	whole, err := wire.Unpack(kept.Packed)
+	whole, err := protocol.Unpack(kept.Packed)
 	if err != nil {
 		h.Note("the map in force can't be read: %v", err)
 		return
@@ -112,12 +112,12 @@
 		h.Note("the map in force can't be read: %s", strings.Join(faults, "; "))
 		return
 	}
-	m.current, m.row = inForce{kept.Version, wire.Sum(whole), whole, kept.Packed, document}, text
+	m.current, m.row = inForce{kept.Version, protocol.Sum(whole), whole, kept.Packed, document}, text
 }
 
 // begin takes over what earlier releases kept of accepted orders, and then the
 // first order that waits.
-func (m *maps) begin(s *Steward, h control.Host) {
+func (m *maps) begin(s *Steward, h consensus.Host) {
 	rows := migratedRows(h, m.current.version)
 	if rows == nil {
 		m.next(s, h)
@@ -134,15 +134,15 @@
 
 // sum names an operator's order, so that it is known when it comes again.
 func (in HandOver) sum() string {
-	return wire.Sum(strconv.FormatUint(in.BuiltOn, 10) + strconv.FormatBool(in.Part) + in.Text)
+	return protocol.Sum(strconv.FormatUint(in.BuiltOn, 10) + strconv.FormatBool(in.Part) + in.Text)
 }
 
-func (m *maps) handOver(s *Steward, h control.Host, in HandOver) {
+func (m *maps) handOver(s *Steward, h consensus.Host, in HandOver) {
 	switch {
 	case !s.serving || !h.Active():
 		s.notPrimary(h, in.ID)
 	case len(m.queue) >= queueMost:
-		h.Answer(in.ID, wire.Dropped{Kind: defect.NotTaken, Detail: "too many orders wait"})
+		h.Answer(in.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "too many orders wait"})
 	default:
 		m.queue = append(m.queue, in)
 		m.next(s, h)
@@ -151,7 +151,7 @@
 
 // next takes the first order that waits and has no fault. One at a time, so that
 // of two on top of one version the second loses.
-func (m *maps) next(s *Steward, h control.Host) {
+func (m *maps) next(s *Steward, h consensus.Host) {
 	for !m.writing && len(m.queue) > 0 && h.Active() {
 		in := m.queue[0]
 		m.queue = m.queue[1:]
@@ -160,7 +160,7 @@
 }
 
 // takeOne answers an order by what became of it before, or accepts it.
-func (m *maps) takeOne(s *Steward, h control.Host, in HandOver) {
+func (m *maps) takeOne(s *Steward, h consensus.Host, in HandOver) {
 	sum := in.sum()
 	stands, version := standingOf(h, m.current.version, in.BuiltOn, sum)
 	switch stands {
@@ -178,22 +178,22 @@
 	}
 }
 
-func (m *maps) refuseStale(h control.Host, in HandOver) {
+func (m *maps) refuseStale(h consensus.Host, in HandOver) {
 	h.Count(countStale)
-	h.Answer(in.ID, wire.Dropped{Kind: defect.StaleBase, Detail: "another version is in force", Revision: m.current.version})
+	h.Answer(in.ID, protocol.Dropped{Kind: errkind.StaleBase, Detail: "another version is in force", Revision: m.current.version})
 }
 
 // refuseAhead refuses an order on top of a version that has not been in force.
 // A copy of the order may still be on its way when that version is, so the
 // refusal is kept before it is told.
-func (m *maps) refuseAhead(s *Steward, h control.Host, in HandOver, sum string) {
+func (m *maps) refuseAhead(s *Steward, h consensus.Host, in HandOver, sum string) {
 	if isRefused(h, sum) {
 		m.refuseStale(h, in)
 		return
 	}
 	rows, room := refusedRows(h, in.BuiltOn, sum)
 	if !room {
-		h.Answer(in.ID, wire.Dropped{Kind: defect.NotTaken, Detail: "too many orders build on versions that have not been in force"})
+		h.Answer(in.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "too many orders build on versions that have not been in force"})
 		return
 	}
 	m.write(s, h, in, rows, func() { m.refuseStale(h, in) })
@@ -201,7 +201,7 @@
 
 // answerUnknown answers an order that is older than what is kept. It may have
 // been accepted, unless it can't be read.
-func (m *maps) answerUnknown(s *Steward, h control.Host, in HandOver) {
+func (m *maps) answerUnknown(s *Steward, h consensus.Host, in HandOver) {
 	if !in.Part {
 		if _, faults := s.format.Read([]byte(in.Text)); len(faults) > 0 {
 			refuseFaulty(h, in, faults)
@@ -209,22 +209,22 @@
 		}
 	}
 	h.Count(countUnknown)
-	h.Answer(in.ID, wire.Dropped{Kind: defect.AcceptanceUnknown, Detail: "it is older than the orders that are remembered", Revision: m.current.version})
+	h.Answer(in.ID, protocol.Dropped{Kind: errkind.AcceptanceUnknown, Detail: "it is older than the orders that are remembered", Revision: m.current.version})
 }
 
-func refuseFaulty(h control.Host, in HandOver, faults []string) {
-	h.Answer(in.ID, wire.Dropped{Kind: defect.FaultyDescription, Detail: "the map has no effect", Faults: faults})
+func refuseFaulty(h consensus.Host, in HandOver, faults []string) {
+	h.Answer(in.ID, protocol.Dropped{Kind: errkind.FaultyDescription, Detail: "the map has no effect", Faults: faults})
 }
 
 // write brings rows to the copies, and goes on with then once they are safe.
 // No other order is looked at before.
-func (m *maps) write(s *Steward, h control.Host, in HandOver, rows map[string]string, then func()) {
+func (m *maps) write(s *Steward, h consensus.Host, in HandOver, rows map[string]string, then func()) {
 	m.writing = true
 	h.Submit(rows, func(ok bool) {
 		m.writing = false
 		if !ok {
 			// The copies may have it, so neither yes nor no would be true.
-			h.Answer(in.ID, wire.Dropped{Kind: defect.AcceptanceUnknown, Detail: "it may be in force; ask again"})
+			h.Answer(in.ID, protocol.Dropped{Kind: errkind.AcceptanceUnknown, Detail: "it may be in force; ask again"})
 			return
 		}
 		then()
@@ -234,7 +234,7 @@
 
 // accept puts an order that builds on the current version in force, unless it
 // has faults.
-func (m *maps) accept(s *Steward, h control.Host, in HandOver, sum string) {
+func (m *maps) accept(s *Steward, h consensus.Host, in HandOver, sum string) {
 	next, faults := m.build(s.format, in)
 	if len(faults) > 0 {
 		refuseFaulty(h, in, faults)
@@ -271,11 +271,11 @@
 		return inForce{}, []string{fmt.Sprintf("version: is %d; it must be above the one in force (%d)", document.Version, m.current.version)}
 	}
 	whole := string(text)
-	return inForce{document.Version, wire.Sum(whole), whole, wire.Pack(whole), document}, nil
+	return inForce{document.Version, protocol.Sum(whole), whole, protocol.Pack(whole), document}, nil
 }
 
 // end gives all that wait their answer at the end of a primacy.
-func (m *maps) end(h control.Host, s *Steward) {
+func (m *maps) end(h consensus.Host, s *Steward) {
 	waiting := m.queue
 	m.queue, m.writing, m.told = nil, false, nil
 	clear(m.sent)
--- a/steward/maps_test.go
+++ b/internal/controller/maps_test.go
@@ -1,22 +1,22 @@
-package steward
+package controller
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // Each order has one answer, and yes only once the copies have the map.
 func TestMapsAreTaken(t *testing.T) {
 	const (
-		stale   = string(defect.StaleBase)
-		faulty  = string(defect.FaultyDescription)
-		gone    = string(defect.NotPrimary)
-		unknown = string(defect.AcceptanceUnknown)
+		stale   = string(errkind.StaleBase)
+		faulty  = string(errkind.FaultyDescription)
+		gone    = string(errkind.NotPrimary)
+		unknown = string(errkind.AcceptanceUnknown)
 	)
 	type told = map[uint64][]string
 	put := func(id, builtOn uint64, text string) HandOver { return HandOver{ID: id, BuiltOn: builtOn, Text: text} }
@@ -132,13 +132,13 @@
 		}, told{1: {gone}}, 0, 0},
 		{"elsewhere", func(x scene) {
 			x.s.Ended(x.h)
-			x.h.primary = wire.Place{Name: "core-2", Address: "10.0.0.2:7", Part: wire.Controller}
-			x.h.controllers = []wire.Place{x.h.primary}
+			x.h.primary = protocol.Place{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
+			x.h.controllers = []protocol.Place{x.h.primary}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone + " 10.0.0.2:80"}}, 0, 0},
 		{"elsewhere, and dead as far as is known", func(x scene) {
 			x.s.Ended(x.h)
-			x.h.primary = wire.Place{Name: "core-2", Address: "10.0.0.2:7", Part: wire.Controller}
+			x.h.primary = protocol.Place{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone}}, 0, 0},
 		{"a primary that may not speak takes none", func(x scene) {
@@ -181,7 +181,7 @@
 	for id := range uint64(queueMost + 2) {
 		s.Input(h, HandOver{ID: id, Text: "version 1"})
 	}
-	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{queueMost + 1: {string(defect.NotTaken)}})
+	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{queueMost + 1: {string(errkind.NotTaken)}})
 	h.end(true)
 	for id := range uint64(queueMost + 1) {
 		c.Assert(h.told[id], qt.DeepEquals, []string{"taken 1"})
--- a/steward/messages.go
+++ b/internal/controller/messages.go
@@ -1,9 +1,9 @@
-package steward
+package controller
 
 import (
 	"encoding/gob"
 
-	"myrtlewinch/holdings"
+	"myrtlewinch/internal/placement"
 )
 
 // Soft tells the other controllers what the primary's ledger holds. It is a
@@ -12,7 +12,7 @@
 	Epoch uint64
 	// Sequence grows with each snapshot of a primary.
 	Sequence uint64
-	Ledger   holdings.Soft
+	Ledger   placement.Soft
 }
 
 // softOrder is the newest index snapshot that a follower took.
@@ -31,7 +31,7 @@
 }
 
 // Demand tells the primary what look-ups another controller answered.
-type Demand struct{ Counts holdings.Counts }
+type Demand struct{ Counts placement.Counts }
 
 func init() {
 	gob.Register(Soft{})
--- a/steward/office.go
+++ b/internal/controller/office.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"context"
@@ -9,12 +9,12 @@
 
 	"github.com/charmbracelet/log"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/control"
-	"myrtlewinch/crew"
-	"myrtlewinch/daemon"
-	"myrtlewinch/disk"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
+	"myrtlewinch/internal/threads"
 )
 
 const (
@@ -36,7 +36,7 @@
 // OfficeSettings is the place of a controller process.
 type OfficeSettings struct {
 	Site  string
-	Self  wire.Place
+	Self  protocol.Place
 	Seeds []string
 	// Losses is how many disks may be lost at once.
 	Losses     int
@@ -52,7 +52,7 @@
 
 // Office is a controller as a process: its machine in a shell.
 type Office struct {
-	shell *daemon.Shell
+	shell *process.Shell
 	// doors are the pages that operators use.
 	doors http.Handler
 	// seeds are those of the settings as they are now.
@@ -63,20 +63,20 @@
 
 // NewOffice opens the data folder and makes the controller; nothing runs yet.
 // Doors makes the pages that operators use.
-func NewOffice(set OfficeSettings, format Format, exchanger daemon.Exchanger, doors func(*daemon.Shell) http.Handler, peers, web net.Listener, logger *log.Logger) (*Office, error) {
-	clock := daemon.NewClock()
-	machine, d, err := set.machine(disk.Open, format, clock)
+func NewOffice(set OfficeSettings, format Format, exchanger process.Exchanger, doors func(*process.Shell) http.Handler, peers, web net.Listener, logger *log.Logger) (*Office, error) {
+	clock := process.NewClock()
+	machine, d, err := set.machine(storage.Open, format, clock)
 	if err != nil {
 		return nil, err
 	}
-	set.Self.Part, set.Self.Incarnation = wire.Controller, d.Keys()["incarnation"]
+	set.Self.Part, set.Self.Incarnation = protocol.Controller, d.Keys()["incarnation"]
 	o := &Office{handOver: time.Duration(LeaveMs(set.Bounds)) * time.Millisecond}
 	o.seeds.Store(&set.Seeds)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { o.doors.ServeHTTP(w, r) })
-	o.shell = daemon.New(daemon.Settings{
+	o.shell = process.New(process.Settings{
 		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Exchanger: exchanger,
-		Renew: func() (daemon.Machine, *disk.Disk, error) {
-			return o.anew(set).machine(disk.Reopen, format, clock)
+		Renew: func() (process.Machine, *storage.Disk, error) {
+			return o.anew(set).machine(storage.Reopen, format, clock)
 		},
 	}, machine, d, peers, web, handler)
 	o.doors = doors(o.shell)
@@ -92,24 +92,24 @@
 }
 
 // machine opens the data folder and makes a controller from what it holds.
-func (set OfficeSettings) machine(open func(folder, site string) (*disk.Disk, error), format Format, clock daemon.Clock) (daemon.Machine, *disk.Disk, error) {
+func (set OfficeSettings) machine(open func(folder, site string) (*storage.Disk, error), format Format, clock process.Clock) (process.Machine, *storage.Disk, error) {
 	d, err := open(set.Data, set.Site)
 	if err != nil {
 		return nil, nil, err
 	}
 	keys := d.Keys()
-	set.Self.Part, set.Self.Incarnation = wire.Controller, keys["incarnation"]
+	set.Self.Part, set.Self.Incarnation = protocol.Controller, keys["incarnation"]
 	tenant := New(Settings{
 		Self: set.Self, Bounds: set.Bounds, ListAddress: set.ListAddress, ListPerSec: set.ListPerSec, ControlPort: set.ControlPort,
 	}, format)
-	machine, err := control.New(control.Settings{
+	machine, err := consensus.New(consensus.Settings{
 		Site: set.Site, Self: set.Self, Seeds: set.Seeds, Tenant: tenant, Losses: set.Losses, Founds: set.FirstStart,
 		// A holder's order may be a moment on its way.
 		GapMs: set.Bounds.LeaseMs + set.Bounds.ThawMs,
 		// The next loss may come once a lost machine is back for this long.
-		AwayMs:  control.AwayMsFor(set.Bounds.CatchUpMs),
-		ShowMs:  control.ShowMsFor(set.Bounds.CatchUpMs),
-		Timing:  control.TimingFor(set.Bounds.CatchUpMs),
+		AwayMs:  consensus.AwayMsFor(set.Bounds.CatchUpMs),
+		ShowMs:  consensus.ShowMsFor(set.Bounds.CatchUpMs),
+		Timing:  consensus.TimingFor(set.Bounds.CatchUpMs),
 		LeaveMs: LeaveMs(set.Bounds),
 	}, keys, clock.NowMs())
 	if err != nil {
@@ -120,14 +120,14 @@
 }
 
 // Join adds the controller's duties to a crew.
-func (o *Office) Join(c *crew.Crew) { o.shell.Join(c) }
+func (o *Office) Join(c *threads.Crew) { o.shell.Join(c) }
 
 // Leave hands the copy, the vote and the primacy of this daemon to others
 // before a planned stop, as far as there are any and within LeaveMs.
 func (o *Office) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), o.handOver+leaveWait)
 	defer cancel()
-	o.shell.Ask(ctx, func(id uint64) any { return control.StepDown{ID: id} })
+	o.shell.Ask(ctx, func(id uint64) any { return consensus.StepDown{ID: id} })
 	// The last messages, such as the word to the next primary, are on their way.
 	time.Sleep(leaveWait)
 }
@@ -135,5 +135,5 @@
 // Reseed takes the seeds of changed settings.
 func (o *Office) Reseed(seeds []string) {
 	o.seeds.Store(&seeds)
-	o.shell.Put(control.Reseed{Seeds: seeds})
+	o.shell.Put(consensus.Reseed{Seeds: seeds})
 }
--- a/steward/office_test.go
+++ b/internal/controller/office_test.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"io"
@@ -9,7 +9,7 @@
 	"github.com/charmbracelet/log"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/daemon"
+	"myrtlewinch/internal/process"
 )
 
 // A machine that begins anew after a defect of its disk founds no site and goes
@@ -23,7 +23,7 @@
 		return at
 	}
 	set := OfficeSettings{Site: "s", Self: wordSelf, Seeds: []string{"a:7"}, FirstStart: true, Data: c.TempDir()}
-	doors := func(*daemon.Shell) http.Handler { return http.NotFoundHandler() }
+	doors := func(*process.Shell) http.Handler { return http.NotFoundHandler() }
 	o, err := NewOffice(set, wordFormat{}, nil, doors, listen(), listen(), log.New(io.Discard))
 	c.Assert(err, qt.IsNil)
 	for _, seeds := range [][]string{{"a:7"}, {"b:7", "c:7"}} {
--- a/steward/orders.go
+++ b/internal/controller/orders.go
@@ -1,6 +1,6 @@
-package steward
+package controller
 
-import "myrtlewinch/control"
+import "myrtlewinch/internal/consensus"
 
 // ordererRow names who was the last to order runners. Holders may not take
 // turns within the lease, so a new one waits it out; one that finds its own
@@ -19,7 +19,7 @@
 )
 
 // beginOrders is what a new primary may do about orders at once.
-func (s *Steward) beginOrders(h control.Host) {
+func (s *Steward) beginOrders(h consensus.Host) {
 	s.orders = ordersNone
 	if h.Row(ordererRow) == h.Self().Name {
 		s.orders = ordersTaken
@@ -32,7 +32,7 @@
 
 // takeOrders takes the right to order once the one before can't have ordered
 // for long enough; no order leaves before the row is safe.
-func (s *Steward) takeOrders(h control.Host) {
+func (s *Steward) takeOrders(h consensus.Host) {
 	if s.orders != ordersNone || h.Row(ordererRow) != "" && h.NowMs() < h.OrdersFromMs() {
 		return
 	}
--- a/steward/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -1,13 +1,13 @@
-package steward
+package controller
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/protocol"
 )
 
 // engineFormat reads a map of one engine, whatever is written.
@@ -16,8 +16,8 @@
 func (f engineFormat) Read(text []byte) (*Document, []string) {
 	d, faults := f.wordFormat.Read(text)
 	if d != nil {
-		d.Services = []servicemap.Service{{Name: "llm", Engine: &servicemap.Engine{
-			Slots: 8, RoomMb: 100, LoadsPerSec: 10, Models: []servicemap.Model{{Name: "m1", Mb: 10, LoadMs: 500}},
+		d.Services = []config.Service{{Name: "llm", Engine: &config.Engine{
+			Slots: 8, RoomMb: 100, LoadsPerSec: 10, Models: []config.Model{{Name: "m1", Mb: 10, LoadMs: 500}},
 		}}}
 		d.Index()
 	}
@@ -30,13 +30,13 @@
 	h.calls = nil
 	for _, call := range calls {
 		switch body := call.Body.(type) {
-		case wire.FleetCall:
-			s.Input(h, wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
-		case wire.StateCall:
-			s.Input(h, wire.StateSaid{Runner: body.Runner, Number: body.Number, Ok: true, State: wire.RunnerState{CacheTotal: 100}})
-		case wire.CommandCall:
+		case protocol.FleetCall:
+			s.Input(h, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
+		case protocol.StateCall:
+			s.Input(h, protocol.StateSaid{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{CacheTotal: 100}})
+		case protocol.CommandCall:
 			orders++
-			s.Input(h, wire.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: wire.CommandTaken})
+			s.Input(h, protocol.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: protocol.CommandTaken})
 		}
 	}
 	return orders
@@ -79,7 +79,7 @@
 			s.Began(h)
 			writeMs, orderMs, endMs := never, never, never
 			for ; h.nowMs < beganMs+4000; h.nowMs += 50 {
-				s.Receive(h, wire.Envelope{From: wire.Place{Name: "router-1", Part: wire.Router}, Body: wire.MapLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+				s.Receive(h, protocol.Envelope{From: protocol.Place{Name: "router-1", Part: protocol.Router}, Body: protocol.MapLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 				s.Tick(h)
 				if orders := platformOf(h, s); orders > 0 && orderMs == never {
 					orderMs = h.nowMs - beganMs
@@ -117,7 +117,7 @@
 	s.Ended(h)
 	orders := 0
 	for endMs := h.nowMs + 2000; h.nowMs < endMs; h.nowMs += 50 {
-		s.Receive(h, wire.Envelope{From: wire.Place{Name: "router-1", Part: wire.Router}, Body: wire.MapLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+		s.Receive(h, protocol.Envelope{From: protocol.Place{Name: "router-1", Part: protocol.Router}, Body: protocol.MapLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 		s.Tick(h)
 		orders += platformOf(h, s)
 	}
--- a/steward/roll.go
+++ b/internal/controller/roll.go
@@ -1,8 +1,8 @@
-package steward
+package controller
 
 import (
-	"myrtlewinch/control"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/protocol"
 )
 
 // rollMs is for how long what was counted of the daemons stands. Hundreds of
@@ -14,12 +14,12 @@
 	calledMs    int64
 	called      bool
 	routers     int
-	controllers []wire.Place
+	controllers []protocol.Place
 	sum         uint64
 }
 
 // call counts anew where the last count is too old.
-func (r *roll) call(s *Steward, h control.Host) {
+func (r *roll) call(s *Steward, h consensus.Host) {
 	if r.called && h.NowMs()-r.calledMs < rollMs {
 		return
 	}
@@ -27,11 +27,11 @@
 	r.routers = s.countRouters(h)
 	// Words that were sent share the list, so a new one is made each time.
 	r.controllers = append(h.Controllers(), h.Self())
-	r.sum = wire.SumPlaces(r.controllers)
+	r.sum = protocol.SumPlaces(r.controllers)
 }
 
 // countRouters is how many routers may spend the budget of second tries.
-func (s *Steward) countRouters(h control.Host) int {
+func (s *Steward) countRouters(h consensus.Host) int {
 	for _, place := range h.Routers() {
 		s.routers[place.Name] = max(s.routers[place.Name], h.NowMs())
 	}
@@ -49,4 +49,4 @@
 	sum uint64
 }
 
-func (l *leaving) take(ids []string) { l.ids, l.sum = ids, wire.SumTexts(ids) }
+func (l *leaving) take(ids []string) { l.ids, l.sum = ids, protocol.SumTexts(ids) }
--- a/steward/status.go
+++ b/internal/controller/status.go
@@ -1,6 +1,6 @@
-package steward
+package controller
 
-import "myrtlewinch/control"
+import "myrtlewinch/internal/consensus"
 
 // Status is what a controller believes.
 type Status struct {
@@ -15,7 +15,7 @@
 	Ledger      any      `json:"ledger"`
 }
 
-func (s *Steward) status(h control.Host) Status {
+func (s *Steward) status(h consensus.Host) Status {
 	status := Status{
 		Name: s.set.Self.Name, Epoch: h.Epoch(), Primary: h.Primary().Name, Active: s.serving && h.Active(),
 		Version: s.maps.current.version, Routers: len(s.routers), Ledger: s.keeper.Status(),
--- a/steward/steward.go
+++ b/internal/controller/steward.go
@@ -1,14 +1,14 @@
-package steward
+package controller
 
 import (
 	"net"
 	"slices"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/control"
-	"myrtlewinch/defect"
-	"myrtlewinch/holdings"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/placement"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -24,7 +24,7 @@
 
 // Settings is what a steward knows before it knows anyone.
 type Settings struct {
-	Self        wire.Place
+	Self        protocol.Place
 	Bounds      bounds.Bounds
 	ListAddress string
 	ListPerSec  float64
@@ -36,7 +36,7 @@
 type Steward struct {
 	set    Settings
 	format Format
-	keeper *holdings.Keeper
+	keeper *placement.Keeper
 	maps   maps
 	// routers says when each router last asked.
 	routers  map[string]int64
@@ -57,13 +57,13 @@
 func New(set Settings, format Format) *Steward {
 	return &Steward{
 		set: set, format: format, routers: map[string]int64{}, maps: newMaps(),
-		keeper: holdings.New(set.Bounds, set.Self.Name, set.ListAddress, set.ListPerSec),
+		keeper: placement.New(set.Bounds, set.Self.Name, set.ListAddress, set.ListPerSec),
 	}
 }
 
 // Changed reads the map in force anew; it may not be safe on all copies yet, so
 // only a follower, which answers nobody, goes by it.
-func (s *Steward) Changed(h control.Host) {
+func (s *Steward) Changed(h consensus.Host) {
 	if !s.serving {
 		s.maps.load(h, s.format)
 		s.keeper.SetMap(s.maps.current.document)
@@ -71,7 +71,7 @@
 }
 
 // Began is the start of this daemon's primacy.
-func (s *Steward) Began(h control.Host) {
+func (s *Steward) Began(h consensus.Host) {
 	s.serving = true
 	s.maps.load(h, s.format)
 	s.keeper.SetMap(s.maps.current.document)
@@ -84,7 +84,7 @@
 }
 
 // Ended is the end of this daemon's primacy.
-func (s *Steward) Ended(h control.Host) {
+func (s *Steward) Ended(h consensus.Host) {
 	s.serving = false
 	s.keeper.End()
 	s.maps.end(h, s)
@@ -92,15 +92,15 @@
 }
 
 // Receive takes a message of a router or of a peer.
-func (s *Steward) Receive(h control.Host, e wire.Envelope) bool {
+func (s *Steward) Receive(h consensus.Host, e protocol.Envelope) bool {
 	switch body := e.Body.(type) {
-	case wire.MapAsk:
+	case protocol.MapAsk:
 		s.asked(h, e.From, body)
-	case wire.MapLookUp:
+	case protocol.MapLookUp:
 		// Cut off, this daemon may know of runners that have long left. A router
 		// that hears nothing asks another controller.
 		if !h.InContact() {
-			h.Count(string(defect.NoContact))
+			h.Count(string(errkind.NoContact))
 			return true
 		}
 		h.Send(e.From, s.keeper.LookUp(h.NowMs(), e.From, body))
@@ -110,7 +110,7 @@
 		}
 	case Soft:
 		if s.serving || body.Epoch < h.Epoch() || !s.softOrder.later(body) {
-			h.Count(string(defect.Overtaken))
+			h.Count(string(errkind.Overtaken))
 		} else {
 			s.keeper.TakeSoft(h.NowMs(), body.Ledger)
 		}
@@ -125,7 +125,7 @@
 }
 
 // Input takes what operators ask and what calls outward brought.
-func (s *Steward) Input(h control.Host, input any) bool {
+func (s *Steward) Input(h consensus.Host, input any) bool {
 	switch in := input.(type) {
 	case HandOver:
 		s.maps.handOver(s, h, in)
@@ -133,23 +133,23 @@
 		if !s.serving || !h.Active() {
 			s.notPrimary(h, in.ID)
 		} else if s.maps.current.version == 0 {
-			h.Answer(in.ID, wire.Dropped{Kind: defect.NotTaken, Detail: "no map is in force yet"})
+			h.Answer(in.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "no map is in force yet"})
 		} else {
 			h.Answer(in.ID, Text{Version: s.maps.current.version, Text: s.maps.current.text})
 		}
 	case Look:
 		h.Answer(in.ID, s.status(h))
-	case wire.Fleet:
+	case protocol.Fleet:
 		if s.serving && s.keeper.Fleet(h.NowMs(), in) {
 			s.leaving.take(s.keeper.Leaving())
 			s.tellRouters(h)
 		}
-	case wire.StateSaid:
+	case protocol.StateSaid:
 		if s.serving {
 			s.keeper.State(h.NowMs(), in)
 			s.hurry(h)
 		}
-	case wire.CommandSaid:
+	case protocol.CommandSaid:
 		if s.serving {
 			s.keeper.Commanded(h.NowMs(), in)
 			s.hurry(h)
@@ -161,7 +161,7 @@
 }
 
 // Tick goes on with what time brings.
-func (s *Steward) Tick(h control.Host) {
+func (s *Steward) Tick(h consensus.Host) {
 	if s.serving {
 		s.tickPrimary(h)
 		return
@@ -173,7 +173,7 @@
 
 // hurry goes on with the ledger without waiting for the next tick; a follower
 // tells the primary at once of those who wait.
-func (s *Steward) hurry(h control.Host) {
+func (s *Steward) hurry(h consensus.Host) {
 	switch {
 	case !s.serving:
 		if s.keeper.Waits() {
@@ -185,10 +185,10 @@
 }
 
 // goOn carries out what the ledger has due.
-func (s *Steward) goOn(h control.Host) {
+func (s *Steward) goOn(h consensus.Host) {
 	calls, tells := s.keeper.Tick(h.NowMs(), h.LeaseUntilMs())
 	for _, call := range calls {
-		if order, is := call.Body.(wire.CommandCall); is {
+		if order, is := call.Body.(protocol.CommandCall); is {
 			h.Note("order %d to %s: %s %s %s", order.Number, order.Runner, action(order.Load), order.Model, order.Adapter)
 		}
 		h.Call(call.Address, call.Body)
@@ -205,14 +205,14 @@
 	return "unload"
 }
 
-func (s *Steward) tellDemand(h control.Host) {
+func (s *Steward) tellDemand(h consensus.Host) {
 	s.demandMs = h.NowMs()
 	if counts := s.keeper.DrainDemand(); len(counts) > 0 && h.Primary().Name != "" {
 		h.Send(h.Primary(), Demand{Counts: counts})
 	}
 }
 
-func (s *Steward) tickPrimary(h control.Host) {
+func (s *Steward) tickPrimary(h consensus.Host) {
 	if !h.Active() {
 		return
 	}
@@ -232,7 +232,7 @@
 
 // asked answers a router's constant question. What the router has is not sent
 // again, so that the answer costs the same however large the site is.
-func (s *Steward) asked(h control.Host, from wire.Place, ask wire.MapAsk) {
+func (s *Steward) asked(h consensus.Host, from protocol.Place, ask protocol.MapAsk) {
 	if !s.serving || !h.Active() {
 		return
 	}
@@ -252,9 +252,9 @@
 }
 
 // word is what routers are told now, without the map itself.
-func (s *Steward) word(h control.Host) wire.MapWord {
+func (s *Steward) word(h consensus.Host) protocol.MapWord {
 	s.roll.call(s, h)
-	return wire.MapWord{
+	return protocol.MapWord{
 		Epoch: h.Epoch(), Version: s.maps.current.version, Sum: s.maps.current.sum,
 		Leaving: s.leaving.ids, LeavingSum: s.leaving.sum, AgeMs: s.keeper.ListAgeMs(h.NowMs()),
 		Routers: s.roll.routers, Controllers: s.roll.controllers, ControllersSum: s.roll.sum,
@@ -262,7 +262,7 @@
 }
 
 // tellRouters tells every router at once what changed.
-func (s *Steward) tellRouters(h control.Host) {
+func (s *Steward) tellRouters(h consensus.Host) {
 	if !h.Active() {
 		return
 	}
@@ -282,10 +282,10 @@
 // notPrimary sends an operator to the primary, where a majority stood behind it
 // just now. Without that it may be one no longer, and the operator would go
 // round in a circle.
-func (s *Steward) notPrimary(h control.Host, id uint64) {
-	said := wire.Dropped{Kind: defect.NotPrimary, Detail: "the primary answers this"}
+func (s *Steward) notPrimary(h consensus.Host, id uint64) {
+	said := protocol.Dropped{Kind: errkind.NotPrimary, Detail: "the primary answers this"}
 	primary := h.Primary()
-	alive := slices.ContainsFunc(h.Controllers(), func(p wire.Place) bool { return p.Name == primary.Name })
+	alive := slices.ContainsFunc(h.Controllers(), func(p protocol.Place) bool { return p.Name == primary.Name })
 	if host, _, err := net.SplitHostPort(primary.Address); err == nil && alive && h.InContact() {
 		said.Primary = net.JoinHostPort(host, s.set.ControlPort)
 	}
