--- a/steward/words_test.go
+++ b/internal/controller/words_test.go
@@ -1,4 +1,4 @@
-package steward
+package controller
 
 import (
 	"encoding/json"
@@ -8,8 +8,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/protocol"
 )
 
 // wordFormat reads a map that is only its version.
@@ -29,33 +29,35 @@
 type wordHost struct {
 	nowMs                int64
 	rows                 map[string]string
-	controllers, routers []wire.Place
-	sent                 []wire.Send
+	controllers, routers []protocol.Place
+	sent                 []protocol.Send
 	answers              []any
 	// outOfContact says that no majority is known to stand behind this daemon.
 	outOfContact bool
 }
 
-var wordSelf = wire.Place{Name: "core-1", Address: "c:1", Part: wire.Controller}
-
-func (h *wordHost) NowMs() int64              { return h.nowMs }
-func (h *wordHost) Active() bool              { return true }
-func (h *wordHost) InContact() bool           { return !h.outOfContact }
-func (h *wordHost) LeaseUntilMs() int64       { return h.nowMs + 2000 }
-func (h *wordHost) OrdersFromMs() int64       { return h.nowMs }
-func (h *wordHost) Self() wire.Place          { return wordSelf }
-func (h *wordHost) Epoch() uint64             { return 1 }
-func (h *wordHost) Primary() wire.Place       { return wordSelf }
-func (h *wordHost) Controllers() []wire.Place { return append([]wire.Place{}, h.controllers...) }
-func (h *wordHost) Routers() []wire.Place     { return h.routers }
+var wordSelf = protocol.Place{Name: "core-1", Address: "c:1", Part: protocol.Controller}
+
+func (h *wordHost) NowMs() int64            { return h.nowMs }
+func (h *wordHost) Active() bool            { return true }
+func (h *wordHost) InContact() bool         { return !h.outOfContact }
+func (h *wordHost) LeaseUntilMs() int64     { return h.nowMs + 2000 }
+func (h *wordHost) OrdersFromMs() int64     { return h.nowMs }
+func (h *wordHost) Self() protocol.Place    { return wordSelf }
+func (h *wordHost) Epoch() uint64           { return 1 }
+func (h *wordHost) Primary() protocol.Place { return wordSelf }
+func (h *wordHost) Controllers() []protocol.Place {
+	return append([]protocol.Place{}, h.controllers...)
+}
+func (h *wordHost) Routers() []protocol.Place { return h.routers }
 func (h *wordHost) Row(key string) string     { return h.rows[key] }
 func (h *wordHost) Call(string, any)          {}
 func (h *wordHost) Answer(_ uint64, body any) { h.answers = append(h.answers, body) }
 func (h *wordHost) Note(string, ...any)       {}
 func (h *wordHost) Count(string)              {}
 
-func (h *wordHost) Send(to wire.Place, body any) {
-	h.sent = append(h.sent, wire.Send{To: to.Name, Address: to.Address, Body: body})
+func (h *wordHost) Send(to protocol.Place, body any) {
+	h.sent = append(h.sent, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
 func (h *wordHost) Submit(rows map[string]string, then func(ok bool)) {
@@ -66,10 +68,10 @@
 }
 
 // said gives the words that were sent since the last time.
-func (h *wordHost) said() []wire.MapWord {
-	var out []wire.MapWord
+func (h *wordHost) said() []protocol.MapWord {
+	var out []protocol.MapWord
 	for _, send := range h.sent {
-		if word, ok := send.Body.(wire.MapWord); ok {
+		if word, ok := send.Body.(protocol.MapWord); ok {
 			out = append(out, word)
 		}
 	}
@@ -77,48 +79,48 @@
 	return out
 }
 
-func placed(part string, count int) []wire.Place {
-	var out []wire.Place
+func placed(part string, count int) []protocol.Place {
+	var out []protocol.Place
 	for i := range count {
-		out = append(out, wire.Place{Name: fmt.Sprintf("%s-%d", part, i+10), Address: fmt.Sprintf("%s:%d", part, i), Part: part})
+		out = append(out, protocol.Place{Name: fmt.Sprintf("%s-%d", part, i+10), Address: fmt.Sprintf("%s:%d", part, i), Part: part})
 	}
 	return out
 }
 
 func begun(routers int) (*wordHost, *Steward) {
-	h := &wordHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(wire.Controller, 4), routers: placed(wire.Router, routers)}
+	h := &wordHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(protocol.Controller, 4), routers: placed(protocol.Router, routers)}
 	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}}, wordFormat{})
 	s.Began(h)
 	s.Input(h, HandOver{ID: 1, Text: "version 1" + strings.Repeat(" model", 10_000)})
 	return h, s
 }
 
-func ask(h *wordHost, s *Steward, in wire.MapAsk) wire.MapWord {
+func ask(h *wordHost, s *Steward, in protocol.MapAsk) protocol.MapWord {
 	h.said()
-	s.Receive(h, wire.Envelope{From: wire.Place{Name: "router-x", Address: "x:1", Part: wire.Router}, Body: in})
+	s.Receive(h, protocol.Envelope{From: protocol.Place{Name: "router-x", Address: "x:1", Part: protocol.Router}, Body: in})
 	return h.said()[0]
 }
 
 // What a router has already is not told again, whatever part of it that is.
 func TestWordsLeaveOutWhatIsThere(t *testing.T) {
 	h, s := begun(2)
-	s.Input(h, wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
-	full := ask(h, s, wire.MapAsk{EchoMs: 9})
+	s.Input(h, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
+	full := ask(h, s, protocol.MapAsk{EchoMs: 9})
 	qt.Assert(t, full.EchoMs, qt.Equals, int64(9))
 	qt.Assert(t, full.Leaving, qt.DeepEquals, []string{"p1"})
 	qt.Assert(t, full.Controllers, qt.HasLen, 5)
-	text, err := wire.Unpack(full.Packed)
+	text, err := protocol.Unpack(full.Packed)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, wire.Sum(text), qt.Equals, full.Sum)
+	qt.Assert(t, protocol.Sum(text), qt.Equals, full.Sum)
 	cases := []struct {
 		about                    string
-		ask                      wire.MapAsk
+		ask                      protocol.MapAsk
 		text, leaving, companion bool
 	}{
-		{"all", wire.MapAsk{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, false, false, false},
-		{"no map", wire.MapAsk{LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, true, false, false},
-		{"other leavers", wire.MapAsk{Version: 1, LeavingSum: 7, ControllersSum: full.ControllersSum}, false, true, false},
-		{"other controllers", wire.MapAsk{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: 7}, false, false, true},
+		{"all", protocol.MapAsk{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, false, false, false},
+		{"no map", protocol.MapAsk{LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, true, false, false},
+		{"other leavers", protocol.MapAsk{Version: 1, LeavingSum: 7, ControllersSum: full.ControllersSum}, false, true, false},
+		{"other controllers", protocol.MapAsk{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: 7}, false, false, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -143,7 +145,7 @@
 		qt.Assert(t, len(word.Packed) > 0, qt.IsTrue)
 		qt.Assert(t, word.Version, qt.Equals, uint64(1))
 	}
-	s.Input(h, wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
+	s.Input(h, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
 	words = h.said()
 	qt.Assert(t, words, qt.HasLen, 3)
 	for _, word := range words {
@@ -170,10 +172,10 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			h, s := begun(0)
-			from := wire.Place{Name: "router-x", Address: "x:1", Part: wire.Router, Incarnation: "1"}
+			from := protocol.Place{Name: "router-x", Address: "x:1", Part: protocol.Router, Incarnation: "1"}
 			sent := func() bool {
 				h.said()
-				s.Receive(h, wire.Envelope{From: from, Body: wire.MapAsk{EchoMs: h.nowMs}})
+				s.Receive(h, protocol.Envelope{From: from, Body: protocol.MapAsk{EchoMs: h.nowMs}})
 				return len(h.said()[0].Packed) > 0
 			}
 			qt.Assert(t, sent(), qt.IsTrue)
@@ -205,11 +207,11 @@
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			h, s := begun(routers)
 			from := h.routers[0]
-			in := wire.MapAsk{Version: 1, LeavingSum: s.leaving.sum, ControllersSum: s.roll.sum}
+			in := protocol.MapAsk{Version: 1, LeavingSum: s.leaving.sum, ControllersSum: s.roll.sum}
 			for i := range b.N {
 				// As many ask in each ms as the routers there are would.
 				h.nowMs = 10_000 + int64(i)*300/int64(routers)
-				s.Receive(h, wire.Envelope{From: from, Body: in})
+				s.Receive(h, protocol.Envelope{From: from, Body: in})
 				h.sent = h.sent[:0]
 			}
 		})
--- a/witness/witness.go
+++ b/internal/election/witness/witness.go
@@ -4,7 +4,7 @@
 import (
 	"encoding/json"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // Key is where the record lies on the disk.
@@ -12,17 +12,17 @@
 
 // Memory is the durable record of one witness.
 type Memory struct {
-	Promised wire.Ballot `json:"promised"`
-	Kept     wire.Ballot `json:"kept"`
-	Record   wire.Record `json:"record"`
-	Founding bool        `json:"founding,omitempty"`
+	Promised protocol.Ballot `json:"promised"`
+	Kept     protocol.Ballot `json:"kept"`
+	Record   protocol.Record `json:"record"`
+	Founding bool            `json:"founding,omitempty"`
 }
 
 // Witness decides what one disk promises and keeps. Its caller saves the
 // memory, where it changed, before the answer leaves.
 type Witness struct {
 	Memory
-	self wire.Seat
+	self protocol.Seat
 	// leaseMs is how long no other may become primary after a renewal.
 	leaseMs      int64
 	startMs      int64
@@ -32,7 +32,7 @@
 
 // New makes a witness from what its disk holds. A lease lasts leaseMs, at all
 // witnesses and the primary alike.
-func New(self wire.Seat, saved string, nowMs, leaseMs int64) (*Witness, error) {
+func New(self protocol.Seat, saved string, nowMs, leaseMs int64) (*Witness, error) {
 	w := &Witness{self: self, startMs: nowMs, leaseMs: leaseMs}
 	if saved == "" {
 		return w, nil
@@ -67,8 +67,8 @@
 }
 
 // Promise answers a candidate. Changed says that the memory must be saved.
-func (w *Witness) Promise(nowMs int64, from string, ask wire.Promise) (answer wire.Promised, changed bool) {
-	answer = wire.Promised{Ballot: ask.Ballot, Highest: w.Promised, Record: w.Record, Kept: w.Kept, Blank: w.Blank()}
+func (w *Witness) Promise(nowMs int64, from string, ask protocol.Promise) (answer protocol.Promised, changed bool) {
+	answer = protocol.Promised{Ballot: ask.Ballot, Highest: w.Promised, Record: w.Record, Kept: w.Kept, Blank: w.Blank()}
 	// A blank disk votes only in an explicit act of the operator's.
 	if w.Blank() && !(ask.Found && w.Record.Epoch == 0) && !ask.Recover {
 		return answer, false
@@ -89,8 +89,8 @@
 }
 
 // Keep stores a record.
-func (w *Witness) Keep(nowMs int64, ask wire.Keep) (answer wire.Kept, changed bool) {
-	answer = wire.Kept{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
+func (w *Witness) Keep(nowMs int64, ask protocol.Keep) (answer protocol.Kept, changed bool) {
+	answer = protocol.Kept{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
 	taken := false
 	for _, seat := range ask.Record.Witnesses {
 		taken = taken || seat == w.self
@@ -119,15 +119,15 @@
 
 // Renew prolongs the primary's hold. A witness that missed the record takes
 // it from the renewal, since only a complete record is renewed.
-func (w *Witness) Renew(nowMs int64, ask wire.Renew) (answer wire.Kept, changed bool) {
-	answer = wire.Kept{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
+func (w *Witness) Renew(nowMs int64, ask protocol.Renew) (answer protocol.Kept, changed bool) {
+	answer = protocol.Kept{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
 	if w.Blank() || ask.Ballot.Less(w.Promised) || ask.Record.Epoch < w.Record.Epoch {
 		return answer, false
 	}
 	// A hold is given only under what is on the disk: after a restart it must
 	// be known whose it may be.
 	if ask.Record.Epoch > w.Record.Epoch || ask.Ballot != w.Kept {
-		return w.Keep(nowMs, wire.Keep{Ballot: ask.Ballot, Record: ask.Record, EchoMs: ask.EchoMs})
+		return w.Keep(nowMs, protocol.Keep{Ballot: ask.Ballot, Record: ask.Record, EchoMs: ask.EchoMs})
 	}
 	w.grantLease(nowMs, ask.Ballot.Name)
 	answer.Granted = true
@@ -135,7 +135,7 @@
 }
 
 // Release ends the lease on purpose.
-func (w *Witness) Release(from string, ask wire.Release) {
+func (w *Witness) Release(from string, ask protocol.Release) {
 	if ask.Epoch == w.Record.Epoch && ask.Ballot == w.Kept && from == w.holder {
 		w.leaseUntilMs = 0
 		w.holder = ""
--- a/defect/answer.go
+++ b/internal/errkind/answer.go
@@ -1,4 +1,4 @@
-package defect
+package errkind
 
 import (
 	"encoding/json"
--- a/defect/kind.go
+++ b/internal/errkind/kind.go
@@ -1,6 +1,6 @@
-// Package defect is the closed list of what can go wrong, and what each kind
+// Package errkind is the closed list of what can go wrong, and what each kind
 // is answered with. Nothing outside this list reaches a caller.
-package defect
+package errkind
 
 import "net/http"
 
--- a/defect/kind_test.go
+++ b/internal/errkind/kind_test.go
@@ -1,4 +1,4 @@
-package defect
+package errkind
 
 import (
 	"fmt"
@@ -16,7 +16,7 @@
 	c := qt.New(t)
 	source, err := os.ReadFile("kind.go")
 	c.Assert(err, qt.IsNil)
-	page, err := os.ReadFile("../docs/operators.md")
+	page, err := os.ReadFile("../../docs/operators.md")
 	c.Assert(err, qt.IsNil)
 	declared := regexp.MustCompile(`Kind = "([^"]+)"`).FindAllStringSubmatch(string(source), -1)
 	c.Assert(len(declared), qt.Equals, len(Table))
--- a/watch/roster.go
+++ b/internal/failuredetector/roster.go
@@ -1,6 +1,6 @@
-// Package watch is membership: each daemon sends heartbeats to a few watchers
+// Package failuredetector is membership: each daemon sends heartbeats to a few watchers
 // that its place on a ring of names gives, and watchers tell the primary.
-package watch
+package failuredetector
 
 import (
 	"cmp"
@@ -9,7 +9,7 @@
 	"slices"
 	"strings"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -27,26 +27,26 @@
 )
 
 type peer struct {
-	place  wire.Place
+	place  protocol.Place
 	seenMs int64
 	seen   bool
 }
 
 // Roster is what one daemon knows of its peers.
 type Roster struct {
-	self    wire.Place
+	self    protocol.Place
 	seeds   []string
 	peers   map[string]*peer
 	beatMs  int64
 	helloMs int64
 	// sorted is all places in order of name and sum their sum, worked out when
 	// they are asked for; nil and nought once a place changed.
-	sorted []wire.Place
+	sorted []protocol.Place
 	sum    uint64
 }
 
 // New makes a roster that knows only seeds and what was remembered.
-func New(self wire.Place, seeds []string, remembered []wire.Place) *Roster {
+func New(self protocol.Place, seeds []string, remembered []protocol.Place) *Roster {
 	r := &Roster{self: self, seeds: seeds, peers: map[string]*peer{}, beatMs: -BeatMs, helloMs: -helloMs}
 	r.Learn(0, remembered)
 	return r
@@ -55,7 +55,7 @@
 // Learn takes places told by others. A place that was heard of lately is
 // believed over one that is only told; a silent one may have moved. False says
 // that some of what was told was not believed, so that it is to be told again.
-func (r *Roster) Learn(nowMs int64, places []wire.Place) bool {
+func (r *Roster) Learn(nowMs int64, places []protocol.Place) bool {
 	believed := true
 	for _, place := range places {
 		if place.Name == "" || place.Name == r.self.Name {
@@ -79,7 +79,7 @@
 }
 
 // Heard notes a message that came from the peer itself.
-func (r *Roster) Heard(nowMs int64, place wire.Place) {
+func (r *Roster) Heard(nowMs int64, place protocol.Place) {
 	if place.Name == "" || place.Name == r.self.Name {
 		return
 	}
@@ -129,7 +129,7 @@
 func (r *Roster) changed() { r.sorted, r.sum = nil, 0 }
 
 // Told takes a watcher's sighting.
-func (r *Roster) Told(nowMs int64, s wire.Sighting) {
+func (r *Roster) Told(nowMs int64, s protocol.Sighting) {
 	known := r.peers[s.Place.Name]
 	if known == nil || !known.seen || known.seenMs < nowMs-s.AgoMs {
 		r.Heard(nowMs-s.AgoMs, s.Place)
@@ -152,27 +152,27 @@
 }
 
 // Place finds a peer, or this daemon itself.
-func (r *Roster) Place(name string) (wire.Place, bool) {
+func (r *Roster) Place(name string) (protocol.Place, bool) {
 	if name == r.self.Name {
 		return r.self, true
 	}
 	known := r.peers[name]
 	if known == nil {
-		return wire.Place{}, false
+		return protocol.Place{}, false
 	}
 	return known.place, true
 }
 
 // Places lists all known peers and this daemon, in order of name. The list
 // is shared: whoever asks must not change it.
-func (r *Roster) Places() []wire.Place {
+func (r *Roster) Places() []protocol.Place {
 	if r.sorted == nil {
-		r.sorted = make([]wire.Place, 0, len(r.peers)+1)
+		r.sorted = make([]protocol.Place, 0, len(r.peers)+1)
 		r.sorted = append(r.sorted, r.self)
 		for _, known := range r.peers {
 			r.sorted = append(r.sorted, known.place)
 		}
-		slices.SortFunc(r.sorted, func(a, b wire.Place) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(r.sorted, func(a, b protocol.Place) int { return strings.Compare(a.Name, b.Name) })
 	}
 	return r.sorted
 }
@@ -180,23 +180,23 @@
 // Sum names the list of all places, so that it need not be told again.
 func (r *Roster) Sum() uint64 {
 	if r.sum == 0 {
-		r.sum = wire.SumPlaces(r.Places())
+		r.sum = protocol.SumPlaces(r.Places())
 	}
 	return r.sum
 }
 
 // Others lists all peers without this daemon.
-func (r *Roster) Others() []wire.Place {
-	return r.those(func(p wire.Place) bool { return true })
+func (r *Roster) Others() []protocol.Place {
+	return r.those(func(p protocol.Place) bool { return true })
 }
 
 // Part lists the peers of a part, without this daemon.
-func (r *Roster) Part(part string) []wire.Place {
-	return r.those(func(p wire.Place) bool { return p.Part == part })
+func (r *Roster) Part(part string) []protocol.Place {
+	return r.those(func(p protocol.Place) bool { return p.Part == part })
 }
 
-func (r *Roster) those(are func(wire.Place) bool) []wire.Place {
-	var out []wire.Place
+func (r *Roster) those(are func(protocol.Place) bool) []protocol.Place {
+	var out []protocol.Place
 	for _, place := range r.Places() {
 		if place.Name != r.self.Name && are(place) {
 			out = append(out, place)
@@ -206,11 +206,11 @@
 }
 
 // Watchers lists whom a daemon beats to: its successors on the ring.
-func (r *Roster) Watchers(name string) []wire.Place {
+func (r *Roster) Watchers(name string) []protocol.Place {
 	places := slices.Clone(r.Places())
-	slices.SortFunc(places, func(a, b wire.Place) int { return cmp.Compare(spot(a.Name), spot(b.Name)) })
-	var out []wire.Place
-	start := slices.IndexFunc(places, func(p wire.Place) bool { return p.Name == name })
+	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(spot(a.Name), spot(b.Name)) })
+	var out []protocol.Place
+	start := slices.IndexFunc(places, func(p protocol.Place) bool { return p.Name == name })
 	if start < 0 {
 		return nil
 	}
@@ -227,15 +227,15 @@
 }
 
 // Tick gives the messages that are due. Primary is whom to tell, if known.
-func (r *Roster) Tick(nowMs int64, epoch uint64, primary string, serving bool) []wire.Send {
-	var sends []wire.Send
+func (r *Roster) Tick(nowMs int64, epoch uint64, primary string, serving bool) []protocol.Send {
+	var sends []protocol.Send
 	if nowMs-r.beatMs >= BeatMs {
 		r.beatMs = nowMs
 		for _, place := range r.Watchers(r.self.Name) {
-			sends = append(sends, wire.Send{To: place.Name, Address: place.Address, Body: wire.Heartbeat{Epoch: epoch, Serving: serving}})
+			sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.Heartbeat{Epoch: epoch, Serving: serving}})
 		}
 		if to, ok := r.Place(primary); ok && primary != r.self.Name {
-			sends = append(sends, wire.Send{To: to.Name, Address: to.Address, Body: wire.Sightings{Seen: r.sightings(nowMs)}})
+			sends = append(sends, protocol.Send{To: to.Name, Address: to.Address, Body: protocol.Sightings{Seen: r.sightings(nowMs)}})
 		}
 	}
 	if nowMs-r.helloMs >= helloMs && !r.Live(nowMs, primary) && primary != r.self.Name {
@@ -245,11 +245,11 @@
 	return sends
 }
 
-func (r *Roster) sightings(nowMs int64) []wire.Sighting {
-	var seen []wire.Sighting
+func (r *Roster) sightings(nowMs int64) []protocol.Sighting {
+	var seen []protocol.Sighting
 	for _, place := range r.Places() {
 		if r.Live(nowMs, place.Name) {
-			seen = append(seen, wire.Sighting{Place: place, AgoMs: nowMs - r.peers[place.Name].seenMs})
+			seen = append(seen, protocol.Sighting{Place: place, AgoMs: nowMs - r.peers[place.Name].seenMs})
 		}
 	}
 	return seen
@@ -257,23 +257,23 @@
 
 // hellos goes to all seeds and, since seeds may be gone, to one remembered
 // peer after the other.
-func (r *Roster) hellos(nowMs int64) []wire.Send {
-	var sends []wire.Send
+func (r *Roster) hellos(nowMs int64) []protocol.Send {
+	var sends []protocol.Send
 	for _, seed := range r.seeds {
 		if seed != r.self.Address {
-			sends = append(sends, wire.Send{Address: seed, Body: wire.Hello{}})
+			sends = append(sends, protocol.Send{Address: seed, Body: protocol.Hello{}})
 		}
 	}
 	places := r.Others()
 	if len(places) > 0 {
 		place := places[int(nowMs/helloMs)%len(places)]
-		sends = append(sends, wire.Send{To: place.Name, Address: place.Address, Body: wire.Hello{}})
+		sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.Hello{}})
 	}
 	return sends
 }
 
 // At finds a peer that was heard of itself, or this daemon, by address.
-func (r *Roster) At(address string) (wire.Place, bool) {
+func (r *Roster) At(address string) (protocol.Place, bool) {
 	if address == r.self.Address {
 		return r.self, true
 	}
@@ -282,7 +282,7 @@
 			return known.place, true
 		}
 	}
-	return wire.Place{}, false
+	return protocol.Place{}, false
 }
 
 // Reseed replaces the seeds; peers that are known stay known.
--- a/watch/roster_test.go
+++ b/internal/failuredetector/roster_test.go
@@ -1,4 +1,4 @@
-package watch
+package failuredetector
 
 import (
 	"fmt"
@@ -6,11 +6,11 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
-func place(name, address string) wire.Place {
-	return wire.Place{Name: name, Address: address, Part: wire.Router, Incarnation: address}
+func place(name, address string) protocol.Place {
+	return protocol.Place{Name: name, Address: address, Part: protocol.Router, Incarnation: address}
 }
 
 // A place heard of lately is believed over one that is only told.
@@ -20,27 +20,27 @@
 		do    func(r *Roster)
 		at    string
 	}{
-		{"told", func(r *Roster) { r.Learn(1000, []wire.Place{place("b", "old")}) }, "old"},
+		{"told", func(r *Roster) { r.Learn(1000, []protocol.Place{place("b", "old")}) }, "old"},
 		{"told anew", func(r *Roster) {
-			r.Learn(1000, []wire.Place{place("b", "old")})
-			r.Learn(1001, []wire.Place{place("b", "new")})
+			r.Learn(1000, []protocol.Place{place("b", "old")})
+			r.Learn(1001, []protocol.Place{place("b", "new")})
 		}, "new"},
 		{"heard, then told otherwise", func(r *Roster) {
 			r.Heard(1000, place("b", "heard"))
-			r.Learn(1000+MissMs, []wire.Place{place("b", "told")})
+			r.Learn(1000+MissMs, []protocol.Place{place("b", "told")})
 		}, "heard"},
 		{"heard, silent, then told otherwise", func(r *Roster) {
 			r.Heard(1000, place("b", "heard"))
-			r.Learn(1001+MissMs, []wire.Place{place("b", "told")})
+			r.Learn(1001+MissMs, []protocol.Place{place("b", "told")})
 		}, "told"},
 		{"moved", func(r *Roster) { r.Heard(1000, place("b", "heard")); r.Heard(1001, place("b", "moved")) }, "moved"},
 		{"a sighting older than what was heard", func(r *Roster) {
 			r.Heard(1000, place("b", "heard"))
-			r.Told(1100, wire.Sighting{Place: place("b", "seen"), AgoMs: 200})
+			r.Told(1100, protocol.Sighting{Place: place("b", "seen"), AgoMs: 200})
 		}, "heard"},
 		{"a later sighting", func(r *Roster) {
 			r.Heard(1000, place("b", "heard"))
-			r.Told(1100, wire.Sighting{Place: place("b", "seen"), AgoMs: 50})
+			r.Told(1100, protocol.Sighting{Place: place("b", "seen"), AgoMs: 50})
 		}, "seen"},
 	}
 	for _, test := range cases {
@@ -56,7 +56,7 @@
 
 // Each daemon has a few watchers, none of them itself, and all agree on them.
 func TestWatchers(t *testing.T) {
-	var all []wire.Place
+	var all []protocol.Place
 	for i := range 9 {
 		all = append(all, place(fmt.Sprintf("d-%d", i), fmt.Sprint(i)))
 	}
@@ -82,11 +82,11 @@
 // A daemon that hears the primary asks nobody; one that does not asks its
 // seeds and one remembered peer after the other.
 func TestHellos(t *testing.T) {
-	r := New(place("a", "here"), []string{"seed", "here"}, []wire.Place{place("b", "b"), place("c", "c")})
+	r := New(place("a", "here"), []string{"seed", "here"}, []protocol.Place{place("b", "b"), place("c", "c")})
 	asked := map[string]bool{}
 	for nowMs := int64(10_000); nowMs < 14_000; nowMs += 50 {
 		for _, send := range r.Tick(nowMs, 1, "p", false) {
-			if _, ok := send.Body.(wire.Hello); ok {
+			if _, ok := send.Body.(protocol.Hello); ok {
 				asked[send.Address] = true
 			}
 		}
@@ -95,7 +95,7 @@
 	for nowMs := int64(14_000); nowMs < 18_000; nowMs += 50 {
 		r.Heard(nowMs, place("p", "p"))
 		for _, send := range r.Tick(nowMs, 1, "p", false) {
-			_, ok := send.Body.(wire.Hello)
+			_, ok := send.Body.(protocol.Hello)
 			qt.Assert(t, ok, qt.IsFalse)
 		}
 	}
@@ -109,12 +109,12 @@
 		changes bool
 		took    bool
 	}{
-		{"told the same", func(r *Roster) bool { return r.Learn(2000, []wire.Place{place("b", "1")}) }, false, true},
+		{"told the same", func(r *Roster) bool { return r.Learn(2000, []protocol.Place{place("b", "1")}) }, false, true},
 		{"heard again", func(r *Roster) bool { r.Heard(2000, place("b", "1")); return true }, false, true},
-		{"told of another", func(r *Roster) bool { return r.Learn(2000, []wire.Place{place("c", "1")}) }, true, true},
+		{"told of another", func(r *Roster) bool { return r.Learn(2000, []protocol.Place{place("c", "1")}) }, true, true},
 		{"heard to have moved", func(r *Roster) bool { r.Heard(2000, place("b", "2")); return true }, true, true},
-		{"told otherwise of one that lives", func(r *Roster) bool { return r.Learn(2000, []wire.Place{place("b", "2")}) }, false, false},
-		{"told otherwise of a silent one", func(r *Roster) bool { return r.Learn(9000, []wire.Place{place("b", "2")}) }, true, true},
+		{"told otherwise of one that lives", func(r *Roster) bool { return r.Learn(2000, []protocol.Place{place("b", "2")}) }, false, false},
+		{"told otherwise of a silent one", func(r *Roster) bool { return r.Learn(9000, []protocol.Place{place("b", "2")}) }, true, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -125,7 +125,7 @@
 			qt.Assert(t, test.do(r), qt.Equals, test.took)
 			qt.Assert(t, r.Sum() != before, qt.Equals, test.changes)
 			// What was given out before stays as it was.
-			qt.Assert(t, places, qt.DeepEquals, []wire.Place{place("a", "here"), place("b", "1")})
+			qt.Assert(t, places, qt.DeepEquals, []protocol.Place{place("a", "here"), place("b", "1")})
 		})
 	}
 }
@@ -136,24 +136,24 @@
 	for i := range 400 {
 		r.Heard(1000, place(fmt.Sprintf("edge-%d", i), fmt.Sprint(i)))
 	}
-	qt.Assert(t, r.Part(wire.Router), qt.HasLen, 400)
+	qt.Assert(t, r.Part(protocol.Router), qt.HasLen, 400)
 }
 
 // Machines that were replaced make room for new ones; those that are there stay.
 func TestAFullRosterForgetsTheSilent(t *testing.T) {
-	place := func(i int) wire.Place {
-		return wire.Place{Name: fmt.Sprintf("edge-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Part: wire.Router}
+	place := func(i int) protocol.Place {
+		return protocol.Place{Name: fmt.Sprintf("edge-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Part: protocol.Router}
 	}
 	cases := []struct {
 		about string
-		add   func(r *Roster, nowMs int64, p wire.Place)
+		add   func(r *Roster, nowMs int64, p protocol.Place)
 	}{
-		{"heard", func(r *Roster, nowMs int64, p wire.Place) { r.Heard(nowMs, p) }},
-		{"told", func(r *Roster, nowMs int64, p wire.Place) { r.Learn(nowMs, []wire.Place{p}) }},
+		{"heard", func(r *Roster, nowMs int64, p protocol.Place) { r.Heard(nowMs, p) }},
+		{"told", func(r *Roster, nowMs int64, p protocol.Place) { r.Learn(nowMs, []protocol.Place{p}) }},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			r := New(wire.Place{Name: "core-1"}, nil, nil)
+			r := New(protocol.Place{Name: "core-1"}, nil, nil)
 			nowMs := int64(1000)
 			for i := range 3 * most {
 				nowMs += 10
--- a/outward/conn.go
+++ b/internal/httpclient/conn.go
@@ -1,4 +1,4 @@
-package outward
+package httpclient
 
 import (
 	"bufio"
--- a/outward/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -1,4 +1,4 @@
-package outward
+package httpclient
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/crew"
+	"myrtlewinch/internal/threads"
 )
 
 const (
@@ -94,7 +94,7 @@
 		return x.writeAll(request)
 	}
 	x.written = make(chan struct{})
-	crew.Side(func() {
+	threads.Side(func() {
 		defer close(x.written)
 		_ = x.writeAll(request)
 	})
--- a/outward/exchange_test.go
+++ b/internal/httpclient/exchange_test.go
@@ -1,4 +1,4 @@
-package outward
+package httpclient
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 	"github.com/cockroachdb/errors"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
+	"myrtlewinch/internal/threads"
 )
 
 // scriptedPeer answers the first request with a script and each later one with
@@ -35,7 +35,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = listener.Close() })
 	p := &scriptedPeer{listener: listener, script: script, closes: closes}
-	crew.Side(p.accept)
+	threads.Side(p.accept)
 	return p
 }
 
@@ -45,7 +45,7 @@
 		if err != nil {
 			return
 		}
-		crew.Side(func() { p.serve(connection, number) })
+		threads.Side(func() { p.serve(connection, number) })
 	}
 }
 
@@ -260,7 +260,7 @@
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 	done := make(chan struct{})
-	crew.Side(func() {
+	threads.Side(func() {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
--- a/outward/fuzz_test.go
+++ b/internal/httpclient/fuzz_test.go
@@ -1,4 +1,4 @@
-package outward
+package httpclient
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"myrtlewinch/crew"
+	"myrtlewinch/internal/threads"
 )
 
 // pipeSocket hands a request's bytes to nobody and gives a fixed answer.
@@ -94,7 +94,7 @@
 		}
 		status, body, failed := read(&pipeSocket{answer: strings.NewReader(text)})
 		client, peer := net.Pipe()
-		crew.Side(func() {
+		threads.Side(func() {
 			defer peer.Close()
 			for rest := text; rest != ""; {
 				n := min(size, len(rest))
--- a/outward/quiet_unix.go
+++ b/internal/httpclient/quiet_unix.go
@@ -1,6 +1,6 @@
 //go:build unix
 
-package outward
+package httpclient
 
 import "golang.org/x/sys/unix"
 
--- a/outward/send_test.go
+++ b/internal/httpclient/send_test.go
@@ -1,4 +1,4 @@
-package outward
+package httpclient
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
+	"myrtlewinch/internal/threads"
 )
 
 // raw answers each request and tells the first line and the headers it saw.
@@ -19,7 +19,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
 	heads = make(chan string, 16)
-	crew.Side(func() {
+	threads.Side(func() {
 		nth := 0
 		for {
 			stream, err := at.Accept()
--- a/outward/transport.go
+++ b/internal/httpclient/transport.go
@@ -1,4 +1,4 @@
-// Package outward is the HTTP/1.1 client of this process, for calls to runners
+// Package httpclient is the HTTP/1.1 client of this process, for calls to runners
 // and to the platform.
 //
 // What holds on each of its connections: one exchange is in flight at a time;
@@ -6,7 +6,7 @@
 // is used again only after a response that was read to its told end, was
 // accepted by the caller, and left nothing behind it. On any doubt the
 // connection is closed.
-package outward
+package httpclient
 
 import (
 	"bytes"
--- a/outward/transport_test.go
+++ b/internal/httpclient/transport_test.go
@@ -1,4 +1,4 @@
-package outward
+package httpclient
 
 import (
 	"bufio"
@@ -12,7 +12,7 @@
 	"github.com/cockroachdb/errors"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
+	"myrtlewinch/internal/threads"
 )
 
 // door takes streams and does with each request what it is told to; it counts
@@ -22,13 +22,13 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
 	seen = &atomic.Int64{}
-	crew.Side(func() {
+	threads.Side(func() {
 		for {
 			stream, err := at.Accept()
 			if err != nil {
 				return
 			}
-			crew.Side(func() {
+			threads.Side(func() {
 				defer stream.Close()
 				reader := bufio.NewReader(stream)
 				for {
--- a/choice/table.go
+++ b/internal/native/choice/table.go
@@ -5,9 +5,9 @@
 import (
 	"sort"
 
-	"myrtlewinch/description"
-	"myrtlewinch/ledger"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 // Key is what a request names.
@@ -20,14 +20,14 @@
 
 // Line is the answer for a key.
 type Line struct {
-	Holders []wire.Holder
+	Holders []protocol.Holder
 	Loading bool
 }
 
 // Table holds the lines that were asked for, compiled when first asked for
 // after a change.
 type Table struct {
-	at    wire.Position
+	at    protocol.Position
 	lines map[Key]Line
 }
 
@@ -35,7 +35,7 @@
 func (t *Table) Forget() { t.lines = nil }
 
 // Look gives the line for a key.
-func (t *Table) Look(key Key, d *description.Description, s *ledger.State, soft wire.Soft) Line {
+func (t *Table) Look(key Key, d *description.Description, s *ledger.State, soft protocol.Soft) Line {
 	if t.lines == nil || t.at != s.Position {
 		t.lines, t.at = map[Key]Line{}, s.Position
 	}
@@ -47,7 +47,7 @@
 	return line
 }
 
-func compile(key Key, d *description.Description, s *ledger.State, soft wire.Soft) Line {
+func compile(key Key, d *description.Description, s *ledger.State, soft protocol.Soft) Line {
 	var line Line
 	if d == nil {
 		return line
@@ -71,7 +71,7 @@
 		if !row.Holds(model) || key.Adapter != "" && !row.Holds(key.Item()) {
 			continue
 		}
-		line.Holders = append(line.Holders, wire.Holder{
+		line.Holders = append(line.Holders, protocol.Holder{
 			Runner: runner.Name, Incarnation: row.Incarnation, Address: row.Address,
 			Zone: runner.Zone, Burden: soft.Burdens[runner.Name],
 		})
--- a/ledger/command.go
+++ b/internal/native/ledger/command.go
@@ -1,6 +1,6 @@
 package ledger
 
-import "myrtlewinch/wire"
+import "myrtlewinch/internal/protocol"
 
 // Begin marks the start of an epoch, so that tails of two primaries differ.
 type Begin struct{}
@@ -23,7 +23,7 @@
 		return
 	}
 	s.Revision.Number += restartStep
-	s.Past = append(s.Past, Past{s.Revision.Number, len(s.Revision.Text), wire.Sum(s.Revision.Text), c.Epoch})
+	s.Past = append(s.Past, Past{s.Revision.Number, len(s.Revision.Text), protocol.Sum(s.Revision.Text), c.Epoch})
 	s.Past = s.Past[max(0, len(s.Past)-pastMost):]
 	s.dirty["revision"], s.dirty["past"] = true, true
 }
@@ -37,7 +37,7 @@
 // Apply takes the next revision number.
 func (c Accept) Apply(s *State) {
 	s.Revision = Revision{Number: s.Revision.Number + 1, Text: c.Text}
-	s.Past = append(s.Past, Past{s.Revision.Number, len(c.Text), wire.Sum(c.Text), c.Epoch})
+	s.Past = append(s.Past, Past{s.Revision.Number, len(c.Text), protocol.Sum(c.Text), c.Epoch})
 	if len(s.Past) > pastMost {
 		s.Past = s.Past[len(s.Past)-pastMost:]
 	}
@@ -48,7 +48,7 @@
 // Arrive notes a runner's incarnation. A new one begins with only what it
 // says itself that it holds; nothing known of the one before counts.
 type Arrive struct {
-	Report  wire.Report
+	Report  protocol.Report
 	Address string
 }
 
@@ -69,7 +69,7 @@
 
 // Correct takes what a runner says that it holds, while no order is open, as
 // what it holds: it may have dropped something by itself.
-type Correct struct{ Report wire.Report }
+type Correct struct{ Report protocol.Report }
 
 // Apply replaces what the row holds.
 func (c Correct) Apply(s *State) {
@@ -85,7 +85,7 @@
 }
 
 // MarkLeaving notes that an incarnation is leaving, for good.
-type MarkLeaving struct{ Mark wire.Mark }
+type MarkLeaving struct{ Mark protocol.Mark }
 
 // Apply adds the mark.
 func (c MarkLeaving) Apply(s *State) {
@@ -111,7 +111,7 @@
 	if row == nil || row.Incarnation != c.Incarnation || row.Intent != nil {
 		return
 	}
-	if c.Action == wire.Load && row.Taken()+c.Size > row.Room {
+	if c.Action == protocol.Load && row.Taken()+c.Size > row.Room {
 		return
 	}
 	s.Orders++
@@ -135,9 +135,9 @@
 	}
 	item := Item{row.Intent.Model, row.Intent.Adapter}.String()
 	switch {
-	case row.Intent.Action == wire.Load && c.Done:
+	case row.Intent.Action == protocol.Load && c.Done:
 		row.Held[item] = Holding{Size: row.Intent.Size}
-	case row.Intent.Action == wire.Unload && c.Done:
+	case row.Intent.Action == protocol.Unload && c.Done:
 		delete(row.Held, item)
 	}
 	row.Intent = nil
--- a/ledger/ledger.go
+++ b/internal/native/ledger/ledger.go
@@ -11,7 +11,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // Prefix is before every key of the control state on a disk.
@@ -60,7 +60,7 @@
 	for _, h := range r.Held {
 		taken += h.Size
 	}
-	if r.Intent != nil && r.Intent.Action == wire.Load {
+	if r.Intent != nil && r.Intent.Action == protocol.Load {
 		taken += r.Intent.Size
 	}
 	return taken
@@ -75,12 +75,12 @@
 	if _, ok := r.Held[item.String()]; !ok {
 		return false
 	}
-	return r.Intent == nil || r.Intent.Action != wire.Unload ||
+	return r.Intent == nil || r.Intent.Action != protocol.Unload ||
 		Item{r.Intent.Model, r.Intent.Adapter} != item
 }
 
 // Agrees says whether the row holds just what the report says.
-func (r *Row) Agrees(report wire.Report) bool {
+func (r *Row) Agrees(report protocol.Report) bool {
 	for _, h := range report.Held {
 		if r.Held[Item{h.Model, h.Adapter}.String()].Size != h.Size {
 			return false
@@ -91,7 +91,7 @@
 
 // Loading says whether an order to load the item is on its way.
 func (r *Row) Loading(item Item) bool {
-	return r.Intent != nil && r.Intent.Action == wire.Load && Item{r.Intent.Model, r.Intent.Adapter} == item
+	return r.Intent != nil && r.Intent.Action == protocol.Load && Item{r.Intent.Model, r.Intent.Adapter} == item
 }
 
 // Revision is a description that was accepted.
@@ -112,13 +112,13 @@
 
 // State is the control state in memory.
 type State struct {
-	Position wire.Position
+	Position protocol.Position
 	Revision Revision
 	Past     []Past
 	Orders   uint64
 	Rows     map[string]*Row
 	// Marks are the leaving incarnations; they only grow.
-	Marks map[wire.Mark]bool
+	Marks map[protocol.Mark]bool
 	// Kept are plain rows that a controller's tenant keeps.
 	Kept  map[string]string
 	dirty map[string]bool
@@ -126,14 +126,14 @@
 
 // New makes an empty state.
 func New() *State {
-	return &State{Rows: map[string]*Row{}, Marks: map[wire.Mark]bool{}, Kept: map[string]string{}, dirty: map[string]bool{}}
+	return &State{Rows: map[string]*Row{}, Marks: map[protocol.Mark]bool{}, Kept: map[string]string{}, dirty: map[string]bool{}}
 }
 
 // Command changes the state at the primary.
 type Command interface{ Apply(s *State) }
 
 // Do applies commands and gives the rows that a disk and the followers take.
-func (s *State) Do(at wire.Position, commands []Command) map[string]string {
+func (s *State) Do(at protocol.Position, commands []Command) map[string]string {
 	clear(s.dirty)
 	for _, command := range commands {
 		command.Apply(s)
@@ -189,7 +189,7 @@
 
 const keptKey = "kept/"
 
-func markKey(mark wire.Mark) string { return "mark/" + mark.Runner + "/" + mark.Incarnation }
+func markKey(mark protocol.Mark) string { return "mark/" + mark.Runner + "/" + mark.Incarnation }
 
 // Take brings rows into the state, as a follower or after a restart does.
 func (s *State) Take(rows map[string]string) error {
@@ -223,7 +223,7 @@
 		return json.Unmarshal([]byte(text), row)
 	case strings.HasPrefix(key, "mark/"):
 		runner, incarnation, _ := strings.Cut(strings.TrimPrefix(key, "mark/"), "/")
-		s.Marks[wire.Mark{Runner: runner, Incarnation: incarnation}] = true
+		s.Marks[protocol.Mark{Runner: runner, Incarnation: incarnation}] = true
 		return nil
 	case strings.HasPrefix(key, keptKey):
 		s.keep(strings.TrimPrefix(key, keptKey), text)
@@ -234,5 +234,5 @@
 
 // Leaving says whether the runner's present incarnation is marked.
 func (s *State) Leaving(row *Row) bool {
-	return row.Leaving || s.Marks[wire.Mark{Runner: row.Runner, Incarnation: row.Incarnation}]
+	return row.Leaving || s.Marks[protocol.Mark{Runner: row.Runner, Incarnation: row.Incarnation}]
 }
--- /dev/null
+++ b/internal/native/ledger/ledger_test.go
@@ -0,0 +1,69 @@
+package ledger
+
+import (
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"myrtlewinch/internal/protocol"
+)
+
+func arrive(incarnation string, held ...protocol.Held) Arrive {
+	return Arrive{protocol.Report{Runner: "r", Incarnation: incarnation, Room: 100, Held: held}, "addr"}
+}
+
+func intend(action, model string, size int64) Intend {
+	return Intend{"r", "1", action, Item{Model: model}, size}
+}
+
+func TestLedgerRoomAndIntents(t *testing.T) {
+	cases := []struct {
+		about    string
+		commands []Command
+		taken    int64
+		held     int
+		open     bool
+	}{
+		{"intent takes room", []Command{arrive("1"), intend(protocol.Load, "m", 60)}, 60, 0, true},
+		{"no second order while one is open", []Command{arrive("1"), intend(protocol.Load, "m", 60), intend(protocol.Load, "n", 10)}, 60, 0, true},
+		{"no room, no order", []Command{arrive("1", protocol.Held{Model: "a", Size: 60}), intend(protocol.Load, "m", 41)}, 60, 1, false},
+		{"done", []Command{arrive("1"), intend(protocol.Load, "m", 60), Settle{"r", "1", 1, true}}, 60, 1, false},
+		{"failed", []Command{arrive("1"), intend(protocol.Load, "m", 60), Settle{"r", "1", 1, false}}, 0, 0, false},
+		{"settled by another number", []Command{arrive("1"), intend(protocol.Load, "m", 60), Settle{"r", "1", 2, true}}, 60, 0, true},
+		{"unloading still takes room", []Command{arrive("1", protocol.Held{Model: "a", Size: 60}), intend(protocol.Unload, "a", 60)}, 60, 1, true},
+		{"unloaded", []Command{arrive("1", protocol.Held{Model: "a", Size: 60}), intend(protocol.Unload, "a", 60), Settle{"r", "1", 1, true}}, 0, 0, false},
+		{"a new incarnation begins empty", []Command{arrive("1"), intend(protocol.Load, "m", 60), arrive("2")}, 0, 0, false},
+		{"a runner that dropped something by itself", []Command{arrive("1", protocol.Held{Model: "a", Size: 60}), Correct{protocol.Report{Runner: "r", Incarnation: "1"}}}, 0, 0, false},
+		{"no correction while an order is open", []Command{arrive("1", protocol.Held{Model: "a", Size: 60}), intend(protocol.Unload, "a", 60), Correct{protocol.Report{Runner: "r", Incarnation: "1"}}}, 60, 1, true},
+		{"an order for the one before has no effect", []Command{arrive("2"), intend(protocol.Load, "m", 60)}, 0, 0, false},
+	}
+	for _, test := range cases {
+		t.Run(test.about, func(t *testing.T) {
+			c := qt.New(t)
+			s := New()
+			s.Do(protocol.Position{Epoch: 1, Number: 1}, test.commands)
+			row := s.Rows["r"]
+			c.Assert(row.Taken(), qt.Equals, test.taken)
+			c.Assert(row.Held, qt.HasLen, test.held)
+			c.Assert(row.Intent != nil, qt.Equals, test.open)
+		})
+	}
+}
+
+func TestFollowerEqualsPrimary(t *testing.T) {
+	c := qt.New(t)
+	primary, follower, imaged := New(), New(), New()
+	steps := [][]Command{
+		{Begin{}, arrive("1")},
+		{intend(protocol.Load, "m", 60), MarkLeaving{protocol.Mark{Runner: "r", Incarnation: "0"}}},
+		{Settle{"r", "1", 1, true}, Accept{"{}", 1}},
+	}
+	for n, commands := range steps {
+		rows := primary.Do(protocol.Position{Epoch: 1, Number: uint64(n + 1)}, commands)
+		c.Assert(follower.Take(rows), qt.IsNil)
+	}
+	c.Assert(follower.Rowset(), qt.DeepEquals, primary.Rowset())
+	c.Assert(imaged.Take(primary.Rowset()), qt.IsNil)
+	c.Assert(imaged.Rowset(), qt.DeepEquals, primary.Rowset())
+	c.Assert(imaged.Take(map[string]string{Prefix + "odd": "1"}), qt.ErrorMatches, ".*unknown row")
+}
--- a/traffic/budget.go
+++ b/internal/native/router/budget.go
@@ -1,4 +1,4 @@
-package traffic
+package router
 
 // budget is the token bucket of a service's second goes. Each first go earns
 // a fifth; what it may save up is the router's share of the allowance. So no
--- a/traffic/cache.go
+++ b/internal/native/router/cache.go
@@ -1,18 +1,18 @@
-package traffic
+package router
 
 import (
 	"slices"
 	"strings"
 
-	"myrtlewinch/choice"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/choice"
+	"myrtlewinch/internal/protocol"
 )
 
 // entry is a cached line of the choice table, for a key that was named.
 type entry struct {
-	at      wire.Position
+	at      protocol.Position
 	atMs    int64
-	holders []wire.Holder
+	holders []protocol.Holder
 }
 
 // entry gives the cached line if it is a hit: known, not too old, and with a
@@ -32,7 +32,7 @@
 }
 
 // indexed takes an answer of the index, or its word of a change.
-func (m *Machine) indexed(said wire.Index) {
+func (m *Machine) indexed(said protocol.Index) {
 	delete(m.silent, said.ID)
 	m.cutSinceMs = 0
 	parts := strings.SplitN(said.Key, "/", 3)
@@ -68,7 +68,7 @@
 	m.wake()
 }
 
-func newer(a, b wire.Position) bool {
+func newer(a, b protocol.Position) bool {
 	return a.Epoch > b.Epoch || a.Epoch == b.Epoch && a.Number > b.Number
 }
 
@@ -84,9 +84,9 @@
 }
 
 // evict takes a runner that said that it does not hold the item out of the line.
-func (m *Machine) evict(key choice.Key, mark wire.Mark) {
+func (m *Machine) evict(key choice.Key, mark protocol.Mark) {
 	if e := m.cache[key]; e != nil {
-		e.holders = slices.DeleteFunc(e.holders, func(h wire.Holder) bool {
+		e.holders = slices.DeleteFunc(e.holders, func(h protocol.Holder) bool {
 			return h.Runner == mark.Runner && h.Incarnation == mark.Incarnation
 		})
 	}
@@ -107,10 +107,10 @@
 }
 
 func (m *Machine) sendLookUp(r *request) {
-	if controllers := m.roster.Part(wire.Controller); len(controllers) > 0 {
+	if controllers := m.roster.Part(protocol.Controller); len(controllers) > 0 {
 		to := controllers[m.target%len(controllers)]
 		m.silent[r.lookUp] = m.nowMs
-		m.send(to, wire.LookUp{ID: r.lookUp, Service: r.Service, Model: r.Model, Adapter: r.Adapter})
+		m.send(to, protocol.LookUp{ID: r.lookUp, Service: r.Service, Model: r.Model, Adapter: r.Adapter})
 	}
 }
 
--- a/traffic/gate.go
+++ b/internal/native/router/gate.go
@@ -1,4 +1,4 @@
-package traffic
+package router
 
 import (
 	"bufio"
@@ -18,12 +18,12 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/daemon"
-	"myrtlewinch/defect"
-	"myrtlewinch/outward"
-	"myrtlewinch/settings"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/httpclient"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/settings"
+	"myrtlewinch/internal/threads"
 )
 
 const (
@@ -41,10 +41,10 @@
 // Gate is a router as a process: its machine in a shell, and the way of a
 // request through it.
 type Gate struct {
-	shell   *daemon.Shell
+	shell   *process.Shell
 	machine *Machine
 	set     settings.Settings
-	self    wire.Place
+	self    protocol.Place
 	under   atomic.Int64
 	names   atomic.Uint64
 	// lastMs is when the last request came.
@@ -57,18 +57,18 @@
 	if _, err := rand.Read(token); err != nil {
 		return nil, err
 	}
-	clock := daemon.NewClock()
-	self := wire.Place{
-		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: wire.Router, Incarnation: hex.EncodeToString(token),
+	clock := process.NewClock()
+	self := protocol.Place{
+		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.Router, Incarnation: hex.EncodeToString(token),
 	}
 	machine := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, clock.NowMs())
 	g := &Gate{machine: machine, set: set, self: self}
-	g.shell = daemon.New(daemon.Settings{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, nil, peers, web, g)
+	g.shell = process.New(process.Settings{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, nil, peers, web, g)
 	return g, nil
 }
 
 // Join adds the router's duties to a crew.
-func (g *Gate) Join(c *crew.Crew) { g.shell.Join(c) }
+func (g *Gate) Join(c *threads.Crew) { g.shell.Join(c) }
 
 // Halt makes the router stand still until it is released.
 func (g *Gate) Halt() (release func()) { return g.shell.Halt() }
@@ -94,7 +94,7 @@
 		g.serve(w, r, service)
 	case asked && service != "":
 		w.Header().Set("Allow", http.MethodPost)
-		defect.Answer{Kind: defect.WrongMethod, Detail: r.Method}.Write(w)
+		errkind.Answer{Kind: errkind.WrongMethod, Detail: r.Method}.Write(w)
 	case r.URL.Path == "/status" && r.Method == http.MethodGet:
 		g.status(w, r)
 	case r.URL.Path == "/soundness" && r.Method == http.MethodGet:
@@ -102,7 +102,7 @@
 	case r.URL.Path == "/counters" && r.Method == http.MethodGet:
 		writeJSON(w, g.shell.Counts())
 	default:
-		defect.Answer{Kind: defect.UnknownPage, Detail: r.URL.Path}.Write(w)
+		errkind.Answer{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
 	}
 }
 
@@ -121,30 +121,30 @@
 
 const nameMost = 128
 
-func readAsked(w http.ResponseWriter, r *http.Request) (asked, int64, defect.Answer) {
+func readAsked(w http.ResponseWriter, r *http.Request) (asked, int64, errkind.Answer) {
 	var in asked
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return in, 0, defect.Answer{Kind: defect.TooLarge, Detail: fmt.Sprintf("more than %d bytes", bodyMost)}
+			return in, 0, errkind.Answer{Kind: errkind.TooLarge, Detail: fmt.Sprintf("more than %d bytes", bodyMost)}
 		}
-		return in, 0, defect.Answer{Kind: defect.BadRequest, Detail: "the body broke off"}
+		return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: "the body broke off"}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&in); err != nil {
-		return in, 0, defect.Answer{Kind: defect.BadRequest, Detail: err.Error()}
+		return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: err.Error()}
 	}
 	if len(bytes.TrimSpace(body[decoder.InputOffset():])) > 0 {
-		return in, 0, defect.Answer{Kind: defect.BadRequest, Detail: "text after the end"}
+		return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: "text after the end"}
 	}
 	for _, field := range []struct{ name, value string }{{"id", in.ID}, {"model", in.Model}, {"adapter", in.Adapter}} {
 		if len(field.value) > nameMost || strings.ContainsAny(field.value, "/\n") {
-			return in, 0, defect.Answer{Kind: defect.BadRequest, Detail: field.name + ": not a plain name"}
+			return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: field.name + ": not a plain name"}
 		}
 	}
-	return in, int64(len(body)), defect.Answer{}
+	return in, int64(len(body)), errkind.Answer{}
 }
 
 func (g *Gate) serve(w http.ResponseWriter, r *http.Request, service string) {
@@ -152,7 +152,7 @@
 	// The bound keeps a crowd from filling the memory before it is dropped.
 	if g.under.Add(1) > requestMost {
 		g.under.Add(-1)
-		defect.Answer{Kind: defect.HoldingFull, Detail: "too many requests are under way here"}.Write(w)
+		errkind.Answer{Kind: errkind.HoldingFull, Detail: "too many requests are under way here"}.Write(w)
 		return
 	}
 	defer g.under.Add(-1)
@@ -162,7 +162,7 @@
 		return
 	}
 	if strings.Contains(service, "/") {
-		defect.Answer{Kind: defect.UnknownService, Detail: service}.Write(w)
+		errkind.Answer{Kind: errkind.UnknownService, Detail: service}.Write(w)
 		return
 	}
 	name := in.ID
@@ -172,7 +172,7 @@
 	id, answers := g.shell.Expect()
 	defer g.shell.Forget(id)
 	if !g.shell.Put(Request{ID: id, Service: service, Model: in.Model, Adapter: in.Adapter, Name: name, Given: in.ID != "", Bytes: size}) {
-		defect.Answer{Kind: defect.HoldingFull, Detail: "too many requests are under way here", Request: name}.Write(w)
+		errkind.Answer{Kind: errkind.HoldingFull, Detail: "too many requests are under way here", Request: name}.Write(w)
 		return
 	}
 	for {
@@ -184,8 +184,8 @@
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
-			case wire.Dropped:
-				defect.Answer{Kind: said.Kind, Detail: said.Detail, Request: name, RetryMs: said.RetryMs}.Write(w)
+			case protocol.Dropped:
+				errkind.Answer{Kind: said.Kind, Detail: said.Detail, Request: name, RetryMs: said.RetryMs}.Write(w)
 				return
 			case Go:
 				ended, abort := g.goTo(w, r, id, said, in.Input)
@@ -226,7 +226,7 @@
 		return g.machine.MaySend(nowMs, to)
 	}))
 	switch {
-	case errors.Is(err, outward.ErrTooLate) && !wrote:
+	case errors.Is(err, httpclient.ErrTooLate) && !wrote:
 		ended.Outcome = TooLate
 		return ended, false
 	case err != nil && !wrote:
@@ -270,14 +270,14 @@
 	if json.Unmarshal(text, &said) != nil || said.Request != name || said.Ran == nil || *said.Ran {
 		return Nonsense, 0
 	}
-	switch defect.Kind(said.Kind) {
-	case defect.NotHeld:
+	switch errkind.Kind(said.Kind) {
+	case errkind.NotHeld:
 		return NotHeld, 0
-	case defect.StaleRevision:
+	case errkind.StaleRevision:
 		return Stale, said.Revision
-	case defect.OtherRunner:
+	case errkind.OtherRunner:
 		return Other, 0
-	case defect.AlreadyTaken:
+	case errkind.AlreadyTaken:
 		return Repeated, 0
 	}
 	return Busy, 0
@@ -333,7 +333,7 @@
 func (g *Gate) status(w http.ResponseWriter, r *http.Request) {
 	status, ok := g.look(r)
 	if !ok {
-		defect.Answer{Kind: defect.NoWord, Detail: "no answer in time"}.Write(w)
+		errkind.Answer{Kind: errkind.NoWord, Detail: "no answer in time"}.Write(w)
 		return
 	}
 	writeJSON(w, status)
@@ -343,7 +343,7 @@
 func (g *Gate) soundness(w http.ResponseWriter, r *http.Request) {
 	status, ok := g.look(r)
 	if !ok || !status.Usable || status.Stopping {
-		defect.Answer{Kind: defect.NoWord, Detail: "this router may not send at present"}.Write(w)
+		errkind.Answer{Kind: errkind.NoWord, Detail: "this router may not send at present"}.Write(w)
 		return
 	}
 	writeJSON(w, map[string]any{"sound": true, "revision": status.Revision})
--- a/traffic/machine.go
+++ b/internal/native/router/machine.go
@@ -1,17 +1,17 @@
-// Package traffic is the data plane: the router's state machine, the policies
+// Package router is the data plane: the router's state machine, the policies
 // that a request passes, and the going to a runner and back.
-package traffic
+package router
 
 import (
 	"fmt"
 	"slices"
 	"sync/atomic"
 
-	"myrtlewinch/choice"
-	"myrtlewinch/defect"
-	"myrtlewinch/description"
-	"myrtlewinch/watch"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/failuredetector"
+	"myrtlewinch/internal/native/choice"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -47,7 +47,7 @@
 // Settings is what a router knows before it knows anyone.
 type Settings struct {
 	Site     string
-	Self     wire.Place
+	Self     protocol.Place
 	Seeds    []string
 	Platform string
 }
@@ -56,8 +56,8 @@
 type Machine struct {
 	set    Settings
 	nowMs  int64
-	out    wire.Effects
-	roster *watch.Roster
+	out    protocol.Effects
+	roster *failuredetector.Roster
 
 	// The revision in force as far as this router knows.
 	revision uint64
@@ -82,7 +82,7 @@
 	platformMs   int64
 	reading      bool
 	readMs       int64
-	marks        map[wire.Mark]bool
+	marks        map[protocol.Mark]bool
 	// leavers are the runners whose present incarnation is leaving by the
 	// latest word. A cached entry may still name the incarnation before, and
 	// a request to that would reach the leaver as well.
@@ -113,19 +113,19 @@
 // Tally counts what a router did.
 type Tally struct {
 	Requests, LookUps, LookUpsAgain, Hits, Misses, MissesHeld, Goes, SecondGoes uint64
-	Drops                                                                       map[defect.Kind]uint64
+	Drops                                                                       map[errkind.Kind]uint64
 }
 
 // New makes a router that knows nothing but its seeds.
 func New(set Settings, nowMs int64) *Machine {
 	return &Machine{
-		set: set, nowMs: nowMs, roster: watch.New(set.Self, set.Seeds, nil),
+		set: set, nowMs: nowMs, roster: failuredetector.New(set.Self, set.Seeds, nil),
 		askedMs: nowMs - askMs, leaveWordMs: nowMs - leaveMs - 1, echoMs: nowMs - 1, revUntilMs: nowMs,
 		givenUntilMs: nowMs + wordHoldMs, prolonged: map[string]int64{},
-		marks: map[wire.Mark]bool{}, cache: map[choice.Key]*entry{}, requests: map[uint64]*request{},
+		marks: map[protocol.Mark]bool{}, cache: map[choice.Key]*entry{}, requests: map[uint64]*request{},
 		holding: map[string]int{}, budgets: map[string]*budget{}, taken: newTakenIDs(),
 		busy: map[string]int64{}, suspect: map[string]int64{}, silent: map[uint64]int64{},
-		Tally: Tally{Drops: map[defect.Kind]uint64{}},
+		Tally: Tally{Drops: map[errkind.Kind]uint64{}},
 	}
 }
 
@@ -136,11 +136,11 @@
 }
 
 // Step takes one input and returns what to do.
-func (m *Machine) Step(nowMs int64, input any) wire.Effects {
+func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
 	m.nowMs = nowMs
-	m.out = wire.Effects{}
+	m.out = protocol.Effects{}
 	switch in := input.(type) {
-	case wire.Envelope:
+	case protocol.Envelope:
 		// It disturbs no one any more, and nothing brings it back.
 		if !m.retired {
 			m.receive(in)
@@ -161,14 +161,14 @@
 			}
 			m.forget(r)
 		}
-	case wire.Listing:
+	case protocol.Listing:
 		m.listing(in)
 	case Leave:
 		m.leaving = true
 		m.wake()
 	case Look:
 		m.look(in)
-	case wire.Tick:
+	case protocol.Tick:
 		m.tick()
 	default:
 		panic(fmt.Sprintf("traffic: unknown input %T", input))
@@ -188,7 +188,7 @@
 	// The platform is read here only while the primary gives no word.
 	if m.set.Platform != "" && m.nowMs-m.leaveWordMs > ownReadMs && m.nowMs-m.platformMs >= platformMs && !m.reading {
 		m.platformMs, m.readMs, m.reading = m.nowMs, m.nowMs, true
-		m.out.Calls = append(m.out.Calls, wire.Call{Address: m.set.Platform, Body: wire.PlatformCall{}})
+		m.out.Calls = append(m.out.Calls, protocol.Call{Address: m.set.Platform, Body: protocol.PlatformCall{}})
 	}
 	m.prolong()
 	m.turnTarget()
@@ -198,19 +198,19 @@
 func (m *Machine) ask() {
 	m.askedMs = m.nowMs
 	if place, ok := m.roster.Place(m.primary); ok && m.primary != "" {
-		m.send(place, wire.Ask{EchoMs: m.nowMs, Revision: m.revision, Held: m.heldSum, GivenMs: max(0, m.givenUntilMs-m.nowMs), Waiting: m.waitingKeys(), Number: m.number})
+		m.send(place, protocol.Ask{EchoMs: m.nowMs, Revision: m.revision, Held: m.heldSum, GivenMs: max(0, m.givenUntilMs-m.nowMs), Waiting: m.waitingKeys(), Number: m.number})
 	}
 }
 
 // waitingKeys lists what the eldest waiting requests need, once each.
-func (m *Machine) waitingKeys() []wire.LookUp {
-	var keys []wire.LookUp
+func (m *Machine) waitingKeys() []protocol.LookUp {
+	var keys []protocol.LookUp
 	for _, id := range m.order {
 		r := m.requests[id]
 		if r == nil || r.away || m.entry(r.key) != nil || len(keys) >= waitingMost {
 			continue
 		}
-		key := wire.LookUp{Service: r.Service, Model: r.Model, Adapter: r.Adapter}
+		key := protocol.LookUp{Service: r.Service, Model: r.Model, Adapter: r.Adapter}
 		if !slices.Contains(keys, key) {
 			keys = append(keys, key)
 		}
@@ -218,48 +218,48 @@
 	return keys
 }
 
-func (m *Machine) receive(e wire.Envelope) {
+func (m *Machine) receive(e protocol.Envelope) {
 	if e.Site != m.set.Site {
-		m.count(defect.OtherSite)
+		m.count(errkind.OtherSite)
 		return
 	}
 	// An address may have passed to another daemon.
 	if e.To != "" && e.To != m.set.Self.Name {
-		m.count(defect.OtherDaemon)
+		m.count(errkind.OtherDaemon)
 		return
 	}
 	m.roster.Heard(m.nowMs, e.From)
 	switch body := e.Body.(type) {
-	case wire.Heartbeat:
+	case protocol.Heartbeat:
 		if body.Serving && body.Epoch == m.epoch {
 			m.servedMs = m.nowMs
 		}
-	case wire.Hello:
-		m.send(e.From, wire.Known{Peers: m.roster.Places(), Record: wire.Record{Epoch: m.epoch, Primary: m.primary}})
-	case wire.Known:
+	case protocol.Hello:
+		m.send(e.From, protocol.Known{Peers: m.roster.Places(), Record: protocol.Record{Epoch: m.epoch, Primary: m.primary}})
+	case protocol.Known:
 		m.roster.Learn(m.nowMs, body.Peers)
 		m.heed(body.Record.Epoch, body.Record.Primary)
-	case wire.Opinion:
+	case protocol.Opinion:
 		if body.Epoch == m.epoch {
-			m.send(e.From, wire.Opined{Epoch: body.Epoch, HeardMs: m.nowMs - max(m.servedMs, m.echoMs)})
+			m.send(e.From, protocol.Opined{Epoch: body.Epoch, HeardMs: m.nowMs - max(m.servedMs, m.echoMs)})
 		}
-	case wire.Nudge:
+	case protocol.Nudge:
 		if body.Epoch < m.epoch {
-			m.count(defect.LowerEpoch)
+			m.count(errkind.LowerEpoch)
 			return
 		}
 		m.heed(body.Epoch, e.From.Name)
 		m.ask()
-	case wire.Word:
+	case protocol.Word:
 		m.word(e.From, body)
-	case wire.Prolong:
+	case protocol.Prolong:
 		m.giveProlong(e.From, body)
-	case wire.Prolonged:
+	case protocol.Prolonged:
 		m.takeProlonged(e.From, body)
-	case wire.Index:
+	case protocol.Index:
 		m.indexed(body)
 	default:
-		m.count(defect.Malformed)
+		m.count(errkind.Malformed)
 	}
 }
 
@@ -272,9 +272,9 @@
 }
 
 // word takes the primary's answer to a question of this very process.
-func (m *Machine) word(from wire.Place, w wire.Word) {
+func (m *Machine) word(from protocol.Place, w protocol.Word) {
 	if w.Epoch < m.epoch {
-		m.count(defect.LowerEpoch)
+		m.count(errkind.LowerEpoch)
 		return
 	}
 	// An answer that was overtaken by a later one says nothing any more.
@@ -289,7 +289,7 @@
 	}
 	// A router never goes back to an older description.
 	if w.Revision < m.revision {
-		m.count(defect.StaleRevision)
+		m.count(errkind.StaleRevision)
 		return
 	}
 	// A number of an earlier primary says nothing to the next.
@@ -338,13 +338,13 @@
 func (m *Machine) read(text string) *description.Description {
 	d, faults := description.Read([]byte(text), m.set.Site)
 	if len(faults) > 0 {
-		m.count(defect.Malformed)
+		m.count(errkind.Malformed)
 		return nil
 	}
 	return d
 }
 
-func (m *Machine) mark(leaving []wire.Mark) {
+func (m *Machine) mark(leaving []protocol.Mark) {
 	m.leavers = map[string]bool{}
 	for _, mark := range leaving {
 		m.marks[mark] = true
@@ -352,15 +352,15 @@
 	}
 }
 
-func (m *Machine) listing(in wire.Listing) {
+func (m *Machine) listing(in protocol.Listing) {
 	m.reading = false
 	if !in.Ok {
 		return
 	}
-	var leaving []wire.Mark
+	var leaving []protocol.Mark
 	for _, l := range in.Runners {
 		if l.Leaving {
-			leaving = append(leaving, wire.Mark{Runner: l.Name, Incarnation: l.Incarnation})
+			leaving = append(leaving, protocol.Mark{Runner: l.Name, Incarnation: l.Incarnation})
 		}
 	}
 	m.mark(leaving)
@@ -384,16 +384,16 @@
 
 func (m *Machine) usable() bool { return m.nowMs < m.usableUntil() }
 
-func (m *Machine) send(to wire.Place, body any) {
-	m.out.Sends = append(m.out.Sends, wire.Send{To: to.Name, Address: to.Address, Body: body})
+func (m *Machine) send(to protocol.Place, body any) {
+	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
 func (m *Machine) answer(id uint64, body any) {
-	m.out.Answers = append(m.out.Answers, wire.Answer{ID: id, Body: body})
+	m.out.Answers = append(m.out.Answers, protocol.Answer{ID: id, Body: body})
 }
 
 func (m *Machine) note(format string, args ...any) {
 	m.out.Notes = append(m.out.Notes, fmt.Sprintf(format, args...))
 }
 
-func (m *Machine) count(kind defect.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
+func (m *Machine) count(kind errkind.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
--- a/traffic/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -1,4 +1,4 @@
-package traffic
+package router
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // bench drives one router by hand.
@@ -16,33 +16,33 @@
 	c     *qt.C
 	m     *Machine
 	nowMs int64
-	out   wire.Effects
+	out   protocol.Effects
 	ids   uint64
 }
 
-var core = wire.Place{Name: "core-1", Address: "c1", Part: wire.Controller}
+var core = protocol.Place{Name: "core-1", Address: "c1", Part: protocol.Controller}
 
 func newBench(c *qt.C) *bench {
-	text, err := os.ReadFile("../examples/zagreb.json")
+	text, err := os.ReadFile("../../../examples/zagreb.json")
 	c.Assert(err, qt.IsNil)
 	b := &bench{c: c, nowMs: 10_000}
-	b.m = New(Settings{Site: "zagreb", Self: wire.Place{Name: "edge-1", Incarnation: "i", Zone: "trnje"}, Platform: "p"}, b.nowMs)
-	b.take(wire.Nudge{Epoch: 1})
-	b.word(wire.Word{Revision: 1, Text: string(text), Sum: "one"})
+	b.m = New(Settings{Site: "zagreb", Self: protocol.Place{Name: "edge-1", Incarnation: "i", Zone: "trnje"}, Platform: "p"}, b.nowMs)
+	b.take(protocol.Nudge{Epoch: 1})
+	b.word(protocol.Word{Revision: 1, Text: string(text), Sum: "one"})
 	return b
 }
 
-func (b *bench) step(input any) wire.Effects {
+func (b *bench) step(input any) protocol.Effects {
 	b.out = b.m.Step(b.nowMs, input)
 	return b.out
 }
 
-func (b *bench) take(body any) wire.Effects {
-	return b.step(wire.Envelope{Site: "zagreb", From: core, Body: body})
+func (b *bench) take(body any) protocol.Effects {
+	return b.step(protocol.Envelope{Site: "zagreb", From: core, Body: body})
 }
 
 // word answers the latest question with the primary's word, renewed.
-func (b *bench) word(w wire.Word) {
+func (b *bench) word(w protocol.Word) {
 	b.nowMs++
 	b.m.ask()
 	b.nowMs++
@@ -53,15 +53,15 @@
 	b.take(w)
 }
 
-func (b *bench) ask(service, model, name string) wire.Effects {
+func (b *bench) ask(service, model, name string) protocol.Effects {
 	b.ids++
 	return b.step(Request{ID: b.ids, Service: service, Model: model, Name: name, Given: true})
 }
 
-func (b *bench) index(key string, number uint64, runners ...string) wire.Effects {
-	index := wire.Index{ID: b.m.asks, Key: key, At: wire.Position{Epoch: 1, Number: number}}
+func (b *bench) index(key string, number uint64, runners ...string) protocol.Effects {
+	index := protocol.Index{ID: b.m.asks, Key: key, At: protocol.Position{Epoch: 1, Number: number}}
 	for _, name := range runners {
-		index.Holders = append(index.Holders, wire.Holder{Runner: name, Incarnation: name + "-1", Address: name})
+		index.Holders = append(index.Holders, protocol.Holder{Runner: name, Incarnation: name + "-1", Address: name})
 	}
 	return b.take(index)
 }
@@ -69,7 +69,7 @@
 func (b *bench) lookUps() int {
 	count := 0
 	for _, send := range b.out.Sends {
-		if _, ok := send.Body.(wire.LookUp); ok {
+		if _, ok := send.Body.(protocol.LookUp); ok {
 			count++
 		}
 	}
@@ -87,9 +87,9 @@
 	return runners
 }
 
-func (b *bench) kind() defect.Kind {
+func (b *bench) kind() errkind.Kind {
 	for _, answer := range b.out.Answers {
-		if said, ok := answer.Body.(wire.Dropped); ok {
+		if said, ok := answer.Body.(protocol.Dropped); ok {
 			return said.Kind
 		}
 	}
@@ -115,15 +115,15 @@
 	b.ask("move", "", "c")
 	c.Assert(b.goes(), qt.DeepEquals, []string{"table-2"})
 	// Past its bound an entry is a miss.
-	b.word(wire.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.Word{Revision: 1, Sum: "one"})
 	b.nowMs += entryMs + 1
-	b.word(wire.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.Word{Revision: 1, Sum: "one"})
 	b.ask("move", "", "d")
 	c.Assert(b.goes(), qt.HasLen, 0)
 	c.Assert(b.m.Tally.Hits, qt.Equals, uint64(2))
 	c.Assert(b.m.Tally.LookUps, qt.Equals, b.m.Tally.Requests)
 	c.Assert(len(b.m.cache), qt.Equals, 1, qt.Commentf("only what was named is kept"))
-	b.take(wire.Index{Key: "narration/narrator-1/", Holders: []wire.Holder{{Runner: "language-1"}}})
+	b.take(protocol.Index{Key: "narration/narrator-1/", Holders: []protocol.Holder{{Runner: "language-1"}}})
 	c.Assert(len(b.m.cache), qt.Equals, 1)
 }
 
@@ -140,17 +140,17 @@
 	b.step(Ended{ID: b.ids, Outcome: Answered})
 	before := b.m.target
 	b.nowMs += silentMs
-	b.step(wire.Tick{})
+	b.step(protocol.Tick{})
 	c.Assert(b.m.target, qt.Equals, before+1)
 	// A request that waits for a look-up that died asks the next controller.
 	b.ask("narration", "narrator-1", "c")
 	c.Assert(b.lookUps(), qt.Equals, 1)
 	b.nowMs += silentMs
-	b.step(wire.Tick{})
+	b.step(protocol.Tick{})
 	c.Assert(b.lookUps(), qt.Equals, 1)
 	b.index("narration/narrator-1/", 1)
 	b.nowMs += silentMs
-	b.step(wire.Tick{})
+	b.step(protocol.Tick{})
 	c.Assert(b.lookUps(), qt.Equals, 0, qt.Commentf("an answered one does not"))
 }
 
@@ -162,21 +162,21 @@
 		outcome Outcome
 		holders int
 		again   bool
-		kind    defect.Kind
+		kind    errkind.Kind
 	}{
 		{"answered", plain, Answered, 2, false, ""},
-		{"lost, may not be repeated", plain, Lost, 2, false, defect.OutcomeUnknown},
-		{"nonsense, may not be repeated", plain, Nonsense, 2, false, defect.BrokenAnswer},
+		{"lost, may not be repeated", plain, Lost, 2, false, errkind.OutcomeUnknown},
+		{"nonsense, may not be repeated", plain, Nonsense, 2, false, errkind.BrokenAnswer},
 		{"lost, repeatable", repeatable, Lost, 2, true, ""},
-		{"lost, repeatable, no other", repeatable, Lost, 1, false, defect.OutcomeUnknown},
+		{"lost, repeatable, no other", repeatable, Lost, 1, false, errkind.OutcomeUnknown},
 		{"not sent", plain, NotSent, 2, true, ""},
-		{"not sent, no other", plain, NotSent, 1, false, defect.NoRunner},
+		{"not sent, no other", plain, NotSent, 1, false, errkind.NoRunner},
 		{"not held", plain, NotHeld, 2, true, ""},
-		{"not held, no other", plain, NotHeld, 1, false, defect.NoRunner},
+		{"not held, no other", plain, NotHeld, 1, false, errkind.NoRunner},
 		{"another incarnation", plain, Other, 2, true, ""},
 		{"busy", plain, Busy, 2, true, ""},
-		{"busy, no other", plain, Busy, 1, false, defect.RunnerDropped},
-		{"repeated", plain, Repeated, 2, false, defect.AlreadyTaken},
+		{"busy, no other", plain, Busy, 1, false, errkind.RunnerDropped},
+		{"repeated", plain, Repeated, 2, false, errkind.AlreadyTaken},
 		{"too late", plain, TooLate, 1, true, ""},
 	}
 	for _, test := range cases {
@@ -210,7 +210,7 @@
 	b.step(Ended{ID: 1, Outcome: Lost})
 	c.Assert(b.goes(), qt.HasLen, 1)
 	b.step(Ended{ID: 1, Outcome: Busy})
-	c.Assert(b.kind(), qt.Equals, defect.OutcomeUnknown)
+	c.Assert(b.kind(), qt.Equals, errkind.OutcomeUnknown)
 }
 
 func TestIdsOfSenders(t *testing.T) {
@@ -219,16 +219,16 @@
 	ask := func() { b.ask("commentary", "commentator-1", "mine") }
 	ask()
 	ask()
-	c.Assert(b.kind(), qt.Equals, defect.AlreadyTaken, qt.Commentf("while the first waits"))
+	c.Assert(b.kind(), qt.Equals, errkind.AlreadyTaken, qt.Commentf("while the first waits"))
 	b.index("commentary/commentator-1/", 1, "language-1")
 	b.step(Ended{ID: 1, Outcome: Busy})
-	c.Assert(b.kind(), qt.Equals, defect.RunnerDropped)
+	c.Assert(b.kind(), qt.Equals, errkind.RunnerDropped)
 	ask()
-	c.Assert(b.kind(), qt.Equals, defect.Kind(""), qt.Commentf("a drop frees the id"))
+	c.Assert(b.kind(), qt.Equals, errkind.Kind(""), qt.Commentf("a drop frees the id"))
 	b.step(Ended{ID: b.ids, Outcome: Lost})
-	c.Assert(b.kind(), qt.Equals, defect.OutcomeUnknown)
+	c.Assert(b.kind(), qt.Equals, errkind.OutcomeUnknown)
 	ask()
-	c.Assert(b.kind(), qt.Equals, defect.AlreadyTaken, qt.Commentf("what may have run does not"))
+	c.Assert(b.kind(), qt.Equals, errkind.AlreadyTaken, qt.Commentf("what may have run does not"))
 }
 
 func TestSecondGoesAreBounded(t *testing.T) {
@@ -251,7 +251,7 @@
 }
 
 func TestRevisions(t *testing.T) {
-	text, err := os.ReadFile("../examples/zagreb.json")
+	text, err := os.ReadFile("../../../examples/zagreb.json")
 	qt.Assert(t, err, qt.IsNil)
 	next := string(text) + " "
 	cases := []struct {
@@ -268,46 +268,46 @@
 		{"no word on leavers", func(b *bench) { b.nowMs += leaveMs + 1 }, false, 1},
 		{"the platform read instead", func(b *bench) {
 			b.nowMs += leaveMs
-			b.step(wire.Tick{})
+			b.step(protocol.Tick{})
 			b.nowMs++
-			b.step(wire.Listing{Ok: true})
+			b.step(protocol.Listing{Ok: true})
 		}, true, 1},
 		{"acknowledged and still pending", func(b *bench) {
-			b.word(wire.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
 			b.nowMs += pendingMs - 2
 			b.m.leaveWordMs = b.nowMs
 		}, true, 1},
 		{"acknowledged and no word since", func(b *bench) {
-			b.word(wire.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
 			b.nowMs += pendingMs + 1
 			b.m.leaveWordMs = b.nowMs
 		}, false, 1},
 		{"accepted", func(b *bench) {
-			b.word(wire.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(wire.Word{Revision: 2, Sum: "two"})
+			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.Word{Revision: 2, Sum: "two"})
 		}, true, 2},
 		{"another text was accepted", func(b *bench) {
-			b.word(wire.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(wire.Word{Revision: 2, Sum: "three"})
+			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.Word{Revision: 2, Sum: "three"})
 		}, true, 1},
 		{"given up by the next primary", func(b *bench) {
-			b.word(wire.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(wire.Word{Epoch: 2, Revision: 1, Sum: "one"})
+			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.Word{Epoch: 2, Revision: 1, Sum: "one"})
 			b.nowMs += pendingMs + 1
 			b.m.leaveWordMs = b.nowMs
 		}, true, 1},
 		{"an older word", func(b *bench) {
-			b.word(wire.Word{Revision: 2, Sum: "two", Text: next})
-			b.word(wire.Word{Revision: 1, Sum: "one"})
+			b.word(protocol.Word{Revision: 2, Sum: "two", Text: next})
+			b.word(protocol.Word{Revision: 1, Sum: "one"})
 		}, true, 2},
 		{"a lower epoch", func(b *bench) {
-			b.word(wire.Word{Epoch: 3, Revision: 1, Sum: "one"})
-			b.word(wire.Word{Epoch: 2, Revision: 2, Sum: "two", Text: next})
+			b.word(protocol.Word{Epoch: 3, Revision: 1, Sum: "one"})
+			b.word(protocol.Word{Epoch: 2, Revision: 2, Sum: "two", Text: next})
 		}, true, 1},
 		{"a runner knows a higher one", func(b *bench) { b.m.higher = 2 }, false, 1},
 		{"a word for the process before", func(b *bench) {
 			b.nowMs += wordHoldMs + 1
-			b.take(wire.Word{EchoMs: b.nowMs, For: "old", Epoch: 1, Revision: 1, Renew: true})
+			b.take(protocol.Word{EchoMs: b.nowMs, For: "old", Epoch: 1, Revision: 1, Renew: true})
 		}, false, 1},
 	}
 	for _, test := range cases {
@@ -332,11 +332,11 @@
 	to := b.out.Answers[0].Body.(Go)
 	c.Assert(b.m.MaySend(b.nowMs, to), qt.IsTrue)
 	c.Assert(b.m.MaySend(b.nowMs+leaveMs, to), qt.IsFalse, qt.Commentf("a frozen router wakes with an old word"))
-	b.word(wire.Word{Revision: 1, Sum: "one", Leaving: []wire.Mark{{Runner: "table-1", Incarnation: "table-1-1"}}})
+	b.word(protocol.Word{Revision: 1, Sum: "one", Leaving: []protocol.Mark{{Runner: "table-1", Incarnation: "table-1-1"}}})
 	b.ask("move", "", "b")
 	c.Assert(b.goes(), qt.HasLen, 0)
 	// Marks only grow: a later word without it changes nothing.
-	b.word(wire.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.Word{Revision: 1, Sum: "one"})
 	b.ask("move", "", "c")
 	c.Assert(b.goes(), qt.HasLen, 0)
 }
@@ -348,10 +348,10 @@
 	b := newBench(c)
 	b.ask("move", "", "a")
 	b.index(moves, 1, "table-1")
-	b.word(wire.Word{Revision: 1, Sum: "one", Leaving: []wire.Mark{{Runner: "table-1", Incarnation: "table-1-2"}}})
+	b.word(protocol.Word{Revision: 1, Sum: "one", Leaving: []protocol.Mark{{Runner: "table-1", Incarnation: "table-1-2"}}})
 	b.ask("move", "", "b")
 	c.Assert(b.goes(), qt.HasLen, 0)
-	b.word(wire.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.Word{Revision: 1, Sum: "one"})
 	c.Assert(b.goes(), qt.DeepEquals, []string{"table-1"}, qt.Commentf("it was replaced and is no leaver any more"))
 }
 
@@ -359,29 +359,29 @@
 	cases := []struct {
 		about string
 		do    func(b *bench)
-		kind  defect.Kind
+		kind  errkind.Kind
 	}{
 		{"no description", func(b *bench) {
-			b.m = New(Settings{Site: "zagreb", Self: wire.Place{Name: "e", Incarnation: "i"}}, b.nowMs)
+			b.m = New(Settings{Site: "zagreb", Self: protocol.Place{Name: "e", Incarnation: "i"}}, b.nowMs)
 			b.ask("move", "", "a")
-		}, defect.NoWord},
-		{"unknown service", func(b *bench) { b.ask("tea", "", "a") }, defect.UnknownService},
-		{"unknown model", func(b *bench) { b.ask("narration", "m", "a") }, defect.UnknownModel},
-		{"model of another service", func(b *bench) { b.ask("narration", "referee-1", "a") }, defect.ModelNotAllowed},
-		{"model where there is none", func(b *bench) { b.ask("move", "referee-1", "a") }, defect.ModelNotAllowed},
-		{"too large", func(b *bench) { b.step(Request{ID: 9, Service: "move", Bytes: 1 << 20}) }, defect.TooLarge},
-		{"stopping", func(b *bench) { b.step(Leave{}); b.ask("move", "", "a") }, defect.Stopping},
+		}, errkind.NoWord},
+		{"unknown service", func(b *bench) { b.ask("tea", "", "a") }, errkind.UnknownService},
+		{"unknown model", func(b *bench) { b.ask("narration", "m", "a") }, errkind.UnknownModel},
+		{"model of another service", func(b *bench) { b.ask("narration", "referee-1", "a") }, errkind.ModelNotAllowed},
+		{"model where there is none", func(b *bench) { b.ask("move", "referee-1", "a") }, errkind.ModelNotAllowed},
+		{"too large", func(b *bench) { b.step(Request{ID: 9, Service: "move", Bytes: 1 << 20}) }, errkind.TooLarge},
+		{"stopping", func(b *bench) { b.step(Leave{}); b.ask("move", "", "a") }, errkind.Stopping},
 		{"no answer of the index", func(b *bench) {
 			b.ask("move", "", "a")
 			b.nowMs += unansweredMs
 			b.m.leaveWordMs = b.nowMs
-			b.step(wire.Tick{})
-		}, defect.NoWord},
+			b.step(protocol.Tick{})
+		}, errkind.NoWord},
 		{"holding full", func(b *bench) {
 			for n := range 65 {
 				b.ask("narration", "narrator-1", fmt.Sprint(n))
 			}
-		}, defect.HoldingFull},
+		}, errkind.HoldingFull},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -401,10 +401,10 @@
 	b.c.Assert(b.goes(), qt.DeepEquals, []string{"language-1"})
 	b.ask("narration", "narrator-7", "waits")
 	b.step(Leave{})
-	b.c.Assert(b.kind(), qt.Equals, defect.Stopping)
+	b.c.Assert(b.kind(), qt.Equals, errkind.Stopping)
 	b.c.Assert(b.out.Answers, qt.HasLen, 1)
 	b.ask("narration", "narrator-1", "new")
-	b.c.Assert(b.kind(), qt.Equals, defect.Stopping)
+	b.c.Assert(b.kind(), qt.Equals, errkind.Stopping)
 	b.step(Ended{ID: 1, Outcome: Answered})
 	b.c.Assert(b.m.requests, qt.HasLen, 0)
 }
@@ -434,23 +434,23 @@
 	cases := []struct {
 		about  string
 		turnMs int64
-		kind   defect.Kind
+		kind   errkind.Kind
 	}{
 		{"no turn is known", 0, ""},
 		{"the turn comes in time", 2000, ""},
-		{"the turn comes too late", 60_000, defect.NoTurn},
+		{"the turn comes too late", 60_000, errkind.NoTurn},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			b := newBench(qt.New(t))
 			b.ask("narration", "narrator-7", "q")
-			b.take(wire.Index{ID: b.m.asks, Key: "narration/narrator-7/", At: wire.Position{Epoch: 1, Number: 1}, TurnMs: test.turnMs})
+			b.take(protocol.Index{ID: b.m.asks, Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: test.turnMs})
 			if test.kind == "" {
 				b.c.Assert(b.out.Answers, qt.HasLen, 0)
-				b.take(wire.Index{Key: "narration/narrator-7/", At: wire.Position{Epoch: 1, Number: 1}, TurnMs: 90_000})
+				b.take(protocol.Index{Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: 90_000})
 			}
-			b.c.Assert(b.kind(), qt.Equals, defect.NoTurn)
-			said := b.out.Answers[0].Body.(wire.Dropped)
+			b.c.Assert(b.kind(), qt.Equals, errkind.NoTurn)
+			said := b.out.Answers[0].Body.(protocol.Dropped)
 			b.c.Assert(said.RetryMs > 50_000, qt.IsTrue)
 			// It has not run, so the same id may come back at its turn.
 			b.index("narration/narrator-7/", 2, "language-1")
--- a/traffic/policy.go
+++ b/internal/native/router/policy.go
@@ -1,10 +1,10 @@
-package traffic
+package router
 
 import (
 	"fmt"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // namePolicy checks what the request names against the description.
@@ -13,41 +13,41 @@
 // Decide drops what the description does not allow.
 func (namePolicy) Decide(m *Machine, r *request) verdict {
 	if m.leaving {
-		return drop(defect.Stopping, "this router is stopping")
+		return drop(errkind.Stopping, "this router is stopping")
 	}
 	if m.described == nil {
-		return drop(defect.NoWord, "this router has no description yet")
+		return drop(errkind.NoWord, "this router has no description yet")
 	}
 	service, ok := m.described.Service(r.Service)
 	if !ok {
-		return drop(defect.UnknownService, r.Service)
+		return drop(errkind.UnknownService, r.Service)
 	}
 	r.service = service
 	r.deadlineMs = m.nowMs + service.DeadlineMs
 	if r.Bytes > service.BytesMost {
-		return drop(defect.TooLarge, fmt.Sprintf("this service takes %d bytes at most", service.BytesMost))
+		return drop(errkind.TooLarge, fmt.Sprintf("this service takes %d bytes at most", service.BytesMost))
 	}
 	if len(service.Models) == 0 {
 		if r.Model != "" || r.Adapter != "" {
-			return drop(defect.ModelNotAllowed, "this service has no models")
+			return drop(errkind.ModelNotAllowed, "this service has no models")
 		}
 		return next
 	}
 	if _, ok := m.described.Model(r.Model); !ok {
-		return drop(defect.UnknownModel, "model: "+r.Model)
+		return drop(errkind.UnknownModel, "model: "+r.Model)
 	}
 	if !service.Allows(r.Model) {
-		return drop(defect.ModelNotAllowed, "model: "+r.Model)
+		return drop(errkind.ModelNotAllowed, "model: "+r.Model)
 	}
 	if r.Adapter == "" {
 		return next
 	}
 	adapter, ok := m.described.Adapter(r.Adapter)
 	if !ok {
-		return drop(defect.UnknownAdapter, "adapter: "+r.Adapter)
+		return drop(errkind.UnknownAdapter, "adapter: "+r.Adapter)
 	}
 	if adapter.Model != r.Model {
-		return drop(defect.ModelNotAllowed, "adapter: "+r.Adapter+" belongs to model "+adapter.Model)
+		return drop(errkind.ModelNotAllowed, "adapter: "+r.Adapter+" belongs to model "+adapter.Model)
 	}
 	return next
 }
@@ -62,7 +62,7 @@
 		return next
 	}
 	if m.taken.has(r.Service + "/" + r.Name) {
-		return drop(defect.AlreadyTaken, "this id was taken here before; the first sending may have run")
+		return drop(errkind.AlreadyTaken, "this id was taken here before; the first sending may have run")
 	}
 	// Taken from now on, so that two of one id that wait together are no two.
 	m.taken.add(r.Service + "/" + r.Name)
@@ -77,7 +77,7 @@
 // Decide drops only what would have to wait.
 func (roomPolicy) Decide(m *Machine, r *request) verdict {
 	if m.holding[r.Service] >= int(r.service.Holding) && (m.entry(r.key) == nil || !m.usable()) {
-		return drop(defect.HoldingFull, "too many requests of this service wait here")
+		return drop(errkind.HoldingFull, "too many requests of this service wait here")
 	}
 	return next
 }
@@ -108,21 +108,21 @@
 func (timePolicy) Decide(m *Machine, r *request) verdict {
 	// What waits here can be taken by another router at once.
 	if m.leaving {
-		return drop(defect.Stopping, "this router is stopping; another takes it")
+		return drop(errkind.Stopping, "this router is stopping; another takes it")
 	}
 	if m.nowMs >= r.deadlineMs {
-		return drop(defect.DeadlinePassed, "its time passed while it waited")
+		return drop(errkind.DeadlinePassed, "its time passed while it waited")
 	}
 	// What can't be had in time is not waited for: who comes back at its turn
 	// finds it held.
 	if r.turnMs >= r.deadlineMs && m.entry(r.key) == nil {
-		return drop(defect.NoTurn, "what it needs is not held, and its turn comes after this request's time")
+		return drop(errkind.NoTurn, "what it needs is not held, and its turn comes after this request's time")
 	}
 	if m.nowMs-r.cameMs >= unansweredMs && !m.usable() {
-		return drop(defect.NoWord, "no word from control")
+		return drop(errkind.NoWord, "no word from control")
 	}
 	if m.nowMs-r.cameMs >= unansweredMs && !r.answered && m.entry(r.key) == nil {
-		return drop(defect.NoWord, "the index did not answer")
+		return drop(errkind.NoWord, "the index did not answer")
 	}
 	if r.missed && !r.held && m.nowMs-r.cameMs >= missMs {
 		r.held = true
@@ -158,12 +158,12 @@
 	// The description may have changed while the request waited.
 	service, ok := m.described.Service(r.Service)
 	if !ok || r.Model != "" && !service.Allows(r.Model) {
-		return drop(defect.ModelNotAllowed, "the description has changed")
+		return drop(errkind.ModelNotAllowed, "the description has changed")
 	}
 	r.service = service
 	best, bestCost := -1, int64(0)
 	for i, h := range e.holders {
-		mark := wire.Mark{Runner: h.Runner, Incarnation: h.Incarnation}
+		mark := protocol.Mark{Runner: h.Runner, Incarnation: h.Incarnation}
 		runner, listed := m.described.Runner(h.Runner)
 		if !listed || !service.Uses(runner.Pool) || m.marks[mark] || m.leavers[h.Runner] || r.tried[mark] {
 			continue
@@ -226,7 +226,7 @@
 		m.unhold(r)
 		m.busy[h.Runner]++
 		m.Tally.Goes++
-		r.tried[wire.Mark{Runner: h.Runner, Incarnation: h.Incarnation}] = true
+		r.tried[protocol.Mark{Runner: h.Runner, Incarnation: h.Incarnation}] = true
 		m.answer(r.ID, Go{
 			Name: r.Name, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
 			Runner: h.Runner, Address: h.Address, Incarnation: h.Incarnation, Revision: m.revision,
--- a/traffic/prolong.go
+++ b/internal/native/router/prolong.go
@@ -1,9 +1,9 @@
-package traffic
+package router
 
 import (
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // prolongAfterMs is how long the primary is silent before peers are asked.
@@ -33,7 +33,7 @@
 	m.prolongMs = m.nowMs
 	for _, member := range m.described.Routers {
 		if place, ok := m.roster.Place(member.Name); ok && member.Name != m.set.Self.Name {
-			m.send(place, wire.Prolong{EchoMs: m.nowMs, Revision: m.revision})
+			m.send(place, protocol.Prolong{EchoMs: m.nowMs, Revision: m.revision})
 		}
 	}
 	m.grant(m.set.Self.Name, m.nowMs)
@@ -41,15 +41,15 @@
 
 // giveProlong renews a peer's hold. What is given is told to the primary
 // with the acknowledgement of a next revision, and none is given after it.
-func (m *Machine) giveProlong(from wire.Place, ask wire.Prolong) {
+func (m *Machine) giveProlong(from protocol.Place, ask protocol.Prolong) {
 	if !m.steady() || ask.Revision != m.revision || !m.listed(from.Name) || !m.listed(m.set.Self.Name) {
 		return
 	}
 	m.givenUntilMs = max(m.givenUntilMs, m.nowMs+wordHoldMs)
-	m.send(from, wire.Prolonged{EchoMs: ask.EchoMs, For: from.Incarnation, Revision: ask.Revision})
+	m.send(from, protocol.Prolonged{EchoMs: ask.EchoMs, For: from.Incarnation, Revision: ask.Revision})
 }
 
-func (m *Machine) takeProlonged(from wire.Place, said wire.Prolonged) {
+func (m *Machine) takeProlonged(from protocol.Place, said protocol.Prolonged) {
 	if !m.steady() || said.For != m.set.Self.Incarnation || said.Revision != m.revision || said.EchoMs > m.nowMs {
 		return
 	}
--- a/traffic/prolong_test.go
+++ b/internal/native/router/prolong_test.go
@@ -1,4 +1,4 @@
-package traffic
+package router
 
 import (
 	"fmt"
@@ -7,48 +7,48 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
-func edge(n int) wire.Place {
+func edge(n int) protocol.Place {
 	name := fmt.Sprintf("edge-%d", n)
-	return wire.Place{Name: name, Address: name, Part: wire.Router, Incarnation: name}
+	return protocol.Place{Name: name, Address: name, Part: protocol.Router, Incarnation: name}
 }
 
 // granted says whether the last step renewed a peer's hold.
 func (b *bench) granted() bool {
 	for _, send := range b.out.Sends {
-		if _, ok := send.Body.(wire.Prolonged); ok {
+		if _, ok := send.Body.(protocol.Prolonged); ok {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *bench) from(place wire.Place, body any) {
-	b.step(wire.Envelope{Site: "zagreb", From: place, Body: body})
+func (b *bench) from(place protocol.Place, body any) {
+	b.step(protocol.Envelope{Site: "zagreb", From: place, Body: body})
 }
 
 func TestProlongByMajority(t *testing.T) {
 	cases := []struct {
 		about    string
 		peers    []int
-		said     wire.Prolonged
+		said     protocol.Prolonged
 		prolongs bool
 	}{
-		{"four of nine with itself are five", []int{2, 3, 4, 5}, wire.Prolonged{For: "i", Revision: 1}, true},
-		{"three are too few", []int{2, 3, 4}, wire.Prolonged{For: "i", Revision: 1}, false},
-		{"one that answers twice is one", []int{2, 3, 4, 4}, wire.Prolonged{For: "i", Revision: 1}, false},
-		{"one that is not listed does not count", []int{2, 3, 4, 77}, wire.Prolonged{For: "i", Revision: 1}, false},
-		{"for the process before", []int{2, 3, 4, 5}, wire.Prolonged{For: "old", Revision: 1}, false},
-		{"of another revision", []int{2, 3, 4, 5}, wire.Prolonged{For: "i", Revision: 2}, false},
+		{"four of nine with itself are five", []int{2, 3, 4, 5}, protocol.Prolonged{For: "i", Revision: 1}, true},
+		{"three are too few", []int{2, 3, 4}, protocol.Prolonged{For: "i", Revision: 1}, false},
+		{"one that answers twice is one", []int{2, 3, 4, 4}, protocol.Prolonged{For: "i", Revision: 1}, false},
+		{"one that is not listed does not count", []int{2, 3, 4, 77}, protocol.Prolonged{For: "i", Revision: 1}, false},
+		{"for the process before", []int{2, 3, 4, 5}, protocol.Prolonged{For: "old", Revision: 1}, false},
+		{"of another revision", []int{2, 3, 4, 5}, protocol.Prolonged{For: "i", Revision: 2}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			b := newBench(c)
 			b.nowMs += 3000
-			b.step(wire.Tick{})
+			b.step(protocol.Tick{})
 			before := b.m.revUntilMs
 			for _, n := range test.peers {
 				said := test.said
@@ -64,7 +64,7 @@
 }
 
 func TestGivingProlongs(t *testing.T) {
-	text, err := os.ReadFile("../examples/zagreb.json")
+	text, err := os.ReadFile("../../../examples/zagreb.json")
 	qt.Assert(t, err, qt.IsNil)
 	next := string(text) + " "
 	cases := []struct {
@@ -76,13 +76,13 @@
 	}{
 		{"steady", func(*bench) {}, 2, 1, true},
 		{"to one that is not listed", func(*bench) {}, 77, 1, false},
-		{"of an older revision", func(b *bench) { b.word(wire.Word{Revision: 2, Sum: "two", Text: next}) }, 2, 1, false},
+		{"of an older revision", func(b *bench) { b.word(protocol.Word{Revision: 2, Sum: "two", Text: next}) }, 2, 1, false},
 		{"after it acknowledged a next one", func(b *bench) {
-			b.word(wire.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
 		}, 2, 1, false},
 		{"after that was given up", func(b *bench) {
-			b.word(wire.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(wire.Word{Revision: 1, Sum: "one"})
+			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.Word{Revision: 1, Sum: "one"})
 		}, 2, 1, true},
 		{"a runner told of a higher one", func(b *bench) { b.m.higher = 2 }, 2, 1, false},
 	}
@@ -93,7 +93,7 @@
 			b.nowMs += wordHoldMs
 			test.do(b)
 			b.m.givenUntilMs = 0
-			b.from(edge(test.from), wire.Prolong{EchoMs: 1, Revision: test.of})
+			b.from(edge(test.from), protocol.Prolong{EchoMs: 1, Revision: test.of})
 			c.Assert(b.granted(), qt.Equals, test.gives)
 			c.Assert(b.m.givenUntilMs > 0, qt.Equals, test.gives)
 		})
--- a/traffic/request.go
+++ b/internal/native/router/request.go
@@ -1,10 +1,10 @@
-package traffic
+package router
 
 import (
-	"myrtlewinch/choice"
-	"myrtlewinch/defect"
-	"myrtlewinch/description"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/choice"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/protocol"
 )
 
 // Inputs of the data plane.
@@ -88,12 +88,12 @@
 	// mayHaveRun is set once a go was lost: from then on no answer is a drop.
 	mayHaveRun bool
 	runner     string
-	tried      map[wire.Mark]bool
+	tried      map[protocol.Mark]bool
 	// turnMs is when what it needs may be held, by the index's last word, or
 	// nought.
 	turnMs int64
 	// last is the kind a request gets when no further go is to be had.
-	last defect.Kind
+	last errkind.Kind
 }
 
 // Policy is one step on the way of a request. The way ends at the first step
@@ -105,7 +105,7 @@
 type verdict struct {
 	next bool
 	// kind ends the request; without one it waits.
-	kind   defect.Kind
+	kind   errkind.Kind
 	detail string
 }
 
@@ -114,7 +114,7 @@
 	wait = verdict{}
 )
 
-func drop(kind defect.Kind, detail string) verdict { return verdict{kind: kind, detail: detail} }
+func drop(kind errkind.Kind, detail string) verdict { return verdict{kind: kind, detail: detail} }
 
 // The ways: what is asked when a request comes, and at each later turn.
 var (
@@ -125,7 +125,7 @@
 func (m *Machine) take(in Request) {
 	m.Tally.Requests++
 	r := &request{
-		Request: in, cameMs: m.nowMs, deadlineMs: m.nowMs + unansweredMs, tried: map[wire.Mark]bool{},
+		Request: in, cameMs: m.nowMs, deadlineMs: m.nowMs + unansweredMs, tried: map[protocol.Mark]bool{},
 		key: choice.Key{Service: in.Service, Model: in.Model, Adapter: in.Adapter},
 	}
 	m.requests[in.ID] = r
@@ -162,22 +162,22 @@
 		return
 	}
 	if m.holding[r.Service] >= int(r.service.Holding) {
-		m.drop(r, defect.HoldingFull, "too many requests of this service wait here")
+		m.drop(r, errkind.HoldingFull, "too many requests of this service wait here")
 		return
 	}
 	r.holds = true
 	m.holding[r.Service]++
 }
 
-func (m *Machine) drop(r *request, kind defect.Kind, detail string) {
+func (m *Machine) drop(r *request, kind errkind.Kind, detail string) {
 	if r.mayHaveRun && kind.Reply().Drop {
-		kind, detail = defect.OutcomeUnknown, "an earlier go may have run; then: "+detail
+		kind, detail = errkind.OutcomeUnknown, "an earlier go may have run; then: "+detail
 	}
 	if r.taken && kind.Reply().Drop {
 		m.taken.forget(r.Service + "/" + r.Name)
 	}
 	m.Tally.Drops[kind]++
-	said := wire.Dropped{Kind: kind, Detail: detail}
+	said := protocol.Dropped{Kind: kind, Detail: detail}
 	if r.turnMs > m.nowMs && kind.Reply().RetryAfterSec > 0 {
 		said.RetryMs = r.turnMs - m.nowMs
 	}
@@ -218,7 +218,7 @@
 	}
 	r.away = false
 	m.busy[r.runner]--
-	mark := wire.Mark{Runner: r.runner}
+	mark := protocol.Mark{Runner: r.runner}
 	for tried := range r.tried {
 		if tried.Runner == r.runner {
 			mark = tried
@@ -234,25 +234,25 @@
 		delete(r.tried, mark)
 	case NotSent:
 		m.suspect[r.runner] = m.nowMs + suspectMs
-		r.last = defect.NoRunner
+		r.last = errkind.NoRunner
 	case NotHeld, Other:
 		m.evict(r.key, mark)
-		r.last = defect.NoRunner
+		r.last = errkind.NoRunner
 	case Stale:
 		m.higher = max(m.higher, in.Revision)
-		r.last = defect.NoWord
+		r.last = errkind.NoWord
 		delete(r.tried, mark)
 	case Busy:
-		r.last = defect.RunnerDropped
+		r.last = errkind.RunnerDropped
 	case Repeated:
-		m.drop(r, defect.AlreadyTaken, "the runner has seen this id; the first sending may have run")
+		m.drop(r, errkind.AlreadyTaken, "the runner has seen this id; the first sending may have run")
 		return
 	case Lost, Nonsense:
 		m.suspect[r.runner] = m.nowMs + suspectMs
 		r.mayHaveRun = true
-		kind, detail := defect.OutcomeUnknown, "the runner got the request and gave no whole answer; it may have run"
+		kind, detail := errkind.OutcomeUnknown, "the runner got the request and gave no whole answer; it may have run"
 		if in.Outcome == Nonsense {
-			kind, detail = defect.BrokenAnswer, "what came from the runner is no answer to this request; it may have run"
+			kind, detail = errkind.BrokenAnswer, "what came from the runner is no answer to this request; it may have run"
 		}
 		// What may have run goes on only if it may run twice.
 		if !r.service.Repeatable {
--- a/traffic/status.go
+++ b/internal/native/router/status.go
@@ -1,11 +1,11 @@
-package traffic
+package router
 
 import (
 	"maps"
 	"sort"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // Look asks for the status.
@@ -13,30 +13,30 @@
 
 // Status is what a router believes.
 type Status struct {
-	Site     string        `json:"site"`
-	Name     string        `json:"name"`
-	Part     string        `json:"part"`
-	Epoch    uint64        `json:"epoch"`
-	Primary  string        `json:"primary"`
-	Revision uint64        `json:"revision"`
-	Held     string        `json:"held,omitempty"`
-	Usable   bool          `json:"usable"`
-	Stopping bool          `json:"stopping"`
-	Retired  bool          `json:"retired"`
-	UsableMs int64         `json:"usableMs"`
-	WordMs   int64         `json:"wordAgeMs"`
-	Waiting  int           `json:"waiting"`
-	Leaving  []wire.Mark   `json:"leaving"`
-	Cache    []EntryStatus `json:"cache"`
-	Tally    Tally         `json:"tally"`
+	Site     string          `json:"site"`
+	Name     string          `json:"name"`
+	Part     string          `json:"part"`
+	Epoch    uint64          `json:"epoch"`
+	Primary  string          `json:"primary"`
+	Revision uint64          `json:"revision"`
+	Held     string          `json:"held,omitempty"`
+	Usable   bool            `json:"usable"`
+	Stopping bool            `json:"stopping"`
+	Retired  bool            `json:"retired"`
+	UsableMs int64           `json:"usableMs"`
+	WordMs   int64           `json:"wordAgeMs"`
+	Waiting  int             `json:"waiting"`
+	Leaving  []protocol.Mark `json:"leaving"`
+	Cache    []EntryStatus   `json:"cache"`
+	Tally    Tally           `json:"tally"`
 }
 
 // EntryStatus is a cached entry.
 type EntryStatus struct {
-	Key     string        `json:"key"`
-	At      wire.Position `json:"at"`
-	AgeMs   int64         `json:"ageMs"`
-	Runners []string      `json:"runners"`
+	Key     string            `json:"key"`
+	At      protocol.Position `json:"at"`
+	AgeMs   int64             `json:"ageMs"`
+	Runners []string          `json:"runners"`
 }
 
 func (m *Machine) look(in Look) {
@@ -45,7 +45,7 @@
 		Revision: m.revision, Held: m.heldSum, Usable: m.usable(), Stopping: m.leaving, Retired: m.retired,
 		UsableMs: m.usableUntil() - m.nowMs, WordMs: m.nowMs - m.leaveWordMs, Waiting: len(m.requests), Tally: m.Tally,
 	}
-	s.Tally.Drops = map[defect.Kind]uint64{}
+	s.Tally.Drops = map[errkind.Kind]uint64{}
 	maps.Copy(s.Tally.Drops, m.Tally.Drops)
 	for mark := range m.marks {
 		s.Leaving = append(s.Leaving, mark)
--- a/traffic/taken.go
+++ b/internal/native/router/taken.go
@@ -1,4 +1,4 @@
-package traffic
+package router
 
 // takenIDs remembers the ids that were taken lately, in a bounded ring.
 type takenIDs struct {
--- a/traffic/telling_test.go
+++ b/internal/native/router/telling_test.go
@@ -1,4 +1,4 @@
-package traffic
+package router
 
 import (
 	"testing"
--- a/comparison/comparison.go
+++ b/internal/native/statediff/comparison.go
@@ -1,5 +1,5 @@
-// Package comparison sets side by side what two daemons believe.
-package comparison
+// Package statediff sets side by side what two daemons believe.
+package statediff
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/control"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
 )
 
 // Belief is what one daemon believes: fields by name, with the age of what it
@@ -43,14 +43,14 @@
 	}
 	b := Belief{Fields: map[string]string{}, AgesMs: map[string]int64{}}
 	switch part.Part {
-	case wire.Controller:
-		var s control.Status
+	case protocol.Controller:
+		var s consensus.Status
 		if err := json.Unmarshal(text, &s); err != nil {
 			return b, err
 		}
 		b.controller(s)
-	case wire.Router:
-		var s traffic.Status
+	case protocol.Router:
+		var s router.Status
 		if err := json.Unmarshal(text, &s); err != nil {
 			return b, err
 		}
@@ -66,7 +66,7 @@
 	b.AgesMs[field] = ageMs
 }
 
-func seats(list []wire.Seat) string {
+func seats(list []protocol.Seat) string {
 	var names []string
 	for _, seat := range list {
 		names = append(names, seat.Name+"/"+seat.Incarnation)
@@ -75,13 +75,13 @@
 	return strings.Join(names, " ")
 }
 
-func (b *Belief) leaving(marks []wire.Mark) {
+func (b *Belief) leaving(marks []protocol.Mark) {
 	for _, mark := range marks {
 		b.put("leaving "+mark.Runner+"/"+mark.Incarnation, "yes", -1)
 	}
 }
 
-func (b *Belief) controller(s control.Status) {
+func (b *Belief) controller(s consensus.Status) {
 	b.Name = s.Name
 	ageMs := int64(-1)
 	for _, peer := range s.Peers {
@@ -110,7 +110,7 @@
 	b.leaving(s.Leaving)
 }
 
-func (b *Belief) router(s traffic.Status) {
+func (b *Belief) router(s router.Status) {
 	b.Name = s.Name
 	b.put("epoch", fmt.Sprint(s.Epoch), s.WordMs)
 	b.put("primary", s.Primary, s.WordMs)
--- a/comparison/comparison_test.go
+++ b/internal/native/statediff/comparison_test.go
@@ -1,4 +1,4 @@
-package comparison
+package statediff
 
 import (
 	"testing"
--- a/topology/topology.go
+++ b/internal/native/topology/topology.go
@@ -12,7 +12,7 @@
 	"github.com/paulmach/orb/geojson"
 	"github.com/paulmach/orb/planar"
 
-	"myrtlewinch/description"
+	"myrtlewinch/internal/native/description"
 )
 
 // Parts are the parts of a description that a map gives.
--- a/holdings/demand.go
+++ b/internal/placement/demand.go
@@ -1,11 +1,11 @@
-package holdings
+package placement
 
 import (
 	"math"
 	"strconv"
 	"strings"
 
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
 )
 
 const (
@@ -123,7 +123,7 @@
 }
 
 // adapterOf says whether a model has an adapter of that name.
-func adapterOf(m *servicemap.Model, name string) bool {
+func adapterOf(m *config.Model, name string) bool {
 	number, found := strings.CutPrefix(name, "a")
 	n, err := strconv.Atoi(number)
 	return found && err == nil && n >= 1 && n <= m.Adapters && number[0] != '+' && number[0] != '0'
--- a/holdings/index_test.go
+++ b/internal/placement/index_test.go
@@ -1,4 +1,4 @@
-package holdings
+package placement
 
 import (
 	"bytes"
@@ -9,14 +9,14 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // A router that asked lately hears of a holder that comes or goes.
 func TestRoutersAreTold(t *testing.T) {
 	c := qt.New(t)
 	b := ordered(c)
-	b.outcome(wire.CommandTaken)
+	b.outcome(protocol.CommandTaken)
 	b.tick(500)
 	b.say(4, false, "m001", "m004")
 	_, tells := b.k.Tick(b.nowMs+10, b.nowMs+2000)
@@ -31,11 +31,13 @@
 // Only those are told to whom a change matters: of one adapter not those who
 // asked for another, and nobody of what he knows already.
 func TestWhoIsTold(t *testing.T) {
-	held := func(adapters ...string) []wire.HeldModel { return []wire.HeldModel{{Name: "m000", Adapters: adapters}} }
+	held := func(adapters ...string) []protocol.HeldModel {
+		return []protocol.HeldModel{{Name: "m000", Adapters: adapters}}
+	}
 	cases := []struct {
 		about   string
 		asks    []string
-		models  []wire.HeldModel
+		models  []protocol.HeldModel
 		laterMs int64
 		told    []string
 	}{
@@ -54,11 +56,11 @@
 			s := newStand(t, 1, newMap(4, 8, 4.2), 0)
 			k := s.keeper("one")
 			k.Begin(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
-			e := wire.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: held("a1")}
-			k.Fleet(s.events.NowMs(), wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{e}})
+			e := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: held("a1")}
+			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{e}})
 			for _, adapter := range test.asks {
 				for _, router := range []string{"one", "two"} {
-					index := k.LookUp(s.events.NowMs(), wire.Place{Name: router}, wire.MapLookUp{Service: llm, Model: "m000", Adapter: adapter})
+					index := k.LookUp(s.events.NowMs(), protocol.Place{Name: router}, protocol.MapLookUp{Service: llm, Model: "m000", Adapter: adapter})
 					for _, h := range index.Holders {
 						c.Assert(h.Adapter, qt.IsTrue)
 					}
@@ -97,17 +99,17 @@
 			s := newStand(t, 1, newMap(4, 8, 4.2), 0)
 			k := s.keeper("one")
 			k.Begin(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
-			one := wire.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: []wire.HeldModel{{Name: "m000"}}}
+			one := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m000"}}}
 			two := one
 			two.ID, two.Address = "r2", "10.0.0.2:80"
-			k.Fleet(s.events.NowMs(), wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{one}})
-			k.LookUp(s.events.NowMs(), wire.Place{Name: "router"}, wire.MapLookUp{Service: llm, Model: "m000"})
+			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{one}})
+			k.LookUp(s.events.NowMs(), protocol.Place{Name: "router"}, protocol.MapLookUp{Service: llm, Model: "m000"})
 			k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			s.events.RunFor(test.laterMs)
-			k.Fleet(s.events.NowMs(), wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{one, two}})
+			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{one, two}})
 			_, tells := k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			c.Assert(tells, qt.HasLen, test.told)
-			k.Fleet(s.events.NowMs(), wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{two}})
+			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{two}})
 			_, tells = k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			c.Assert(tells, qt.HasLen, 1)
 		})
@@ -118,19 +120,19 @@
 func TestTurnIsTold(t *testing.T) {
 	c := qt.New(t)
 	b := ordered(c)
-	index := b.k.LookUp(b.nowMs, wire.Place{Name: "router"}, wire.MapLookUp{ID: 9, Service: llm, Model: "m004"})
+	index := b.k.LookUp(b.nowMs, protocol.Place{Name: "router"}, protocol.MapLookUp{ID: 9, Service: llm, Model: "m004"})
 	c.Assert(index.ID, qt.Equals, uint64(9))
 	c.Assert(index.Known, qt.IsTrue)
 	c.Assert(index.Loading, qt.IsTrue)
 	c.Assert(index.TurnMs > 1500 && index.TurnMs < 2500, qt.IsTrue)
-	c.Assert(b.k.LookUp(b.nowMs, wire.Place{Name: "router"}, wire.MapLookUp{Service: "other"}).Holders, qt.HasLen, 0)
+	c.Assert(b.k.LookUp(b.nowMs, protocol.Place{Name: "router"}, protocol.MapLookUp{Service: "other"}).Holders, qt.HasLen, 0)
 }
 
 // Before any list was read, nothing is claimed.
 func TestUnknownBeforeTheList(t *testing.T) {
 	c := qt.New(t)
 	k := New(standBounds, "one", "list", 47)
-	c.Assert(k.LookUp(1, wire.Place{Name: "router"}, wire.MapLookUp{Service: llm, Model: "m001"}).Known, qt.IsFalse)
+	c.Assert(k.LookUp(1, protocol.Place{Name: "router"}, protocol.MapLookUp{Service: llm, Model: "m001"}).Known, qt.IsFalse)
 	c.Assert(k.ListAgeMs(1), qt.Equals, int64(-1))
 }
 
@@ -138,11 +140,11 @@
 func TestPlainServiceHasItsRunners(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(c)
-	b.k.Fleet(b.nowMs, wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{
+	b.k.Fleet(b.nowMs, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{
 		{ID: "p1", Service: "plain", Address: "10.0.0.8:80", Slots: 6, LeftMs: -1},
 		{ID: "p2", Service: "plain", Address: "10.0.0.9:80", Slots: 6, LeftMs: 2000, Leaving: true},
 	}})
-	index := b.k.LookUp(b.nowMs, wire.Place{Name: "router"}, wire.MapLookUp{Service: "plain"})
+	index := b.k.LookUp(b.nowMs, protocol.Place{Name: "router"}, protocol.MapLookUp{Service: "plain"})
 	c.Assert(index.Holders, qt.HasLen, 1)
 	c.Assert(index.Holders[0].ID, qt.Equals, "p1")
 	c.Assert(index.Holders[0].Adapter, qt.IsTrue)
@@ -155,14 +157,14 @@
 	b := newBench(c, "m001")
 	for range 3 {
 		b.tick(1000)
-		b.k.State(b.nowMs, wire.StateSaid{Runner: b.asked.Runner, Number: b.asked.Number})
+		b.k.State(b.nowMs, protocol.StateSaid{Runner: b.asked.Runner, Number: b.asked.Number})
 	}
 	c.Assert(b.k.runners["r1"].suspect, qt.IsTrue)
 	c.Assert(b.holds("m001"), qt.IsTrue)
-	e := wire.RunnerEntry{Service: llm, Slots: 64, LeftMs: -1, Models: []wire.HeldModel{{Name: "m001"}}}
+	e := protocol.RunnerEntry{Service: llm, Slots: 64, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m001"}}}
 	first, second := e, e
 	first.ID, first.Address, second.ID, second.Address = "r1", "10.0.0.1:80", "r2", "10.0.0.2:80"
-	b.k.Fleet(b.nowMs, wire.Fleet{Ok: true, Runners: []wire.RunnerEntry{first, second}})
+	b.k.Fleet(b.nowMs, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{first, second}})
 	holders := b.k.index(b.nowMs, llm, "m001", "").Holders
 	c.Assert(holders, qt.HasLen, 1)
 	c.Assert(holders[0].ID, qt.Equals, "r2")
@@ -189,8 +191,8 @@
 	follower := New(s.bounds, "two", "list", 47)
 	follower.SetMap(s.m)
 	follower.TakeSoft(s.events.NowMs(), image)
-	from := wire.Place{Name: "router"}
-	ids := func(x wire.MapIndex) map[string]bool {
+	from := protocol.Place{Name: "router"}
+	ids := func(x protocol.MapIndex) map[string]bool {
 		out := map[string]bool{}
 		for _, h := range x.Holders {
 			out[h.ID] = h.Adapter
@@ -198,7 +200,7 @@
 		return out
 	}
 	for i := range 9 {
-		in := wire.MapLookUp{Service: llm, Model: "m000", Adapter: fmt.Sprintf("a%d", i+1), Tokens: 5, Waits: i == 0}
+		in := protocol.MapLookUp{Service: llm, Model: "m000", Adapter: fmt.Sprintf("a%d", i+1), Tokens: 5, Waits: i == 0}
 		index := follower.LookUp(s.events.NowMs(), from, in)
 		c.Assert(index.Known, qt.IsTrue)
 		c.Assert(index.Change, qt.Equals, k.Change())
@@ -206,7 +208,7 @@
 	}
 	// Those who only want to be sure of a holder wait for no load.
 	c.Assert(follower.Waits(), qt.IsFalse)
-	follower.LookUp(s.events.NowMs(), from, wire.MapLookUp{Service: llm, Model: "m000", Adapter: "a30", Waits: true})
+	follower.LookUp(s.events.NowMs(), from, protocol.MapLookUp{Service: llm, Model: "m000", Adapter: "a30", Waits: true})
 	c.Assert(follower.Waits(), qt.IsTrue)
 	demand := follower.DrainDemand()
 	c.Assert(demand, qt.HasLen, 10)
--- a/holdings/keeper.go
+++ b/internal/placement/keeper.go
@@ -1,13 +1,13 @@
-// Package holdings is the holding ledger of a site whose runners come from a
+// Package placement is the holding ledger of a site whose runners come from a
 // platform's list: what each life of a runner holds, which orders are under
 // way, which of them to give next, and the index that look-ups are answered
 // from. It is pure state: it reads no clock and does no I/O.
-package holdings
+package placement
 
 import (
-	"myrtlewinch/bounds"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -22,7 +22,7 @@
 	holder      string
 	listAddress string
 	listEachMs  int64
-	m           *servicemap.Map
+	m           *config.Map
 
 	// nowMs is when it was last told the time.
 	nowMs        int64
@@ -63,13 +63,13 @@
 	cleanMs   int64
 	askers    askers
 	// room is for answers that are only looked at.
-	room []wire.MapHolder
+	room []protocol.MapHolder
 	// ranks and sampled are room for picking what a router is offered.
 	ranks   []ranked
 	sampled []*runner
 	pending map[demandKey]*DemandCount
 	counts  figures
-	calls   []wire.Call
+	calls   []protocol.Call
 	// softLoading is, at a follower, what the primary said of loads.
 	soft map[string]SoftLoad
 }
@@ -100,7 +100,7 @@
 }
 
 // SetMap takes the service map in force.
-func (k *Keeper) SetMap(m *servicemap.Map) {
+func (k *Keeper) SetMap(m *config.Map) {
 	if m == nil || m == k.m {
 		return
 	}
@@ -214,7 +214,7 @@
 // Tick gives the calls that are due, and what routers that asked lately are
 // to be told. It may be called at any time, best each 50 ms and after inputs
 // that bring an answer nearer.
-func (k *Keeper) Tick(nowMs, holdUntilMs int64) (calls []wire.Call, tells []Tell) {
+func (k *Keeper) Tick(nowMs, holdUntilMs int64) (calls []protocol.Call, tells []Tell) {
 	k.nowMs = nowMs
 	if k.active {
 		k.tickList(nowMs)
--- a/holdings/keeper_test.go
+++ b/internal/placement/keeper_test.go
@@ -1,4 +1,4 @@
-package holdings
+package placement
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // play runs a stand with one keeper and demand for so many seconds.
@@ -217,7 +217,7 @@
 	c.Assert(k.Leaving(), qt.DeepEquals, []string{leaver.entry.ID})
 	for name := range leaver.held {
 		c.Assert(s.copies(name) >= 2, qt.IsTrue, qt.Commentf("%s", name))
-		for _, h := range k.LookUp(s.events.NowMs(), load.from, wire.MapLookUp{Service: llm, Model: name}).Holders {
+		for _, h := range k.LookUp(s.events.NowMs(), load.from, protocol.MapLookUp{Service: llm, Model: name}).Holders {
 			c.Assert(h.ID, qt.Not(qt.Equals), leaver.entry.ID)
 		}
 	}
--- a/holdings/model.go
+++ b/internal/placement/model.go
@@ -1,16 +1,16 @@
-package holdings
+package placement
 
 import (
 	"math"
 
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
 )
 
 // service is what the keeper knows of one service of the map, or of runners
 // whose service the map does not name.
 type service struct {
 	name   string
-	engine *servicemap.Engine
+	engine *config.Engine
 	// largestMb stands for models that no map ever named.
 	largestMb, largestAdapterMb float64
 	models                      map[string]*model
@@ -25,7 +25,7 @@
 type model struct {
 	service *service
 	name    string
-	spec    servicemap.Model
+	spec    config.Model
 	// mapped says that the map names it.
 	mapped   bool
 	holders  []*runner
@@ -78,14 +78,14 @@
 		return m
 	}
 	m := &model{service: s, name: name, queueMs: -1}
-	m.spec = servicemap.Model{Name: name, Mb: s.largestMb, AdapterMb: s.largestAdapterMb}
+	m.spec = config.Model{Name: name, Mb: s.largestMb, AdapterMb: s.largestAdapterMb}
 	s.models[name] = m
 	return m
 }
 
 // set takes the engine of a new map. The sizes of models that it dropped are
 // kept, since runners may still hold them.
-func (s *service) set(e *servicemap.Engine) {
+func (s *service) set(e *config.Engine) {
 	s.engine = e
 	s.names = s.names[:0]
 	for _, m := range s.models {
--- a/holdings/offer_test.go
+++ b/internal/placement/offer_test.go
@@ -1,4 +1,4 @@
-package holdings
+package placement
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // manyHolders is a keeper of so many runners, in four zones, of which each holds m001
@@ -16,25 +16,25 @@
 	s := newStand(t, 1, newMap(4, 8, 4.2), 0)
 	k := s.keeper("one")
 	k.Begin(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
-	var list []wire.RunnerEntry
+	var list []protocol.RunnerEntry
 	for i := range count {
-		e := wire.RunnerEntry{
+		e := protocol.RunnerEntry{
 			ID: fmt.Sprintf("r%05d", i), Service: llm, Address: fmt.Sprintf("10.0.%d.%d:80", i/250, i%250), Zone: fmt.Sprintf("zone-%d", i%4),
-			Slots: 8, LeftMs: -1, Models: []wire.HeldModel{{Name: "m000"}, {Name: "m001"}},
+			Slots: 8, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m000"}, {Name: "m001"}},
 		}
 		if i%4 == 3 {
 			e.Models[0].Adapters = []string{"a1"}
 		}
 		list = append(list, e)
 	}
-	k.Fleet(s.events.NowMs(), wire.Fleet{Ok: true, Runners: list})
+	k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: list})
 	return k
 }
 
 func offeredTo(k *Keeper, router, zone, model, adapter string) []string {
 	var out []string
-	in := wire.MapLookUp{Service: llm, Model: model, Adapter: adapter}
-	for _, h := range k.LookUp(1000, wire.Place{Name: router, Zone: zone}, in).Holders {
+	in := protocol.MapLookUp{Service: llm, Model: model, Adapter: adapter}
+	for _, h := range k.LookUp(1000, protocol.Place{Name: router, Zone: zone}, in).Holders {
 		out = append(out, h.ID)
 	}
 	return out
@@ -118,7 +118,7 @@
 				nowMs += 50
 				calls, _ := k.Tick(nowMs, nowMs+2000)
 				for _, call := range calls {
-					body, is := call.Body.(wire.StateCall)
+					body, is := call.Body.(protocol.StateCall)
 					if !is {
 						continue
 					}
@@ -126,11 +126,11 @@
 						asked++
 					}
 					r := k.runners[body.Runner]
-					var models []wire.HeldModel
+					var models []protocol.HeldModel
 					for _, name := range sortedKeys(r.held) {
-						models = append(models, wire.HeldModel{Name: name, Adapters: sortedKeys(r.held[name].adapters)})
+						models = append(models, protocol.HeldModel{Name: name, Adapters: sortedKeys(r.held[name].adapters)})
 					}
-					k.State(nowMs, wire.StateSaid{Runner: body.Runner, Number: body.Number, Ok: true, State: wire.RunnerState{Models: models}})
+					k.State(nowMs, protocol.StateSaid{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{Models: models}})
 				}
 			}
 			qt.Assert(t, int64(asked)*1000/(2*k.usualMs()) <= 510, qt.IsTrue, qt.Commentf("%d in %d ms", asked, 2*k.usualMs()))
--- a/holdings/orders.go
+++ b/internal/placement/orders.go
@@ -1,6 +1,6 @@
-package holdings
+package placement
 
-import "myrtlewinch/wire"
+import "myrtlewinch/internal/protocol"
 
 const (
 	// orderMs is the longest an order may wait to be written.
@@ -10,7 +10,7 @@
 )
 
 // Commanded takes what became of the call of an order.
-func (k *Keeper) Commanded(nowMs int64, in wire.CommandSaid) {
+func (k *Keeper) Commanded(nowMs int64, in protocol.CommandSaid) {
 	r := k.runners[in.Runner]
 	if !k.active || r == nil {
 		return
@@ -18,26 +18,26 @@
 	o := r.order
 	if o == nil || o.number != in.Number {
 		k.counts.Late++
-		if in.Outcome == wire.CommandFenced {
+		if in.Outcome == protocol.CommandFenced {
 			k.lowFence()
 		}
 		return
 	}
 	switch in.Outcome {
-	case wire.CommandTaken:
+	case protocol.CommandTaken:
 		k.counts.Taken++
-	case wire.CommandBusy, wire.CommandInEffect, wire.CommandNotSent:
+	case protocol.CommandBusy, protocol.CommandInEffect, protocol.CommandNotSent:
 		k.counts.Busy++
-	case wire.CommandRefused:
+	case protocol.CommandRefused:
 		k.counts.Refused++
-	case wire.CommandUnknown:
+	case protocol.CommandUnknown:
 		k.counts.Unknown++
-	case wire.CommandFenced:
+	case protocol.CommandFenced:
 		k.lowFence()
 	}
 	if !r.said(nowMs, in.Outcome, k) {
 		k.store.settled(nowMs, in.Number, false)
-	} else if in.Outcome == wire.CommandTaken {
+	} else if in.Outcome == protocol.CommandTaken {
 		k.store.settled(nowMs, in.Number, true)
 	}
 	k.replan = true
@@ -88,7 +88,7 @@
 func (k *Keeper) send(nowMs, holdUntilMs int64, r *runner) {
 	o := r.order
 	o.untilMs = min(nowMs+orderMs, holdUntilMs)
-	k.calls = append(k.calls, wire.Call{Address: r.entry.Address, Body: wire.CommandCall{
+	k.calls = append(k.calls, protocol.Call{Address: r.entry.Address, Body: protocol.CommandCall{
 		Runner: r.entry.ID, Number: o.number, Holder: k.holder, Fence: k.epoch,
 		Load: o.load, Model: o.Model, Adapter: o.Adapter, Expected: o.expected, UntilMs: o.untilMs,
 	}})
--- a/holdings/plan.go
+++ b/internal/placement/plan.go
@@ -1,4 +1,4 @@
-package holdings
+package placement
 
 const (
 	// planFree runners may be planned for at each change; of more, planShare in
--- a/holdings/planner.go
+++ b/internal/placement/planner.go
@@ -1,4 +1,4 @@
-package holdings
+package placement
 
 // The figures of the placement.
 const (
--- a/holdings/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -1,4 +1,4 @@
-package holdings
+package placement
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // scene is a service whose runners are told, and what is asked of it.
@@ -17,11 +17,11 @@
 	s.set(m.Services[0].Engine)
 	s.engine = m.Services[0].Engine
 	for i, names := range held {
-		r := newRunner(wire.RunnerEntry{ID: fmt.Sprintf("r%d", i+1), Address: fmt.Sprint(i), Zone: string(rune('a' + i%3)), Slots: 64}, s)
+		r := newRunner(protocol.RunnerEntry{ID: fmt.Sprintf("r%d", i+1), Address: fmt.Sprint(i), Zone: string(rune('a' + i%3)), Slots: 64}, s)
 		r.clean = true
-		var said []wire.HeldModel
+		var said []protocol.HeldModel
 		for _, name := range names {
-			said = append(said, wire.HeldModel{Name: name})
+			said = append(said, protocol.HeldModel{Name: name})
 		}
 		r.adopt(0, said, silence{})
 		s.runners = append(s.runners, r)
--- a/holdings/polling.go
+++ b/internal/placement/polling.go
@@ -1,6 +1,6 @@
-package holdings
+package placement
 
-import "myrtlewinch/wire"
+import "myrtlewinch/internal/protocol"
 
 const (
 	// lostCallMs is when a call that brought nothing at all is given up.
@@ -24,7 +24,7 @@
 )
 
 // State takes a runner's answer to a question.
-func (k *Keeper) State(nowMs int64, in wire.StateSaid) {
+func (k *Keeper) State(nowMs int64, in protocol.StateSaid) {
 	r := k.runners[in.Runner]
 	if r == nil || !k.active || in.Number == 0 || in.Number != r.asking {
 		return
@@ -138,7 +138,7 @@
 		asks = 1
 		k.number++
 		r.asking, r.askedMs = k.number, nowMs
-		k.calls = append(k.calls, wire.Call{Address: r.entry.Address, Body: wire.StateCall{Runner: r.entry.ID, Number: k.number}})
+		k.calls = append(k.calls, protocol.Call{Address: r.entry.Address, Body: protocol.StateCall{Runner: r.entry.ID, Number: k.number}})
 	}
 	k.judge(nowMs, r)
 	return asks
--- a/holdings/runner.go
+++ b/internal/placement/runner.go
@@ -1,9 +1,9 @@
-package holdings
+package placement
 
 import (
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // phase is what is known of an order.
@@ -61,7 +61,7 @@
 
 // runner is the ledger of one life of a runner.
 type runner struct {
-	entry wire.RunnerEntry
+	entry protocol.RunnerEntry
 	// seed gives it its place among the holders that a router is offered.
 	seed    uint64
 	service *service
@@ -77,7 +77,7 @@
 	// needMs: only a state asked for after it may make the runner clean.
 	needMs int64
 	lower  int
-	state  wire.RunnerState
+	state  protocol.RunnerState
 	// stateMs is when the last state came; okMs when it last answered.
 	stateMs, okMs int64
 	asking        uint64
@@ -99,7 +99,7 @@
 // touched is told of each model whose holders changed.
 type touched interface{ touch(m *model) }
 
-func newRunner(e wire.RunnerEntry, s *service) *runner {
+func newRunner(e protocol.RunnerEntry, s *service) *runner {
 	return &runner{entry: e, seed: seedOf(e.ID), service: s, held: map[string]*heldModel{}, disk: map[string]bool{}}
 }
 
@@ -166,7 +166,7 @@
 }
 
 // adopt takes what the runner says for the truth.
-func (r *runner) adopt(nowMs int64, models []wire.HeldModel, t touched) {
+func (r *runner) adopt(nowMs int64, models []protocol.HeldModel, t touched) {
 	said := map[string]bool{}
 	for _, m := range models {
 		said[m.Name] = true
@@ -295,14 +295,14 @@
 
 // said settles what the call of an order brought. It says whether the load
 // may count as never begun (false) or not be known (true).
-func (r *runner) said(nowMs int64, outcome wire.CommandOutcome, t touched) (open bool) {
+func (r *runner) said(nowMs int64, outcome protocol.CommandOutcome, t touched) (open bool) {
 	o := r.order
 	repeated := o.repeats > 0
 	switch {
-	case outcome == wire.CommandTaken:
+	case outcome == protocol.CommandTaken:
 		o.phase, o.phaseMs = taken, nowMs
 		return true
-	case outcome == wire.CommandUnknown, repeated:
+	case outcome == protocol.CommandUnknown, repeated:
 		// Whatever became of a repeat, the first one may have been taken.
 		if o.phase != taken {
 			o.phase, o.phaseMs = unknown, nowMs
@@ -313,7 +313,7 @@
 	if !o.load {
 		r.setGoing(o.thing, false, t)
 	}
-	if outcome == wire.CommandRefused || outcome == wire.CommandBusy {
+	if outcome == protocol.CommandRefused || outcome == protocol.CommandBusy {
 		r.coolMs = nowMs + coolMs
 	}
 	return false
@@ -341,7 +341,7 @@
 )
 
 // told takes a state that was asked for at askedMs.
-func (r *runner) told(nowMs, askedMs int64, s wire.RunnerState, t touched) settled {
+func (r *runner) told(nowMs, askedMs int64, s protocol.RunnerState, t touched) settled {
 	r.state, r.stateMs, r.okMs = s, nowMs, nowMs
 	// States are as of some time before: an older one than the ledger says
 	// nothing. The count falls only with a restart, which has a new id.
--- a/holdings/runnerlist.go
+++ b/internal/placement/runnerlist.go
@@ -1,10 +1,10 @@
-package holdings
+package placement
 
 import (
 	"cmp"
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -37,7 +37,7 @@
 
 // Fleet takes what a read of the platform's list brought; changed says that
 // the set of leaving runners did.
-func (k *Keeper) Fleet(nowMs int64, in wire.Fleet) (changed bool) {
+func (k *Keeper) Fleet(nowMs int64, in protocol.Fleet) (changed bool) {
 	k.reading = false
 	if !in.Ok {
 		k.counts.ListFails++
@@ -89,7 +89,7 @@
 
 // listed takes one entry of the list; it says whether the runner began to
 // leave.
-func (k *Keeper) listed(nowMs int64, e wire.RunnerEntry) (changed bool) {
+func (k *Keeper) listed(nowMs int64, e protocol.RunnerEntry) (changed bool) {
 	r := k.runners[e.ID]
 	if r == nil {
 		r = newRunner(e, k.service(e.Service))
@@ -144,7 +144,7 @@
 	return false
 }
 
-func diskKey(e wire.RunnerEntry) string { return e.Service + " " + e.Address }
+func diskKey(e protocol.RunnerEntry) string { return e.Service + " " + e.Address }
 
 func (k *Keeper) insert(r *runner) {
 	k.runners[r.entry.ID] = r
@@ -186,6 +186,6 @@
 	}
 	if !k.reading && nowMs >= k.listNextMs && k.listAddress != "" {
 		k.reading, k.listAskedMs = true, nowMs
-		k.calls = append(k.calls, wire.Call{Address: k.listAddress, Body: wire.FleetCall{}})
+		k.calls = append(k.calls, protocol.Call{Address: k.listAddress, Body: protocol.FleetCall{}})
 	}
 }
--- a/holdings/soft.go
+++ b/internal/placement/soft.go
@@ -1,10 +1,10 @@
-package holdings
+package placement
 
 import (
 	"cmp"
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // Soft is a compact image of the ledger, from which a follower answers
@@ -151,7 +151,7 @@
 func (k *Keeper) takeRunner(nowMs int64, s *SoftRunner) {
 	r := k.runners[s.ID]
 	if r == nil {
-		r = newRunner(wire.RunnerEntry{ID: s.ID}, k.service(s.Service))
+		r = newRunner(protocol.RunnerEntry{ID: s.ID}, k.service(s.Service))
 		k.insert(r)
 		k.touchRunner(r)
 	}
@@ -166,9 +166,9 @@
 	}
 	r.state.Active, r.state.Queued, r.state.CacheUsed, r.state.CacheTotal = s.Active, s.Queued, s.CacheUsed, s.CacheTotal
 	r.stateMs = nowMs - s.AgeMs
-	models := make([]wire.HeldModel, 0, len(s.Models))
+	models := make([]protocol.HeldModel, 0, len(s.Models))
 	for _, m := range s.Models {
-		models = append(models, wire.HeldModel{Name: m.Name, Adapters: m.Adapters})
+		models = append(models, protocol.HeldModel{Name: m.Name, Adapters: m.Adapters})
 	}
 	r.adopt(nowMs, models, k)
 	for _, name := range s.Disk {
@@ -177,7 +177,7 @@
 }
 
 // pend counts a look-up at a follower.
-func (k *Keeper) pend(key demandKey, in wire.MapLookUp, waits int) {
+func (k *Keeper) pend(key demandKey, in protocol.MapLookUp, waits int) {
 	c := k.pending[key]
 	if c == nil {
 		if len(k.pending) >= pendingMost {
--- a/holdings/stand_test.go
+++ b/internal/placement/stand_test.go
@@ -1,14 +1,14 @@
-package holdings
+package placement
 
 import (
 	"fmt"
 	"math/rand/v2"
 	"testing"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/eventqueue"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/eventqueue"
 )
 
 // The stand plays the platform: its list, its runners and its store, with
@@ -18,7 +18,7 @@
 const llm = "llm"
 
 type standRunner struct {
-	entry  wire.RunnerEntry
+	entry  protocol.RunnerEntry
 	held   map[string]map[string]bool
 	disk   map[string]bool
 	calls  int64
@@ -32,36 +32,36 @@
 
 type snapshot struct {
 	atMs  int64
-	state wire.RunnerState
+	state protocol.RunnerState
 }
 
-func (r *standRunner) models() []wire.HeldModel {
-	var out []wire.HeldModel
+func (r *standRunner) models() []protocol.HeldModel {
+	var out []protocol.HeldModel
 	for _, name := range sortedKeys(r.held) {
-		out = append(out, wire.HeldModel{Name: name, Version: 1, Adapters: sortedKeys(r.held[name])})
+		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: sortedKeys(r.held[name])})
 	}
 	return out
 }
 
-func (r *standRunner) state() wire.RunnerState {
+func (r *standRunner) state() protocol.RunnerState {
 	active := 0
 	for _, n := range r.active {
 		active += n
 	}
-	return wire.RunnerState{Models: r.models(), Busy: r.finish != nil, Calls: r.calls, Active: active, CacheTotal: 100_000, CacheUsed: int64(active) * 1000}
+	return protocol.RunnerState{Models: r.models(), Busy: r.finish != nil, Calls: r.calls, Active: active, CacheTotal: 100_000, CacheUsed: int64(active) * 1000}
 }
 
 type stand struct {
 	t       testing.TB
 	rnd     *rand.Rand
-	m       *servicemap.Map
-	engine  *servicemap.Engine
+	m       *config.Map
+	engine  *config.Engine
 	bounds  bounds.Bounds
 	events  *eventqueue.Queue
 	runners map[string]*standRunner
 	lists   []struct {
 		atMs int64
-		list []wire.RunnerEntry
+		list []protocol.RunnerEntry
 	}
 	keepers  []*Keeper
 	holdMs   map[*Keeper]int64
@@ -74,10 +74,10 @@
 	next     int
 }
 
-func newMap(models, adapters int, perSec float64) *servicemap.Map {
-	e := &servicemap.Engine{Slots: 64, CacheTokens: 150_000, Stride: 6, RoomMb: 220_000, AdapterRoom: 8, LoadsPerSec: perSec}
+func newMap(models, adapters int, perSec float64) *config.Map {
+	e := &config.Engine{Slots: 64, CacheTokens: 150_000, Stride: 6, RoomMb: 220_000, AdapterRoom: 8, LoadsPerSec: perSec}
 	for i := range models {
-		m := servicemap.Model{Name: fmt.Sprintf("m%03d", i), Mb: 65_100, LoadMs: 1900, AdapterMb: 12}
+		m := config.Model{Name: fmt.Sprintf("m%03d", i), Mb: 65_100, LoadMs: 1900, AdapterMb: 12}
 		if i%2 == 1 {
 			m.Mb, m.LoadMs = 72_700, 2100
 		}
@@ -89,14 +89,14 @@
 		}
 		e.Models = append(e.Models, m)
 	}
-	m := &servicemap.Map{Version: 1, Services: []servicemap.Service{{Name: llm, Engine: e}, {Name: "plain"}}}
+	m := &config.Map{Version: 1, Services: []config.Service{{Name: llm, Engine: e}, {Name: "plain"}}}
 	m.Index()
 	return m
 }
 
 var standBounds = bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1, Fenced: true}
 
-func newStand(t testing.TB, seed uint64, m *servicemap.Map, runners int) *stand {
+func newStand(t testing.TB, seed uint64, m *config.Map, runners int) *stand {
 	s := &stand{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), m: m, engine: m.Services[0].Engine, bounds: standBounds, events: eventqueue.New(1000), runners: map[string]*standRunner{}, holdMs: map[*Keeper]int64{}}
 	zones := []string{"a", "b", "c", "d"}
 	for i := range runners {
@@ -110,7 +110,7 @@
 	s.next++
 	id := fmt.Sprintf("r%04d", s.next)
 	r := &standRunner{held: map[string]map[string]bool{}, disk: map[string]bool{}, active: map[string]int{}}
-	r.entry = wire.RunnerEntry{ID: id, Service: llm, Address: address, Zone: zone, Slots: s.engine.Slots, LeftMs: -1}
+	r.entry = protocol.RunnerEntry{ID: id, Service: llm, Address: address, Zone: zone, Slots: s.engine.Slots, LeftMs: -1}
 	s.runners[id] = r
 	return r
 }
@@ -143,7 +143,7 @@
 	s.noteList()
 }
 
-func (s *stand) model(name string) *servicemap.Model {
+func (s *stand) model(name string) *config.Model {
 	m, _ := s.engine.Model(name)
 	return m
 }
@@ -164,7 +164,7 @@
 }
 
 func (s *stand) noteList() {
-	var list []wire.RunnerEntry
+	var list []protocol.RunnerEntry
 	for _, id := range sortedKeys(s.runners) {
 		r := s.runners[id]
 		e := r.entry
@@ -173,7 +173,7 @@
 	}
 	s.lists = append(s.lists, struct {
 		atMs int64
-		list []wire.RunnerEntry
+		list []protocol.RunnerEntry
 	}{s.events.NowMs(), list})
 	if len(s.lists) > 40 {
 		s.lists = s.lists[1:]
@@ -181,7 +181,7 @@
 }
 
 // list is what the platform showed some time ago.
-func (s *stand) list(lagMs int64) []wire.RunnerEntry {
+func (s *stand) list(lagMs int64) []protocol.RunnerEntry {
 	out := s.lists[0].list
 	for _, l := range s.lists {
 		if l.atMs <= s.events.NowMs()-lagMs {
@@ -229,15 +229,15 @@
 	return tells
 }
 
-func (s *stand) call(k *Keeper, call wire.Call) {
+func (s *stand) call(k *Keeper, call protocol.Call) {
 	way := int64(1 + s.rnd.IntN(4))
 	switch body := call.Body.(type) {
-	case wire.FleetCall:
-		s.events.After(2*way, func() { k.Fleet(s.events.NowMs(), wire.Fleet{Ok: true, Runners: s.list(800)}) })
-	case wire.StateCall:
+	case protocol.FleetCall:
+		s.events.After(2*way, func() { k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: s.list(800)}) })
+	case protocol.StateCall:
 		s.events.After(2*way, func() {
 			r := s.at(call.Address)
-			said := wire.StateSaid{Runner: body.Runner, Number: body.Number}
+			said := protocol.StateSaid{Runner: body.Runner, Number: body.Number}
 			if r != nil && !r.dead && r.entry.ID == body.Runner && s.rnd.Float64() >= s.lossOut && len(r.past) > 0 {
 				said.Ok = true
 				lagMs := int64(100 + s.rnd.IntN(100))
@@ -250,10 +250,10 @@
 			}
 			k.State(s.events.NowMs(), said)
 		})
-	case wire.CommandCall:
+	case protocol.CommandCall:
 		s.orders++
 		if s.rnd.Float64() < s.lossIn/2 {
-			s.events.After(300, func() { k.Commanded(s.events.NowMs(), wire.CommandSaid{Runner: body.Runner, Number: body.Number}) })
+			s.events.After(300, func() { k.Commanded(s.events.NowMs(), protocol.CommandSaid{Runner: body.Runner, Number: body.Number}) })
 			return
 		}
 		if s.rnd.Float64() < s.lossIn {
@@ -265,9 +265,9 @@
 			lost := s.rnd.Float64() < s.lossOut || way > 300
 			s.events.After(way, func() {
 				if lost {
-					outcome = wire.CommandUnknown
+					outcome = protocol.CommandUnknown
 				}
-				k.Commanded(s.events.NowMs(), wire.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: outcome})
+				k.Commanded(s.events.NowMs(), protocol.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: outcome})
 			})
 		})
 	}
@@ -283,30 +283,30 @@
 }
 
 // command is the runner's side of an order.
-func (s *stand) command(address string, c wire.CommandCall) wire.CommandOutcome {
+func (s *stand) command(address string, c protocol.CommandCall) protocol.CommandOutcome {
 	r := s.at(address)
 	if r == nil {
-		return wire.CommandNotSent
+		return protocol.CommandNotSent
 	}
 	if r.entry.ID != c.Runner {
-		return wire.CommandRefused
+		return protocol.CommandRefused
 	}
 	if c.Fence < r.fence {
-		return wire.CommandFenced
+		return protocol.CommandFenced
 	}
 	r.fence = c.Fence
 	if r.finish != nil || c.Expected != r.calls {
-		return wire.CommandBusy
+		return protocol.CommandBusy
 	}
 	_, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return wire.CommandRefused
+			return protocol.CommandRefused
 		}
 		there = r.held[c.Model][c.Adapter]
 	}
 	if c.Load == there {
-		return wire.CommandInEffect
+		return protocol.CommandInEffect
 	}
 	r.calls++
 	m := s.model(c.Model)
@@ -341,7 +341,7 @@
 		r.finish = func() { delete(r.held[c.Model], c.Adapter) }
 	}
 	r.busyMs = s.events.NowMs() + took
-	return wire.CommandTaken
+	return protocol.CommandTaken
 }
 
 // ceiling gives the most loads that began in any window.
@@ -367,7 +367,7 @@
 type traffic struct {
 	s       *stand
 	k       *Keeper
-	from    wire.Place
+	from    protocol.Place
 	waiting map[demandKey][]int64
 	asked   map[demandKey]int
 	late    map[demandKey]int
@@ -377,14 +377,14 @@
 }
 
 func newTraffic(s *stand, k *Keeper) *traffic {
-	return &traffic{s: s, k: k, from: wire.Place{Name: "router-1", Address: "x"}, waiting: map[demandKey][]int64{}, asked: map[demandKey]int{}, late: map[demandKey]int{}, runMs: 600}
+	return &traffic{s: s, k: k, from: protocol.Place{Name: "router-1", Address: "x"}, waiting: map[demandKey][]int64{}, asked: map[demandKey]int{}, late: map[demandKey]int{}, runMs: 600}
 }
 
 // ask sends one request. Holders are checked against the runners themselves.
 func (t *traffic) ask(model, adapter string) {
 	key := demandKey{llm, model, adapter}
 	t.asked[key]++
-	index := t.k.LookUp(t.s.events.NowMs(), t.from, wire.MapLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.try(key)})
+	index := t.k.LookUp(t.s.events.NowMs(), t.from, protocol.MapLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.try(key)})
 	_ = index
 	if !t.try(key) {
 		t.waiting[key] = append(t.waiting[key], t.s.events.NowMs())
--- a/holdings/status.go
+++ b/internal/placement/status.go
@@ -1,4 +1,4 @@
-package holdings
+package placement
 
 import "fmt"
 
--- a/daemon/clock.go
+++ b/internal/process/clock.go
@@ -1,6 +1,6 @@
-// Package daemon is the shell round a state machine: it brings inputs to it
+// Package process is the shell round a state machine: it brings inputs to it
 // on one thread and carries its effects out.
-package daemon
+package process
 
 import "time"
 
--- a/daemon/door.go
+++ b/internal/process/door.go
@@ -1,4 +1,4 @@
-package daemon
+package process
 
 import (
 	"net"
@@ -7,15 +7,15 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/threads"
 )
 
 // Door is where peers' messages come in.
 type Door struct{ shell *Shell }
 
 // Take puts a batch before the machine.
-func (d *Door) Take(batch []wire.Envelope, _ *Ack) error {
+func (d *Door) Take(batch []protocol.Envelope, _ *Ack) error {
 	for _, e := range batch {
 		if e.Site != d.shell.set.Site {
 			d.shell.Count("other site")
@@ -58,8 +58,8 @@
 			s.Count("streams too many")
 			continue
 		}
-		crew.Side(func() {
-			codec := wire.NewServerCodec(stream)
+		threads.Side(func() {
+			codec := protocol.NewServerCodec(stream)
 			server.ServeCodec(codec)
 			if codec.Fault != nil {
 				s.Count("malformed")
--- a/daemon/halt.go
+++ b/internal/process/halt.go
@@ -1,4 +1,4 @@
-package daemon
+package process
 
 import "sync"
 
--- a/daemon/peers.go
+++ b/internal/process/peers.go
@@ -1,4 +1,4 @@
-package daemon
+package process
 
 import (
 	"net"
@@ -8,9 +8,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/ring"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/ringbuffer"
+	"myrtlewinch/internal/threads"
 )
 
 const (
@@ -35,16 +35,16 @@
 // address, so that a frozen peer holds up no other.
 type lines struct {
 	mu     sync.Mutex
-	open   map[string]*ring.Ring[wire.Envelope]
+	open   map[string]*ringbuffer.Ring[protocol.Envelope]
 	closed bool
 	count  func(string)
 }
 
 func newLines(count func(string)) *lines {
-	return &lines{open: map[string]*ring.Ring[wire.Envelope]{}, count: count}
+	return &lines{open: map[string]*ringbuffer.Ring[protocol.Envelope]{}, count: count}
 }
 
-func (l *lines) put(address string, e wire.Envelope) {
+func (l *lines) put(address string, e protocol.Envelope) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	line := l.open[address]
@@ -53,9 +53,9 @@
 			l.count("peers too many")
 			return
 		}
-		line = ring.New[wire.Envelope](lineMost)
+		line = ringbuffer.New[protocol.Envelope](lineMost)
 		l.open[address] = line
-		crew.Side(func() { l.carry(address, line) })
+		threads.Side(func() { l.carry(address, line) })
 	}
 	if !line.Put(e) {
 		l.count("peer line full")
@@ -78,7 +78,7 @@
 }
 
 func newRoute(stream net.Conn) *route {
-	return &route{stream, rpc.NewClientWithCodec(wire.NewClientCodec(stream))}
+	return &route{stream, rpc.NewClientWithCodec(protocol.NewClientCodec(stream))}
 }
 
 func (r *route) close() {
@@ -89,7 +89,7 @@
 
 // carry brings a line's messages over, in order. What can't be brought is
 // dropped: every message is repeated by a later tick where it matters.
-func (l *lines) carry(address string, line *ring.Ring[wire.Envelope]) {
+func (l *lines) carry(address string, line *ringbuffer.Ring[protocol.Envelope]) {
 	var open *route
 	var heldUntil time.Time
 	for {
@@ -122,12 +122,12 @@
 
 // takeBatch gives what waits in a line, at least one message, up to a number
 // and to the message that makes it large. False says that the line has ended.
-func takeBatch(line *ring.Ring[wire.Envelope]) ([]wire.Envelope, bool) {
+func takeBatch(line *ringbuffer.Ring[protocol.Envelope]) ([]protocol.Envelope, bool) {
 	first, ok := line.Take()
 	if !ok {
 		return nil, false
 	}
-	batch, bytes := []wire.Envelope{first}, weight(first)
+	batch, bytes := []protocol.Envelope{first}, weight(first)
 	for waiting, _ := line.Burden(); waiting > 0 && len(batch) < batchMost && bytes < batchBytesMost; waiting-- {
 		more, ok := line.Take()
 		if !ok {
@@ -140,15 +140,15 @@
 
 // weight is about how many bytes of rows or of a map a message carries; all
 // others are small.
-func weight(e wire.Envelope) (bytes int) {
+func weight(e protocol.Envelope) (bytes int) {
 	switch body := e.Body.(type) {
-	case wire.Snapshot:
+	case protocol.Snapshot:
 		return rowBytes(body.Rows)
-	case wire.Follow:
+	case protocol.Follow:
 		for _, change := range body.Changes {
 			bytes += rowBytes(change.Rows)
 		}
-	case wire.MapWord:
+	case protocol.MapWord:
 		return len(body.Packed)
 	}
 	return bytes
@@ -162,7 +162,7 @@
 }
 
 // callTime is how long a call with the batch may take.
-func callTime(batch []wire.Envelope) time.Duration {
+func callTime(batch []protocol.Envelope) time.Duration {
 	bytes := 0
 	for _, e := range batch {
 		bytes += weight(e)
@@ -173,7 +173,7 @@
 // call brings a batch over and waits until it was taken. The writing has to end
 // in time as well: a peer that stands still takes no more than its buffers
 // hold, and a line that waits for it brings it nothing after it wakes.
-func (r *route) call(batch []wire.Envelope, atMost time.Duration) error {
+func (r *route) call(batch []protocol.Envelope, atMost time.Duration) error {
 	if err := r.stream.SetWriteDeadline(time.Now().Add(atMost)); err != nil {
 		return err
 	}
--- a/daemon/peers_test.go
+++ b/internal/process/peers_test.go
@@ -1,4 +1,4 @@
-package daemon
+package process
 
 import (
 	"net"
@@ -8,28 +8,28 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/ring"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/ringbuffer"
 )
 
-func imageOf(bytes int) wire.Envelope {
-	return wire.Envelope{Body: wire.Snapshot{Rows: map[string]string{"map": strings.Repeat("r", bytes)}}}
+func imageOf(bytes int) protocol.Envelope {
+	return protocol.Envelope{Body: protocol.Snapshot{Rows: map[string]string{"map": strings.Repeat("r", bytes)}}}
 }
 
-func followOf(changes, bytes int) wire.Envelope {
-	var follow wire.Follow
+func followOf(changes, bytes int) protocol.Envelope {
+	var follow protocol.Follow
 	for range changes {
-		follow.Changes = append(follow.Changes, wire.Change{Rows: map[string]string{"map": strings.Repeat("r", bytes)}})
+		follow.Changes = append(follow.Changes, protocol.Change{Rows: map[string]string{"map": strings.Repeat("r", bytes)}})
 	}
-	return wire.Envelope{Body: follow}
+	return protocol.Envelope{Body: follow}
 }
 
 // A batch ends with the message that makes it large, so that no more than one
 // large message is lost with the small ones, and the time for a call covers what
 // the bytes take over a thin link.
 func TestTakeBatch(t *testing.T) {
-	small := wire.Envelope{Body: wire.Heartbeat{}}
-	repeat := func(count int, e wire.Envelope) (out []wire.Envelope) {
+	small := protocol.Envelope{Body: protocol.Heartbeat{}}
+	repeat := func(count int, e protocol.Envelope) (out []protocol.Envelope) {
 		for range count {
 			out = append(out, e)
 		}
@@ -37,7 +37,7 @@
 	}
 	for _, test := range []struct {
 		name string
-		line []wire.Envelope
+		line []protocol.Envelope
 		want []int
 		// most is the longest time for a call.
 		most time.Duration
@@ -48,11 +48,11 @@
 		{"a large one behind small ones", append(repeat(5, small), imageOf(400_000), small), []int{6, 1}, 2166 * time.Millisecond},
 		{"changes of some size", repeat(10, followOf(1, 54_209)), []int{5, 5}, 1951 * time.Millisecond},
 		{"many changes in one", repeat(2, followOf(19, 54_209)), []int{1, 1}, 3216 * time.Millisecond},
-		{"a map for routers", repeat(2, wire.Envelope{Body: wire.MapWord{Packed: make([]byte, 300_000)}}), []int{1, 1}, 2000 * time.Millisecond},
+		{"a map for routers", repeat(2, protocol.Envelope{Body: protocol.MapWord{Packed: make([]byte, 300_000)}}), []int{1, 1}, 2000 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			line := ring.New[wire.Envelope](lineMost)
+			line := ringbuffer.New[protocol.Envelope](lineMost)
 			for _, e := range test.line {
 				c.Assert(line.Put(e), qt.IsTrue)
 			}
@@ -81,5 +81,5 @@
 	defer there.Close()
 	open := newRoute(here)
 	defer open.close()
-	c.Assert(open.call([]wire.Envelope{imageOf(1 << 20)}, time.Millisecond), qt.IsNotNil)
+	c.Assert(open.call([]protocol.Envelope{imageOf(1 << 20)}, time.Millisecond), qt.IsNotNil)
 }
--- a/daemon/saving.go
+++ b/internal/process/saving.go
@@ -1,11 +1,11 @@
-package daemon
+package process
 
 import (
 	"time"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/disk"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
+	"myrtlewinch/internal/threads"
 )
 
 // probeMs is how often a disk that failed is looked at again.
@@ -14,20 +14,20 @@
 // saving is a write with the disk that it is for: after a defect the next
 // machine has another.
 type saving struct {
-	wire.Save
-	disk *disk.Disk
+	protocol.Save
+	disk *storage.Disk
 }
 
 // saved ends a write of a disk.
 type saved struct {
-	wire.Saved
-	disk *disk.Disk
+	protocol.Saved
+	disk *storage.Disk
 }
 
 // renewed brings a machine that was made anew.
 type renewed struct {
 	machine Machine
-	disk    *disk.Disk
+	disk    *storage.Disk
 }
 
 // savesMost bounds the writes that go to the platter together.
@@ -38,7 +38,7 @@
 // sync for each.
 func (s *Shell) save() error {
 	current := s.disk
-	var failed *disk.Disk
+	var failed *storage.Disk
 	defer func() { current.Close() }()
 	var waiting []saving
 	for {
@@ -49,19 +49,19 @@
 		waiting = rest
 		s.halt.wait()
 		current = batch[0].disk
-		writes := make([]disk.Write, 0, len(batch))
+		writes := make([]storage.Write, 0, len(batch))
 		for _, next := range batch {
 			writes = append(writes, next.Write)
 		}
 		err := current.Save(writes...)
 		for _, next := range batch {
-			s.Put(saved{wire.Saved{Number: next.Number, Ok: err == nil}, current})
+			s.Put(saved{protocol.Saved{Number: next.Number, Ok: err == nil}, current})
 		}
 		if err != nil && failed != current {
 			failed = current
 			s.set.Log.Error("the disk failed", "cause", err)
 			if s.set.Renew != nil {
-				crew.Side(func() { s.renew(failed) })
+				threads.Side(func() { s.renew(failed) })
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 // renew waits until the disk takes writes again and begins anew from it. A
 // daemon that stayed deaf would be one loss more for good, and one that ended
 // by itself would be counted as one that can't be relied on.
-func (s *Shell) renew(failed *disk.Disk) {
+func (s *Shell) renew(failed *storage.Disk) {
 	for {
 		select {
 		case <-s.ended:
--- a/daemon/saving_test.go
+++ b/internal/process/saving_test.go
@@ -1,4 +1,4 @@
-package daemon
+package process
 
 import (
 	"io"
@@ -10,10 +10,10 @@
 	"github.com/charmbracelet/log"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/disk"
-	"myrtlewinch/ring"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/ringbuffer"
+	"myrtlewinch/internal/storage"
+	"myrtlewinch/internal/threads"
 )
 
 // writer is a machine that writes when it is told to and tells how it ended.
@@ -22,22 +22,22 @@
 	ended chan string
 }
 
-func (w *writer) Step(_ int64, input any) wire.Effects {
+func (w *writer) Step(_ int64, input any) protocol.Effects {
 	switch in := input.(type) {
 	case string:
 		if in == "who" {
 			w.ended <- w.name
-			return wire.Effects{}
+			return protocol.Effects{}
 		}
-		return wire.Effects{Saves: []wire.Save{{Number: 1, Write: disk.Write{Sets: map[string]string{"key": in}}}}}
-	case wire.Saved:
+		return protocol.Effects{Saves: []protocol.Save{{Number: 1, Write: storage.Write{Sets: map[string]string{"key": in}}}}}
+	case protocol.Saved:
 		if in.Ok {
 			w.ended <- w.name + " wrote"
 		} else {
 			w.ended <- w.name + " failed"
 		}
 	}
-	return wire.Effects{}
+	return protocol.Effects{}
 }
 
 // A daemon whose disk failed begins anew from it once it takes writes again;
@@ -45,7 +45,7 @@
 func TestADiskThatFailedIsTakenUpAgain(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
-	d, err := disk.Open(folder, "s")
+	d, err := storage.Open(folder, "s")
 	c.Assert(err, qt.IsNil)
 	ended := make(chan string, 4)
 	listen := func() net.Listener {
@@ -54,16 +54,16 @@
 		return at
 	}
 	made := make(chan struct{})
-	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000, Renew: func() (Machine, *disk.Disk, error) {
+	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000, Renew: func() (Machine, *storage.Disk, error) {
 		defer close(made)
-		again, err := disk.Reopen(folder, "s")
+		again, err := storage.Reopen(folder, "s")
 		return &writer{"second", ended}, again, err
 	}}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
 	done, over := make(chan struct{}), make(chan struct{})
-	var group crew.Crew
+	var group threads.Crew
 	s.Join(&group)
 	group.Until(done)
-	crew.Side(func() { _ = group.Run(); close(over) })
+	threads.Side(func() { _ = group.Run(); close(over) })
 	d.Spoil(func(*os.File) error { return os.ErrInvalid })
 	c.Assert(s.Put("one"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first failed")
@@ -76,7 +76,7 @@
 	c.Assert(<-ended, qt.Equals, "second wrote")
 	close(done)
 	<-over
-	again, err := disk.Open(folder, "s")
+	again, err := storage.Open(folder, "s")
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
 	c.Assert(again.Keys()["key"], qt.Equals, "two")
@@ -87,7 +87,7 @@
 func TestWritesThatWaitAreSyncedTogether(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
-	d, err := disk.Open(folder, "s")
+	d, err := storage.Open(folder, "s")
 	c.Assert(err, qt.IsNil)
 	listen := func() net.Listener {
 		at, err := net.Listen("tcp", "127.0.0.1:0")
@@ -97,10 +97,10 @@
 	ended := make(chan string, 16)
 	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
 	done, over := make(chan struct{}), make(chan struct{})
-	var group crew.Crew
+	var group threads.Crew
 	s.Join(&group)
 	group.Until(done)
-	crew.Side(func() { _ = group.Run(); close(over) })
+	threads.Side(func() { _ = group.Run(); close(over) })
 	begun, gate := make(chan struct{}, 16), make(chan struct{})
 	d.Spoil(func(file *os.File) error {
 		begun <- struct{}{}
@@ -122,7 +122,7 @@
 	c.Assert(begun, qt.HasLen, 1, qt.Commentf("one further sync for five writes"))
 	close(done)
 	<-over
-	again, err := disk.Open(folder, "s")
+	again, err := storage.Open(folder, "s")
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
 	c.Assert(again.Keys()["key"], qt.Equals, "six")
@@ -130,7 +130,7 @@
 
 // Writes are taken together for one disk alone, up to a bound and in order.
 func TestTakeSaves(t *testing.T) {
-	first, second := &disk.Disk{}, &disk.Disk{}
+	first, second := &storage.Disk{}, &storage.Disk{}
 	for _, test := range []struct {
 		name        string
 		held        int
@@ -145,10 +145,10 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := &Shell{saves: ring.New[saving](inputsMost)}
+			s := &Shell{saves: ringbuffer.New[saving](inputsMost)}
 			var held []saving
 			number := uint64(0)
-			next := func(d *disk.Disk) saving { number++; return saving{wire.Save{Number: number}, d} }
+			next := func(d *storage.Disk) saving { number++; return saving{protocol.Save{Number: number}, d} }
 			for range test.held {
 				held = append(held, next(first))
 			}
--- a/daemon/shell.go
+++ b/internal/process/shell.go
@@ -1,4 +1,4 @@
-package daemon
+package process
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/disk"
-	"myrtlewinch/outward"
-	"myrtlewinch/ring"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/httpclient"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/ringbuffer"
+	"myrtlewinch/internal/storage"
+	"myrtlewinch/internal/threads"
 )
 
 const (
@@ -31,13 +31,13 @@
 
 // Machine is a state machine: an input in, effects out.
 type Machine interface {
-	Step(nowMs int64, input any) wire.Effects
+	Step(nowMs int64, input any) protocol.Effects
 }
 
 // Settings is what a shell needs beside its machine.
 type Settings struct {
 	Site   string
-	Self   wire.Place
+	Self   protocol.Place
 	Clock  Clock
 	Log    *log.Logger
 	TickMs int64
@@ -46,26 +46,26 @@
 	Exchanger Exchanger
 	// Renew makes the machine anew from its disk once that takes writes again
 	// after a defect; nil leaves that to a restart.
-	Renew func() (Machine, *disk.Disk, error)
+	Renew func() (Machine, *storage.Disk, error)
 }
 
 // Exchanger carries a call out and gives what it brought, as an input for the
 // machine; false says that it does not know the call. May makes the check at
 // the socket: no byte may be written once the process's clock shows untilMs.
 type Exchanger interface {
-	Exchange(ctx context.Context, out *outward.Transport, call wire.Call, may func(untilMs int64) func() bool) (any, bool)
+	Exchange(ctx context.Context, out *httpclient.Transport, call protocol.Call, may func(untilMs int64) func() bool) (any, bool)
 }
 
 // Shell runs one machine.
 type Shell struct {
 	set     Settings
 	machine Machine
-	disk    *disk.Disk
-	inputs  *ring.Ring[any]
-	saves   *ring.Ring[saving]
+	disk    *storage.Disk
+	inputs  *ringbuffer.Ring[any]
+	saves   *ringbuffer.Ring[saving]
 	lines   *lines
 	doorway doorway
-	out     *outward.Transport
+	out     *httpclient.Transport
 	calls   atomic.Int64
 	ids     atomic.Uint64
 	mu      sync.Mutex
@@ -78,12 +78,12 @@
 }
 
 // New makes a shell; nothing runs yet. The disk may be nil.
-func New(set Settings, machine Machine, d *disk.Disk, peers, web net.Listener, handler http.Handler) *Shell {
+func New(set Settings, machine Machine, d *storage.Disk, peers, web net.Listener, handler http.Handler) *Shell {
 	s := &Shell{
 		set: set, machine: machine, disk: d,
-		inputs: ring.New[any](inputsMost), saves: ring.New[saving](inputsMost),
+		inputs: ringbuffer.New[any](inputsMost), saves: ringbuffer.New[saving](inputsMost),
 		doorway: doorway{listener: peers, streams: map[net.Conn]bool{}},
-		out:     outward.New(), answers: map[uint64]chan any{}, counts: map[string]uint64{},
+		out:     httpclient.New(), answers: map[uint64]chan any{}, counts: map[string]uint64{},
 		webAt: web, ended: make(chan struct{}),
 	}
 	s.lines = newLines(s.Count)
@@ -95,7 +95,7 @@
 }
 
 // Outward is the way out of this process.
-func (s *Shell) Outward() *outward.Transport { return s.out }
+func (s *Shell) Outward() *httpclient.Transport { return s.out }
 
 // Clock is the process's clock.
 func (s *Shell) Clock() Clock { return s.set.Clock }
@@ -174,7 +174,7 @@
 }
 
 // Join adds the shell's duties to a crew.
-func (s *Shell) Join(c *crew.Crew) {
+func (s *Shell) Join(c *threads.Crew) {
 	c.Duty(s.work, s.inputs.Close)
 	if s.disk != nil {
 		c.Duty(s.save, s.saves.Close)
@@ -195,7 +195,7 @@
 	c.Beat(s.set.TickMs, func() {
 		// Ticks that pile up after a freeze would say nothing new.
 		if waiting, _ := s.inputs.Burden(); waiting < inputsMost/2 {
-			s.inputs.Put(wire.Tick{})
+			s.inputs.Put(protocol.Tick{})
 		}
 	})
 }
@@ -227,7 +227,7 @@
 	}
 }
 
-func (s *Shell) perform(effects wire.Effects) {
+func (s *Shell) perform(effects protocol.Effects) {
 	for _, note := range effects.Notes {
 		s.set.Log.Info(note)
 	}
@@ -236,12 +236,12 @@
 	}
 	for _, save := range effects.Saves {
 		if s.disk == nil || !s.saves.Put(saving{save, s.disk}) {
-			s.Put(saved{wire.Saved{Number: save.Number, Ok: false}, s.disk})
+			s.Put(saved{protocol.Saved{Number: save.Number, Ok: false}, s.disk})
 		}
 	}
 	for _, send := range effects.Sends {
 		s.Count("messages sent")
-		s.lines.put(send.Address, wire.Envelope{Site: s.set.Site, From: s.set.Self, To: send.To, Body: send.Body})
+		s.lines.put(send.Address, protocol.Envelope{Site: s.set.Site, From: s.set.Self, To: send.To, Body: send.Body})
 	}
 	for _, answer := range effects.Answers {
 		s.mu.Lock()
@@ -259,31 +259,31 @@
 			s.Put(lost(call))
 			continue
 		}
-		crew.Side(func() {
+		threads.Side(func() {
 			defer s.calls.Add(-1)
 			s.Put(s.exchange(call))
 		})
 	}
 }
 
-func lost(call wire.Call) any {
+func lost(call protocol.Call) any {
 	switch body := call.Body.(type) {
-	case wire.OrderCall:
-		return wire.Reported{Runner: body.Runner, Address: call.Address}
-	case wire.ReportCall:
-		return wire.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
-	case wire.FleetCall:
-		return wire.Fleet{}
-	case wire.StateCall:
-		return wire.StateSaid{Runner: body.Runner, Number: body.Number}
-	case wire.CommandCall:
-		return wire.CommandSaid{Runner: body.Runner, Number: body.Number}
+	case protocol.OrderCall:
+		return protocol.Reported{Runner: body.Runner, Address: call.Address}
+	case protocol.ReportCall:
+		return protocol.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
+	case protocol.FleetCall:
+		return protocol.Fleet{}
+	case protocol.StateCall:
+		return protocol.StateSaid{Runner: body.Runner, Number: body.Number}
+	case protocol.CommandCall:
+		return protocol.CommandSaid{Runner: body.Runner, Number: body.Number}
 	}
-	return wire.Listing{}
+	return protocol.Listing{}
 }
 
 // exchange carries a call out to a runner or to the platform.
-func (s *Shell) exchange(call wire.Call) any {
+func (s *Shell) exchange(call protocol.Call) any {
 	ctx, cancel := context.WithTimeout(context.Background(), outwardMs*time.Millisecond)
 	defer cancel()
 	if s.set.Exchanger != nil {
@@ -294,19 +294,19 @@
 	}
 	always := s.MaySend(func(int64) bool { return true })
 	switch body := call.Body.(type) {
-	case wire.OrderCall:
+	case protocol.OrderCall:
 		text, _ := json.Marshal(body.Order)
 		// The hold is checked again right before the order is written.
 		inTime := s.MaySend(func(nowMs int64) bool { return nowMs < body.UntilMs })
-		reported := wire.Reported{Runner: body.Runner, Address: call.Address}
+		reported := protocol.Reported{Runner: body.Runner, Address: call.Address}
 		reported.Ok = s.fetch(ctx, http.MethodPost, call.Address, "/orders", text, inTime, &reported.Report)
 		return reported
-	case wire.ReportCall:
-		reported := wire.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
+	case protocol.ReportCall:
+		reported := protocol.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
 		reported.Ok = s.fetch(ctx, http.MethodGet, call.Address, fmt.Sprintf("/report?epoch=%d", body.Epoch), nil, always, &reported.Report)
 		return reported
-	case wire.PlatformCall:
-		var listing wire.Listing
+	case protocol.PlatformCall:
+		var listing protocol.Listing
 		listing.Ok = s.fetch(ctx, http.MethodGet, call.Address, "/runners", nil, always, &listing.Runners)
 		return listing
 	}
--- a/wire/effects.go
+++ b/internal/protocol/effects.go
@@ -1,8 +1,8 @@
-package wire
+package protocol
 
 import (
-	"myrtlewinch/defect"
-	"myrtlewinch/disk"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/storage"
 )
 
 // Send is a message to be sent. The address leads; the name may be unknown
@@ -16,7 +16,7 @@
 // Save is a change of the disk; its end comes back as Saved with the number.
 type Save struct {
 	Number uint64
-	Write  disk.Write
+	Write  storage.Write
 }
 
 // Saved ends a Save.
@@ -33,7 +33,7 @@
 
 // Dropped answers with a kind of defect.
 type Dropped struct {
-	Kind     defect.Kind
+	Kind     errkind.Kind
 	Detail   string
 	Faults   []string
 	Revision uint64
--- a/wire/outward.go
+++ b/internal/protocol/outward.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 // Order is what the holder of the duty tells a runner. A runner carries its
 // orders out one after another and remembers the last.
--- a/wire/pack.go
+++ b/internal/protocol/pack.go
@@ -1,4 +1,4 @@
-package wire
+package protocol
 
 import (
 	"bytes"
--- a/wire/place.go
+++ b/internal/protocol/place.go
@@ -1,6 +1,6 @@
-// Package wire holds what the site's processes say to each other, and the
+// Package protocol holds what the site's processes say to each other, and the
 // effects that state machines return.
-package wire
+package protocol
 
 import "hash/fnv"
 
--- a/relay/budget.go
+++ b/internal/proxy/budget.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 // budget is the token bucket of a service's second sends. Each first send
 // earns a part; what may be saved is the router's share of the allowance.
--- a/relay/candidates.go
+++ b/internal/proxy/candidates.go
@@ -1,9 +1,9 @@
-package relay
+package proxy
 
 import (
 	"slices"
 
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
 )
 
 // candidates lists the runners that a request can be sent to now, and in
@@ -51,7 +51,7 @@
 // of a stream's patience to be read before its own.
 func (m *Machine) slow(r *request, known *runner) bool {
 	each := m.reads[modelOf{r.key.service, r.key.model}]
-	if each <= 0 || r.service.Engine == nil || r.route.Kind != servicemap.Stream {
+	if each <= 0 || r.service.Engine == nil || r.route.Kind != config.Stream {
 		return false
 	}
 	waiting := known.reading
@@ -70,7 +70,7 @@
 }
 
 // streams is how many requests this router may have under way at a runner.
-func (m *Machine) streams(s *servicemap.Service) int {
+func (m *Machine) streams(s *config.Service) int {
 	if s.MostStreams <= 0 {
 		return 1 << 20
 	}
--- a/relay/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"net"
@@ -8,7 +8,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
 )
 
 const (
@@ -37,7 +37,7 @@
 }
 
 // limitsOf reads the limits of a map, which may be nil.
-func limitsOf(document *servicemap.Map) clientLimits {
+func limitsOf(document *config.Map) clientLimits {
 	limits := clientLimits{defaultIdle, defaultHeadWait, defaultHeadBytes}
 	if document == nil {
 		return limits
--- a/relay/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -17,9 +17,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/threads"
 )
 
 // pipeListener hands out one in-memory connection.
@@ -41,7 +41,7 @@
 type waitBed struct {
 	client net.Conn
 	reader *bufio.Reader
-	limits atomic.Pointer[servicemap.Limits]
+	limits atomic.Pointer[config.Limits]
 }
 
 const (
@@ -68,7 +68,7 @@
 			_, _ = io.WriteString(w, "ok")
 		})
 		done := make(chan struct{})
-		crew.Side(func() { defer close(done); _ = server.Serve(listener) })
+		threads.Side(func() { defer close(done); _ = server.Serve(listener) })
 		play(b)
 		_ = client.Close()
 		close(front.connections)
@@ -78,7 +78,7 @@
 }
 
 func byTheMap(b *waitBed, front net.Listener) (*http.Server, net.Listener) {
-	limits := func() clientLimits { return limitsOf(&servicemap.Map{Limits: *b.limits.Load()}) }
+	limits := func() clientLimits { return limitsOf(&config.Map{Limits: *b.limits.Load()}) }
 	return &http.Server{ConnState: trackClientConn}, clientListener{front, limits}
 }
 
@@ -87,7 +87,7 @@
 	return &http.Server{ReadHeaderTimeout: defaultHeadWait, IdleTimeout: defaultIdle}, front
 }
 
-func (b *waitBed) idle(ms int64) { b.limits.Store(&servicemap.Limits{IdleMs: ms, HeaderWaitMs: 3000}) }
+func (b *waitBed) idle(ms int64) { b.limits.Store(&config.Limits{IdleMs: ms, HeaderWaitMs: 3000}) }
 
 // ask says whether a request on the connection is answered.
 func (b *waitBed) ask(pieces ...string) bool {
@@ -251,7 +251,7 @@
 		document.Limits.HeaderBytes = test.bytes
 		text, err := json.Marshal(document)
 		c.Assert(err, qt.IsNil)
-		g.shell.Put(wire.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: wire.MapWord{
+		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.MapWord{
 			EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
 		}})
 		// The machine takes one input after the other, so this one is behind.
@@ -272,20 +272,20 @@
 func TestLimitsOf(t *testing.T) {
 	cases := []struct {
 		about  string
-		limits servicemap.Limits
+		limits config.Limits
 		want   clientLimits
 	}{
-		{"none", servicemap.Limits{}, clientLimits{defaultIdle, defaultHeadWait, defaultHeadBytes}},
-		{"all", servicemap.Limits{HeaderBytes: 16384, HeaderWaitMs: 3000, IdleMs: 15_000}, clientLimits{17 * time.Second, 5 * time.Second, 16384}},
+		{"none", config.Limits{}, clientLimits{defaultIdle, defaultHeadWait, defaultHeadBytes}},
+		{"all", config.Limits{HeaderBytes: 16384, HeaderWaitMs: 3000, IdleMs: 15_000}, clientLimits{17 * time.Second, 5 * time.Second, 16384}},
 		{
-			"beyond what can be held", servicemap.Limits{HeaderBytes: 1 << 40, HeaderWaitMs: 1 << 60, IdleMs: 1 << 60},
+			"beyond what can be held", config.Limits{HeaderBytes: 1 << 40, HeaderWaitMs: 1 << 60, IdleMs: 1 << 60},
 			clientLimits{waitCeiling + waitSlack, waitCeiling + waitSlack, headBytesCeiling},
 		},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			qt.Assert(t, limitsOf(&servicemap.Map{Limits: test.limits}) == test.want, qt.IsTrue)
+			qt.Assert(t, limitsOf(&config.Map{Limits: test.limits}) == test.want, qt.IsTrue)
 		})
 	}
-	qt.Assert(t, limitsOf(nil), qt.Equals, limitsOf(&servicemap.Map{}))
+	qt.Assert(t, limitsOf(nil), qt.Equals, limitsOf(&config.Map{}))
 }
--- a/relay/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 
 	"pgregory.net/rapid"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/threads"
 )
 
 // reaction is what a modelled runner does with a request that arrives.
@@ -103,7 +103,7 @@
 	m.open[listener] = true
 	m.mu.Unlock()
 	m.served.Add(1)
-	crew.Side(func() {
+	threads.Side(func() {
 		defer m.served.Done()
 		for {
 			connection, err := listener.Accept()
@@ -114,7 +114,7 @@
 			m.open[connection] = true
 			m.mu.Unlock()
 			m.served.Add(1)
-			crew.Side(func() {
+			threads.Side(func() {
 				defer m.served.Done()
 				(&modelConn{runners: m, id: id, connection: connection, reader: bufio.NewReader(connection)}).serve()
 			})
@@ -446,7 +446,7 @@
 	answered := make(chan struct{})
 	watched := make(chan bool)
 	connection := m.connection
-	crew.Side(func() {
+	threads.Side(func() {
 		select {
 		case <-m.runners.silence(o.try):
 			_ = connection.Close()
@@ -508,7 +508,7 @@
 // exchangeModel is a router between modelled clients and runners.
 type exchangeModel struct {
 	tongue   Tongue
-	document servicemap.Map
+	document config.Map
 }
 
 func (e exchangeModel) play(clients [][]modelRequest) ([]string, error) {
@@ -535,7 +535,7 @@
 	var group sync.WaitGroup
 	for _, requests := range clients {
 		group.Add(1)
-		crew.Side(func() {
+		threads.Side(func() {
 			defer group.Done()
 			(&modelClient{address: strings.TrimPrefix(url, "http://"), log: log, runners: runners}).run(requests)
 		})
@@ -584,7 +584,7 @@
 	unsafeAsSafe := exampleMap(1)
 	for i := range unsafeAsSafe.Routes {
 		if unsafeAsSafe.Routes[i].Name == "unsafe" {
-			unsafeAsSafe.Routes[i].Kind = servicemap.Safe
+			unsafeAsSafe.Routes[i].Kind = config.Safe
 		}
 	}
 	moreTries := exampleMap(1)
--- a/relay/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"sync"
 	"testing"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/threads"
 )
 
 // fixedRunner answers each connection's first request with what is set, and
@@ -48,7 +48,7 @@
 		if err != nil {
 			return
 		}
-		crew.Side(func() { serve(connection) })
+		threads.Side(func() { serve(connection) })
 	}
 }
 
@@ -75,7 +75,7 @@
 	}
 	f.Cleanup(func() { _ = listener.Close() })
 	runner := &fixedRunner{}
-	crew.Side(func() { acceptAll(listener, runner.serve) })
+	threads.Side(func() { acceptAll(listener, runner.serve) })
 	document := exampleMap(1)
 	document.Index()
 	g, _, stop, err := startGate(plainTongue{}, document, nil, io.Discard)
@@ -118,7 +118,7 @@
 	})
 }
 
-func routeOf(document servicemap.Map, name string) *servicemap.Route {
+func routeOf(document config.Map, name string) *config.Route {
 	for i := range document.Routes {
 		if document.Routes[i].Name == name {
 			return &document.Routes[i]
@@ -174,7 +174,7 @@
 	// so all are counted together.
 	var mu sync.Mutex
 	arrived, sent := map[sentRequest]int{}, map[sentRequest]int{}
-	crew.Side(func() {
+	threads.Side(func() {
 		acceptAll(listener, func(connection net.Conn) {
 			defer connection.Close()
 			reader := bufio.NewReader(connection)
--- a/relay/gate.go
+++ b/internal/proxy/gate.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/daemon"
-	"myrtlewinch/defect"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/threads"
 )
 
 const (
@@ -45,7 +45,7 @@
 // Gate is a router as a process: its machine in a shell, and the way of a
 // request through it.
 type Gate struct {
-	shell   *daemon.Shell
+	shell   *process.Shell
 	machine *Machine
 	set     Settings
 	tongue  Tongue
@@ -63,8 +63,8 @@
 
 // NewGate makes the router; nothing runs yet. Clients come to front, and
 // whoever asks whether this router takes any comes to ready.
-func NewGate(set Settings, tongue Tongue, format Format, exchanger daemon.Exchanger, peers, front, ready net.Listener, logger *log.Logger) (*Gate, error) {
-	clock := daemon.NewClock()
+func NewGate(set Settings, tongue Tongue, format Format, exchanger process.Exchanger, peers, front, ready net.Listener, logger *log.Logger) (*Gate, error) {
+	clock := process.NewClock()
 	g := &Gate{machine: New(set, format, clock.NowMs()), set: set, tongue: tongue, front: front, most: requestMost}
 	if set.OpenFiles > 0 {
 		g.most = min(g.most, int64(max(64, (set.OpenFiles-spareFiles)/2)))
@@ -74,7 +74,7 @@
 		g.bodiesMost = int64(set.MemoryMb) << 20 / 5
 		g.most = min(g.most, int64(max(64, set.MemoryMb*1024/2/eachKb)))
 	}
-	g.shell = daemon.New(daemon.Settings{
+	g.shell = process.New(process.Settings{
 		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Exchanger: exchanger,
 	}, g.machine, nil, peers, ready, http.HandlerFunc(g.page))
 	g.server = &http.Server{
@@ -86,7 +86,7 @@
 }
 
 // Join adds the router's duties to a crew.
-func (g *Gate) Join(c *crew.Crew) {
+func (g *Gate) Join(c *threads.Crew) {
 	g.shell.Join(c)
 	c.Duty(func() error {
 		if err := g.server.Serve(clientListener{g.front, g.limits}); !errors.Is(err, http.ErrServerClosed) {
@@ -177,29 +177,29 @@
 	// The bound keeps a crowd from filling the memory.
 	if under > g.most {
 		g.shell.Count("requests too many")
-		g.tongue.Refuse(w, defect.HoldingFull, 300)
+		g.tongue.Refuse(w, errkind.HoldingFull, 300)
 		return
 	}
 	if headBytes(r) > g.limits().headBytes {
 		w.Header().Set("Connection", "close")
-		g.tongue.Refuse(w, defect.HeadTooLarge, 0)
+		g.tongue.Refuse(w, errkind.HeadTooLarge, 0)
 		return
 	}
 	path, query, hasQuery := strings.Cut(r.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
-		g.tongue.Refuse(w, defect.BadRequest, 0)
+		g.tongue.Refuse(w, errkind.BadRequest, 0)
 		return
 	}
 	asked, err := g.tongue.Ask(r)
 	if err != nil {
-		g.tongue.Refuse(w, defect.BadRequest, 0)
+		g.tongue.Refuse(w, errkind.BadRequest, 0)
 		return
 	}
 	if large := max(0, r.ContentLength-smallBody); large > 0 {
 		defer g.bodies.Add(-large)
 		if g.bodies.Add(large) > g.bodiesMost {
 			g.shell.Count("bodies too large together")
-			g.tongue.Refuse(w, defect.HoldingFull, 300)
+			g.tongue.Refuse(w, errkind.HoldingFull, 300)
 			return
 		}
 	}
@@ -217,7 +217,7 @@
 
 // readBody reads the whole body before anything is sent on: a body that broke
 // off halfway must reach no runner.
-func (g *Gate) readBody(w http.ResponseWriter, r *http.Request) ([]byte, defect.Kind) {
+func (g *Gate) readBody(w http.ResponseWriter, r *http.Request) ([]byte, errkind.Kind) {
 	if r.ContentLength == 0 {
 		return nil, ""
 	}
@@ -227,7 +227,7 @@
 	}
 	if r.ContentLength > most {
 		w.Header().Set("Connection", "close")
-		return nil, defect.TooLarge
+		return nil, errkind.TooLarge
 	}
 	control := http.NewResponseController(w)
 	_ = control.SetReadDeadline(time.Now().Add(bodyWaitMs * time.Millisecond))
@@ -250,10 +250,10 @@
 	var large *http.MaxBytesError
 	switch {
 	case errors.As(err, &large):
-		return nil, defect.TooLarge
+		return nil, errkind.TooLarge
 	case err != nil:
 		w.Header().Set("Connection", "close")
-		return nil, defect.BadRequest
+		return nil, errkind.BadRequest
 	}
 	return body, ""
 }
@@ -286,7 +286,7 @@
 	defer g.shell.Forget(id)
 	p.id = id
 	if !g.shell.Put(Request{ID: id, Host: host(p.r.Host), Path: p.path, Asked: p.asked}) {
-		g.tongue.Refuse(p.w, defect.HoldingFull, 300)
+		g.tongue.Refuse(p.w, errkind.HoldingFull, 300)
 		return
 	}
 	// Whatever ends this, the place that a send took is free again.
@@ -302,7 +302,7 @@
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
-			case wire.Dropped:
+			case protocol.Dropped:
 				over = true
 				g.tongue.Refuse(p.w, said.Kind, said.RetryMs)
 				return
@@ -332,7 +332,7 @@
 var _ http.Handler = (*Gate)(nil)
 
 // streams says whether an answer of the route comes piece by piece.
-func streams(route *servicemap.Route, answer *http.Response) bool {
+func streams(route *config.Route, answer *http.Response) bool {
 	return answer.StatusCode/100 == 2 &&
-		(route.Kind == servicemap.Stream || strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream"))
+		(route.Kind == config.Stream || strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream"))
 }
--- a/relay/gate_test.go
+++ b/internal/proxy/gate_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"bufio"
@@ -17,11 +17,11 @@
 	"github.com/charmbracelet/log"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/crew"
-	"myrtlewinch/defect"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/threads"
 )
 
 // plainTongue speaks in headers of its own.
@@ -62,7 +62,7 @@
 	}
 }
 
-func (plainTongue) Refuse(w http.ResponseWriter, kind defect.Kind, retryMs int64) {
+func (plainTongue) Refuse(w http.ResponseWriter, kind errkind.Kind, retryMs int64) {
 	w.Header().Set("Kind", string(kind))
 	w.WriteHeader(kind.Reply().Status)
 }
@@ -96,7 +96,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
 	p := &played{at: at, scripts: scripts}
-	crew.Side(func() {
+	threads.Side(func() {
 		for {
 			stream, err := at.Accept()
 			if err != nil {
@@ -104,7 +104,7 @@
 			}
 			number := p.accepted
 			p.accepted++
-			crew.Side(func() { p.serve(stream, number) })
+			threads.Side(func() { p.serve(stream, number) })
 		}
 	})
 	return p
@@ -185,7 +185,7 @@
 }
 
 // startGate runs a router for runners that all hold all.
-func startGate(tongue Tongue, document servicemap.Map, addresses []string, logs io.Writer) (g *Gate, url string, stop func(), err error) {
+func startGate(tongue Tongue, document config.Map, addresses []string, logs io.Writer) (g *Gate, url string, stop func(), err error) {
 	var listeners [3]net.Listener
 	for i := range listeners {
 		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -199,23 +199,23 @@
 	if err != nil {
 		return nil, "", nil, err
 	}
-	group := &crew.Crew{}
+	group := &threads.Crew{}
 	g.Join(group)
 	stopped, done := make(chan struct{}), make(chan struct{})
 	group.Until(stopped)
-	crew.Side(func() {
+	threads.Side(func() {
 		defer close(done)
 		_ = group.Run()
 	})
 	put := func(body any) {
-		g.shell.Put(wire.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
+		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
 	}
 	text, _ := json.Marshal(document)
-	put(wire.MapWord{EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 1, Sum: "1", Text: string(text), Routers: 1})
-	for _, line := range []wire.MapIndex{{Service: "pages"}, {Service: "reader", Model: "m"}} {
+	put(protocol.MapWord{EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 1, Sum: "1", Text: string(text), Routers: 1})
+	for _, line := range []protocol.MapIndex{{Service: "pages"}, {Service: "reader", Model: "m"}} {
 		line.ID, line.Known, line.Epoch, line.TurnMs = 1, true, 3, -1
 		for i, address := range addresses {
-			line.Holders = append(line.Holders, wire.MapHolder{ID: fmt.Sprint("r", i), Address: address, Slots: 8})
+			line.Holders = append(line.Holders, protocol.MapHolder{ID: fmt.Sprint("r", i), Address: address, Slots: 8})
 		}
 		put(line)
 	}
--- a/relay/load_test.go
+++ b/internal/proxy/load_test.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"testing"
--- a/relay/machine.go
+++ b/internal/proxy/machine.go
@@ -1,14 +1,14 @@
-package relay
+package proxy
 
 import (
 	"fmt"
 	"sync/atomic"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/defect"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/watch"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/failuredetector"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -35,7 +35,7 @@
 // Settings is the configuration of a router: what it knows at its start.
 type Settings struct {
 	Site   string
-	Self   wire.Place
+	Self   protocol.Place
 	Seeds  []string
 	Bounds bounds.Bounds
 	// ListAddress is where the platform lists its runners; empty is nowhere.
@@ -46,7 +46,7 @@
 // Format reads service maps as operators write them.
 type Format interface {
 	// Read gives the map, or every fault found.
-	Read(text []byte) (*servicemap.Map, []string)
+	Read(text []byte) (*config.Map, []string)
 }
 
 // Machine is the state machine of one router. It takes inputs through Step and
@@ -57,12 +57,12 @@
 	format Format
 	nowMs  int64
 	stepMs int64
-	out    wire.Effects
-	roster *watch.Roster
+	out    protocol.Effects
+	roster *failuredetector.Roster
 	seeds  []string
 
 	// current is the map in use, also for those on other threads.
-	current atomic.Pointer[servicemap.Map]
+	current atomic.Pointer[config.Map]
 	version uint64
 	sum     string
 	epoch   uint64
@@ -88,7 +88,7 @@
 	// the last brought at atMs.
 	readMs  int64
 	reading bool
-	listed  []wire.RunnerEntry
+	listed  []protocol.RunnerEntry
 	atMs    int64
 	leaving bool
 	leaveMs int64
@@ -108,7 +108,7 @@
 	times map[string]float64
 	asks  uint64
 	// What candidates found last.
-	offered    []wire.MapHolder
+	offered    []protocol.MapHolder
 	chosen     []candidate
 	crowdedNow bool
 	Tally      Tally
@@ -118,28 +118,28 @@
 // no service map.
 func New(set Settings, format Format, nowMs int64) *Machine {
 	return &Machine{
-		set: set, format: format, nowMs: nowMs, stepMs: nowMs, roster: watch.New(set.Self, nil, nil), seeds: set.Seeds,
+		set: set, format: format, nowMs: nowMs, stepMs: nowMs, roster: failuredetector.New(set.Self, nil, nil), seeds: set.Seeds,
 		heardMs: nowMs - silentMs - 1, askedMs: nowMs - askMs, helloMs: nowMs - helloMs, readMs: nowMs, sweptMs: nowMs,
 		leavers: map[string]int64{}, cache: cache{}, runners: map[string]*runner{}, requests: map[uint64]*request{},
 		crowded: map[string]int{}, budgets: map[string]*budget{}, paces: map[string]*paced{}, pricing: pricing{}, reads: map[modelOf]float64{}, times: map[string]float64{},
-		Tally: Tally{Drops: map[defect.Kind]uint64{}},
+		Tally: Tally{Drops: map[errkind.Kind]uint64{}},
 	}
 }
 
 // Map is the map in use, or nil; any thread may ask.
-func (m *Machine) Map() *servicemap.Map { return m.current.Load() }
+func (m *Machine) Map() *config.Map { return m.current.Load() }
 
 // Step applies one input at the given time and returns its effects: messages to
 // send, answers to requests, calls and notes. An input of unknown type panics.
-func (m *Machine) Step(nowMs int64, input any) wire.Effects {
+func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
 	m.nowMs = nowMs
-	m.out = wire.Effects{}
+	m.out = protocol.Effects{}
 	if nowMs-m.stepMs > gapMs {
 		m.thaw()
 	}
 	m.stepMs = nowMs
 	switch in := input.(type) {
-	case wire.Envelope:
+	case protocol.Envelope:
 		m.receive(in)
 	case Request:
 		m.take(in)
@@ -149,7 +149,7 @@
 		m.ended(in)
 	case Gone:
 		m.gone(in.ID)
-	case wire.Fleet:
+	case protocol.Fleet:
 		m.fleet(in)
 	case Leave:
 		if !m.leaving {
@@ -159,7 +159,7 @@
 		m.seeds = in.Seeds
 	case Look:
 		m.answer(in.ID, m.status())
-	case wire.Tick:
+	case protocol.Tick:
 		m.tick()
 	default:
 		panic(fmt.Sprintf("relay: unknown input %T", input))
@@ -186,7 +186,7 @@
 	if m.set.ListAddress != "" && m.current.Load() != nil && m.silent() && m.nowMs >= m.readMs && !m.reading {
 		// All routers share the platform's patience.
 		m.readMs, m.reading = m.nowMs+max(silentMs, int64(m.routers)*readEachMs), true
-		m.out.Calls = append(m.out.Calls, wire.Call{Address: m.set.ListAddress, Body: wire.FleetCall{}})
+		m.out.Calls = append(m.out.Calls, protocol.Call{Address: m.set.ListAddress, Body: protocol.FleetCall{}})
 	}
 	if m.nowMs-m.sweptMs >= sweepMs {
 		m.sweep()
@@ -228,13 +228,13 @@
 }
 
 // send adds a message to another daemon to the effects.
-func (m *Machine) send(to wire.Place, body any) {
-	m.out.Sends = append(m.out.Sends, wire.Send{To: to.Name, Address: to.Address, Body: body})
+func (m *Machine) send(to protocol.Place, body any) {
+	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
 // answer adds an answer to the request or question with this id to the effects.
 func (m *Machine) answer(id uint64, body any) {
-	m.out.Answers = append(m.out.Answers, wire.Answer{ID: id, Body: body})
+	m.out.Answers = append(m.out.Answers, protocol.Answer{ID: id, Body: body})
 }
 
 // note adds a log line to the effects.
@@ -243,4 +243,4 @@
 }
 
 // count adds an error to be counted by its kind to the effects.
-func (m *Machine) count(kind defect.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
+func (m *Machine) count(kind errkind.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
--- a/relay/messages.go
+++ b/internal/proxy/messages.go
@@ -1,6 +1,6 @@
-package relay
+package proxy
 
-import "myrtlewinch/servicemap"
+import "myrtlewinch/internal/config"
 
 // Inputs of Machine.Step, beside those that package wire defines (Envelope,
 // Fleet and Tick).
@@ -49,7 +49,7 @@
 	Look struct{ ID uint64 }
 )
 
-// Answers of the machine to a Request, beside wire.Dropped. A request may get
+// Answers of the machine to a Request, beside protocol.Dropped. A request may get
 // several Sends, one after the other. It ends with the first that is Answered,
 // or else with one of the other answers.
 type (
@@ -59,7 +59,7 @@
 		Go Go
 		// Address is the runner's host and port.
 		Address string
-		Route   *servicemap.Route
+		Route   *config.Route
 		// Single requires a new connection, for a request that must not be
 		// repeated: a kept one may have been closed by the runner.
 		Single bool
--- a/relay/outcome.go
+++ b/internal/proxy/outcome.go
@@ -1,6 +1,6 @@
-package relay
+package proxy
 
-import "myrtlewinch/defect"
+import "myrtlewinch/internal/errkind"
 
 // Outcome classifies the end of an attempt by what is known of its effect at
 // the runner. It decides whether the request may be sent again and what its
@@ -65,14 +65,14 @@
 		known.fail(m.nowMs)
 		m.unsent(r)
 		r.unreached, r.unreachedMs = append(r.unreached, r.runner), m.nowMs+unreachedMs
-		r.last = defect.NoRunner
+		r.last = errkind.NoRunner
 		if r.dials++; r.dials >= dialsMost {
 			m.giveUp(r)
 		}
 	case TurnedAway:
 		known.fill(m.nowMs)
 		r.refused = append(r.refused, r.runner)
-		r.last = defect.RunnerDropped
+		r.last = errkind.RunnerDropped
 	case NotHeld:
 		if e := m.cache[r.key]; e != nil && !r.passed {
 			e.shun(m.nowMs, r.runner)
@@ -82,7 +82,7 @@
 			m.leaves(r.runner)
 		}
 		r.refused = append(r.refused, r.runner)
-		r.last = defect.RunnerDropped
+		r.last = errkind.RunnerDropped
 	case Failed, Lost, Nonsense, Cut:
 		if in.Outcome != Failed {
 			known.fail(m.nowMs)
@@ -90,9 +90,9 @@
 		r.mayHaveRun = true
 		r.kept = in.Outcome == Failed
 		r.failed = append(r.failed, r.runner)
-		r.last = defect.OutcomeUnknown
+		r.last = errkind.OutcomeUnknown
 		if in.Outcome == Nonsense {
-			r.last = defect.BrokenAnswer
+			r.last = errkind.BrokenAnswer
 		}
 		// What may have run goes on only if it may run twice.
 		if !r.route.Repeatable() || r.goes >= max(1, r.route.Tries) || r.passed && r.after == "" {
--- a/relay/pace.go
+++ b/internal/proxy/pace.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 // paced counts what happens in a second, by halves.
 type paced struct {
--- a/relay/passage.go
+++ b/internal/proxy/passage.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/outward"
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/httpclient"
 )
 
 const (
@@ -66,12 +66,12 @@
 	s.Go.LeftMs = max(1, s.DeadlineMs-nowMs)
 	header := http.Header{}
 	g.tongue.Dress(header, p.r.Header, s.Go)
-	sent, err := g.shell.Outward().Send(ctx, outward.Request{
+	sent, err := g.shell.Outward().Send(ctx, httpclient.Request{
 		Method: p.r.Method, Address: s.Address, Path: p.path, Query: p.query, HasQuery: p.hasQuery,
 		Host: p.r.Host, Header: header, Body: p.body, Fresh: s.Single,
 	}, g.shell.MaySend(func(nowMs int64) bool { return nowMs < s.UntilMs }))
 	switch {
-	case errors.Is(err, outward.ErrTooLate) && !sent.Wrote:
+	case errors.Is(err, httpclient.ErrTooLate) && !sent.Wrote:
 		return p.ended(TooLate)
 	case err != nil && !sent.Wrote:
 		var failed net.Error
@@ -96,7 +96,7 @@
 		return p.ended(p.broken(Nonsense))
 	}
 	sent.Accept()
-	if heard.HasLoad || s.Route.Kind == servicemap.Stream {
+	if heard.HasLoad || s.Route.Kind == config.Stream {
 		g.shell.Put(Told{ID: p.id, Runner: s.Go.Runner, Heard: heard})
 	}
 	switch status := answer.StatusCode; {
--- a/relay/pricing.go
+++ b/internal/proxy/pricing.go
@@ -1,4 +1,4 @@
-package relay
+package proxy
 
 // pricing is what reading a prompt costs, by model: the least time that 1,000
 // tokens took since it was last told. The least, since all else that a runner
--- a/relay/primary.go
+++ b/internal/proxy/primary.go
@@ -1,10 +1,10 @@
-package relay
+package proxy
 
 import (
 	"slices"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // silent says that the primary has given no word for too long.
@@ -15,7 +15,7 @@
 func (m *Machine) ask() {
 	m.askedMs = m.nowMs
 	if place, ok := m.roster.Place(m.primary); ok && m.primary != "" {
-		m.send(place, wire.MapAsk{
+		m.send(place, protocol.MapAsk{
 			EchoMs: m.nowMs, Version: m.version, Sum: m.sum, LeavingSum: m.leavingSum, ControllersSum: m.controllersSum,
 		})
 	}
@@ -26,47 +26,47 @@
 func (m *Machine) hello() {
 	m.helloMs = m.nowMs
 	for _, seed := range m.seeds {
-		m.out.Sends = append(m.out.Sends, wire.Send{Address: seed, Body: wire.Hello{}})
+		m.out.Sends = append(m.out.Sends, protocol.Send{Address: seed, Body: protocol.Hello{}})
 	}
-	known := m.roster.Part(wire.Controller)
-	known = slices.DeleteFunc(known, func(p wire.Place) bool { return slices.Contains(m.seeds, p.Address) })
+	known := m.roster.Part(protocol.Controller)
+	known = slices.DeleteFunc(known, func(p protocol.Place) bool { return slices.Contains(m.seeds, p.Address) })
 	if len(known) > 0 {
-		m.send(known[int(m.nowMs/helloMs)%len(known)], wire.Hello{})
+		m.send(known[int(m.nowMs/helloMs)%len(known)], protocol.Hello{})
 	}
 }
 
 // receive handles a message of another daemon. One that is not meant for this
 // daemon is counted and ignored.
-func (m *Machine) receive(e wire.Envelope) {
+func (m *Machine) receive(e protocol.Envelope) {
 	if e.Site != m.set.Site {
-		m.count(defect.OtherSite)
+		m.count(errkind.OtherSite)
 		return
 	}
 	// An address may have passed to another daemon.
 	if e.To != "" && e.To != m.set.Self.Name {
-		m.count(defect.OtherDaemon)
+		m.count(errkind.OtherDaemon)
 		return
 	}
 	m.roster.Heard(m.nowMs, e.From)
 	switch body := e.Body.(type) {
-	case wire.Heartbeat:
-	case wire.Hello:
-		m.send(e.From, wire.Known{Peers: m.roster.Places(), Record: wire.Record{Epoch: m.epoch, Primary: m.primary}})
-	case wire.Known:
+	case protocol.Heartbeat:
+	case protocol.Hello:
+		m.send(e.From, protocol.Known{Peers: m.roster.Places(), Record: protocol.Record{Epoch: m.epoch, Primary: m.primary}})
+	case protocol.Known:
 		m.roster.Learn(m.nowMs, body.Peers)
 		m.heed(body.Record.Epoch, body.Record.Primary)
-	case wire.Nudge:
+	case protocol.Nudge:
 		m.heed(body.Epoch, e.From.Name)
-	case wire.Opinion:
+	case protocol.Opinion:
 		if body.Epoch == m.epoch {
-			m.send(e.From, wire.Opined{Epoch: body.Epoch, HeardMs: m.nowMs - m.heardMs})
+			m.send(e.From, protocol.Opined{Epoch: body.Epoch, HeardMs: m.nowMs - m.heardMs})
 		}
-	case wire.MapWord:
+	case protocol.MapWord:
 		m.word(e.From, body)
-	case wire.MapIndex:
+	case protocol.MapIndex:
 		m.indexed(body)
 	default:
-		m.count(defect.Malformed)
+		m.count(errkind.Malformed)
 	}
 }
 
@@ -84,9 +84,9 @@
 }
 
 // word takes the primary's word, asked or not.
-func (m *Machine) word(from wire.Place, w wire.MapWord) {
+func (m *Machine) word(from protocol.Place, w protocol.MapWord) {
 	if w.Epoch < m.epoch {
-		m.count(defect.LowerEpoch)
+		m.count(errkind.LowerEpoch)
 		return
 	}
 	if w.EchoMs > m.nowMs {
@@ -125,14 +125,14 @@
 }
 
 // bring takes a newer map into use. A router never goes back.
-func (m *Machine) bring(w wire.MapWord) {
+func (m *Machine) bring(w protocol.MapWord) {
 	if w.Version <= m.version {
 		return
 	}
 	if len(w.Packed) > 0 {
-		text, err := wire.Unpack(w.Packed)
-		if err != nil || wire.Sum(text) != w.Sum {
-			m.count(defect.Malformed)
+		text, err := protocol.Unpack(w.Packed)
+		if err != nil || protocol.Sum(text) != w.Sum {
+			m.count(errkind.Malformed)
 			return
 		}
 		w.Text = text
@@ -146,7 +146,7 @@
 	}
 	document, faults := m.format.Read([]byte(w.Text))
 	if len(faults) > 0 || document == nil {
-		m.count(defect.Malformed)
+		m.count(errkind.Malformed)
 		return
 	}
 	document.Index()
--- a/relay/rejection.go
+++ b/internal/proxy/rejection.go
@@ -1,9 +1,9 @@
-package relay
+package proxy
 
 import (
-	"myrtlewinch/defect"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // full holds a request whose runners have no place, for a quarter of its aim.
@@ -24,7 +24,7 @@
 		m.giveUp(r)
 		return
 	}
-	m.drop(r, defect.NoTurn, m.placeMs(r))
+	m.drop(r, errkind.NoTurn, m.placeMs(r))
 }
 
 // placeMs says when a place may be free for one that is refused, by the pace
@@ -56,26 +56,26 @@
 	case e == nil || len(e.holders) == 0 && e.turnMs < 0 && !e.loading && !r.answered:
 		// While control is settling, what can bear it waits for its word.
 		if r.service.Engine == nil && waitedMs >= unknownMs || usedMs >= halfMs {
-			m.drop(r, defect.NoWord, 500)
+			m.drop(r, errkind.NoWord, 500)
 		}
 	case e.turnMs >= 0:
 		// What can't be had in time is refused at once.
 		serviceMs := min(m.lasts(r.route.Name), totalMs/4)
 		turnMs := max(e.turnMs, m.nowMs)
 		if e.turnMs > r.cameMs+totalMs-serviceMs || usedMs >= totalMs*3/4 || usedMs >= halfMs && m.nowMs > e.turnMs+turnSlackMs {
-			m.drop(r, defect.NoTurn, turnMs-m.nowMs+50)
+			m.drop(r, errkind.NoTurn, turnMs-m.nowMs+50)
 		}
 	case e.loading:
 		if usedMs >= halfMs {
-			m.drop(r, defect.NoTurn, 500)
+			m.drop(r, errkind.NoTurn, 500)
 		}
 	case r.service.Engine == nil:
 		if waitedMs >= max(50, r.route.AimMs/4) {
-			m.drop(r, defect.NoRunner, 300)
+			m.drop(r, errkind.NoRunner, 300)
 		}
 	default:
 		if usedMs >= halfMs {
-			m.drop(r, defect.NoRunner, 500)
+			m.drop(r, errkind.NoRunner, 500)
 		}
 	}
 }
@@ -83,7 +83,7 @@
 // patienceMs is for how long from its coming a request can be answered at all.
 func (m *Machine) patienceMs(r *request) int64 {
 	totalMs := r.deadlineMs - r.cameMs
-	if r.route.Kind == servicemap.Stream && !r.passed {
+	if r.route.Kind == config.Stream && !r.passed {
 		totalMs = min(totalMs, max(silenceMs, silenceAims*r.route.AimMs, silenceGaps*r.route.GapMs))
 	}
 	return totalMs
@@ -93,13 +93,13 @@
 func (m *Machine) giveUp(r *request) {
 	kind := r.last
 	if kind == "" {
-		kind = defect.NoRunner
+		kind = errkind.NoRunner
 	}
 	m.drop(r, kind, 200)
 }
 
 // drop ends a request. What may have run is never answered with a promise.
-func (m *Machine) drop(r *request, kind defect.Kind, retryMs int64) {
+func (m *Machine) drop(r *request, kind errkind.Kind, retryMs int64) {
 	m.unwait(r)
 	delete(m.requests, r.ID)
 	switch {
@@ -111,7 +111,7 @@
 		m.answer(r.ID, Keep{})
 		return
 	case r.mayHaveRun && kind.Reply().Drop:
-		kind, retryMs = defect.OutcomeUnknown, 0
+		kind, retryMs = errkind.OutcomeUnknown, 0
 	}
 	m.Tally.Drops[kind]++
 	if retryMs > 0 {
@@ -122,5 +122,5 @@
 		}
 		retryMs = max(20, min(retryMs, leftMs*3/10))
 	}
-	m.answer(r.ID, wire.Dropped{Kind: kind, RetryMs: retryMs})
+	m.answer(r.ID, protocol.Dropped{Kind: kind, RetryMs: retryMs})
 }
--- a/relay/request.go
+++ b/internal/proxy/request.go
@@ -1,9 +1,9 @@
-package relay
+package proxy
 
 import (
-	"myrtlewinch/defect"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -39,8 +39,8 @@
 type request struct {
 	Request
 	cameMs, deadlineMs int64
-	route              *servicemap.Route
-	service            *servicemap.Service
+	route              *config.Route
+	service            *config.Service
 	key                key
 	affinity, draw     uint64
 	tokens             int64
@@ -90,7 +90,7 @@
 	sinceMs int64
 	// last is the error kind of the last attempt, for the client if no other
 	// attempt follows.
-	last defect.Kind
+	last errkind.Kind
 }
 
 // take admits a request: it is looked up, and sent on at once if a runner is free
@@ -125,15 +125,15 @@
 	if !ok {
 		// Without word the route may be there and this map an old one.
 		if m.silent() {
-			m.drop(r, defect.NoWord, 500)
+			m.drop(r, errkind.NoWord, 500)
 		} else {
-			m.drop(r, defect.UnknownPage, 0)
+			m.drop(r, errkind.UnknownPage, 0)
 		}
 		return false
 	}
 	r.service, ok = split(document, route, r.Asked, r.draw)
 	if !ok {
-		m.drop(r, defect.UnknownModel, 0)
+		m.drop(r, errkind.UnknownModel, 0)
 		return false
 	}
 	r.route = route
@@ -168,8 +168,8 @@
 
 // split draws the service of a request. One that can't hold the model is not
 // drawn where another can.
-func split(document *servicemap.Map, route *servicemap.Route, a Asked, draw uint64) (*servicemap.Service, bool) {
-	var able []*servicemap.Service
+func split(document *config.Map, route *config.Route, a Asked, draw uint64) (*config.Service, bool) {
+	var able []*config.Service
 	var weights []int64
 	total := int64(0)
 	for _, share := range route.Split {
@@ -202,19 +202,19 @@
 		return
 	}
 	if m.nowMs >= r.deadlineMs {
-		m.drop(r, defect.DeadlinePassed, 200)
+		m.drop(r, errkind.DeadlinePassed, 200)
 		return
 	}
 	if r.route == nil {
 		if !m.begin(r) {
 			if m.requests[r.ID] != nil && m.nowMs-r.cameMs >= mapWaitMs {
-				m.drop(r, defect.NoWord, 500)
+				m.drop(r, errkind.NoWord, 500)
 			}
 			return
 		}
 	}
 	if m.leaving && m.nowMs >= m.leaveMs+m.set.Bounds.GraceMs/2 {
-		m.drop(r, defect.Stopping, 200)
+		m.drop(r, errkind.Stopping, 200)
 		return
 	}
 	// After standing still the map may be an old one, and the runners others.
@@ -241,7 +241,7 @@
 }
 
 // goTo starts an attempt at a runner.
-func (m *Machine) goTo(r *request, h wire.MapHolder) {
+func (m *Machine) goTo(r *request, h protocol.MapHolder) {
 	if !r.earned {
 		r.earned = true
 		m.budget(r.service.Name).earn(m.set.Bounds.RetryRatio)
--- a/relay/runners.go
+++ b/internal/proxy/runners.go
@@ -1,6 +1,6 @@
-package relay
+package proxy
 
-import "myrtlewinch/wire"
+import "myrtlewinch/internal/protocol"
 
 // leaves notes that a runner is shutting down, for candidates to leave it out. At
 // most leavingMost runners are remembered.
@@ -17,7 +17,7 @@
 }
 
 // fleet takes the router's own reading of the list.
-func (m *Machine) fleet(in wire.Fleet) {
+func (m *Machine) fleet(in protocol.Fleet) {
 	m.reading = false
 	if in.Limited {
 		m.readMs += 2 * silentMs
@@ -37,7 +37,7 @@
 }
 
 // hold takes what the index tells of a runner's load.
-func (m *Machine) hold(h *wire.MapHolder) {
+func (m *Machine) hold(h *protocol.MapHolder) {
 	known := m.runner(h.ID)
 	if known.slots == 0 {
 		known.slots = h.Slots
--- a/relay/status.go
+++ b/internal/proxy/status.go
@@ -1,6 +1,6 @@
-package relay
+package proxy
 
-import "myrtlewinch/defect"
+import "myrtlewinch/internal/errkind"
 
 // Tally holds the counters of a router since its start.
 type Tally struct {
@@ -13,7 +13,7 @@
 	// Resumes those that continue a stream the client has a part of.
 	Goes, SecondGoes, Resumes uint64
 	// Drops counts the rejected requests by error kind, and broken-off streams.
-	Drops map[defect.Kind]uint64
+	Drops map[errkind.Kind]uint64
 }
 
 // Status is the status page of a router, as it is encoded to JSON.
@@ -41,7 +41,7 @@
 // status returns the status page; it shares nothing with the machine.
 func (m *Machine) status() Status {
 	tally := m.Tally
-	tally.Drops = map[defect.Kind]uint64{}
+	tally.Drops = map[errkind.Kind]uint64{}
 	for kind, count := range m.Tally.Drops {
 		tally.Drops[kind] = count
 	}
