--- a/relay/tongue.go
+++ b/internal/proxy/tongue.go
@@ -1,12 +1,12 @@
-// Package relay is the data plane where a service map is in use: a router
+// Package proxy is the data plane where a service map is in use: a router
 // takes requests by host and path, looks each up once, chooses a runner, and
 // passes the answer on, piece by piece where it is a stream.
-package relay
+package proxy
 
 import (
 	"net/http"
 
-	"myrtlewinch/defect"
+	"myrtlewinch/internal/errkind"
 )
 
 // Asked is what a client asked, in the product's words.
@@ -79,7 +79,7 @@
 	Pass(to, from http.Header)
 	// Refuse answers with a kind of defect; retryMs 0 leaves out when to come
 	// back.
-	Refuse(w http.ResponseWriter, kind defect.Kind, retryMs int64)
+	Refuse(w http.ResponseWriter, kind errkind.Kind, retryMs int64)
 	// Piece reads the id of one whole event of a stream (its lines with the
 	// blank one that ends it), and the version of the weights where it changes.
 	Piece(event []byte) (id string, version int64)
--- a/ring/ring.go
+++ b/internal/ringbuffer/ring.go
@@ -1,5 +1,5 @@
-// Package ring holds the bounded rings that join the threads of a process.
-package ring
+// Package ringbuffer holds the bounded rings that join the threads of a process.
+package ringbuffer
 
 import "sync"
 
--- a/ring/ring_test.go
+++ b/internal/ringbuffer/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package ringbuffer
 
 import (
 	"testing"
--- a/endurance/site_test.go
+++ b/internal/simulation/endurance/site_test.go
@@ -9,21 +9,21 @@
 	"slices"
 	"strings"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/control"
-	"myrtlewinch/ledger"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
 )
 
 // opaqueFormat takes any text for a configuration whose first line is its
 // version: only bytes count here, and how often it is read.
 type opaqueFormat struct{ reads *int }
 
-func (f opaqueFormat) Read(text []byte) (*servicemap.Map, []string) {
+func (f opaqueFormat) Read(text []byte) (*config.Map, []string) {
 	*f.reads++
-	document := &servicemap.Map{}
+	document := &config.Map{}
 	if _, err := fmt.Sscanf(string(text[:min(len(text), 24)]), "%d\n", &document.Version); err != nil {
 		return nil, []string{err.Error()}
 	}
@@ -74,12 +74,12 @@
 type member struct {
 	name, address string
 	incarnation   string
-	machine       *control.Machine
+	machine       *consensus.Machine
 	keys          map[string]string
 	down          bool
 	life          int
 	links         map[string]*connection
-	saves         []wire.Save
+	saves         []protocol.Save
 	syncing       bool
 	syncMs        int64
 	syncs, saved  int
@@ -160,8 +160,8 @@
 	return s
 }
 
-func (s *site) place(m *member) wire.Place {
-	return wire.Place{Name: m.name, Address: m.address, Zone: m.name, Part: wire.Controller, Incarnation: m.incarnation}
+func (s *site) place(m *member) protocol.Place {
+	return protocol.Place{Name: m.name, Address: m.address, Zone: m.name, Part: protocol.Controller, Incarnation: m.incarnation}
 }
 
 func (s *site) start(m *member, keys map[string]string, first bool) {
@@ -170,8 +170,8 @@
 	m.links, m.syncs, m.saved, m.reads = map[string]*connection{}, 0, 0, 0
 	self := s.place(m)
 	limits := bounds.Bounds{CatchUpMs: 4000, LeaseMs: 3000}
-	tenant := steward.New(steward.Settings{Self: self, Bounds: limits, ListAddress: "list", ListPerSec: 1, ControlPort: "80"}, opaqueFormat{&m.reads})
-	machine, err := control.New(control.Settings{
+	tenant := controller.New(controller.Settings{Self: self, Bounds: limits, ListAddress: "list", ListPerSec: 1, ControlPort: "80"}, opaqueFormat{&m.reads})
+	machine, err := consensus.New(consensus.Settings{
 		Site: "s", Self: self, Seeds: s.seeds, Tenant: tenant, Losses: s.losses, Founds: first, GapMs: limits.LeaseMs, AwayMs: 1000, ShowMs: 400,
 	}, maps.Clone(keys), s.nowMs)
 	if err != nil {
@@ -186,7 +186,7 @@
 	if m.down || m.life != life {
 		return
 	}
-	s.step(m, wire.Tick{})
+	s.step(m, protocol.Tick{})
 	s.after(controllerTickMs, func() { s.tick(m, life) })
 }
 
@@ -219,20 +219,20 @@
 		s.sync(m)
 	}
 	for _, send := range out.Sends {
-		if _, is := send.Body.(wire.Followed); is && s.broke.lostFollowed && m.life > 1 {
+		if _, is := send.Body.(protocol.Followed); is && s.broke.lostFollowed && m.life > 1 {
 			continue
 		}
 		for _, to := range s.members {
 			if to.address == send.Address {
-				s.put(m, to, wire.Envelope{Site: "s", From: s.place(m), To: send.To, Body: send.Body})
+				s.put(m, to, protocol.Envelope{Site: "s", From: s.place(m), To: send.To, Body: send.Body})
 			}
 		}
 	}
 	for _, call := range out.Calls {
-		if _, is := call.Body.(wire.FleetCall); is {
+		if _, is := call.Body.(protocol.FleetCall); is {
 			s.after(10, func() {
 				if m.life == life {
-					s.step(m, wire.Fleet{})
+					s.step(m, protocol.Fleet{})
 				}
 			})
 		}
@@ -261,7 +261,7 @@
 		}
 		m.keys = keys
 		for _, save := range batch {
-			s.step(m, wire.Saved{Number: save.Number, Ok: true})
+			s.step(m, protocol.Saved{Number: save.Number, Ok: true})
 		}
 		s.sync(m)
 	})
@@ -288,19 +288,19 @@
 	if s.broke.eagerAnswers {
 		s.version = version
 	}
-	s.step(primary, steward.HandOver{ID: s.ids, BuiltOn: version - 1, Text: s.text(version)})
+	s.step(primary, controller.HandOver{ID: s.ids, BuiltOn: version - 1, Text: s.text(version)})
 }
 
-func (s *site) answered(m *member, answer wire.Answer) {
+func (s *site) answered(m *member, answer protocol.Answer) {
 	switch said := answer.Body.(type) {
-	case steward.Text:
+	case controller.Text:
 		s.read++
 		if said.Version < s.reads[answer.ID] {
 			s.older = append(s.older, fmt.Sprintf("%s served version %d after %d was acknowledged", m.name, said.Version, s.reads[answer.ID]))
 		}
-	case steward.Taken:
+	case controller.Taken:
 		s.version = max(s.version, said.Version)
-	case wire.Dropped:
+	case protocol.Dropped:
 		s.counts["refused "+string(said.Kind)]++
 	}
 }
@@ -337,14 +337,14 @@
 	for _, m := range s.members {
 		s.ids++
 		s.reads[s.ids] = s.version
-		s.step(m, steward.Read{ID: s.ids})
+		s.step(m, controller.Read{ID: s.ids})
 	}
 	s.after(readMs, s.keepReading)
 }
 
-func (s *site) record(m *member) (record wire.Record) {
+func (s *site) record(m *member) (record protocol.Record) {
 	var kept struct {
-		Record wire.Record `json:"record"`
+		Record protocol.Record `json:"record"`
 	}
 	if json.Unmarshal([]byte(m.keys["record"]), &kept) == nil {
 		record = kept.Record
--- a/endurance/transport_test.go
+++ b/internal/simulation/endurance/transport_test.go
@@ -3,7 +3,7 @@
 import (
 	"net/rpc"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // What the transport between daemons does, as in package daemon.
@@ -25,10 +25,10 @@
 
 // connection carries batches from one member to another, one at a time.
 type connection struct {
-	waiting []wire.Envelope
+	waiting []protocol.Envelope
 	busy    bool
 	counter *counter
-	codec   *wire.ClientCodec
+	codec   *protocol.ClientCodec
 	// largest is the largest batch in bytes; tooLarge and late count the batches
 	// that were lost to the bound of a frame and to the time for a call.
 	largest, tooLarge, late, total int
@@ -37,17 +37,17 @@
 func (c *connection) reset() { c.counter, c.codec = nil, nil }
 
 // size is how many bytes a batch takes, or that it takes too many.
-func (c *connection) size(batch []wire.Envelope) (int, error) {
+func (c *connection) size(batch []protocol.Envelope) (int, error) {
 	if c.codec == nil {
 		c.counter = &counter{}
-		c.codec = wire.NewClientCodec(c.counter)
+		c.codec = protocol.NewClientCodec(c.counter)
 	}
 	before := c.counter.bytes
 	err := c.codec.WriteRequest(&rpc.Request{ServiceMethod: "Door.Take"}, batch)
 	return c.counter.bytes - before, err
 }
 
-func (s *site) put(from, to *member, e wire.Envelope) {
+func (s *site) put(from, to *member, e protocol.Envelope) {
 	link := from.links[to.name]
 	if link == nil {
 		link = &connection{}
--- a/drill/book.go
+++ b/internal/simulation/faultsim/book.go
@@ -1,13 +1,13 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
 	"slices"
 	"sort"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/relay"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
 )
 
 // Breach is a rule that was broken.
@@ -25,7 +25,7 @@
 	breaches []Breach
 	// By try: runs, refusals, and whether a runner was reached.
 	runs    map[string]int
-	denied  map[string]defect.Kind
+	denied  map[string]errkind.Kind
 	reached map[string]bool
 	// By service: arrivals, and when requests for it were sent.
 	arrivals map[string][]arrival
@@ -66,7 +66,7 @@
 
 func newBook(w *World) *Book {
 	return &Book{
-		w: w, runs: map[string]int{}, denied: map[string]defect.Kind{}, reached: map[string]bool{}, arrivals: map[string][]arrival{},
+		w: w, runs: map[string]int{}, denied: map[string]errkind.Kind{}, reached: map[string]bool{}, arrivals: map[string][]arrival{},
 		wants: map[string][]int64{}, listed: map[string]int64{}, seen: map[string][]effect{}, shown: map[uint64]int64{},
 		accepted: map[uint64]int64{}, builds: map[uint64]uint64{}, ineffect: map[uint64]string{}, lastOrders: map[string]order{},
 		holders: map[uint64]string{}, looks: map[string]map[uint64]int{}, sends: map[string]map[string]bool{},
@@ -96,7 +96,7 @@
 }
 
 // sent notes that a router wrote a request.
-func (b *Book) sent(p *passage, s relay.Send) {
+func (b *Book) sent(p *passage, s proxy.Send) {
 	if b.sends[life(p.n)] == nil {
 		b.sends[life(p.n)] = map[string]bool{}
 	}
@@ -104,7 +104,7 @@
 }
 
 // arrived notes that a request reached a runner, run or not.
-func (b *Book) arrived(p *passage, s relay.Send, r *runner) {
+func (b *Book) arrived(p *passage, s proxy.Send, r *runner) {
 	w := b.w
 	further := b.reached[p.c.try]
 	b.reached[p.c.try] = true
@@ -126,7 +126,7 @@
 }
 
 // started notes that a runner began to run a request.
-func (b *Book) started(p *passage, s relay.Send, r *runner) {
+func (b *Book) started(p *passage, s proxy.Send, r *runner) {
 	w, try := b.w, p.c.try
 	b.Ran++
 	b.runs[try]++
@@ -178,7 +178,7 @@
 }
 
 // refused notes an answer of a router's own.
-func (b *Book) refused(r *request, kind defect.Kind) {
+func (b *Book) refused(r *request, kind errkind.Kind) {
 	w := b.w
 	if kind.Reply().Drop {
 		b.denied[r.try] = kind
@@ -186,7 +186,7 @@
 			b.breach("REFUSED", w.NowMs(), "%s (%s) has run and was refused as %q", r.try, r.path, kind)
 		}
 	}
-	if kind != defect.UnknownPage && kind != defect.UnknownModel && kind != defect.UnknownAdapter {
+	if kind != errkind.UnknownPage && kind != errkind.UnknownModel && kind != errkind.UnknownAdapter {
 		return
 	}
 	if r.path[1] != 'o' || r.streams() {
@@ -279,7 +279,7 @@
 }
 
 // lookUp notes that a router asked for a request.
-func (b *Book) lookUp(n *node, l wire.MapLookUp) {
+func (b *Book) lookUp(n *node, l protocol.MapLookUp) {
 	at := life(n)
 	if b.looks[at] == nil {
 		b.looks[at] = map[uint64]int{}
--- a/drill/campaign.go
+++ b/internal/simulation/faultsim/campaign.go
@@ -1,4 +1,4 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
--- a/drill/clients.go
+++ b/internal/simulation/faultsim/clients.go
@@ -1,11 +1,11 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
 	"slices"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/relay"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/proxy"
 )
 
 // clients send requests to the routers, each of an uneven share.
@@ -30,7 +30,7 @@
 	life   int
 	sentMs int64
 	leftMs int64
-	asked  relay.Asked
+	asked  proxy.Asked
 	// again counts the refusals before it; ended is how it ended.
 	again  int
 	ended  string
@@ -86,7 +86,7 @@
 	r := &request{
 		w: w, try: fmt.Sprintf("t%d", c.number), path: path, router: router, life: n.life, sentMs: w.NowMs(), leftMs: 2500, again: again,
 	}
-	r.asked = relay.Asked{Try: r.try}
+	r.asked = proxy.Asked{Try: r.try}
 	if r.streams() {
 		r.leftMs = 5000
 		r.asked.Model = modelName(c.model(w))
@@ -94,7 +94,7 @@
 			r.asked.Adapter = fmt.Sprintf("a%d", 1+w.random.Intn(adapters))
 		}
 		r.asked.PromptTokens, r.asked.OutTokens = 200+w.random.Int63n(1500), 50
-		r.asked.Parts = []relay.Part{{ID: fmt.Sprint("p", w.random.Intn(5)), Tokens: 100}, {ID: r.try, Tokens: 100}}
+		r.asked.Parts = []proxy.Part{{ID: fmt.Sprint("p", w.random.Intn(5)), Tokens: 100}, {ID: r.try, Tokens: 100}}
 	}
 	r.asked.LeftMs = r.leftMs
 	c.log = append(c.log, r)
@@ -109,7 +109,7 @@
 		p := &passage{w: w, n: n, life: life, id: n.ids, c: r, asked: r.asked}
 		r.p = p
 		n.passages[p.id] = p
-		w.put(n, life, relay.Request{ID: p.id, Host: host, Path: path, Asked: r.asked})
+		w.put(n, life, proxy.Request{ID: p.id, Host: host, Path: path, Asked: r.asked})
 	}, func() { r.end("connection broke") })
 	w.after(r.leftMs+400, r.leave)
 }
@@ -157,7 +157,7 @@
 }
 
 // refused is an answer of the router's own.
-func (r *request) refused(kind defect.Kind, retryMs int64) {
+func (r *request) refused(kind errkind.Kind, retryMs int64) {
 	if r.ended != "" {
 		r.end("refused")
 		return
--- a/drill/faults.go
+++ b/internal/simulation/faultsim/faults.go
@@ -1,14 +1,14 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"myrtlewinch/control"
-	"myrtlewinch/relay"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
 )
 
 // fault is something that a drill brings about. What it begins, it ends.
@@ -19,19 +19,19 @@
 
 // primary names the daemon that speaks for the site, if one does.
 func (w *World) primary() *node {
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		n := w.nodes[name]
 		if !n.up || n.frozen {
 			continue
 		}
-		out := n.machine.Step(n.clock(w.NowMs()), steward.Look{})
+		out := n.machine.Step(n.clock(w.NowMs()), controller.Look{})
 		active := false
 		for _, answer := range out.Answers {
-			if said, is := answer.Body.(steward.Status); is {
+			if said, is := answer.Body.(controller.Status); is {
 				active = said.Active
 			}
 		}
-		out.Answers = slices.DeleteFunc(out.Answers, func(a wire.Answer) bool { _, is := a.Body.(steward.Status); return is })
+		out.Answers = slices.DeleteFunc(out.Answers, func(a protocol.Answer) bool { _, is := a.Body.(controller.Status); return is })
 		w.perform(n, out)
 		if active {
 			return n
@@ -61,7 +61,7 @@
 // counts until it has caught up.
 func (w *World) maybe(n *node) *node {
 	lost := 0
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		lastMs, ever := w.touch.nodes[name]
 		if w.nodes[name] != n && (!w.nodes[name].well() || ever && w.NowMs()-lastMs < w.Bounds.CatchUpMs) {
 			lost++
@@ -86,7 +86,7 @@
 }
 
 func (w *World) someRouter() *node {
-	names := w.names(wire.Router)
+	names := w.names(protocol.Router)
 	return w.nodes[names[w.random.Intn(len(names))]]
 }
 
@@ -102,7 +102,7 @@
 var disasters = []fault{
 	{"all killed", func(w *World) { w.killAll(nil) }},
 	{"core killed", func(w *World) {
-		for _, name := range w.names(wire.Controller) {
+		for _, name := range w.names(protocol.Controller) {
 			w.killFor(w.nodes[name], 700+w.random.Int63n(300))
 		}
 	}},
@@ -162,7 +162,7 @@
 	}},
 	{"core stopped in turn", func(w *World) {
 		atMs := int64(0)
-		for _, name := range w.names(wire.Controller) {
+		for _, name := range w.names(protocol.Controller) {
 			n := w.nodes[name]
 			w.after(atMs, func() { w.lose(n, w.leave) })
 			atMs += w.Bounds.CatchUpMs + 1500
@@ -215,7 +215,7 @@
 	}},
 	{"router killed", func(w *World) { w.killFor(w.someRouter(), w.soon()) }},
 	{"all routers killed", func(w *World) {
-		for _, name := range w.names(wire.Router) {
+		for _, name := range w.names(protocol.Router) {
 			w.killFor(w.nodes[name], 500+w.random.Int63n(700))
 		}
 	}},
@@ -225,7 +225,7 @@
 		w.after(w.soon(), func() { w.thaw(n) })
 	}},
 	{"routers stopped in turn", func(w *World) {
-		for i, name := range w.names(wire.Router) {
+		for i, name := range w.names(protocol.Router) {
 			w.after(int64(i)*9000, func() { w.leave(w.nodes[name]) })
 		}
 	}},
@@ -239,15 +239,15 @@
 		w.lose(w.primaryOrSome(), func(n *node) { w.cut(w.others(n.name), []string{n.name}, true); w.healAfter(w.soon()) })
 	}},
 	{"core in pieces", func(w *World) {
-		w.cut(w.names(wire.Controller), w.names(wire.Controller), false)
+		w.cut(w.names(protocol.Controller), w.names(protocol.Controller), false)
 		w.healAfter(w.soon())
 	}},
 	{"core cut off from routers", func(w *World) {
-		w.cut(w.names(wire.Controller), w.names(wire.Router), w.random.Intn(2) == 0)
+		w.cut(w.names(protocol.Controller), w.names(protocol.Router), w.random.Intn(2) == 0)
 		w.healAfter(w.soon() + w.soon())
 	}},
 	{"router cut off", func(w *World) {
-		w.cut([]string{w.someRouter().name}, w.names(wire.Controller), w.random.Intn(2) == 0)
+		w.cut([]string{w.someRouter().name}, w.names(protocol.Controller), w.random.Intn(2) == 0)
 		w.healAfter(w.soon() + w.soon())
 	}},
 	{"router cut off from runners", func(w *World) {
@@ -343,12 +343,12 @@
 	w.kill(gone)
 	gone.removed = true
 	w.machines++
-	n := w.addNode(fmt.Sprintf("core-%d", w.machines), fmt.Sprintf("10.0.0.%d", w.machines), gone.zone, wire.Controller)
+	n := w.addNode(fmt.Sprintf("core-%d", w.machines), fmt.Sprintf("10.0.0.%d", w.machines), gone.zone, protocol.Controller)
 	w.note("%s takes the place of %s", n.name, gone.name)
 	w.after(w.random.Int63n(1500), func() {
 		// The seeds are exchanged for the newest machines.
 		w.seeds = nil
-		names := w.names(wire.Controller)
+		names := w.names(protocol.Controller)
 		slices.SortFunc(names, func(a, b string) int { return len(b)*1000 + int(b[len(b)-1]) - len(a)*1000 - int(a[len(a)-1]) })
 		for _, name := range names[:3] {
 			w.seeds = append(w.seeds, w.nodes[name].address+":7")
@@ -360,9 +360,9 @@
 				continue
 			}
 			if to.core() {
-				w.put(to, to.life, control.Reseed{Seeds: slices.Clone(w.seeds)})
+				w.put(to, to.life, consensus.Reseed{Seeds: slices.Clone(w.seeds)})
 			} else {
-				w.put(to, to.life, relay.Reseed{Seeds: slices.Clone(w.seeds)})
+				w.put(to, to.life, proxy.Reseed{Seeds: slices.Clone(w.seeds)})
 			}
 		}
 	})
--- a/drill/fleet.go
+++ b/internal/simulation/faultsim/fleet.go
@@ -1,10 +1,10 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -33,7 +33,7 @@
 
 type listing struct {
 	atMs    int64
-	runners []wire.RunnerEntry
+	runners []protocol.RunnerEntry
 }
 
 func newFleet(w *World) fleet {
@@ -70,7 +70,7 @@
 	}
 	r := &runner{
 		w: w, held: map[string]map[string]bool{}, disk: f.disks[key], loading: map[string]bool{},
-		entry: wire.RunnerEntry{ID: id, Service: service, Address: address, Zone: fmt.Sprintf("zone-%d", f.number%3), Slots: slots, LeftMs: -1},
+		entry: protocol.RunnerEntry{ID: id, Service: service, Address: address, Zone: fmt.Sprintf("zone-%d", f.number%3), Slots: slots, LeftMs: -1},
 	}
 	f.all = append(f.all, r)
 	return r
@@ -105,7 +105,7 @@
 // note takes down what the list will show later, and what runners will say.
 func (f *fleet) note(w *World) {
 	f.all = slices.DeleteFunc(f.all, func(r *runner) bool { return r.gone && w.NowMs() >= r.listedToMs })
-	var list []wire.RunnerEntry
+	var list []protocol.RunnerEntry
 	for _, r := range f.all {
 		if !r.gone {
 			r.note(w.NowMs())
@@ -124,14 +124,14 @@
 }
 
 // list is what a call to the platform is answered with.
-func (f *fleet) list(w *World) (wire.Fleet, bool) {
+func (f *fleet) list(w *World) (protocol.Fleet, bool) {
 	if w.listDown {
-		return wire.Fleet{}, false
+		return protocol.Fleet{}, false
 	}
 	f.calls = slices.DeleteFunc(f.calls, func(atMs int64) bool { return w.NowMs()-atMs >= 1000 })
 	f.calls = append(f.calls, w.NowMs())
 	if float64(len(f.calls)) > listPerSec {
-		return wire.Fleet{Limited: true}, true
+		return protocol.Fleet{Limited: true}, true
 	}
 	shown := f.past[0].runners
 	for _, l := range f.past {
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	return wire.Fleet{Ok: true, Runners: shown}, true
+	return protocol.Fleet{Ok: true, Runners: shown}, true
 }
 
 // leave marks a runner as leaving; it ends some time after the drain, or when
--- a/drill/format.go
+++ b/internal/simulation/faultsim/format.go
@@ -1,10 +1,10 @@
-package drill
+package faultsim
 
 import (
 	"encoding/json"
 	"slices"
 
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
 )
 
 // format is the drill's own writing of service maps, plain JSON.
@@ -13,13 +13,13 @@
 // change is a change of named items in that writing.
 type change struct {
 	Version uint64
-	Put     []servicemap.Route
+	Put     []config.Route
 	Remove  []string
 }
 
 // Read gives the map, or every fault found.
-func (format) Read(text []byte) (*servicemap.Map, []string) {
-	var m servicemap.Map
+func (format) Read(text []byte) (*config.Map, []string) {
+	var m config.Map
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{err.Error()}
 	}
@@ -32,7 +32,7 @@
 
 // Change brings a change into a whole text.
 func (format) Change(text, part []byte) ([]byte, []string) {
-	var m servicemap.Map
+	var m config.Map
 	var c change
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{"there is no map to change"}
@@ -42,15 +42,15 @@
 	}
 	m.Version = c.Version
 	for _, put := range c.Put {
-		m.Routes = slices.DeleteFunc(m.Routes, func(r servicemap.Route) bool { return r.Name == put.Name })
+		m.Routes = slices.DeleteFunc(m.Routes, func(r config.Route) bool { return r.Name == put.Name })
 		m.Routes = append(m.Routes, put)
 	}
-	m.Routes = slices.DeleteFunc(m.Routes, func(r servicemap.Route) bool { return slices.Contains(c.Remove, r.Name) })
+	m.Routes = slices.DeleteFunc(m.Routes, func(r config.Route) bool { return slices.Contains(c.Remove, r.Name) })
 	return written(m), nil
 }
 
 // written writes a map.
-func written(m servicemap.Map) []byte {
+func written(m config.Map) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
 		panic("drill: a map can't be written: " + err.Error())
--- a/drill/history.go
+++ b/internal/simulation/faultsim/history.go
@@ -1,4 +1,4 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // outcome is a clear answer to an order.
@@ -83,7 +83,7 @@
 }
 
 func (h *history) read(sentMs, atMs int64, version uint64, text string) {
-	h.reads = append(h.reads, readRecord{sentMs, atMs, version, wire.Sum(text)})
+	h.reads = append(h.reads, readRecord{sentMs, atMs, version, protocol.Sum(text)})
 }
 
 // check lists what does not fit one register with compare-and-set.
--- a/drill/history_test.go
+++ b/internal/simulation/faultsim/history_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // wholeText is the text of a whole map; the variant tells two of one version
@@ -110,8 +110,8 @@
 	first.answers = append(first.answers, clearAnswer{0, 10, outcomeAccepted, 0})
 	second := h.sent(20, orderKey{builtOn: 1, part: true, text: part}, 2)
 	second.answers = append(second.answers, clearAnswer{20, 30, outcomeAccepted, 0})
-	h.reads = append(h.reads, readRecord{40, 50, 2, wire.Sum(string(after))})
+	h.reads = append(h.reads, readRecord{40, 50, 2, protocol.Sum(string(after))})
 	qt.Assert(t, h.check(), qt.HasLen, 0)
-	h.reads = append(h.reads, readRecord{60, 70, 2, wire.Sum(whole)})
+	h.reads = append(h.reads, readRecord{60, 70, 2, protocol.Sum(whole)})
 	qt.Assert(t, h.check(), qt.HasLen, 1)
 }
--- a/drill/job.go
+++ b/internal/simulation/faultsim/job.go
@@ -1,8 +1,8 @@
-package drill
+package faultsim
 
 import (
-	"myrtlewinch/relay"
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/proxy"
 )
 
 const (
@@ -13,7 +13,7 @@
 // job is one send of a request at a runner.
 type job struct {
 	p *passage
-	s relay.Send
+	s proxy.Send
 	r *runner
 	// began says that it runs, and so has run whatever comes.
 	began, dropped, over bool
@@ -27,15 +27,15 @@
 		return
 	}
 	if r.entry.ID != j.s.Go.Runner {
-		j.back(func() { p.ended(relay.Ended{Outcome: relay.NotHeld, Other: true}) })
+		j.back(func() { p.ended(proxy.Ended{Outcome: proxy.NotHeld, Other: true}) })
 		return
 	}
 	there, wait := r.holds(p.asked.Model, p.asked.Adapter)
 	switch {
 	case wait || there && len(r.jobs) >= slots && len(r.queue) >= queueMost:
-		j.back(func() { p.ended(relay.Ended{Outcome: relay.TurnedAway}) })
+		j.back(func() { p.ended(proxy.Ended{Outcome: proxy.TurnedAway}) })
 	case !there:
-		j.back(func() { p.ended(relay.Ended{Outcome: relay.NotHeld}) })
+		j.back(func() { p.ended(proxy.Ended{Outcome: proxy.NotHeld}) })
 	case len(r.jobs) >= slots:
 		r.queue = append(r.queue, j)
 	default:
@@ -80,7 +80,7 @@
 	j.next(next)
 }
 
-func (j *job) streams() bool { return j.s.Route.Kind == servicemap.Stream }
+func (j *job) streams() bool { return j.s.Route.Kind == config.Stream }
 
 // stopped says that nothing more comes of it.
 func (j *job) stopped() bool {
--- a/drill/maps.go
+++ b/internal/simulation/faultsim/maps.go
@@ -1,4 +1,4 @@
-package drill
+package faultsim
 
 import (
 	"encoding/json"
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
 )
 
 // The services of a drill: one whose runners hold models, and two plain ones.
@@ -43,18 +43,18 @@
 
 // marks are the routes that tell one version from another: the first goes to
 // another service with each version, the second stands in this one only.
-func marks(version uint64) []servicemap.Route {
+func marks(version uint64) []config.Route {
 	to := plain
 	if version%2 == 1 {
 		to = other
 	}
-	mark := servicemap.Route{
-		Name: fmt.Sprintf("mark@%d", version), Host: host, Prefix: "/mark/", Kind: servicemap.Safe, GiveUpMs: 3000, AimMs: 400, Priority: 1,
-		Split: []servicemap.Share{{Service: to, Weight: 1}}, Tries: 2,
+	mark := config.Route{
+		Name: fmt.Sprintf("mark@%d", version), Host: host, Prefix: "/mark/", Kind: config.Safe, GiveUpMs: 3000, AimMs: 400, Priority: 1,
+		Split: []config.Share{{Service: to, Weight: 1}}, Tries: 2,
 	}
 	only := mark
 	only.Name, only.Prefix = fmt.Sprintf("only@%d", version), fmt.Sprintf("/only-%d/", version)
-	return []servicemap.Route{mark, only}
+	return []config.Route{mark, only}
 }
 
 // versionOf reads the version off a mark's name; nought where it is none.
@@ -73,35 +73,35 @@
 }
 
 // newMap is the whole map of a version.
-func (w *World) newMap(version uint64) servicemap.Map {
-	engine := &servicemap.Engine{
+func (w *World) newMap(version uint64) config.Map {
+	engine := &config.Engine{
 		Slots: slots, CacheTokens: cacheTokens, Stride: 1, RoomMb: roomMb, AdapterRoom: adapterRoom, LoadsPerSec: loadsPerSec,
 	}
 	if w.Breaks.LieRoom {
 		engine.RoomMb = 2 * roomMb
 	}
 	for i := range models {
-		m := servicemap.Model{Name: modelName(i), Mb: modelMb(modelName(i)), LoadMs: loadMs, AdapterMb: adapterMb}
+		m := config.Model{Name: modelName(i), Mb: modelMb(modelName(i)), LoadMs: loadMs, AdapterMb: adapterMb}
 		if i == 0 {
 			m.Adapters = adapters
 		}
 		engine.Models = append(engine.Models, m)
 	}
-	route := func(name, service string, kind servicemap.Kind, priority int) servicemap.Route {
-		return servicemap.Route{
+	route := func(name, service string, kind config.Kind, priority int) config.Route {
+		return config.Route{
 			Name: name, Host: host, Prefix: "/" + name + "/", Kind: kind, GiveUpMs: 3000, AimMs: 400, Priority: priority,
-			Split: []servicemap.Share{{Service: service, Weight: 1}}, Tries: 2, GapMs: 300,
+			Split: []config.Share{{Service: service, Weight: 1}}, Tries: 2, GapMs: 300,
 		}
 	}
-	resumable, once := route("resume", llm, servicemap.Stream, 1), route("once", llm, servicemap.Stream, 2)
+	resumable, once := route("resume", llm, config.Stream, 1), route("once", llm, config.Stream, 2)
 	resumable.Resume, resumable.Sticky, resumable.Tries = true, true, 3
 	resumable.GiveUpMs, once.GiveUpMs = 6000, 6000
-	m := servicemap.Map{
+	m := config.Map{
 		Version: version,
-		Routes: append([]servicemap.Route{
-			route("safe", plain, servicemap.Safe, 1), route("unsafe", plain, servicemap.Unsafe, 0), resumable, once,
+		Routes: append([]config.Route{
+			route("safe", plain, config.Safe, 1), route("unsafe", plain, config.Unsafe, 0), resumable, once,
 		}, marks(version)...),
-		Services: []servicemap.Service{{Name: plain, MostStreams: 90}, {Name: other, MostStreams: 90}, {Name: llm, MostStreams: 60, Engine: engine}},
+		Services: []config.Service{{Name: plain, MostStreams: 90}, {Name: other, MostStreams: 90}, {Name: llm, MostStreams: 60, Engine: engine}},
 	}
 	return m
 }
--- a/drill/network.go
+++ b/internal/simulation/faultsim/network.go
@@ -1,7 +1,7 @@
-package drill
+package faultsim
 
 import (
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // open says whether something can go from one name to another.
@@ -72,7 +72,7 @@
 }
 
 // send carries a message between daemons; it may be lost, come late or twice.
-func (w *World) send(n *node, send wire.Send) {
+func (w *World) send(n *node, send protocol.Send) {
 	var to *node
 	for _, name := range w.names() {
 		if w.nodes[name].address+":7" == send.Address {
@@ -80,14 +80,14 @@
 		}
 	}
 	times := 1
-	if lookUp, is := send.Body.(wire.MapLookUp); is {
+	if lookUp, is := send.Body.(protocol.MapLookUp); is {
 		w.Book.lookUp(n, lookUp)
 		if w.Breaks.DoubleLookUp {
 			w.Book.lookUp(n, lookUp)
 			times++
 		}
 	}
-	if word, is := send.Body.(wire.MapWord); is {
+	if word, is := send.Body.(protocol.MapWord); is {
 		send.Body = w.spoilt(word)
 	}
 	if to == nil || w.lossPart > 0 && w.random.Float64() < w.lossPart {
@@ -96,14 +96,14 @@
 	if w.twicePart > 0 && w.random.Float64() < w.twicePart {
 		times++
 	}
-	e := wire.Envelope{Site: site, From: n.place(), To: send.To, Body: send.Body}
+	e := protocol.Envelope{Site: site, From: n.place(), To: send.To, Body: send.Body}
 	for range times {
 		w.pass(n.name, to.name, func() { w.put(to, to.life, e) }, nil)
 	}
 }
 
 // spoilt is a word to routers as a broken system would give it.
-func (w *World) spoilt(word wire.MapWord) wire.MapWord {
+func (w *World) spoilt(word protocol.MapWord) protocol.MapWord {
 	if w.Breaks.KeepLeaving {
 		word.Leaving = nil
 	}
@@ -117,7 +117,7 @@
 
 // call carries a call of a daemon outward. As in the shell, what has not come
 // back in time counts as lost, and its answer is not heard any more.
-func (w *World) call(n *node, life int, call wire.Call) {
+func (w *World) call(n *node, life int, call protocol.Call) {
 	ended := false
 	back := func(input any) {
 		if !ended {
@@ -127,15 +127,15 @@
 	}
 	giveUp := func(input any) { w.after(outwardMs, func() { back(input) }) }
 	switch body := call.Body.(type) {
-	case wire.FleetCall:
-		giveUp(wire.Fleet{})
+	case protocol.FleetCall:
+		giveUp(protocol.Fleet{})
 		w.pass(n.name, "list", func() {
 			if said, ok := w.fleet.list(w); ok {
 				w.pass("list", n.name, func() { back(said) }, nil)
 			}
 		}, nil)
-	case wire.StateCall:
-		said := wire.StateSaid{Runner: body.Runner, Number: body.Number}
+	case protocol.StateCall:
+		said := protocol.StateSaid{Runner: body.Runner, Number: body.Number}
 		giveUp(said)
 		w.pass(n.name, call.Address, func() {
 			r := w.fleet.at(call.Address)
@@ -148,15 +148,15 @@
 			}
 			w.pass(call.Address, n.name, func() { back(said) }, nil)
 		}, nil)
-	case wire.CommandCall:
-		said := wire.CommandSaid{Runner: body.Runner, Number: body.Number}
+	case protocol.CommandCall:
+		said := protocol.CommandSaid{Runner: body.Runner, Number: body.Number}
 		if w.Breaks.SameFence {
 			body.Fence = 1
 		}
 		write := func() {
 			giveUp(said)
 			if r := w.fleet.at(call.Address); r == nil {
-				w.after(2, func() { said.Outcome = wire.CommandNotSent; back(said) })
+				w.after(2, func() { said.Outcome = protocol.CommandNotSent; back(said) })
 				return
 			}
 			arrive := func() {
@@ -176,7 +176,7 @@
 				w.after(2500, arrive)
 			}
 		}
-		w.atSocket(n, life, body.UntilMs, write, func() { said.Outcome = wire.CommandNotSent; back(said) })
+		w.atSocket(n, life, body.UntilMs, write, func() { said.Outcome = protocol.CommandNotSent; back(said) })
 	}
 }
 
--- a/drill/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -1,21 +1,21 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
 	"maps"
 	"slices"
 
-	"myrtlewinch/control"
-	"myrtlewinch/relay"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
 )
 
 // node is one daemon on a machine of its own.
 type node struct {
 	name, zone, part, address string
 	machine                   interface {
-		Step(nowMs int64, input any) wire.Effects
+		Step(nowMs int64, input any) protocol.Effects
 	}
 	up, frozen, removed bool
 	// leaving says that a planned stop has begun.
@@ -41,15 +41,15 @@
 	// failed says that a save failed: the machine takes none from then on. torn
 	// is what that save left, if it left anything.
 	failed bool
-	torn   *wire.Save
+	torn   *protocol.Save
 	wipes  int
 	// pending was asked for and is not synced yet.
-	pending []wire.Save
+	pending []protocol.Save
 	// cached is what a broken disk called saved and has not written.
-	cached []wire.Save
+	cached []protocol.Save
 }
 
-func (n *node) core() bool { return n.part == wire.Controller }
+func (n *node) core() bool { return n.part == protocol.Controller }
 
 // well says that it runs and nothing is the matter with it.
 func (n *node) well() bool {
@@ -59,8 +59,8 @@
 // clock is the daemon's own: monotonic, with a start of its own.
 func (n *node) clock(nowMs int64) int64 { return nowMs - n.bornMs + n.offset }
 
-func (n *node) place() wire.Place {
-	p := wire.Place{Name: n.name, Address: n.address + ":7", Zone: n.zone, Part: n.part, Incarnation: fmt.Sprintf("%s-life-%d", n.name, n.life)}
+func (n *node) place() protocol.Place {
+	p := protocol.Place{Name: n.name, Address: n.address + ":7", Zone: n.zone, Part: n.part, Incarnation: fmt.Sprintf("%s-life-%d", n.name, n.life)}
 	if n.core() {
 		p.Incarnation = n.disk.incarnation
 	}
@@ -69,7 +69,7 @@
 
 func (w *World) addNode(name, address, zone, part string) *node {
 	n := &node{name: name, address: address, zone: zone, part: part, passages: map[uint64]*passage{}}
-	if part == wire.Controller {
+	if part == protocol.Controller {
 		n.disk = &simDisk{keys: map[string]string{}, incarnation: name + "-disk-0"}
 	}
 	w.nodes[name] = n
@@ -109,21 +109,21 @@
 	self := n.place()
 	if n.core() {
 		n.disk.reopen()
-		tenant := steward.New(steward.Settings{
+		tenant := controller.New(controller.Settings{
 			Self: self, Bounds: w.Bounds, ListAddress: listAddress, ListPerSec: listPerSec, ControlPort: "80",
 		}, format{})
-		machine, err := control.New(control.Settings{
+		machine, err := consensus.New(consensus.Settings{
 			Site: site, Self: self, Seeds: slices.Clone(w.seeds), Tenant: w.broken(tenant), Losses: w.losses, Founds: first,
-			GapMs: w.Bounds.LeaseMs + w.Bounds.ThawMs, AwayMs: control.AwayMsFor(w.Bounds.CatchUpMs),
-			ShowMs: control.ShowMsFor(w.Bounds.CatchUpMs), Timing: control.TimingFor(w.Bounds.CatchUpMs),
-			LeaveMs: steward.LeaveMs(w.Bounds),
+			GapMs: w.Bounds.LeaseMs + w.Bounds.ThawMs, AwayMs: consensus.AwayMsFor(w.Bounds.CatchUpMs),
+			ShowMs: consensus.ShowMsFor(w.Bounds.CatchUpMs), Timing: consensus.TimingFor(w.Bounds.CatchUpMs),
+			LeaveMs: controller.LeaveMs(w.Bounds),
 		}, maps.Clone(n.disk.keys), n.clock(w.NowMs()))
 		if err != nil {
 			panic(fmt.Sprintf("drill: %s does not start: %v", n.name, err))
 		}
 		n.machine = machine
 	} else {
-		n.machine = relay.New(relay.Settings{
+		n.machine = proxy.New(proxy.Settings{
 			Site: site, Self: self, Seeds: slices.Clone(w.seeds), Bounds: w.Bounds, ListAddress: listAddress,
 		}, format{}, n.clock(w.NowMs()))
 	}
@@ -160,7 +160,7 @@
 const cachedMost = 12
 
 // keep writes a save, or with a cache the one that has lain there longest.
-func (d *simDisk) keep(save wire.Save, isCached bool) {
+func (d *simDisk) keep(save protocol.Save, isCached bool) {
 	d.cached = append(d.cached, save)
 	for len(d.cached) > 0 && (!isCached || len(d.cached) > cachedMost) {
 		d.cached[0].Write.Apply(d.keys)
@@ -175,7 +175,7 @@
 		return
 	}
 	if !n.frozen {
-		w.put(n, life, wire.Tick{})
+		w.put(n, life, protocol.Tick{})
 	}
 	w.after(tickMs, func() { w.tick(n, life) })
 }
@@ -194,7 +194,7 @@
 }
 
 // perform carries a daemon's effects out.
-func (w *World) perform(n *node, effects wire.Effects) {
+func (w *World) perform(n *node, effects protocol.Effects) {
 	life := n.life
 	for _, text := range effects.Notes {
 		w.note("%s: %s", n.name, text)
@@ -212,7 +212,7 @@
 		w.call(n, life, call)
 	}
 	for _, answer := range effects.Answers {
-		if _, is := answer.Body.(control.Departed); is {
+		if _, is := answer.Body.(consensus.Departed); is {
 			w.after(leaveWaitMs, func() { w.end(n, life) })
 		} else if n.core() {
 			w.operators.answered(w, n, answer)
@@ -253,7 +253,7 @@
 		if len(d.pending) > 0 {
 			w.saveNext(n, made)
 		}
-		w.put(n, life, wire.Saved{Number: save.Number, Ok: !d.failed})
+		w.put(n, life, protocol.Saved{Number: save.Number, Ok: !d.failed})
 	})
 }
 
@@ -293,11 +293,11 @@
 	w.touch.upset(n)
 	if n.core() {
 		// The answer ends it, at the latest after the time for the hand-over.
-		w.put(n, life, control.StepDown{})
+		w.put(n, life, consensus.StepDown{})
 		w.after(w.Bounds.GraceMs, func() { w.end(n, life) })
 		return
 	}
-	w.put(n, life, relay.Leave{})
+	w.put(n, life, proxy.Leave{})
 	w.after(w.Bounds.GraceMs-700, func() { w.end(n, life) })
 }
 
--- a/drill/operators.go
+++ b/internal/simulation/faultsim/operators.go
@@ -1,13 +1,13 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
 	"slices"
 	"strings"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -51,7 +51,7 @@
 	done             bool
 	// read says that it only reads the map in force, which got then holds.
 	read bool
-	got  *steward.Text
+	got  *controller.Text
 	// isRival says that another order may have the same version, so that the
 	// rules by version don't hold for it.
 	isRival bool
@@ -109,7 +109,7 @@
 }
 
 func (w *World) someCore() *node {
-	names := w.names(wire.Controller)
+	names := w.names(protocol.Controller)
 	return w.nodes[names[w.random.Intn(len(names))]]
 }
 
@@ -168,15 +168,15 @@
 	o.calls[o.ids] = a
 	id := o.ids
 	if w.Breaks.EagerAnswer && !h.read {
-		o.record(w, a, steward.Taken{Version: h.version})
+		o.record(w, a, controller.Taken{Version: h.version})
 		o.take(w, h)
 	}
 	arrive := func() {
 		if at.up {
 			if h.read {
-				w.put(at, at.life, steward.Read{ID: id})
+				w.put(at, at.life, controller.Read{ID: id})
 			} else {
-				w.put(at, at.life, steward.HandOver{ID: id, BuiltOn: h.builtOn, Text: h.text, Part: h.part})
+				w.put(at, at.life, controller.HandOver{ID: id, BuiltOn: h.builtOn, Text: h.text, Part: h.part})
 			}
 		} else {
 			w.after(5, func() { o.again(w, a, nil) })
@@ -226,7 +226,7 @@
 }
 
 // answered takes the answer of a controller; it may get lost on its way.
-func (o *operators) answered(w *World, n *node, answer wire.Answer) {
+func (o *operators) answered(w *World, n *node, answer protocol.Answer) {
 	a := o.calls[answer.ID]
 	if a == nil {
 		return
@@ -248,16 +248,16 @@
 func (o *operators) record(w *World, a *attempt, body any) {
 	answer := clearAnswer{sentMs: a.sentMs, atMs: w.NowMs()}
 	switch said := body.(type) {
-	case steward.Text:
+	case controller.Text:
 		o.history.read(a.sentMs, w.NowMs(), said.Version, said.Text)
 		return
-	case steward.Taken:
+	case controller.Taken:
 		answer.outcome = outcomeAccepted
-	case wire.Dropped:
+	case protocol.Dropped:
 		switch said.Kind {
-		case defect.StaleBase:
+		case errkind.StaleBase:
 			answer.outcome, answer.current = outcomeStale, said.Revision
-		case defect.FaultyDescription:
+		case errkind.FaultyDescription:
 			answer.outcome = outcomeFaulty
 		default:
 			return
@@ -271,29 +271,29 @@
 func (o *operators) hear(w *World, a *attempt, body any) {
 	h := a.h
 	switch said := body.(type) {
-	case steward.Taken:
+	case controller.Taken:
 		if said.Version != h.version {
 			w.Book.breach("CONFIG", w.NowMs(), "version %d is acknowledged as %d", h.version, said.Version)
 		}
 		o.take(w, h)
-	case steward.Text:
+	case controller.Text:
 		h.done = true
 		h.got = &said
-	case wire.Dropped:
+	case protocol.Dropped:
 		switch said.Kind {
-		case defect.NotPrimary:
+		case errkind.NotPrimary:
 			var to *node
-			for _, name := range w.names(wire.Controller) {
+			for _, name := range w.names(protocol.Controller) {
 				if w.nodes[name].address+":80" == said.Primary && w.nodes[name] != a.n {
 					to = w.nodes[name]
 				}
 			}
 			o.again(w, a, to)
-		case defect.StaleBase, defect.FaultyDescription:
+		case errkind.StaleBase, errkind.FaultyDescription:
 			if h.proper && !o.doubt && h.builtOn == o.newest {
 				w.Book.breach("CONFIG", w.NowMs(), "version %d, proper, is refused: %s %v", h.version, said.Kind, said.Faults)
 			}
-			if said.Kind == defect.StaleBase {
+			if said.Kind == errkind.StaleBase {
 				o.base = max(o.base, said.Revision)
 			}
 			if !h.isRival {
--- a/drill/passage.go
+++ b/internal/simulation/faultsim/passage.go
@@ -1,12 +1,12 @@
-package drill
+package faultsim
 
 import (
 	"strconv"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/relay"
-	"myrtlewinch/servicemap"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
 )
 
 // passage is a client's request on its way through a router: a model of what
@@ -17,7 +17,7 @@
 	life  int
 	id    uint64
 	c     *request
-	asked relay.Asked
+	asked proxy.Asked
 	// over says that the machine gave its last answer or was told that none is
 	// wanted.
 	over bool
@@ -57,28 +57,28 @@
 		return
 	}
 	switch said := body.(type) {
-	case wire.Dropped:
+	case protocol.Dropped:
 		if w.Breaks.NoRetryTime {
 			said.RetryMs = 0
 		}
 		if w.Breaks.DenyKnown {
-			said.Kind = defect.UnknownPage
+			said.Kind = errkind.UnknownPage
 		}
 		p.finish()
 		p.c.hear(p.n.name, func() { p.c.refused(said.Kind, said.RetryMs) })
 		if w.Breaks.TwoAnswers {
 			p.c.hear(p.n.name, func() { p.c.end("broken off") })
 		}
-	case relay.Break:
+	case proxy.Break:
 		p.finish()
 		p.c.hear(p.n.name, func() { p.c.end("broken off") })
-	case relay.Keep:
+	case proxy.Keep:
 		if !p.kept {
 			w.Book.breach("ANSWER", w.NowMs(), "%s: there is no failed answer to pass on", p.c.try)
 		}
 		p.finish()
 		p.c.hear(p.n.name, func() { p.c.end("failed") })
-	case relay.Send:
+	case proxy.Send:
 		if p.sent {
 			w.Book.breach("ANSWER", w.NowMs(), "%s is sent on while a send is under way", p.c.try)
 		}
@@ -95,7 +95,7 @@
 				}
 			}
 		}
-		w.atSocket(p.n, p.life, said.UntilMs, func() { p.send(said) }, func() { p.ended(relay.Ended{Outcome: relay.TooLate}) })
+		w.atSocket(p.n, p.life, said.UntilMs, func() { p.send(said) }, func() { p.ended(proxy.Ended{Outcome: proxy.TooLate}) })
 	}
 }
 
@@ -111,7 +111,7 @@
 const dialMs = 300
 
 // send writes the request to whoever has the address.
-func (p *passage) send(s relay.Send) {
+func (p *passage) send(s proxy.Send) {
 	if p.over {
 		return
 	}
@@ -122,7 +122,7 @@
 		if r == nil && w.random.Intn(2) == 0 {
 			tookMs = 1
 		}
-		w.after(tookMs, func() { p.atRouter(func() { p.ended(relay.Ended{Outcome: relay.NotSent}) }) })
+		w.after(tookMs, func() { p.atRouter(func() { p.ended(proxy.Ended{Outcome: proxy.NotSent}) }) })
 		return
 	}
 	j := &job{p: p, s: s, r: r}
@@ -148,7 +148,7 @@
 }
 
 // ended tells the machine how the send ended.
-func (p *passage) ended(e relay.Ended) {
+func (p *passage) ended(e proxy.Ended) {
 	if p.over {
 		return
 	}
@@ -160,7 +160,7 @@
 	if p.passed && p.last > 0 {
 		e.After = strconv.Itoa(p.last)
 	}
-	if e.Outcome == relay.Answered {
+	if e.Outcome == proxy.Answered {
 		p.finish()
 	}
 	p.w.put(p.n, p.life, e)
@@ -169,37 +169,37 @@
 // lost is a send that was written and brought no whole answer.
 func (p *passage) lost(j *job) {
 	w := p.w
-	outcome := relay.Lost
+	outcome := proxy.Lost
 	if p.passed {
-		outcome = relay.Cut
+		outcome = proxy.Cut
 	}
 	switch {
 	case w.Breaks.RefuseLost && !p.passed:
 		p.finish()
-		p.w.put(p.n, p.life, relay.Gone{ID: p.id})
-		p.c.refused(defect.NoRunner, 200)
+		p.w.put(p.n, p.life, proxy.Gone{ID: p.id})
+		p.c.refused(errkind.NoRunner, 200)
 		return
 	case w.Breaks.ResendUnsafe && !p.passed:
-		outcome = relay.NotSent
-	case w.Breaks.FreeTries && !p.passed && j.s.Route.Kind == servicemap.Safe && p.again < 5:
+		outcome = proxy.NotSent
+	case w.Breaks.FreeTries && !p.passed && j.s.Route.Kind == config.Safe && p.again < 5:
 		p.again++
 		again := j.s
 		again.DeadlineMs, again.UntilMs = again.DeadlineMs+1000, again.UntilMs+2000
 		p.send(again)
 		return
 	}
-	p.ended(relay.Ended{Outcome: outcome})
+	p.ended(proxy.Ended{Outcome: outcome})
 }
 
 // failed is a runner's own 500: kept where it may be tried elsewhere.
 func (p *passage) failed() {
 	if p.job.s.Route.Repeatable() && !p.passed {
 		p.kept = true
-		p.ended(relay.Ended{Outcome: relay.Failed})
+		p.ended(proxy.Ended{Outcome: proxy.Failed})
 		return
 	}
 	p.c.hear(p.n.name, func() { p.c.end("failed") })
-	p.ended(relay.Ended{Outcome: relay.Answered})
+	p.ended(proxy.Ended{Outcome: proxy.Answered})
 }
 
 // whole is a plain answer.
@@ -208,7 +208,7 @@
 		return
 	}
 	p.c.hear(p.n.name, func() { p.c.end("answered") })
-	p.ended(relay.Ended{Outcome: relay.Answered})
+	p.ended(proxy.Ended{Outcome: proxy.Answered})
 }
 
 // piece passes the next piece of a stream on.
@@ -230,7 +230,7 @@
 		return
 	}
 	p.c.hear(p.n.name, func() { p.c.end("answered") })
-	p.ended(relay.Ended{Outcome: relay.Answered})
+	p.ended(proxy.Ended{Outcome: proxy.Answered})
 }
 
 // gone is the client going away.
@@ -239,7 +239,7 @@
 		return
 	}
 	p.finish()
-	p.w.put(p.n, p.life, relay.Gone{ID: p.id})
+	p.w.put(p.n, p.life, proxy.Gone{ID: p.id})
 }
 
 // broke is the router's process ending under it.
--- a/drill/register.go
+++ b/internal/simulation/faultsim/register.go
@@ -1,11 +1,11 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
 
 	"github.com/anishathalye/porcupine"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // operationKind is what an operation does to the register.
@@ -166,7 +166,7 @@
 	if len(faults) > 0 || read.Version <= on.version {
 		return appliedOrder{on, false}
 	}
-	next := configuration{read.Version, wire.Sum(string(text))}
+	next := configuration{read.Version, protocol.Sum(string(text))}
 	r.texts[next.sum] = string(text)
 	return appliedOrder{next, true}
 }
--- a/drill/register_test.go
+++ b/internal/simulation/faultsim/register_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultsim
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // plainOperation is an operation of the plain model: an order with the answer
@@ -134,7 +134,7 @@
 	} else if len(h.reads) > 0 {
 		r := &h.reads[rapid.IntRange(0, len(h.reads)-1).Draw(t, "spoilt")]
 		r.version = rapid.Uint64Range(1, 6).Draw(t, "version")
-		r.sum = wire.Sum(wholeText(r.version, rapid.Int64Range(0, 3).Draw(t, "variant")))
+		r.sum = protocol.Sum(wholeText(r.version, rapid.Int64Range(0, 3).Draw(t, "variant")))
 	}
 }
 
--- a/drill/runner.go
+++ b/internal/simulation/faultsim/runner.go
@@ -1,16 +1,16 @@
-package drill
+package faultsim
 
 import (
 	"maps"
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // runner is one life of a stand-in runner.
 type runner struct {
 	w     *World
-	entry wire.RunnerEntry
+	entry protocol.RunnerEntry
 	// held are models with their adapters, loading what an order brings.
 	held    map[string]map[string]bool
 	loading map[string]bool
@@ -30,19 +30,19 @@
 
 type snapshot struct {
 	atMs  int64
-	state wire.RunnerState
+	state protocol.RunnerState
 }
 
-func (r *runner) models() []wire.HeldModel {
-	var out []wire.HeldModel
+func (r *runner) models() []protocol.HeldModel {
+	var out []protocol.HeldModel
 	for _, name := range slices.Sorted(maps.Keys(r.held)) {
-		out = append(out, wire.HeldModel{Name: name, Version: 1, Adapters: slices.Sorted(maps.Keys(r.held[name]))})
+		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: slices.Sorted(maps.Keys(r.held[name]))})
 	}
 	return out
 }
 
 func (r *runner) note(nowMs int64) {
-	state := wire.RunnerState{
+	state := protocol.RunnerState{
 		Models: r.models(), Busy: r.busy, Calls: r.calls, Queued: len(r.queue), Active: len(r.jobs), CacheTotal: cacheTokens,
 	}
 	for _, j := range r.jobs {
@@ -55,8 +55,8 @@
 }
 
 // told is the runner's own word on itself, a little old.
-func (r *runner) told(nowMs int64) wire.RunnerState {
-	var said wire.RunnerState
+func (r *runner) told(nowMs int64) protocol.RunnerState {
+	var said protocol.RunnerState
 	for i, s := range r.past {
 		if i == 0 || s.atMs <= nowMs-stateLagMs {
 			said = s.state
@@ -75,27 +75,27 @@
 }
 
 // command is the runner's side of an order.
-func (r *runner) command(w *World, sender string, c wire.CommandCall) wire.CommandOutcome {
+func (r *runner) command(w *World, sender string, c protocol.CommandCall) protocol.CommandOutcome {
 	if r.entry.ID != c.Runner || r.entry.Service != llm {
-		return wire.CommandRefused
+		return protocol.CommandRefused
 	}
 	w.Book.order(sender, r.entry.ID, c.Holder, c.Fence)
 	if w.Bounds.Fenced && c.Fence < r.fence {
-		return wire.CommandFenced
+		return protocol.CommandFenced
 	}
 	r.fence = max(r.fence, c.Fence)
 	if r.busy || c.Expected != r.calls && !w.Breaks.NoExpected {
-		return wire.CommandBusy
+		return protocol.CommandBusy
 	}
 	of, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return wire.CommandRefused
+			return protocol.CommandRefused
 		}
 		there = of[c.Adapter]
 	}
 	if c.Load == there {
-		return wire.CommandInEffect
+		return protocol.CommandInEffect
 	}
 	r.calls++
 	r.busy = true
@@ -105,10 +105,10 @@
 	} else {
 		r.unload(c)
 	}
-	return wire.CommandTaken
+	return protocol.CommandTaken
 }
 
-func (r *runner) load(c wire.CommandCall) {
+func (r *runner) load(c protocol.CommandCall) {
 	mb, adapters := r.taken()
 	tookMs, what := int64(10), c.Model
 	if c.Adapter != "" {
@@ -137,7 +137,7 @@
 }
 
 // unload waits until what runs with it has ended.
-func (r *runner) unload(c wire.CommandCall) {
+func (r *runner) unload(c protocol.CommandCall) {
 	r.loading[c.Model] = c.Adapter == ""
 	used := slices.ContainsFunc(r.jobs, func(j *job) bool {
 		return j.p.asked.Model == c.Model && (c.Adapter == "" || j.p.asked.Adapter == c.Adapter)
--- a/drill/tenant.go
+++ b/internal/simulation/faultsim/tenant.go
@@ -1,23 +1,23 @@
-package drill
+package faultsim
 
 import (
 	"encoding/json"
 	"strings"
 
-	"myrtlewinch/control"
-	"myrtlewinch/defect"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // brokenTenant is a controller's tenant with deliberate faults.
 type brokenTenant struct {
-	control.Tenant
+	consensus.Tenant
 	breaks Breaks
 }
 
 // broken gives a tenant the faults that the world has.
-func (w *World) broken(tenant control.Tenant) control.Tenant {
+func (w *World) broken(tenant consensus.Tenant) consensus.Tenant {
 	b := w.Breaks
 	if b.ForgetOrders || b.IgnoreBase || b.StaleRead || b.StaleRefusal {
 		return brokenTenant{tenant, b}
@@ -27,7 +27,7 @@
 
 // copiedMap reads the map off a daemon's own copy of the state, whether that
 // is safe or not.
-func copiedMap(h control.Host) (version uint64, text string) {
+func copiedMap(h consensus.Host) (version uint64, text string) {
 	var kept struct {
 		Version uint64 `json:"version"`
 		Packed  []byte `json:"packed"`
@@ -35,7 +35,7 @@
 	if json.Unmarshal([]byte(h.Row("map")), &kept) != nil {
 		return 0, ""
 	}
-	text, err := wire.Unpack(kept.Packed)
+	text, err := protocol.Unpack(kept.Packed)
 	if err != nil {
 		return 0, ""
 	}
@@ -43,17 +43,17 @@
 }
 
 // Input answers operators as a broken system would.
-func (t brokenTenant) Input(h control.Host, input any) bool {
+func (t brokenTenant) Input(h consensus.Host, input any) bool {
 	version, text := copiedMap(h)
 	switch in := input.(type) {
-	case steward.Read:
+	case controller.Read:
 		if t.breaks.StaleRead && version > 0 {
-			h.Answer(in.ID, steward.Text{Version: version, Text: text})
+			h.Answer(in.ID, controller.Text{Version: version, Text: text})
 			return true
 		}
-	case steward.HandOver:
+	case controller.HandOver:
 		if t.breaks.StaleRefusal && version > in.BuiltOn {
-			h.Answer(in.ID, wire.Dropped{Kind: defect.StaleBase, Revision: version})
+			h.Answer(in.ID, protocol.Dropped{Kind: errkind.StaleBase, Revision: version})
 			return true
 		}
 		if t.breaks.IgnoreBase {
@@ -65,12 +65,12 @@
 }
 
 // Began hands the faults on to the start of a primacy.
-func (t brokenTenant) Began(h control.Host) { t.Tenant.Began(t.host(h)) }
+func (t brokenTenant) Began(h consensus.Host) { t.Tenant.Began(t.host(h)) }
 
 // Tick hands the faults on to what waits.
-func (t brokenTenant) Tick(h control.Host) { t.Tenant.Tick(t.host(h)) }
+func (t brokenTenant) Tick(h consensus.Host) { t.Tenant.Tick(t.host(h)) }
 
-func (t brokenTenant) host(h control.Host) control.Host {
+func (t brokenTenant) host(h consensus.Host) consensus.Host {
 	if t.breaks.ForgetOrders {
 		return forgetfulHost{h}
 	}
@@ -78,7 +78,7 @@
 }
 
 // forgetfulHost has no rows of accepted orders.
-type forgetfulHost struct{ control.Host }
+type forgetfulHost struct{ consensus.Host }
 
 // Row hides the rows of accepted orders.
 func (f forgetfulHost) Row(key string) string {
--- a/drill/touch.go
+++ b/internal/simulation/faultsim/touch.go
@@ -1,4 +1,4 @@
-package drill
+package faultsim
 
 // touch follows which machines are in touch and whether the core is settled,
 // as the rules count it.
--- a/drill/workload.go
+++ b/internal/simulation/faultsim/workload.go
@@ -1,9 +1,9 @@
-package drill
+package faultsim
 
 import (
 	"encoding/json"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // workloadKind is what a step of a workload of competing operators does.
@@ -86,7 +86,7 @@
 		w.resend(r, w.someCore())
 		w.Run(20)
 	}
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		w.readBack(w.nodes[name])
 	}
 	w.Run(callerEnd)
@@ -122,7 +122,7 @@
 		}
 	case workloadResend:
 		r := o.history.orders[w.random.Intn(len(o.history.orders))]
-		for _, name := range w.names(wire.Controller) {
+		for _, name := range w.names(protocol.Controller) {
 			w.resend(r, w.nodes[name])
 		}
 	case workloadFault:
--- a/drill/workload_test.go
+++ b/internal/simulation/faultsim/workload_test.go
@@ -1,4 +1,4 @@
-package drill
+package faultsim
 
 import (
 	"flag"
@@ -8,7 +8,7 @@
 	qt "github.com/frankban/quicktest"
 	"pgregory.net/rapid"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // Operators contend while the core has its faults; "drill --scenario" with the
@@ -137,7 +137,7 @@
 func settleWorkload(t *testing.T, w *World) {
 	w.Run(callerEnd)
 	for _, r := range w.operators.history.orders {
-		for _, name := range w.names(wire.Controller) {
+		for _, name := range w.names(protocol.Controller) {
 			w.resend(r, w.nodes[name])
 		}
 		w.readBack(nil)
@@ -189,7 +189,7 @@
 
 // slowOthers makes the disks of all other core machines slower.
 func (w *World) slowOthers(n *node, ms int64) {
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		if other := w.nodes[name]; other != n {
 			other.disk.slowMs = ms
 		}
@@ -199,7 +199,7 @@
 // mapIsAloneAt says whether a disk holds another map than all other disks.
 func (w *World) mapIsAloneAt(n *node) bool {
 	const key = "state/kept/map"
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		if other := w.nodes[name]; other != n && other.disk.keys[key] == n.disk.keys[key] {
 			return false
 		}
--- a/drill/world.go
+++ b/internal/simulation/faultsim/world.go
@@ -1,18 +1,18 @@
-// Package drill runs the machines of the platform's path under a virtual
+// Package faultsim runs the machines of the platform's path under a virtual
 // clock: controllers with their stewards, and routers, with stand-ins for the
 // runners, the platform's list, clients and operators, a seeded network and
 // seeded disks. It brings failures about and checks the rules from what
 // clients, runners and operators see.
-package drill
+package faultsim
 
 import (
 	"fmt"
 	"math/rand"
 	"strings"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/eventqueue"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/eventqueue"
 )
 
 const (
@@ -128,14 +128,14 @@
 	w.clients = newClients()
 	w.operators = newOperators()
 	for i := range count {
-		n := w.addNode(fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.0.0.%d", i+1), fmt.Sprintf("zone-%d", i%3), wire.Controller)
+		n := w.addNode(fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.0.0.%d", i+1), fmt.Sprintf("zone-%d", i%3), protocol.Controller)
 		if i < 3 {
 			w.seeds = append(w.seeds, n.address+":7")
 		}
 	}
 	w.machines = count
 	for i := range 3 {
-		w.addNode(fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("zone-%d", i), wire.Router)
+		w.addNode(fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("zone-%d", i), protocol.Router)
 	}
 	for _, name := range w.names() {
 		w.start(w.nodes[name], true)
--- a/rules/allowance.go
+++ b/internal/simulation/invariants/allowance.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 // allowance is what a description allows from a time on.
 type allowance struct {
--- a/rules/book.go
+++ b/internal/simulation/invariants/book.go
@@ -1,6 +1,6 @@
-// Package rules is what must never happen, checked from what senders and
+// Package invariants is what must never happen, checked from what senders and
 // runners saw. It knows nothing of how the system works inside.
-package rules
+package invariants
 
 import (
 	"fmt"
--- a/rules/book_test.go
+++ b/internal/simulation/invariants/book_test.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 import (
 	"testing"
--- a/rules/mark.go
+++ b/internal/simulation/invariants/mark.go
@@ -1,4 +1,4 @@
-package rules
+package invariants
 
 // Handed notes that a description was handed over which can be told by a
 // service of its own.
--- a/site/bad_test.go
+++ b/internal/simulation/localcluster/bad_test.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"encoding/json"
@@ -13,10 +13,10 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/defect"
-	"myrtlewinch/stand"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/testbackend"
+	"myrtlewinch/internal/threads"
 )
 
 // TestBadInput hands bad input to real doors: each is named and has no effect.
@@ -28,29 +28,29 @@
 	cases := []struct {
 		about, method, address, path, base, body string
 		status                                   int
-		kind                                     defect.Kind
+		kind                                     errkind.Kind
 		detail                                   string
 	}{
-		{"unknown service", "POST", edge, "/services/tea", "", `{}`, 404, defect.UnknownService, "tea"},
-		{"unknown model", "POST", edge, "/services/desk", "", `{"model":"m"}`, 404, defect.UnknownModel, "m"},
-		{"model of another service", "POST", edge, "/services/desk", "", `{"model":"specimen-1"}`, 422, defect.ModelNotAllowed, "specimen-1"},
-		{"unknown adapter", "POST", edge, "/services/desk", "", `{"model":"label-1","adapter":"a"}`, 404, defect.UnknownAdapter, "a"},
-		{"adapter of another model", "POST", edge, "/services/desk", "", `{"model":"label-1","adapter":"label-2-hand-1"}`, 422, defect.ModelNotAllowed, "label-2"},
-		{"bad JSON", "POST", edge, "/services/desk", "", `{`, 400, defect.BadRequest, ""},
-		{"unknown field", "POST", edge, "/services/desk", "", `{"colour":1}`, 400, defect.BadRequest, "colour"},
-		{"text after the end", "POST", edge, "/services/page", "", `{} x`, 400, defect.BadRequest, ""},
-		{"too large for the service", "POST", edge, "/services/page", "", `{"input":"` + strings.Repeat("x", 70_000) + `"}`, 413, defect.TooLarge, "65536"},
-		{"wrong method", "GET", edge, "/services/page", "", ``, 405, defect.WrongMethod, ""},
-		{"no such page", "GET", edge, "/tea", "", ``, 404, defect.UnknownPage, ""},
-		{"stale base", "PUT", core, "/description", "7", whole, 412, defect.StaleBase, ""},
-		{"no base", "PUT", core, "/description", "", whole, 428, defect.NoBase, "If-Match"},
-		{"odd base", "PUT", core, "/description", "x", whole, 400, defect.BadRequest, "x"},
-		{"faulty", "PUT", core, "/description", "1", strings.Replace(whole, `"size": 22`, `"size": 0, "colour": 1`, 1), 422, defect.FaultyDescription, ""},
-		{"faulty part", "PATCH", core, "/description", "1", `{"store":{"loadsPer10s":0}}`, 422, defect.FaultyDescription, ""},
-		{"too large", "PUT", core, "/description", "1", whole + strings.Repeat(" ", 1<<20), 413, defect.TooLarge, ""},
-		{"not the primary", "PUT", f.Controllers[1].Settings.HTTP, "/description", "1", whole, 421, defect.NotPrimary, ""},
-		{"founded already", "POST", core, "/found", "", `{"witnesses":["core-1","core-2","core-3"],"backup":"core-2"}`, 409, defect.AlreadyFounded, ""},
-		{"wrong method at the core", "DELETE", core, "/description", "", ``, 405, defect.WrongMethod, ""},
+		{"unknown service", "POST", edge, "/services/tea", "", `{}`, 404, errkind.UnknownService, "tea"},
+		{"unknown model", "POST", edge, "/services/desk", "", `{"model":"m"}`, 404, errkind.UnknownModel, "m"},
+		{"model of another service", "POST", edge, "/services/desk", "", `{"model":"specimen-1"}`, 422, errkind.ModelNotAllowed, "specimen-1"},
+		{"unknown adapter", "POST", edge, "/services/desk", "", `{"model":"label-1","adapter":"a"}`, 404, errkind.UnknownAdapter, "a"},
+		{"adapter of another model", "POST", edge, "/services/desk", "", `{"model":"label-1","adapter":"label-2-hand-1"}`, 422, errkind.ModelNotAllowed, "label-2"},
+		{"bad JSON", "POST", edge, "/services/desk", "", `{`, 400, errkind.BadRequest, ""},
+		{"unknown field", "POST", edge, "/services/desk", "", `{"colour":1}`, 400, errkind.BadRequest, "colour"},
+		{"text after the end", "POST", edge, "/services/page", "", `{} x`, 400, errkind.BadRequest, ""},
+		{"too large for the service", "POST", edge, "/services/page", "", `{"input":"` + strings.Repeat("x", 70_000) + `"}`, 413, errkind.TooLarge, "65536"},
+		{"wrong method", "GET", edge, "/services/page", "", ``, 405, errkind.WrongMethod, ""},
+		{"no such page", "GET", edge, "/tea", "", ``, 404, errkind.UnknownPage, ""},
+		{"stale base", "PUT", core, "/description", "7", whole, 412, errkind.StaleBase, ""},
+		{"no base", "PUT", core, "/description", "", whole, 428, errkind.NoBase, "If-Match"},
+		{"odd base", "PUT", core, "/description", "x", whole, 400, errkind.BadRequest, "x"},
+		{"faulty", "PUT", core, "/description", "1", strings.Replace(whole, `"size": 22`, `"size": 0, "colour": 1`, 1), 422, errkind.FaultyDescription, ""},
+		{"faulty part", "PATCH", core, "/description", "1", `{"store":{"loadsPer10s":0}}`, 422, errkind.FaultyDescription, ""},
+		{"too large", "PUT", core, "/description", "1", whole + strings.Repeat(" ", 1<<20), 413, errkind.TooLarge, ""},
+		{"not the primary", "PUT", f.Controllers[1].Settings.HTTP, "/description", "1", whole, 421, errkind.NotPrimary, ""},
+		{"founded already", "POST", core, "/found", "", `{"witnesses":["core-1","core-2","core-3"],"backup":"core-2"}`, 409, errkind.AlreadyFounded, ""},
+		{"wrong method at the core", "DELETE", core, "/description", "", ``, 405, errkind.WrongMethod, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -58,7 +58,7 @@
 			status, text, err := Ask(test.method, test.address, test.path, test.base, []byte(test.body))
 			c.Assert(err, qt.IsNil)
 			c.Assert(status, qt.Equals, test.status, qt.Commentf("%s", text))
-			var said defect.Answer
+			var said errkind.Answer
 			c.Assert(json.Unmarshal(text, &said), qt.IsNil)
 			c.Assert(said.Kind, qt.Equals, test.kind)
 			c.Assert(said.Detail, qt.Contains, test.detail)
@@ -124,7 +124,7 @@
 	c.Assert(err, qt.IsNil)
 	server := &http.Server{Handler: odd}
 	served := make(chan error, 1)
-	crew.Side(func() { served <- server.Serve(at) })
+	threads.Side(func() { served <- server.Serve(at) })
 	c.Cleanup(func() { _ = server.Close(); <-served })
 	odd.answer = func(w http.ResponseWriter, request string) {
 		fmt.Fprintf(w, `{"request":"another","incarnation":"first-scan-1","answer":"secret"}`)
@@ -132,7 +132,7 @@
 	for _, name := range []string{"scan-2", "scan-3"} {
 		f.Platform.Remove(name)
 	}
-	f.Platform.Put(wire.Listed{Name: "scan-1", Address: at.Addr().String(), Incarnation: "first-scan-1"})
+	f.Platform.Put(protocol.Listed{Name: "scan-1", Address: at.Addr().String(), Incarnation: "first-scan-1"})
 	ask := func() (int, string, error) {
 		status, text, err := Ask(http.MethodPost, f.Routers[0].Settings.HTTP, "/services/page", "", []byte(`{}`))
 		return status, string(text), err
@@ -148,33 +148,33 @@
 	cases := []struct {
 		about  string
 		answer func(w http.ResponseWriter, request string)
-		kind   defect.Kind
+		kind   errkind.Kind
 	}{
-		{"for another request", odd.answer, defect.BrokenAnswer},
-		{"no JSON", func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "<html>secret</html>") }, defect.BrokenAnswer},
+		{"for another request", odd.answer, errkind.BrokenAnswer},
+		{"no JSON", func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "<html>secret</html>") }, errkind.BrokenAnswer},
 		{"of another incarnation", func(w http.ResponseWriter, request string) {
 			fmt.Fprintf(w, `{"request":%q,"incarnation":"x","answer":"secret"}`, request)
-		}, defect.BrokenAnswer},
+		}, errkind.BrokenAnswer},
 		{"too much", func(w http.ResponseWriter, request string) {
 			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret%s"}`, request, strings.Repeat("x", 9<<20))
-		}, defect.BrokenAnswer},
+		}, errkind.BrokenAnswer},
 		{"torn", func(w http.ResponseWriter, request string) {
 			w.Header().Set("Content-Length", "5000")
 			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret`, request)
-		}, defect.OutcomeUnknown},
-		{"an odd status", func(w http.ResponseWriter, _ string) { w.WriteHeader(500) }, defect.BrokenAnswer},
+		}, errkind.OutcomeUnknown},
+		{"an odd status", func(w http.ResponseWriter, _ string) { w.WriteHeader(500) }, errkind.BrokenAnswer},
 		{"a redirect", func(w http.ResponseWriter, _ string) {
 			w.Header().Set("Location", "http://"+f.Runners[0].Address+"/run")
 			w.WriteHeader(307)
-		}, defect.BrokenAnswer},
-		{"a stream that breaks", func(http.ResponseWriter, string) { panic(http.ErrAbortHandler) }, defect.OutcomeUnknown},
+		}, errkind.BrokenAnswer},
+		{"a stream that breaks", func(http.ResponseWriter, string) { panic(http.ErrAbortHandler) }, errkind.OutcomeUnknown},
 	}
 	for _, test := range cases {
 		odd.answer = test.answer
 		status, text, err := ask()
 		c.Assert(err, qt.IsNil)
 		c.Assert(status, qt.Equals, 502, qt.Commentf("%s: %s", test.about, text))
-		var said defect.Answer
+		var said errkind.Answer
 		c.Assert(json.Unmarshal([]byte(text), &said), qt.IsNil)
 		c.Assert(said.Kind, qt.Equals, test.kind, qt.Commentf(test.about))
 		c.Assert(said.Ran, qt.Equals, "unknown")
@@ -189,7 +189,7 @@
 	for _, r := range f.Runners {
 		r.Door.Torn = true
 	}
-	sender := stand.NewSender("s", f.RouterAddresses(), stand.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
+	sender := testbackend.NewSender("s", f.RouterAddresses(), testbackend.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
 	for _, mix := range sender.Mix {
 		if !mix.Telling {
 			continue
--- a/site/cuts_test.go
+++ b/internal/simulation/localcluster/cuts_test.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"net"
@@ -7,9 +7,9 @@
 	"github.com/cockroachdb/errors"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/defect"
-	"myrtlewinch/stand"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/simulation/testbackend"
+	"myrtlewinch/internal/threads"
 )
 
 // TestStreamsCut cuts streams to runners off in the middle of a request, of an
@@ -19,18 +19,18 @@
 	c := qt.New(t)
 	f := up(c, "alexandria.json")
 	// Every way to a runner leads over a cutter.
-	var cutters []*stand.Cutter
+	var cutters []*testbackend.Cutter
 	for _, listed := range f.Platform.List() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(func() { _ = listener.Close() })
-		cutter := stand.NewCutter(listener, listed.Address)
-		crew.Side(cutter.Serve)
+		cutter := testbackend.NewCutter(listener, listed.Address)
+		threads.Side(cutter.Serve)
 		cutters = append(cutters, cutter)
 		listed.Address = listener.Addr().String()
 		f.Platform.Put(listed)
 	}
-	sender := stand.NewSender("s", f.RouterAddresses(), stand.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
+	sender := testbackend.NewSender("s", f.RouterAddresses(), testbackend.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
 	for i := range sender.Mix {
 		mix := &sender.Mix[i]
 		mix.Models, mix.Adapters = mix.Models[:min(1, len(mix.Models))], nil
@@ -90,6 +90,6 @@
 		}
 	}
 	t.Log(ended)
-	c.Assert(ended[string(defect.OutcomeUnknown)] > 0 && ended["telling broke off"] > 0, qt.IsTrue, qt.Commentf("%v", ended))
+	c.Assert(ended[string(errkind.OutcomeUnknown)] > 0 && ended["telling broke off"] > 0, qt.IsTrue, qt.Commentf("%v", ended))
 	c.Assert(ended["wrong"]+ended["nonsense"], qt.Equals, 0, qt.Commentf("%v", ended))
 }
--- a/site/fleet.go
+++ b/internal/simulation/localcluster/fleet.go
@@ -1,6 +1,6 @@
-// Package site brings a whole site up in one process, over real loopback TCP,
+// Package localcluster brings a whole site up in one process, over real loopback TCP,
 // and writes the settings for running it as separate processes.
-package site
+package localcluster
 
 import (
 	"bytes"
@@ -16,15 +16,15 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/control"
-	"myrtlewinch/crew"
-	"myrtlewinch/daemon"
-	"myrtlewinch/description"
-	"myrtlewinch/rules"
-	"myrtlewinch/settings"
-	"myrtlewinch/stand"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/settings"
+	"myrtlewinch/internal/simulation/invariants"
+	"myrtlewinch/internal/simulation/testbackend"
+	"myrtlewinch/internal/threads"
 )
 
 // Options of a fleet.
@@ -48,9 +48,9 @@
 // Fleet is a whole site in one process.
 type Fleet struct {
 	Description *description.Description
-	Clock       daemon.Clock
-	Book        *rules.Book
-	Platform    *stand.Platform
+	Clock       process.Clock
+	Book        *invariants.Book
+	Platform    *testbackend.Platform
 	Controllers []*Part
 	Routers     []*Part
 	Runners     []*RunnerPart
@@ -63,7 +63,7 @@
 // RunnerPart is a runner of the fleet.
 type RunnerPart struct {
 	Name, Address string
-	Door          *stand.RunnerDoor
+	Door          *testbackend.RunnerDoor
 	web           *http.Server
 }
 
@@ -80,15 +80,15 @@
 		return nil, errors.Newf("description: %v", faults)
 	}
 	f := &Fleet{
-		Description: d, Clock: daemon.NewClock(), Book: rules.New(d.Store.LoadsPer10s, d.SecondGoes),
-		Platform: stand.NewPlatform(), options: o,
+		Description: d, Clock: process.NewClock(), Book: invariants.New(d.Store.LoadsPer10s, d.SecondGoes),
+		Platform: testbackend.NewPlatform(), options: o,
 	}
 	var err error
 	if f.platform, err = listen(); err != nil {
 		return nil, err
 	}
 	f.web = &http.Server{Handler: f.Platform}
-	crew.Side(func() { _ = f.web.Serve(f.platform) })
+	threads.Side(func() { _ = f.web.Serve(f.platform) })
 	for _, r := range d.Runners {
 		if err := f.startRunner(r); err != nil {
 			return nil, err
@@ -105,18 +105,18 @@
 		return err
 	}
 	incarnation := "first-" + r.Name
-	runner := stand.NewRunner(r.Name, incarnation, r.Room, f.options.LoadMs, f.Book)
-	part := &RunnerPart{Name: r.Name, Address: at.Addr().String(), Door: stand.NewRunnerDoor(runner, f.Clock.NowMs, f.options.WorkMs, f.options.Pieces)}
+	runner := testbackend.NewRunner(r.Name, incarnation, r.Room, f.options.LoadMs, f.Book)
+	part := &RunnerPart{Name: r.Name, Address: at.Addr().String(), Door: testbackend.NewRunnerDoor(runner, f.Clock.NowMs, f.options.WorkMs, f.options.Pieces)}
 	part.web = &http.Server{Handler: part.Door}
-	crew.Side(func() { _ = part.web.Serve(at) })
+	threads.Side(func() { _ = part.web.Serve(at) })
 	f.Runners = append(f.Runners, part)
-	f.Platform.Put(wire.Listed{Name: r.Name, Address: part.Address, Incarnation: incarnation})
+	f.Platform.Put(protocol.Listed{Name: r.Name, Address: part.Address, Incarnation: incarnation})
 	return nil
 }
 
 // joiner is a daemon that has not begun.
 type joiner interface {
-	Join(*crew.Crew)
+	Join(*threads.Crew)
 	Leave()
 	Halt() (release func())
 }
@@ -168,18 +168,18 @@
 	var made joiner
 	var err error
 	if core {
-		made, err = control.NewOffice(set, peers, web, logger)
+		made, err = consensus.NewOffice(set, peers, web, logger)
 	} else {
-		made, err = traffic.NewGate(set, peers, web, logger)
+		made, err = router.NewGate(set, peers, web, logger)
 	}
 	if err != nil {
 		return nil, err
 	}
 	part := &Part{Settings: set, made: made, done: make(chan struct{}), ended: make(chan error, 1)}
-	var c crew.Crew
+	var c threads.Crew
 	made.Join(&c)
 	c.Until(part.done)
-	crew.Side(func() { part.ended <- c.Run() })
+	threads.Side(func() { part.ended <- c.Run() })
 	return part, nil
 }
 
@@ -199,7 +199,7 @@
 func (p *Part) Halt() (release func()) { return p.made.Halt() }
 
 // Spoil makes a controller's disk behave as a full, failing or stalling one.
-func (p *Part) Spoil(sync func(*os.File) error) { p.made.(*control.Office).Spoil(sync) }
+func (p *Part) Spoil(sync func(*os.File) error) { p.made.(*consensus.Office).Spoil(sync) }
 
 // Restart starts a daemon again at its addresses, after Kill.
 func (f *Fleet) Restart(p *Part) error {
--- a/site/fleet_test.go
+++ b/internal/simulation/localcluster/fleet_test.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"io"
@@ -9,14 +9,14 @@
 	"github.com/charmbracelet/log"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/stand"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 // patience is a last resort against hanging, never part of a verdict.
 const patience = 90 * time.Second
 
 func up(c *qt.C, example string) *Fleet {
-	text, err := os.ReadFile("../examples/" + example)
+	text, err := os.ReadFile("../../../examples/" + example)
 	c.Assert(err, qt.IsNil)
 	out := io.Discard
 	if testing.Verbose() {
@@ -38,7 +38,7 @@
 		t.Run(example, func(t *testing.T) {
 			c := qt.New(t)
 			f := up(c, example)
-			sender := stand.NewSender("s", f.RouterAddresses(), stand.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
+			sender := testbackend.NewSender("s", f.RouterAddresses(), testbackend.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
 			for _, mix := range sender.Mix {
 				mix.Models = mix.Models[:min(2, len(mix.Models))]
 				answered := 0
--- a/site/half_test.go
+++ b/internal/simulation/localcluster/half_test.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"bytes"
--- a/site/loss_test.go
+++ b/internal/simulation/localcluster/loss_test.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"encoding/json"
@@ -10,8 +10,8 @@
 	"github.com/cockroachdb/errors"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/control"
-	"myrtlewinch/stand"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 // TestLossesForReal kills daemons of a site on real streams and disks: the
@@ -29,7 +29,7 @@
 	// It comes back empty, and is taken in as backup or witness again.
 	c.Assert(f.Restart(f.Controllers[0]), qt.IsNil)
 	c.Assert(f.until(patience, func() error {
-		var s control.Status
+		var s consensus.Status
 		if err := read(f.Controllers[0], &s); err != nil {
 			return err
 		}
@@ -66,7 +66,7 @@
 	}
 	c.Assert(json.Unmarshal(past, &history), qt.IsNil)
 	c.Assert(history.Revisions, qt.HasLen, 3)
-	sender := stand.NewSender("s", f.RouterAddresses(), stand.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
+	sender := testbackend.NewSender("s", f.RouterAddresses(), testbackend.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
 	answered := 0
 	for range 200 {
 		if sender.One(sender.Mix[3]) == "answered" {
--- a/site/measure.go
+++ b/internal/simulation/localcluster/measure.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"fmt"
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/description"
+	"myrtlewinch/internal/native/description"
 )
 
 const pairs = 400
--- a/site/report.go
+++ b/internal/simulation/localcluster/report.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"encoding/json"
@@ -6,20 +6,20 @@
 	"io"
 	"net/http"
 
-	"myrtlewinch/control"
-	"myrtlewinch/stand"
-	"myrtlewinch/traffic"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 // Report says what a run showed: answers by kind, look-ups, and rules broken.
-func (f *Fleet) Report(out io.Writer, sender *stand.Sender) (broken int, err error) {
+func (f *Fleet) Report(out io.Writer, sender *testbackend.Sender) (broken int, err error) {
 	fmt.Fprintln(out, "answers by service and kind:")
 	for _, line := range sender.Lines() {
 		fmt.Fprintln(out, "  "+line)
 	}
-	var sum traffic.Tally
+	var sum router.Tally
 	for _, part := range f.Routers {
-		var s traffic.Status
+		var s router.Status
 		if err := read(part, &s); err != nil {
 			return 0, err
 		}
@@ -33,7 +33,7 @@
 	}
 	var answered uint64
 	for _, part := range f.Controllers {
-		var s control.Status
+		var s consensus.Status
 		if err := read(part, &s); err != nil {
 			return 0, err
 		}
--- a/site/rolling_test.go
+++ b/internal/simulation/localcluster/rolling_test.go
@@ -1,27 +1,27 @@
-package site
+package localcluster
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/defect"
-	"myrtlewinch/stand"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/simulation/testbackend"
+	"myrtlewinch/internal/threads"
 )
 
 // asking asks a site's commonest models all the time until it is stopped.
-func asking(c *qt.C, f *Fleet) (sender *stand.Sender, stop func()) {
-	sender = stand.NewSender("s", f.RouterAddresses(), stand.MixOf(f.Description, 20, 3), f.Book, f.Clock.NowMs, 1)
+func asking(c *qt.C, f *Fleet) (sender *testbackend.Sender, stop func()) {
+	sender = testbackend.NewSender("s", f.RouterAddresses(), testbackend.MixOf(f.Description, 20, 3), f.Book, f.Clock.NowMs, 1)
 	for i := range sender.Mix {
 		mix := &sender.Mix[i]
 		mix.Models, mix.Adapters = mix.Models[:min(2, len(mix.Models))], nil
 	}
-	var asking crew.Crew
+	var asking threads.Crew
 	sender.Join(&asking)
 	done, ended := make(chan struct{}), make(chan error, 1)
 	asking.Until(done)
-	crew.Side(func() { ended <- asking.Run() })
+	threads.Side(func() { ended <- asking.Run() })
 	return sender, func() {
 		close(done)
 		c.Assert(<-ended, qt.IsNil)
@@ -45,7 +45,7 @@
 	c.Assert(f.Book.Breaches(), qt.HasLen, 0)
 	for service, kinds := range sender.Kinds() {
 		for kind, count := range kinds {
-			well := kind == "answered" || defect.Kind(kind).Reply().Drop
+			well := kind == "answered" || errkind.Kind(kind).Reply().Drop
 			c.Assert(well, qt.IsTrue, qt.Commentf("%s: %d of %s", service, count, kind))
 		}
 	}
--- a/site/shells_test.go
+++ b/internal/simulation/localcluster/shells_test.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"encoding/json"
@@ -14,9 +14,9 @@
 	"github.com/cockroachdb/errors"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/control"
-	"myrtlewinch/crew"
-	"myrtlewinch/traffic"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/threads"
 )
 
 // trial is a real site under traffic whose daemons are hit one after another.
@@ -34,7 +34,7 @@
 	var found *Part
 	s.c.Assert(s.until(patience, func() error {
 		for _, part := range s.Controllers {
-			var status control.Status
+			var status consensus.Status
 			if !slices.Contains(but, part) && read(part, &status) == nil && status.Active {
 				found = part
 				return nil
@@ -53,7 +53,7 @@
 	s.c.Assert(s.until(patience, func() error {
 		err := errors.New("no controller takes it")
 		for _, part := range s.Controllers {
-			var status control.Status
+			var status consensus.Status
 			if read(part, &status) != nil || !status.Active {
 				continue
 			}
@@ -74,7 +74,7 @@
 	s.primary()
 	s.c.Assert(s.until(patience, func() error {
 		for _, part := range s.Controllers {
-			var status control.Status
+			var status consensus.Status
 			if err := read(part, &status); err != nil {
 				return err
 			}
@@ -108,7 +108,7 @@
 			c.Assert(s.Restart(p), qt.IsNil)
 		}},
 		{"the backup's disk fails to sync", func(c *qt.C) {
-			var status control.Status
+			var status consensus.Status
 			c.Assert(read(s.primary(), &status), qt.IsNil)
 			peer, _ := status.Record.Peer(status.Name)
 			at := slices.IndexFunc(s.Controllers, func(p *Part) bool { return p.Settings.Name == peer.Name })
@@ -133,7 +133,7 @@
 			release()
 			// It finds that it was replaced, and follows.
 			c.Assert(s.until(patience, func() error {
-				var status control.Status
+				var status consensus.Status
 				if err := read(p, &status); err != nil {
 					return err
 				}
@@ -149,7 +149,7 @@
 			s.describe()
 			release()
 			c.Assert(s.until(patience, func() error {
-				var status traffic.Status
+				var status router.Status
 				if err := read(s.Routers[0], &status); err != nil {
 					return err
 				}
@@ -163,7 +163,7 @@
 			p := s.primary()
 			said := make(chan int, 1)
 			next := strings.Replace(s.text, `"secondGoes": 10`, `"secondGoes": 1`, 1)
-			crew.Side(func() {
+			threads.Side(func() {
 				status, _, err := Ask(http.MethodPut, p.Settings.HTTP, "/description", fmt.Sprint(s.revision), []byte(next))
 				if err != nil {
 					status = 0
--- a/site/write.go
+++ b/internal/simulation/localcluster/write.go
@@ -1,4 +1,4 @@
-package site
+package localcluster
 
 import (
 	"encoding/json"
@@ -7,8 +7,8 @@
 	"path/filepath"
 	"strings"
 
-	"myrtlewinch/description"
-	"myrtlewinch/settings"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/settings"
 )
 
 // trouble is a script that hits the running processes one after another; what
--- a/modelcheck/apply.go
+++ b/internal/simulation/modelcheck/apply.go
@@ -5,8 +5,8 @@
 	"math"
 	"slices"
 
-	"myrtlewinch/control"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/protocol"
 )
 
 // forGood is the end of a loss that has none.
@@ -115,7 +115,7 @@
 		c.delayWrites(e, f)
 	case FailWrite:
 		c.lose(m, c.nowMs+returnMs)
-		c.step(e.member, wire.Saved{Number: e.save.Number}, nil)
+		c.step(e.member, protocol.Saved{Number: e.save.Number}, nil)
 		c.restartLater(e.member, Fault{Kind: Crash, Ms: returnMs, Return: WithDisk})
 	case CrashAfterWrite:
 		c.complete(e)
@@ -243,7 +243,7 @@
 	c.push(&event{atMs: c.nowMs + c.scope.LeaveMs, kind: actionEvent, about: m.place.Name + " must exit", optional: true, action: func() {
 		c.exitPlanned(i, life)
 	}})
-	c.step(i, control.StepDown{}, nil)
+	c.step(i, consensus.StepDown{}, nil)
 }
 
 // departed lets a member exit whose machine has handed all over.
--- a/modelcheck/broken_test.go
+++ b/internal/simulation/modelcheck/broken_test.go
@@ -9,10 +9,10 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/control"
-	"myrtlewinch/disk"
-	"myrtlewinch/wire"
-	"myrtlewinch/witness"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/election/witness"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
 )
 
 // broken stands between a cluster and a machine and changes what passes.
@@ -23,13 +23,13 @@
 	// send changes the body of a message.
 	send func(body any) any
 	// save changes a write.
-	save func(write disk.Write) disk.Write
+	save func(write storage.Write) storage.Write
 }
 
-func (b *broken) Step(nowMs int64, input any) wire.Effects {
+func (b *broken) Step(nowMs int64, input any) protocol.Effects {
 	if b.input != nil {
 		if input = b.input(input); input == nil {
-			return wire.Effects{}
+			return protocol.Effects{}
 		}
 	}
 	out := b.machine.Step(nowMs, input)
@@ -48,9 +48,9 @@
 
 // losingWrites says that writes of the state are durable, and forgets them.
 func losingWrites(member string, machine Stepper) Stepper {
-	return &broken{machine: machine, save: func(write disk.Write) disk.Write {
+	return &broken{machine: machine, save: func(write storage.Write) storage.Write {
 		if write.Sets["state/position"] != "" {
-			return disk.Write{}
+			return storage.Write{}
 		}
 		return write
 	}}
@@ -59,9 +59,9 @@
 // repeatingWrites makes an early write of a key durable again in place of later ones.
 func repeatingWrites(key string) func(string, Stepper) Stepper {
 	return func(member string, machine Stepper) Stepper {
-		var early *disk.Write
+		var early *storage.Write
 		written := 0
-		return &broken{machine: machine, save: func(write disk.Write) disk.Write {
+		return &broken{machine: machine, save: func(write storage.Write) storage.Write {
 			if write.Sets[key] == "" {
 				return write
 			}
@@ -92,8 +92,8 @@
 // countingLongLeases counts the lease from later than when its renewal was sent.
 func countingLongLeases(member string, machine Stepper) Stepper {
 	return &broken{machine: machine, input: func(input any) any {
-		if envelope, ok := input.(wire.Envelope); ok {
-			if kept, answers := envelope.Body.(wire.Kept); answers {
+		if envelope, ok := input.(protocol.Envelope); ok {
+			if kept, answers := envelope.Body.(protocol.Kept); answers {
 				kept.EchoMs += longerLeaseMs
 				envelope.Body = kept
 				return envelope
@@ -106,8 +106,8 @@
 // hidingRecords doesn't tell candidates what record a witness keeps.
 func hidingRecords(member string, machine Stepper) Stepper {
 	return &broken{machine: machine, send: func(body any) any {
-		if promised, ok := body.(wire.Promised); ok {
-			promised.Record, promised.Kept = wire.Record{}, wire.Ballot{}
+		if promised, ok := body.(protocol.Promised); ok {
+			promised.Record, promised.Kept = protocol.Record{}, protocol.Ballot{}
 			return promised
 		}
 		return body
@@ -117,8 +117,8 @@
 // deafToPromises never answers a candidate.
 func deafToPromises(member string, machine Stepper) Stepper {
 	return &broken{machine: machine, input: func(input any) any {
-		if envelope, ok := input.(wire.Envelope); ok {
-			if _, asks := envelope.Body.(wire.Promise); asks {
+		if envelope, ok := input.(protocol.Envelope); ok {
+			if _, asks := envelope.Body.(protocol.Promise); asks {
 				return nil
 			}
 		}
@@ -195,19 +195,19 @@
 		}
 		return hashOf(c.members[0].machine)
 	}
-	other := wire.Place{Name: "member-2", Address: "10.0.0.2:7", Part: wire.Controller, Incarnation: "member-2-disk"}
-	from := func(body any) wire.Envelope {
-		return wire.Envelope{Site: site, From: other, To: "member-1", Body: body}
+	other := protocol.Place{Name: "member-2", Address: "10.0.0.2:7", Part: protocol.Controller, Incarnation: "member-2-disk"}
+	from := func(body any) protocol.Envelope {
+		return protocol.Envelope{Site: site, From: other, To: "member-1", Body: body}
 	}
 	qt.Assert(t, machine(), qt.Equals, machine())
 	for _, test := range []struct {
 		about string
 		input any
 	}{
-		{"a tick", wire.Tick{}},
-		{"a message of another", from(wire.Heartbeat{})},
-		{"a promise", from(wire.Promise{Ballot: wire.Ballot{Round: 1, Name: "member-2"}, Found: true})},
-		{"a planned stop", control.StepDown{}},
+		{"a tick", protocol.Tick{}},
+		{"a message of another", from(protocol.Heartbeat{})},
+		{"a promise", from(protocol.Promise{Ballot: protocol.Ballot{Round: 1, Name: "member-2"}, Found: true})},
+		{"a planned stop", consensus.StepDown{}},
 	} {
 		t.Run(test.about, func(t *testing.T) {
 			qt.Check(t, machine(test.input), qt.Not(qt.Equals), machine())
@@ -244,9 +244,9 @@
 			}
 		}
 	}
-	walk(reflect.TypeFor[control.Machine]())
+	walk(reflect.TypeFor[consensus.Machine]())
 	qt.Assert(t, slices.Sorted(maps.Keys(left)), qt.DeepEquals, []string{
-		"control.Machine.local", "control.Machine.out", "control.Machine.saved", "control.Machine.saves", "control.Machine.table",
-		"watch.Roster.sorted", "watch.Roster.sum",
+		"consensus.Machine.local", "consensus.Machine.out", "consensus.Machine.saved", "consensus.Machine.saves", "consensus.Machine.table",
+		"failuredetector.Roster.sorted", "failuredetector.Roster.sum",
 	})
 }
--- a/modelcheck/checks.go
+++ b/internal/simulation/modelcheck/checks.go
@@ -5,8 +5,8 @@
 	"slices"
 	"strings"
 
-	"myrtlewinch/disk"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
 )
 
 // Check names an invariant.
@@ -43,16 +43,16 @@
 type ballotOf struct {
 	epoch  uint64
 	record uint64
-	ballot wire.Ballot
+	ballot protocol.Ballot
 }
 
 // checks remembers what the invariants need.
 type checks struct {
 	violation *Violation
 	// disks holds what each incarnation's disk holds.
-	disks map[wire.Seat]*kept
+	disks map[protocol.Seat]*kept
 	// keepers are the disks that ever kept a record under a ballot.
-	keepers map[ballotOf][]wire.Seat
+	keepers map[ballotOf][]protocol.Seat
 	// complete names the record of each epoch that a majority kept.
 	complete map[uint64]uint64
 	acked    []int
@@ -61,7 +61,7 @@
 }
 
 func newChecks() checks {
-	return checks{disks: map[wire.Seat]*kept{}, keepers: map[ballotOf][]wire.Seat{}, complete: map[uint64]uint64{}}
+	return checks{disks: map[protocol.Seat]*kept{}, keepers: map[ballotOf][]protocol.Seat{}, complete: map[uint64]uint64{}}
 }
 
 func (c *checks) sum() uint64 {
@@ -91,12 +91,12 @@
 	if c.disks[m.seat()] == nil {
 		c.memo = 0
 		c.disks[m.seat()] = &kept{}
-		c.disks[m.seat()].read(disk.Write{Sets: m.keys})
+		c.disks[m.seat()].read(storage.Write{Sets: m.keys})
 	}
 }
 
 // durable looks at a write that has just become durable.
-func (c *checks) durable(m *member, w disk.Write, atMs int64) {
+func (c *checks) durable(m *member, w storage.Write, atMs int64) {
 	c.memo = 0
 	seat := m.seat()
 	now := c.disks[seat]
@@ -114,7 +114,7 @@
 	}
 }
 
-func (c *checks) witnessForward(seat wire.Seat, before, now kept, atMs int64) {
+func (c *checks) witnessForward(seat protocol.Seat, before, now kept, atMs int64) {
 	if now.witness.Promised.Less(before.witness.Promised) {
 		c.violated(WitnessForward, atMs, "%s promised %v, then %v", seat.Name, before.witness.Promised, now.witness.Promised)
 	}
@@ -124,18 +124,18 @@
 }
 
 // keptBy counts a disk that kept a record.
-func (c *checks) keptBy(seat wire.Seat, record wire.Record, ballot wire.Ballot, atMs int64) {
+func (c *checks) keptBy(seat protocol.Seat, record protocol.Record, ballot protocol.Ballot, atMs int64) {
 	key := ballotOf{record.Epoch, hashOf(record), ballot}
 	if !slices.Contains(c.keepers[key], seat) {
 		c.keepers[key] = append(c.keepers[key], seat)
 	}
-	if record.Majority(func(voter wire.Seat) bool { return slices.Contains(c.keepers[key], voter) }) {
+	if record.Majority(func(voter protocol.Seat) bool { return slices.Contains(c.keepers[key], voter) }) {
 		c.completed(record, atMs)
 	}
 }
 
 // completed notes a complete record.
-func (c *checks) completed(record wire.Record, atMs int64) {
+func (c *checks) completed(record protocol.Record, atMs int64) {
 	sum := hashOf(record)
 	if other, known := c.complete[record.Epoch]; known && other != sum {
 		c.violated(OneRecord, atMs, "two records of epoch %d are complete, the later is %+v", record.Epoch, record)
@@ -162,7 +162,7 @@
 	}
 }
 
-func positionLess(a, b wire.Position) bool {
+func positionLess(a, b protocol.Position) bool {
 	if a.Epoch != b.Epoch {
 		return a.Epoch < b.Epoch
 	}
--- a/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -7,10 +7,10 @@
 	"reflect"
 	"slices"
 
-	"myrtlewinch/control"
-	"myrtlewinch/disk"
-	"myrtlewinch/wire"
-	"myrtlewinch/witness"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/election/witness"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
 )
 
 const (
@@ -43,8 +43,8 @@
 	member   int
 	life     int
 	from     int
-	envelope wire.Envelope
-	save     wire.Save
+	envelope protocol.Envelope
+	save     protocol.Save
 	action   func()
 	about    string
 	// optional actions are not waited for.
@@ -57,7 +57,7 @@
 
 // member is one controller: a machine, its disk and its links.
 type member struct {
-	place   wire.Place
+	place   protocol.Place
 	machine Stepper
 	tenant  *rowTenant
 	keys    map[string]string
@@ -101,9 +101,9 @@
 func newCluster(scope Scope, disks []map[string]string, founds bool) *cluster {
 	c := &cluster{scope: scope, nowMs: startMs, healedMs: startMs, checks: newChecks()}
 	for i := range scope.Members {
-		place := wire.Place{
+		place := protocol.Place{
 			Name: fmt.Sprintf("member-%d", i+1), Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3),
-			Part: wire.Controller, Incarnation: fmt.Sprintf("member-%d-disk", i+1),
+			Part: protocol.Controller, Incarnation: fmt.Sprintf("member-%d-disk", i+1),
 		}
 		c.members = append(c.members, &member{place: place})
 		if i < seeds {
@@ -131,9 +131,9 @@
 func (c *cluster) start(i int, keys map[string]string, founds bool) {
 	m := c.members[i]
 	m.tenant = &rowTenant{}
-	machine, err := control.New(control.Settings{
+	machine, err := consensus.New(consensus.Settings{
 		Site: site, Self: m.place, Seeds: c.seeds, Tenant: m.tenant, Losses: c.scope.Losses, Founds: founds, LeaveMs: c.scope.LeaveMs,
-		Timing: control.TimingFor(c.scope.CatchUpMs), AwayMs: control.AwayMsFor(c.scope.CatchUpMs), ShowMs: control.ShowMsFor(c.scope.CatchUpMs),
+		Timing: consensus.TimingFor(c.scope.CatchUpMs), AwayMs: consensus.AwayMsFor(c.scope.CatchUpMs), ShowMs: consensus.ShowMsFor(c.scope.CatchUpMs),
 	}, keys, c.nowMs)
 	if err != nil {
 		panic(fmt.Sprintf("modelcheck: a member can't read its own disk: %v", err))
@@ -211,14 +211,14 @@
 	case tickEvent:
 		c.later(e, c.nowMs+tickMs)
 		if !c.members[e.member].down {
-			c.step(e.member, wire.Tick{}, nil)
+			c.step(e.member, protocol.Tick{}, nil)
 		}
 		c.recovery.tick(c)
 	case messageEvent:
 		c.step(e.member, e.envelope, e)
 	case writeEvent:
 		c.complete(e)
-		c.step(e.member, wire.Saved{Number: e.save.Number, Ok: true}, nil)
+		c.step(e.member, protocol.Saved{Number: e.save.Number, Ok: true}, nil)
 	case actionEvent:
 		e.action()
 	}
@@ -250,11 +250,11 @@
 		if to < 0 || c.nowMs < m.cutFromMs {
 			continue
 		}
-		envelope := wire.Envelope{Site: site, From: m.place, To: send.To, Body: send.Body}
+		envelope := protocol.Envelope{Site: site, From: m.place, To: send.To, Body: send.Body}
 		c.push(&event{atMs: c.nowMs + messageMs, kind: messageEvent, member: to, from: i, envelope: envelope})
 	}
 	for _, answer := range out.Answers {
-		if _, departs := answer.Body.(control.Departed); departs && m.leaving {
+		if _, departs := answer.Body.(consensus.Departed); departs && m.leaving {
 			c.departed(i)
 		}
 	}
@@ -348,12 +348,12 @@
 // kept is what a disk holds of epochs and of the state.
 type kept struct {
 	witness  witness.Memory
-	record   wire.Record
-	position wire.Position
+	record   protocol.Record
+	position protocol.Position
 }
 
 // read takes over the keys that a write sets; others stay as they were.
-func (k *kept) read(w disk.Write) {
+func (k *kept) read(w storage.Write) {
 	read := func(key string, into any) {
 		if text := w.Sets[key]; text != "" {
 			if err := json.Unmarshal([]byte(text), into); err != nil {
@@ -362,7 +362,7 @@
 		}
 	}
 	read(witness.Key, &k.witness)
-	var remembered struct{ Record wire.Record }
+	var remembered struct{ Record protocol.Record }
 	read("record", &remembered)
 	if remembered.Record.Epoch > 0 {
 		k.record = remembered.Record
@@ -370,8 +370,8 @@
 	read("state/position", &k.position)
 }
 
-func (m *member) seat() wire.Seat {
-	return wire.Seat{Name: m.place.Name, Incarnation: m.place.Incarnation}
+func (m *member) seat() protocol.Seat {
+	return protocol.Seat{Name: m.place.Name, Incarnation: m.place.Incarnation}
 }
 
 func (m *member) sum() uint64 {
--- a/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -6,7 +6,7 @@
 	"sync"
 	"sync/atomic"
 
-	"myrtlewinch/crew"
+	"myrtlewinch/internal/threads"
 )
 
 // foundingMs is how long a new cluster is left to found itself and to settle.
@@ -88,7 +88,7 @@
 	var workers sync.WaitGroup
 	for range x.scope.Workers {
 		workers.Add(1)
-		crew.Side(func() {
+		threads.Side(func() {
 			defer workers.Done()
 			for {
 				i := int(taken.Add(1)) - 1
--- a/modelcheck/fault_test.go
+++ b/internal/simulation/modelcheck/fault_test.go
@@ -5,13 +5,13 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // No more members are lost at once than may be.
 func TestLawfulFaults(t *testing.T) {
 	message := func(member int) *event {
-		return &event{kind: messageEvent, member: member, envelope: wire.Envelope{Body: wire.Heartbeat{}}}
+		return &event{kind: messageEvent, member: member, envelope: protocol.Envelope{Body: protocol.Heartbeat{}}}
 	}
 	for _, test := range []struct {
 		about    string
--- a/modelcheck/fingerprint.go
+++ b/internal/simulation/modelcheck/fingerprint.go
@@ -5,14 +5,14 @@
 	"hash/maphash"
 	"reflect"
 
-	"myrtlewinch/control"
+	"myrtlewinch/internal/consensus"
 )
 
 // seed makes hashes comparable within one process.
 var seed = maphash.MakeSeed()
 
 // skippedTypes are constant in a run, and lead back to the machine.
-var skippedTypes = map[reflect.Type]bool{reflect.TypeFor[control.Settings](): true}
+var skippedTypes = map[reflect.Type]bool{reflect.TypeFor[consensus.Settings](): true}
 
 // skippedFields hold effects that were taken already, caches, or a counter that
 // only names writes. Leaving one out that had a meaning would join states that
--- a/modelcheck/scenario.go
+++ b/internal/simulation/modelcheck/scenario.go
@@ -4,7 +4,7 @@
 	"encoding/json"
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // Role names a member by its part at the time.
@@ -181,7 +181,7 @@
 	if primary < 0 || role == Primary {
 		return primary
 	}
-	var remembered struct{ Record wire.Record }
+	var remembered struct{ Record protocol.Record }
 	if json.Unmarshal([]byte(c.members[primary].keys["record"]), &remembered) != nil {
 		return -1
 	}
--- a/modelcheck/scope.go
+++ b/internal/simulation/modelcheck/scope.go
@@ -1,6 +1,6 @@
 package modelcheck
 
-import "myrtlewinch/wire"
+import "myrtlewinch/internal/protocol"
 
 // Default bounds of a check.
 const (
@@ -18,7 +18,7 @@
 
 // Stepper is a state machine that takes one input at a time.
 type Stepper interface {
-	Step(nowMs int64, input any) wire.Effects
+	Step(nowMs int64, input any) protocol.Effects
 }
 
 // Scope bounds one check.
--- a/modelcheck/trace.go
+++ b/internal/simulation/modelcheck/trace.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // describe writes an event into the log; messages of membership are left out.
@@ -19,7 +19,7 @@
 		c.note("%s: write %d complete %v", c.members[e.member].place.Name, e.save.Number, e.save.Write.Sets)
 	case messageEvent:
 		switch e.envelope.Body.(type) {
-		case wire.Heartbeat, wire.Sightings, wire.Hello:
+		case protocol.Heartbeat, protocol.Sightings, protocol.Hello:
 			return
 		}
 		c.note("%s -> %s: %s %+v", e.envelope.From.Name, c.members[e.member].place.Name, e.messageType(), e.envelope.Body)
@@ -28,7 +28,7 @@
 
 // messageType names the type of an event's message.
 func (e *event) messageType() string {
-	return strings.TrimPrefix(fmt.Sprintf("%T", e.envelope.Body), "wire.")
+	return strings.TrimPrefix(fmt.Sprintf("%T", e.envelope.Body), "protocol.")
 }
 
 // Trace replays a schedule and gives what happened in it, a line each.
--- a/sim/broken_test.go
+++ b/internal/simulation/nativesim/broken_test.go
@@ -1,12 +1,12 @@
-package sim
+package nativesim
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/rules"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/invariants"
 )
 
 // crashes ends one runner after the other while a crowd is served.
@@ -36,14 +36,14 @@
 			w.Crowd("narration", 400)
 			for range 20 {
 				w.Run(7)
-				for _, name := range w.names(wire.Router) {
+				for _, name := range w.names(protocol.Router) {
 					w.Freeze(name)
 				}
 				for _, r := range w.Site.Runners {
 					w.MarkLeaving(r.Name)
 				}
 				w.Run(8000)
-				for _, name := range w.names(wire.Router) {
+				for _, name := range w.names(protocol.Router) {
 					w.Thaw(name)
 				}
 			}
@@ -65,14 +65,14 @@
 		{"lost goes are sent again", "twice", func(w *World) { w.Breaks.ResendLost = true }, crashes},
 		{"drops that run", "drop ran", func(w *World) { w.Breaks.DropThenRun = true }, Scenarios["quiet"]},
 		{"tellings that look whole", "torn answer", func(w *World) { w.Breaks.TellWrong = true }, crashes},
-		{"a store slower than described", "store pace", func(w *World) { w.Book = rules.New(2, 10) }, Scenarios["quiet"]},
+		{"a store slower than described", "store pace", func(w *World) { w.Book = invariants.New(2, 10) }, Scenarios["quiet"]},
 		{"runners smaller than they say", "room", func(w *World) {
 			for _, r := range w.runners {
 				r.stand.Room = 20
 			}
 			w.lieAboutRoom = 96
 		}, Scenarios["quiet"]},
-		{"no allowance of second goes", "second goes", func(w *World) { w.Book = rules.New(100, -40) }, Scenarios["quiet"]},
+		{"no allowance of second goes", "second goes", func(w *World) { w.Book = invariants.New(100, -40) }, Scenarios["quiet"]},
 		{"refusals of what is in force", "no effect", func(w *World) { w.Breaks.LieToOperator = true }, Scenarios["operators race"]},
 		{"losers that are told they won", "two accepted", func(w *World) { w.Breaks.LieToOperator = true }, Scenarios["operators race"]},
 		{"routers that go back", "slip back", func(w *World) { w.careless, w.Breaks.SlipBack = true, true }, Scenarios["operators race"]},
@@ -117,7 +117,7 @@
 			for i := range 4 {
 				w.Crowd("move", 200)
 				w.Run(100)
-				frozen := w.names(wire.Router)[:4]
+				frozen := w.names(protocol.Router)[:4]
 				for _, name := range frozen {
 					w.Freeze(name)
 				}
@@ -142,7 +142,7 @@
 	for _, r := range w.runners {
 		r.stand.Careless = true
 	}
-	w.Cut(w.names(wire.Controller), w.names(wire.Router)[:2], false)
+	w.Cut(w.names(protocol.Controller), w.names(protocol.Router)[:2], false)
 	w.Run(4500)
 	w.HandOver(w.Primary(), 1, w.Variant(1))
 	for range 40 {
--- a/sim/calls.go
+++ b/internal/simulation/nativesim/calls.go
@@ -1,12 +1,12 @@
-package sim
+package nativesim
 
-import "myrtlewinch/wire"
+import "myrtlewinch/internal/protocol"
 
 const outwardMs = 1000
 
 // call carries a call of a daemon outward. As in the shell, what has not come
 // back in time counts as lost, and its answer is not heard any more.
-func (w *World) call(n *node, life int, call wire.Call) {
+func (w *World) call(n *node, life int, call protocol.Call) {
 	ended := false
 	back := func(input any) {
 		if !ended {
@@ -17,8 +17,8 @@
 	giveUp := func(input any) { w.events.After(outwardMs, func() { back(input) }) }
 	nothing := func() {}
 	switch body := call.Body.(type) {
-	case wire.PlatformCall:
-		giveUp(wire.Listing{})
+	case protocol.PlatformCall:
+		giveUp(protocol.Listing{})
 		w.pass(n.name, "platform", func() {
 			list := w.platform.List()
 			w.pass("platform", n.name, func() {
@@ -28,11 +28,11 @@
 						w.Book.Learned(w.events.NowMs(), listed.Name, listed.Incarnation)
 					}
 				}
-				back(wire.Listing{Ok: true, Runners: list})
+				back(protocol.Listing{Ok: true, Runners: list})
 			}, nothing)
 		}, nothing)
-	case wire.ReportCall:
-		said := wire.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
+	case protocol.ReportCall:
+		said := protocol.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
 		giveUp(said)
 		w.reach(n.name, body.Runner, func(r *runner) {
 			if !w.Breaks.NoFence {
@@ -47,8 +47,8 @@
 			}
 			w.pass(body.Runner, n.name, func() { back(said) }, nothing)
 		}, nothing)
-	case wire.OrderCall:
-		said := wire.Reported{Runner: body.Runner, Address: call.Address}
+	case protocol.OrderCall:
+		said := protocol.Reported{Runner: body.Runner, Address: call.Address}
 		// The shell checks the hold again right at the socket.
 		w.atSocket(n, life, func() bool { return n.clock(w.events.NowMs()) < body.UntilMs }, func() {
 			giveUp(said)
--- a/sim/campaign.go
+++ b/internal/simulation/nativesim/campaign.go
@@ -1,9 +1,9 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // fault is something a campaign brings about at random.
@@ -28,7 +28,7 @@
 // need survive only one of them at a time.
 func (w *World) coreDown() int {
 	down := 0
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		n := w.nodes[name]
 		if !n.up || n.frozen || n.disk.full || n.disk.stalled || w.busy[name] {
 			down++
@@ -68,7 +68,7 @@
 	if p := w.Primary(); p != "" && w.Random.Intn(2) == 0 {
 		return p
 	}
-	return w.some(wire.Controller)
+	return w.some(protocol.Controller)
 }
 
 var faults = []fault{
@@ -118,7 +118,7 @@
 		})
 	}},
 	{"slow a core disk", func(w *World) {
-		name := w.some(wire.Controller)
+		name := w.some(protocol.Controller)
 		w.nodes[name].disk.slowMs = 50 + w.Random.Int63n(200)
 		w.events.After(w.soon(), func() { w.nodes[name].disk.slowMs = 0 })
 	}},
@@ -129,14 +129,14 @@
 		})
 	}},
 	{"cut the core off from routers", func(w *World) {
-		w.Cut(w.names(wire.Controller), w.names(wire.Router), w.Random.Intn(3) == 0)
+		w.Cut(w.names(protocol.Controller), w.names(protocol.Router), w.Random.Intn(3) == 0)
 		w.events.After(w.soon(), w.Heal)
 	}},
 	{"cut some routers off from the core, with descriptions", func(w *World) {
-		names := w.names(wire.Router)
+		names := w.names(protocol.Router)
 		w.Random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		cut := names[:1+w.Random.Intn(len(names))]
-		w.Cut(w.names(wire.Controller), cut, w.Random.Intn(3) == 0)
+		w.Cut(w.names(protocol.Controller), cut, w.Random.Intn(3) == 0)
 		for range 3 {
 			w.events.After(w.Random.Int63n(8000), func() { w.handOverNext() })
 		}
@@ -152,12 +152,12 @@
 		w.events.After(w.soon(), w.Heal)
 	}},
 	{"kill a router", func(w *World) {
-		name := w.some(wire.Router)
+		name := w.some(protocol.Router)
 		w.Kill(name)
 		w.events.After(w.soon(), func() { w.Start(name) })
 	}},
 	{"freeze a router", func(w *World) {
-		name := w.some(wire.Router)
+		name := w.some(protocol.Router)
 		w.Freeze(name)
 		w.events.After(w.soon(), func() { w.Thaw(name) })
 	}},
@@ -168,7 +168,7 @@
 		})
 	}},
 	{"kill two core daemons", func(w *World) {
-		names := w.names(wire.Controller)
+		names := w.names(protocol.Controller)
 		w.Random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		w.withTwo(names[0], names[1], func(name string) {
 			w.Kill(name)
@@ -182,7 +182,7 @@
 		case 1:
 			w.withCore(w.Primary(), func(name string) { w.Kill(name); w.mend(name, func() { w.Start(name) }) })
 		case 2:
-			w.withCore(w.some(wire.Controller), func(name string) {
+			w.withCore(w.some(protocol.Controller), func(name string) {
 				w.Kill(name)
 				w.Wipe(name)
 				w.Start(name)
@@ -204,7 +204,7 @@
 		w.events.After(w.soon(), func() { w.latePart = 0 })
 	}},
 	{"freeze all routers", func(w *World) {
-		names := w.names(wire.Router)
+		names := w.names(protocol.Router)
 		for _, name := range names {
 			w.Freeze(name)
 			w.events.After(w.soon(), func() { w.Thaw(name) })
@@ -275,7 +275,7 @@
 	w.variants++
 	name := w.Primary()
 	if name == "" || w.Random.Intn(8) == 0 {
-		name = w.some(wire.Controller)
+		name = w.some(protocol.Controller)
 	}
 	base := w.operator.lastNumber
 	if n := w.nodes[name]; n.up && !n.frozen {
@@ -299,7 +299,7 @@
 	n.address = fmt.Sprintf("%s:%d", name, 1+w.moves)
 	w.address[n.address] = name
 	n.seeds = nil
-	for _, core := range w.names(wire.Controller) {
+	for _, core := range w.names(protocol.Controller) {
 		if core != name && len(n.seeds) < 3 {
 			n.seeds = append(n.seeds, w.nodes[core].address)
 		}
--- a/sim/clients.go
+++ b/internal/simulation/nativesim/clients.go
@@ -1,13 +1,13 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 	"sort"
 	"strings"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
 )
 
 // senders ask the services, each at its own rate.
@@ -99,7 +99,7 @@
 		w.senders.askedFor[model]++
 	}
 	first := asked{name: fmt.Sprintf("q-%d", w.senders.count), service: name, model: model, adapter: adapter}
-	edge, odd := w.some(wire.Router), w.Random.Intn(50)
+	edge, odd := w.some(protocol.Router), w.Random.Intn(50)
 	if odd == 0 {
 		// An impatient sender sends the same at once through the same router;
 		// then neither comes back, since the other may still wait.
@@ -111,7 +111,7 @@
 		w.events.After(w.Random.Int63n(100), func() { w.sendTo(edge, first) })
 	case 1:
 		if service.Repeatable {
-			w.events.After(w.Random.Int63n(100), func() { w.sendTo(w.some(wire.Router), first) })
+			w.events.After(w.Random.Int63n(100), func() { w.sendTo(w.some(protocol.Router), first) })
 		}
 	}
 }
@@ -130,7 +130,7 @@
 		}
 		a.life = n.life
 		n.under[a.id] = a
-		w.put(n, n.life, traffic.Request{ID: a.id, Service: a.service, Model: a.model, Adapter: a.adapter, Name: a.name, Given: true, Bytes: 100})
+		w.put(n, n.life, router.Request{ID: a.id, Service: a.service, Model: a.model, Adapter: a.adapter, Name: a.name, Given: true, Bytes: 100})
 		if !a.probe && w.Random.Intn(50) == 0 {
 			w.events.After(w.Random.Int63n(3000), a.leave)
 		}
@@ -143,19 +143,19 @@
 // comeBack is a sender that sends a dropped request again, with its id, when
 // it was told to, through any router.
 func (a *asked) comeBack(kind string, drop bool) {
-	reply := defect.Kind(kind).Reply()
+	reply := errkind.Kind(kind).Reply()
 	if !drop || reply.RetryAfterSec == 0 || a.again >= comeBackMost || a.w.senders.stop {
 		return
 	}
 	next := asked{name: a.name, service: a.service, model: a.model, adapter: a.adapter, again: a.again + 1}
-	told := defect.Answer{Kind: defect.Kind(kind), RetryMs: a.retryMs}
-	a.w.events.After(int64(told.RetryAfterSec())*1000, func() { a.w.sendTo(a.w.some(wire.Router), next) })
+	told := errkind.Answer{Kind: errkind.Kind(kind), RetryMs: a.retryMs}
+	a.w.events.After(int64(told.RetryAfterSec())*1000, func() { a.w.sendTo(a.w.some(protocol.Router), next) })
 }
 
 // Probe keeps asking every router for the services that only one handed over
 // description has, so that it shows which texts take effect.
 func (w *World) Probe() {
-	for _, name := range w.names(wire.Router) {
+	for _, name := range w.names(protocol.Router) {
 		w.probeSoon(name)
 	}
 }
--- a/sim/crowd_test.go
+++ b/internal/simulation/nativesim/crowd_test.go
@@ -1,11 +1,11 @@
-package sim
+package nativesim
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/defect"
+	"myrtlewinch/internal/errkind"
 )
 
 // crowds play the same with and without crowds that ask one service for all
@@ -29,7 +29,7 @@
 	for service, kinds := range r.World.senders.kinds {
 		out[service] = [2]int{
 			kinds["answered"],
-			kinds[string(defect.DeadlinePassed)] + kinds[string(defect.NoTurn)] + kinds[string(defect.HoldingFull)],
+			kinds[string(errkind.DeadlinePassed)] + kinds[string(errkind.NoTurn)] + kinds[string(errkind.HoldingFull)],
 		}
 	}
 	return out
--- a/sim/disk.go
+++ b/internal/simulation/nativesim/disk.go
@@ -1,9 +1,9 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // simDisk is a disk: what is synced, and how it behaves.
@@ -14,7 +14,7 @@
 	stalled, full bool
 	wipes         int
 	// pending was asked for and is not synced yet.
-	pending []wire.Save
+	pending []protocol.Save
 }
 
 // Wipe empties a disk; the daemon must be down.
@@ -27,7 +27,7 @@
 	w.note("%s loses its disk", name)
 }
 
-func (w *World) saveTo(n *node, life int, save wire.Save) {
+func (w *World) saveTo(n *node, life int, save protocol.Save) {
 	n.disk.pending = append(n.disk.pending, save)
 	if len(n.disk.pending) == 1 {
 		w.saveNext(n, life)
@@ -55,6 +55,6 @@
 		if len(d.pending) > 0 {
 			w.saveNext(n, life)
 		}
-		w.put(n, life, wire.Saved{Number: save.Number, Ok: !d.full})
+		w.put(n, life, protocol.Saved{Number: save.Number, Ok: !d.full})
 	})
 }
--- a/sim/double.go
+++ b/internal/simulation/nativesim/double.go
@@ -1,9 +1,9 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 
-	"myrtlewinch/description"
+	"myrtlewinch/internal/native/description"
 )
 
 // Double starts a replacement of a daemon at a new address, with an empty
--- a/sim/founding_test.go
+++ b/internal/simulation/nativesim/founding_test.go
@@ -1,13 +1,13 @@
-package sim
+package nativesim
 
 import (
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/control"
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // A founding that was cut short at any moment is finished by repeating it. A
@@ -21,7 +21,7 @@
 		w.Run(2000)
 		w.Found()
 		w.Run(3 + w.Random.Int63n(20))
-		names := w.names(wire.Controller)
+		names := w.names(protocol.Controller)
 		// All three are hit, so that each may or may not have kept the record.
 		for _, name := range names[:3] {
 			w.Kill(name)
@@ -45,9 +45,9 @@
 			w.operator.founding = nil
 			w.foundWith(names[2])
 			w.Run(3000)
-			said, ok := w.operator.founding.(wire.Dropped)
+			said, ok := w.operator.founding.(protocol.Dropped)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.founding))
-			qt.Assert(t, said.Kind, qt.Equals, defect.AlreadyFounded, qt.Commentf("seed %d", seed))
+			qt.Assert(t, said.Kind, qt.Equals, errkind.AlreadyFounded, qt.Commentf("seed %d", seed))
 			refused++
 		}
 		for range 5 {
@@ -58,7 +58,7 @@
 		}
 		qt.Assert(t, w.Primary(), qt.Not(qt.Equals), "", qt.Commentf("seed %d\n%s", seed, w.Trace()))
 		if half {
-			_, ok := w.operator.founding.(control.Founded)
+			_, ok := w.operator.founding.(consensus.Founded)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.founding))
 		}
 		w.HandOver(w.Primary(), 0, w.Text)
--- a/sim/measure.go
+++ b/internal/simulation/nativesim/measure.go
@@ -1,4 +1,4 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
@@ -7,9 +7,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/control"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
 )
 
 // Measurement is one figure over several seeds, with the worst and the middle.
@@ -125,10 +125,10 @@
 	return float64(w.Net.LookUps-sent) / float64(requests), nil
 }
 
-func (w *World) tallies() traffic.Tally {
-	var sum traffic.Tally
-	for _, name := range w.names(wire.Router) {
-		tally := w.nodes[name].machine.(*traffic.Machine).Tally
+func (w *World) tallies() router.Tally {
+	var sum router.Tally
+	for _, name := range w.names(protocol.Router) {
+		tally := w.nodes[name].machine.(*router.Machine).Tally
 		sum.Requests += tally.Requests
 		sum.LookUps += tally.LookUps
 		sum.Hits += tally.Hits
@@ -160,7 +160,7 @@
 		{"small service without an answer, zone of the primary lost", "ms", outage(loseZone)},
 		{"small service without an answer, every daemon killed and started", "ms", outage(loseAll)},
 		{"small service without an answer, core cut off from all routers for 40 s", "ms", outage(func(w *World) {
-			w.Cut(w.names(wire.Controller), w.names(wire.Router), false)
+			w.Cut(w.names(protocol.Controller), w.names(protocol.Router), false)
 			w.Run(40_000)
 			w.Heal()
 		})},
@@ -175,7 +175,7 @@
 		{"no controller speaks, primary killed", "ms", controlOutage(func(w *World) { w.Kill(w.Primary()) })},
 		{"no controller speaks, primary stopped as planned", "ms", controlOutage(func(w *World) {
 			n := w.nodes[w.Primary()]
-			w.put(n, n.life, control.StepDown{})
+			w.put(n, n.life, consensus.StepDown{})
 		})},
 		{"no controller speaks, every daemon killed and started", "ms", controlOutage(loseAll)},
 		{"last run under the old revision after acceptance, routers cut off", "ms", oldRevision},
@@ -187,7 +187,7 @@
 		}},
 		{"look-ups a request, all routers cold", "ratio", func(w *World) (float64, error) {
 			w.Begin()
-			for _, name := range w.names(wire.Router) {
+			for _, name := range w.names(protocol.Router) {
 				w.Kill(name)
 				w.Start(name)
 			}
@@ -211,7 +211,7 @@
 func oldRevision(w *World) (float64, error) {
 	w.Begin()
 	w.Crowd(w.small(), 400)
-	w.Cut(w.names(wire.Controller), w.names(wire.Router)[:2], false)
+	w.Cut(w.names(protocol.Controller), w.names(protocol.Router)[:2], false)
 	w.HandOver(w.Primary(), 1, w.Variant(1))
 	w.Run(15_000)
 	if w.operator.outcomes["accepted"] < 2 {
--- a/sim/network.go
+++ b/internal/simulation/nativesim/network.go
@@ -1,10 +1,10 @@
-package sim
+package nativesim
 
 import (
 	"bytes"
 	"encoding/gob"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // NetTally counts the control traffic.
@@ -63,31 +63,31 @@
 
 func (w *World) lateness(from, to string) int64 {
 	for _, end := range []string{from, to} {
-		if n := w.nodes[end]; n != nil && n.part == wire.Router && (w.runners[from] != nil || w.runners[to] != nil) {
+		if n := w.nodes[end]; n != nil && n.part == protocol.Router && (w.runners[from] != nil || w.runners[to] != nil) {
 			return requestLateMs
 		}
 	}
 	return w.lateMs
 }
 
-func (w *World) send(n *node, send wire.Send) {
+func (w *World) send(n *node, send protocol.Send) {
 	to, ok := w.address[send.Address]
 	if !ok {
 		return
 	}
 	w.Net.Messages++
-	if _, isLookUp := send.Body.(wire.LookUp); isLookUp {
+	if _, isLookUp := send.Body.(protocol.LookUp); isLookUp {
 		w.Net.LookUps++
 	}
 	if w.lossPart > 0 && w.Random.Float64() < w.lossPart {
 		w.Net.Lost++
 		return
 	}
-	if ask, isAsk := send.Body.(wire.Ask); isAsk && w.Breaks.NoGiven {
+	if ask, isAsk := send.Body.(protocol.Ask); isAsk && w.Breaks.NoGiven {
 		ask.GivenMs = 0
 		send.Body = ask
 	}
-	envelope := wire.Envelope{Site: w.Site.Site, From: w.place(n), To: send.To, Body: send.Body}
+	envelope := protocol.Envelope{Site: w.Site.Site, From: w.place(n), To: send.To, Body: send.Body}
 	if w.weigh {
 		w.Net.Bytes += weight(envelope)
 	}
@@ -105,9 +105,9 @@
 }
 
 // weight is the size of a message as it is sent alone between daemons.
-func weight(e wire.Envelope) uint64 {
+func weight(e protocol.Envelope) uint64 {
 	var text bytes.Buffer
-	if gob.NewEncoder(&text).Encode([]wire.Envelope{e}) != nil {
+	if gob.NewEncoder(&text).Encode([]protocol.Envelope{e}) != nil {
 		return 0
 	}
 	return uint64(text.Len())
--- a/sim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -1,13 +1,13 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 
-	"myrtlewinch/control"
-	"myrtlewinch/daemon"
-	"myrtlewinch/description"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
 )
 
 // node is one daemon.
@@ -18,7 +18,7 @@
 	// lived is the name that its incarnations are made of, if another.
 	lived      string
 	address    string
-	machine    daemon.Machine
+	machine    process.Machine
 	up, frozen bool
 	frozenMs   int64
 	// life tells one run of the process from the next.
@@ -68,17 +68,17 @@
 	n.bootMs = w.events.NowMs()
 	n.offset = 3_600_000 + w.Random.Int63n(1_000_000)
 	n.under = map[uint64]*asked{}
-	self := wire.Place{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part}
-	if n.part == wire.Controller {
+	self := protocol.Place{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part}
+	if n.part == protocol.Controller {
 		self.Incarnation = n.disk.incarnation
-		machine, err := control.New(control.Settings{Site: w.Site.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Breaks.GapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
+		machine, err := consensus.New(consensus.Settings{Site: w.Site.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Breaks.GapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
 		if err != nil {
 			panic(fmt.Sprintf("sim: %s does not start: %v", name, err))
 		}
 		n.machine = machine
 	} else {
 		self.Incarnation = n.incarnation()
-		n.machine = traffic.New(traffic.Settings{Site: w.Site.Site, Self: self, Seeds: n.seeds, Platform: "platform"}, n.clock(w.events.NowMs()))
+		n.machine = router.New(router.Settings{Site: w.Site.Site, Self: self, Seeds: n.seeds, Platform: "platform"}, n.clock(w.events.NowMs()))
 	}
 	w.note("%s starts", name)
 	life := n.life
@@ -98,7 +98,7 @@
 		return
 	}
 	if !n.frozen {
-		w.put(n, life, wire.Tick{})
+		w.put(n, life, protocol.Tick{})
 	}
 	w.events.After(tickMs, func() { w.tick(n, life) })
 }
@@ -148,7 +148,7 @@
 }
 
 // perform carries a daemon's effects out.
-func (w *World) perform(n *node, effects wire.Effects) {
+func (w *World) perform(n *node, effects protocol.Effects) {
 	life := n.life
 	for _, text := range effects.Notes {
 		w.note("%s: %s", n.name, text)
@@ -163,7 +163,7 @@
 		w.call(n, life, call)
 	}
 	for _, answer := range effects.Answers {
-		if op := w.operator.asked[answer.ID]; op != nil && n.part == wire.Controller {
+		if op := w.operator.asked[answer.ID]; op != nil && n.part == protocol.Controller {
 			w.operator.answered(w, n, answer)
 			continue
 		}
@@ -173,13 +173,13 @@
 	}
 }
 
-func (w *World) place(n *node) wire.Place {
-	return wire.Place{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part, Incarnation: n.incarnation()}
+func (w *World) place(n *node) protocol.Place {
+	return protocol.Place{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part, Incarnation: n.incarnation()}
 }
 
 // incarnation is that of the disk, or of the process where there is none.
 func (n *node) incarnation() string {
-	if n.part == wire.Controller {
+	if n.part == protocol.Controller {
 		return n.disk.incarnation
 	}
 	name := n.name
--- a/sim/operators.go
+++ b/internal/simulation/nativesim/operators.go
@@ -1,12 +1,12 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 
-	"myrtlewinch/control"
-	"myrtlewinch/defect"
-	"myrtlewinch/description"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/protocol"
 )
 
 // operator hands descriptions over and takes down what it was told.
@@ -36,20 +36,20 @@
 	o.asked, o.accepted, o.outcomes, o.texts = map[uint64]*handing{}, map[uint64]string{}, map[string]int{}, map[string]string{}
 }
 
-func (o *operator) answered(w *World, n *node, answer wire.Answer) {
+func (o *operator) answered(w *World, n *node, answer protocol.Answer) {
 	h := o.asked[answer.ID]
 	delete(o.asked, answer.ID)
 	w.pass(n.name, "operator", func() { h.then(answer.Body) }, func() { o.outcomes["no answer"]++ })
 }
 
 // Found founds the site with its first three controllers.
-func (w *World) Found() { w.foundWith(w.names(wire.Controller)[1]) }
+func (w *World) Found() { w.foundWith(w.names(protocol.Controller)[1]) }
 
 // foundWith founds it with a backup; told is how the last founding ended.
 func (w *World) foundWith(backup string) {
-	names := w.names(wire.Controller)
+	names := w.names(protocol.Controller)
 	w.tell(names[0], "", func(id uint64) any {
-		return control.Founding{ID: id, Witnesses: names[:3], Backup: backup}
+		return consensus.Founding{ID: id, Witnesses: names[:3], Backup: backup}
 	}, func(body any) {
 		w.note("founding: %+v", body)
 		w.operator.founding = body
@@ -62,7 +62,7 @@
 	said := w.status(w.nodes[name])
 	w.operator.founding = nil
 	w.tell(name, "", func(id uint64) any {
-		return control.Founding{
+		return consensus.Founding{
 			ID: id, Witnesses: witnesses, Backup: backup, Recover: true,
 			Change: said.Position.Number, Revision: said.Revision,
 		}
@@ -106,13 +106,13 @@
 		w.senders.marks = append(w.senders.marks, mark)
 	}
 	w.tell(name, text, func(id uint64) any {
-		return control.HandOver{ID: id, Base: base, Text: text, Part: part}
+		return consensus.HandOver{ID: id, Base: base, Text: text, Part: part}
 	}, func(body any) {
 		if w.Breaks.LieToOperator {
 			body = w.opposite(body)
 		}
 		switch said := body.(type) {
-		case control.Accepted:
+		case consensus.Accepted:
 			w.note("operator: revision %d accepted, %s", said.Revision, mark)
 			w.operator.outcomes["accepted"]++
 			w.Book.Accepted(w.events.NowMs(), said.Revision)
@@ -122,7 +122,7 @@
 				w.operator.accepted[said.Revision] = text
 			}
 			w.operator.lastNumber = max(w.operator.lastNumber, said.Revision)
-		case wire.Dropped:
+		case protocol.Dropped:
 			w.note("operator: %s, %s", said.Kind, mark)
 			w.operator.outcomes[string(said.Kind)]++
 			if said.Kind.Reply().Drop {
@@ -149,17 +149,17 @@
 // opposite is the wrong answer to a handing over.
 func (w *World) opposite(body any) any {
 	switch body.(type) {
-	case control.Accepted:
-		return wire.Dropped{Kind: defect.NotTaken}
-	case wire.Dropped:
-		return control.Accepted{Revision: 2}
+	case consensus.Accepted:
+		return protocol.Dropped{Kind: errkind.NotTaken}
+	case protocol.Dropped:
+		return consensus.Accepted{Revision: 2}
 	}
 	return body
 }
 
 // Primary names a controller that speaks for the site, if there is one.
 func (w *World) Primary() string {
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		if n := w.nodes[name]; n.up && !n.frozen && w.status(n).Active {
 			return name
 		}
@@ -168,12 +168,12 @@
 }
 
 // status looks at a controller without anything else happening.
-func (w *World) status(n *node) control.Status {
-	effects := n.machine.Step(n.clock(w.events.NowMs()), control.Look{ID: 1, Page: "status"})
-	var status control.Status
+func (w *World) status(n *node) consensus.Status {
+	effects := n.machine.Step(n.clock(w.events.NowMs()), consensus.Look{ID: 1, Page: "status"})
+	var status consensus.Status
 	rest := effects.Answers[:0]
 	for _, answer := range effects.Answers {
-		if s, ok := answer.Body.(control.Status); ok {
+		if s, ok := answer.Body.(consensus.Status); ok {
 			status = s
 			continue
 		}
@@ -192,9 +192,9 @@
 		return
 	}
 	n := w.nodes[name]
-	effects := n.machine.Step(n.clock(w.events.NowMs()), control.Look{ID: 1, Page: "description"})
+	effects := n.machine.Step(n.clock(w.events.NowMs()), consensus.Look{ID: 1, Page: "description"})
 	for _, answer := range effects.Answers {
-		said, ok := answer.Body.(control.Described)
+		said, ok := answer.Body.(consensus.Described)
 		if !ok {
 			continue
 		}
@@ -204,7 +204,7 @@
 		}
 		w.checkMarks(said, sums)
 		for number, text := range w.operator.accepted {
-			if sums[number] != wire.Sum(text) {
+			if sums[number] != protocol.Sum(text) {
 				w.Book.Lost(w.events.NowMs(), fmt.Sprintf("revision %d was accepted and is %q now", number, sums[number]))
 			}
 		}
@@ -213,13 +213,13 @@
 
 // checkMarks looks whether what was once in effect, or accepted, is still a
 // part of the history, and whether the newest is in force.
-func (w *World) checkMarks(said control.Described, sums map[uint64]string) {
+func (w *World) checkMarks(said consensus.Described, sums map[uint64]string) {
 	for mark, seen := range w.Book.Marks() {
 		number := seen.Revision
 		if number == 0 || len(said.Past) == 0 || number < said.Past[0].Number {
 			continue
 		}
-		if text, whole := w.operator.texts[mark]; whole && sums[number] != wire.Sum(text) {
+		if text, whole := w.operator.texts[mark]; whole && sums[number] != protocol.Sum(text) {
 			w.Book.Lost(w.events.NowMs(), fmt.Sprintf("%s was in effect as revision %d, which is %q now", mark, number, sums[number]))
 		}
 		if number == said.Revision.Number && markOf(said.Revision.Text) != mark {
@@ -232,4 +232,4 @@
 }
 
 // Drops tallies what operators were told.
-func (w *World) Drops(kind defect.Kind) int { return w.operator.outcomes[string(kind)] }
+func (w *World) Drops(kind errkind.Kind) int { return w.operator.outcomes[string(kind)] }
--- a/sim/pairs.go
+++ b/internal/simulation/nativesim/pairs.go
@@ -1,11 +1,11 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 	"sort"
 	"strings"
 
-	"myrtlewinch/defect"
+	"myrtlewinch/internal/errkind"
 )
 
 // Cell is what one fault, or two together, did to a site.
@@ -80,10 +80,10 @@
 		}
 		for kind, count := range w.senders.kinds[s.Name] {
 			switch {
-			case defect.Kind(kind).Reply().Drop:
+			case errkind.Kind(kind).Reply().Drop:
 				cell.Drops[kind] += count
 				cell.Dropped += count
-			case kind == string(defect.OutcomeUnknown) || kind == "stream broke":
+			case kind == string(errkind.OutcomeUnknown) || kind == "stream broke":
 				cell.Unknown += count
 			}
 		}
--- a/sim/proofs_test.go
+++ b/internal/simulation/nativesim/proofs_test.go
@@ -1,6 +1,7 @@
-package sim
+package nativesim
 
 import (
+	"io/fs"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -14,11 +15,11 @@
 // out: each rule, scenario, fault, variant and test that it names is there.
 func TestProofsTableIsTrue(t *testing.T) {
 	c := qt.New(t)
-	page, err := os.ReadFile("../docs/proofs.md")
+	page, err := os.ReadFile("../../../docs/proofs.md")
 	c.Assert(err, qt.IsNil)
 	tests := sources(c, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	book := sources(c, func(name string) bool {
-		return filepath.Base(filepath.Dir(name)) == "rules" && !strings.HasSuffix(name, "_test.go")
+		return filepath.Base(filepath.Dir(name)) == "invariants" && !strings.HasSuffix(name, "_test.go")
 	})
 	ruled := map[string]bool{}
 	for _, match := range regexp.MustCompile(`(?:breach\(|Breach\{)"([a-z ]+)"`).FindAllStringSubmatch(book, -1) {
@@ -62,14 +63,14 @@
 // sources gives the text of the project's files of a kind.
 func sources(c *qt.C, of func(name string) bool) string {
 	var all strings.Builder
-	files, err := filepath.Glob("../*/*.go")
-	c.Assert(err, qt.IsNil)
-	for _, name := range files {
-		if of(name) {
-			text, err := os.ReadFile(name)
-			c.Assert(err, qt.IsNil)
-			all.Write(text)
+	err := filepath.WalkDir("../../..", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || !of(path) {
+			return err
 		}
-	}
+		text, err := os.ReadFile(path)
+		all.Write(text)
+		return err
+	})
+	c.Assert(err, qt.IsNil)
 	return all.String()
 }
--- a/sim/recovery_test.go
+++ b/internal/simulation/nativesim/recovery_test.go
@@ -1,4 +1,4 @@
-package sim
+package nativesim
 
 import (
 	"slices"
@@ -6,9 +6,9 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/control"
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // losePair loses both disks of the pair for good, or, as it turns out later,
@@ -21,7 +21,7 @@
 			w.Wipe(name)
 		}
 	}
-	for _, name := range w.names(wire.Controller) {
+	for _, name := range w.names(protocol.Controller) {
 		if !slices.Contains(lost, name) {
 			left = append(left, name)
 		}
@@ -49,10 +49,10 @@
 				witnesses := append([]string{left[0]}, lost...)
 				// A wrong change is refused with the right one.
 				w.tell(left[0], "", func(id uint64) any {
-					return control.Founding{ID: id, Witnesses: witnesses, Backup: lost[0], Recover: true, Change: 1}
+					return consensus.Founding{ID: id, Witnesses: witnesses, Backup: lost[0], Recover: true, Change: 1}
 				}, func(body any) { w.operator.founding = body })
 				w.Run(1000)
-				qt.Assert(t, w.operator.founding.(wire.Dropped).Kind, qt.Equals, defect.StaleBase)
+				qt.Assert(t, w.operator.founding.(protocol.Dropped).Kind, qt.Equals, errkind.StaleBase)
 				w.Recover(left[0], witnesses, lost[0])
 				w.Run(9000)
 				qt.Assert(t, w.Primary(), qt.Equals, left[0], qt.Commentf("seed %d\n%s", seed, w.Trace()))
@@ -82,7 +82,7 @@
 			w.Run(500)
 			w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			w.Run(2000)
-			qt.Assert(t, w.operator.founding.(wire.Dropped).Kind, qt.Equals, defect.NotTaken, qt.Commentf("%+v", w.operator.founding))
+			qt.Assert(t, w.operator.founding.(protocol.Dropped).Kind, qt.Equals, errkind.NotTaken, qt.Commentf("%+v", w.operator.founding))
 			w.Kill(lost[1])
 			// A third machine comes blank in the place of one that is lost.
 			w.Wipe(lost[1])
@@ -91,7 +91,7 @@
 			w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			w.Run(2000)
 			// The copy that reaches further is named, and is the one to go on from.
-			if said, refused := w.operator.founding.(wire.Dropped); refused {
+			if said, refused := w.operator.founding.(protocol.Dropped); refused {
 				qt.Assert(t, said.Detail, qt.Contains, left[1]+" has a later copy")
 				left[0], left[1] = left[1], left[0]
 				w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
--- a/sim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -1,11 +1,11 @@
-package sim
+package nativesim
 
 import (
 	"sort"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
 )
 
 // asked is a sender's request at a router.
@@ -38,11 +38,11 @@
 // told is what the router's machine answers: a refusal, or a go.
 func (a *asked) told(body any) {
 	switch said := body.(type) {
-	case wire.Dropped:
+	case protocol.Dropped:
 		a.retryMs = said.RetryMs
 		a.w.pass(a.n.name, "senders", func() { a.end(string(said.Kind), said.Kind.Reply().Drop) }, func() { a.end("stream broke", false) })
 		delete(a.n.under, a.id)
-	case traffic.Go:
+	case router.Go:
 		a.going = true
 		if a.w.Breaks.SlipBack && a.w.Random.Intn(10) == 0 {
 			said.Revision = 1
@@ -50,36 +50,36 @@
 		if a.w.Breaks.DropThenRun && a.w.Random.Intn(20) == 0 {
 			a.end("no runner", true)
 		}
-		machine := a.n.machine.(*traffic.Machine)
-		a.w.atSocket(a.n, a.life, func() bool { return a.w.Breaks.SlipBack || machine.MaySend(a.n.clock(a.w.events.NowMs()), said) }, func() { a.goTo(said) }, func() { a.ended(traffic.TooLate, 0) })
+		machine := a.n.machine.(*router.Machine)
+		a.w.atSocket(a.n, a.life, func() bool { return a.w.Breaks.SlipBack || machine.MaySend(a.n.clock(a.w.events.NowMs()), said) }, func() { a.goTo(said) }, func() { a.ended(router.TooLate, 0) })
 	}
 }
 
-func (a *asked) ended(outcome traffic.Outcome, revision uint64) {
+func (a *asked) ended(outcome router.Outcome, revision uint64) {
 	a.going = false
 	if a.gone {
-		a.w.put(a.n, a.life, traffic.Gone{ID: a.id})
+		a.w.put(a.n, a.life, router.Gone{ID: a.id})
 		return
 	}
-	a.w.put(a.n, a.life, traffic.Ended{ID: a.id, Outcome: outcome, Revision: revision})
+	a.w.put(a.n, a.life, router.Ended{ID: a.id, Outcome: outcome, Revision: revision})
 }
 
 // goTo takes a go to the runner, and what comes of it back.
-func (a *asked) goTo(to traffic.Go) {
+func (a *asked) goTo(to router.Go) {
 	w := a.w
 	r := w.runners[to.Runner]
 	cut := w.cuts[[2]string{a.n.name, to.Runner}]
 	// A refused or unreachable stream is known before a byte is written.
 	if r == nil || !r.up || cut {
-		w.events.After(1, func() { a.ended(traffic.NotSent, 0) })
+		w.events.After(1, func() { a.ended(router.NotSent, 0) })
 		return
 	}
 	lost := func() {
 		if w.Breaks.ResendLost {
-			a.ended(traffic.NotSent, 0)
+			a.ended(router.NotSent, 0)
 			return
 		}
-		a.ended(traffic.Lost, 0)
+		a.ended(router.Lost, 0)
 	}
 	deadline := func() { w.events.After(max(1, to.DeadlineMs-a.n.clock(w.events.NowMs())), lost) }
 	runnerLife := r.life
@@ -93,7 +93,7 @@
 			deadline()
 			return
 		}
-		drop := r.stand.Run(w.events.NowMs(), traffic.RunCall{
+		drop := r.stand.Run(w.events.NowMs(), router.RunCall{
 			Request: to.Name, Service: to.Service, Model: to.Model, Adapter: to.Adapter, Revision: to.Revision,
 			Incarnation: to.Incarnation, Repeatable: to.Repeatable, Telling: to.Telling,
 		}, a.n.name)
@@ -106,24 +106,24 @@
 	}, deadline)
 }
 
-func outcomeOf(drop *traffic.RunDrop) traffic.Outcome {
-	switch defect.Kind(drop.Kind) {
-	case defect.NotHeld:
-		return traffic.NotHeld
-	case defect.StaleRevision:
-		return traffic.Stale
-	case defect.OtherRunner:
-		return traffic.Other
-	case defect.AlreadyTaken:
-		return traffic.Repeated
+func outcomeOf(drop *router.RunDrop) router.Outcome {
+	switch errkind.Kind(drop.Kind) {
+	case errkind.NotHeld:
+		return router.NotHeld
+	case errkind.StaleRevision:
+		return router.Stale
+	case errkind.OtherRunner:
+		return router.Other
+	case errkind.AlreadyTaken:
+		return router.Repeated
 	}
-	return traffic.Busy
+	return router.Busy
 }
 
 const tellingPieces = 5
 
 // work is the running of a request: a piece at a time for a telling.
-func (a *asked) work(r *runner, life int, to traffic.Go, piece int, lost, deadline func()) {
+func (a *asked) work(r *runner, life int, to router.Go, piece int, lost, deadline func()) {
 	w := a.w
 	w.events.After(20+w.Random.Int63n(120), func() {
 		broken := func() {
@@ -132,7 +132,7 @@
 					w.Book.Wrong(w.events.NowMs(), a.service, a.name, "a telling looked finished without its end mark")
 				}
 				// The router closes the sender's stream without an end.
-				a.ended(traffic.Answered, 0)
+				a.ended(router.Answered, 0)
 				a.broke()
 				return
 			}
@@ -158,7 +158,7 @@
 			if !last {
 				return
 			}
-			a.ended(traffic.Answered, 0)
+			a.ended(router.Answered, 0)
 			delete(a.n.under, a.id)
 			w.pass(a.n.name, "senders", func() { a.end("answered", false) }, func() { a.end("stream broke", false) })
 		}, broken)
@@ -178,7 +178,7 @@
 	a.end("sender gone", false)
 	delete(a.n.under, a.id)
 	if !a.going {
-		a.w.put(a.n, a.life, traffic.Gone{ID: a.id})
+		a.w.put(a.n, a.life, router.Gone{ID: a.id})
 	}
 }
 
--- a/sim/runner.go
+++ b/internal/simulation/nativesim/runner.go
@@ -1,17 +1,17 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 
-	"myrtlewinch/stand"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 // runner is a back end in the world.
 type runner struct {
 	name   string
 	room   int64
-	stand  *stand.Runner
+	stand  *testbackend.Runner
 	life   int
 	up     bool
 	dark   bool
@@ -29,9 +29,9 @@
 	if r.loadMs == 0 {
 		r.loadMs = 2000
 	}
-	r.stand = stand.NewRunner(name, fmt.Sprintf("%s-%d", name, r.life), r.room, r.loadMs, w.Book)
+	r.stand = testbackend.NewRunner(name, fmt.Sprintf("%s-%d", name, r.life), r.room, r.loadMs, w.Book)
 	r.stand.Careless = w.careless
-	w.platform.Put(wire.Listed{Name: name, Address: "run:" + name, Incarnation: r.stand.Incarnation})
+	w.platform.Put(protocol.Listed{Name: name, Address: "run:" + name, Incarnation: r.stand.Incarnation})
 	w.note("%s starts as %s", name, r.stand.Incarnation)
 }
 
--- a/sim/scenario.go
+++ b/internal/simulation/nativesim/scenario.go
@@ -1,13 +1,13 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
 	"sort"
 	"strings"
 
-	"myrtlewinch/rules"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/invariants"
 )
 
 // Scenario is a failure that is brought about on a serving site.
@@ -24,7 +24,7 @@
 // Result is what a run showed.
 type Result struct {
 	World    *World
-	Breaches []rules.Breach
+	Breaches []invariants.Breach
 }
 
 // Begin founds a world's site, hands the description over and begins sending.
@@ -102,11 +102,11 @@
 
 func (w *World) retired(name string) bool {
 	n := w.nodes[name]
-	if n.part == wire.Controller {
+	if n.part == protocol.Controller {
 		return w.status(n).Retired
 	}
-	for _, answer := range n.machine.Step(n.clock(w.events.NowMs()), traffic.Look{ID: 1}).Answers {
-		if status, ok := answer.Body.(traffic.Status); ok {
+	for _, answer := range n.machine.Step(n.clock(w.events.NowMs()), router.Look{ID: 1}).Answers {
+		if status, ok := answer.Body.(router.Status); ok {
 			return status.Retired
 		}
 	}
@@ -155,14 +155,14 @@
 		w.Thaw(p)
 	}, 20_000},
 	"core cut off from routers for long": {"routers go on by a majority of themselves", func(w *World) {
-		w.Cut(w.names(wire.Controller), w.names(wire.Router), false)
+		w.Cut(w.names(protocol.Controller), w.names(protocol.Router), false)
 		w.HandOver(w.Primary(), 1, w.Variant(1))
 		w.Run(40_000)
 		w.Heal()
 	}, 15_000},
 	"some routers cut off while descriptions come": {"those cut off stop in time", func(w *World) {
-		names := w.names(wire.Router)
-		w.Cut(w.names(wire.Controller), names[:2], false)
+		names := w.names(protocol.Router)
+		w.Cut(w.names(protocol.Controller), names[:2], false)
 		w.Run(w.Random.Int63n(3000))
 		for range 3 {
 			w.handOverNext()
@@ -190,7 +190,7 @@
 		}
 	}, 5000},
 	"a core machine stays away, then another goes": {"where there is a fourth, the site outlives the second loss", func(w *World) {
-		names := w.names(wire.Controller)
+		names := w.names(protocol.Controller)
 		gone := names[w.Random.Intn(3)]
 		w.Kill(gone)
 		w.Run(45_000)
@@ -214,7 +214,7 @@
 		w.checkBack()
 	}, 1000},
 	"an old core machine wakes beside its replacement": {"the old one retires for good and disturbs nobody", func(w *World) {
-		name := w.names(wire.Controller)[w.Random.Intn(3)]
+		name := w.names(protocol.Controller)[w.Random.Intn(3)]
 		ghost := w.Double(name)
 		w.Run(3000 + w.Random.Int63n(8000))
 		w.Thaw(ghost)
@@ -230,7 +230,7 @@
 		w.mustBeRetired(ghost, name)
 	}, 3000},
 	"an old router wakes beside its replacement": {"one of the two goes on; no description slips", func(w *World) {
-		name := w.some(wire.Router)
+		name := w.some(protocol.Router)
 		ghost := w.Double(name)
 		w.Run(500 + w.Random.Int63n(4000))
 		w.HandOver(w.Primary(), 1, w.Variant(1))
@@ -305,14 +305,14 @@
 	"leaving while the primary is dead and routers freeze": {"a router that wakes does not send to a leaver", func(w *World) {
 		w.Kill(w.Primary())
 		w.Run(500)
-		for i, name := range w.names(wire.Router) {
+		for i, name := range w.names(protocol.Router) {
 			if i%2 == 0 {
 				w.Freeze(name)
 			}
 		}
 		w.MarkLeaving("language-1")
 		w.Run(5000)
-		for _, name := range w.names(wire.Router) {
+		for _, name := range w.names(protocol.Router) {
 			w.Thaw(name)
 		}
 	}, 15_000},
@@ -327,7 +327,7 @@
 		}
 	}, 25_000},
 	"all seed machines swapped, then all lost": {"each comes back empty at a new address; routers' seeds lead nowhere", func(w *World) {
-		for _, name := range w.names(wire.Controller)[:3] {
+		for _, name := range w.names(protocol.Controller)[:3] {
 			w.Kill(name)
 			w.Wipe(name)
 			w.Move(name)
@@ -347,7 +347,7 @@
 		w.HandOver(w.Primary(), 1, w.Variant(1))
 		w.Run(1000)
 		for range 2 {
-			for _, name := range w.names(wire.Controller) {
+			for _, name := range w.names(protocol.Controller) {
 				w.Kill(name)
 				w.Wipe(name)
 				w.Run(500)
--- a/sim/sim_test.go
+++ b/internal/simulation/nativesim/sim_test.go
@@ -1,4 +1,4 @@
-package sim
+package nativesim
 
 import (
 	"fmt"
@@ -7,11 +7,11 @@
 
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/defect"
+	"myrtlewinch/internal/errkind"
 )
 
 func example(t testing.TB, name string) string {
-	text, err := os.ReadFile("../examples/" + name + ".json")
+	text, err := os.ReadFile("../../../examples/" + name + ".json")
 	qt.Assert(t, err, qt.IsNil)
 	return string(text)
 }
@@ -100,8 +100,8 @@
 		for service, kinds := range r.World.senders.kinds {
 			for kind, count := range kinds {
 				// Some senders go away, or send an id twice at once, on their own.
-				own := kind == "sender gone" || kind == string(defect.AlreadyTaken)
-				lost := kind != "answered" && kind != "no stream" && !own && !defect.Kind(kind).Reply().Drop
+				own := kind == "sender gone" || kind == string(errkind.AlreadyTaken)
+				lost := kind != "answered" && kind != "no stream" && !own && !errkind.Kind(kind).Reply().Drop
 				qt.Assert(t, lost, qt.IsFalse, qt.Commentf("%s: %d of %s", service, count, kind))
 			}
 			qt.Assert(t, kinds["answered"] > 0, qt.IsTrue)
--- a/sim/stop.go
+++ b/internal/simulation/nativesim/stop.go
@@ -1,9 +1,9 @@
-package sim
+package nativesim
 
 import (
-	"myrtlewinch/control"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
 )
 
 // Stop stops a daemon as planned: a primary steps down, a router lets what it
@@ -11,11 +11,11 @@
 func (w *World) Stop(name string) {
 	n := w.nodes[name]
 	w.note("%s is stopped as planned", name)
-	if n.part == wire.Controller {
-		w.put(n, n.life, control.StepDown{})
+	if n.part == protocol.Controller {
+		w.put(n, n.life, consensus.StepDown{})
 		w.Run(300)
 	} else {
-		w.put(n, n.life, traffic.Leave{})
+		w.put(n, n.life, router.Leave{})
 		for end := w.events.NowMs() + 10_000; len(n.under) > 0 && w.events.NowMs() < end; {
 			w.Run(20)
 		}
--- a/sim/variant.go
+++ b/internal/simulation/nativesim/variant.go
@@ -1,4 +1,4 @@
-package sim
+package nativesim
 
 import (
 	"encoding/json"
--- a/sim/wall_test.go
+++ b/internal/simulation/nativesim/wall_test.go
@@ -1,4 +1,4 @@
-package sim
+package nativesim
 
 import (
 	"go/ast"
@@ -17,10 +17,10 @@
 // Goroutines start in crew alone.
 func TestNoWallClockAndNoStrayGoroutine(t *testing.T) {
 	c := qt.New(t)
-	machines := map[string]bool{"control": true, "traffic": true, "witness": true, "watch": true, "ledger": true, "choice": true, "sim": true, "description": true, "drill": true, "holdings": true, "servicemap": true, "bounds": true, "eventqueue": true, "hollow": true}
+	machines := map[string]bool{"consensus": true, "router": true, "witness": true, "failuredetector": true, "ledger": true, "choice": true, "nativesim": true, "description": true, "faultsim": true, "placement": true, "config": true, "bounds": true, "eventqueue": true, "scalesim": true}
 	shells := map[string]bool{"office.go": true, "gate.go": true}
 	files := 0
-	err := filepath.WalkDir("..", func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir("../../..", func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
@@ -31,7 +31,7 @@
 			return err
 		}
 		ast.Inspect(file, func(n ast.Node) bool {
-			if _, ok := n.(*ast.GoStmt); ok && folder != "crew" {
+			if _, ok := n.(*ast.GoStmt); ok && folder != "threads" {
 				t.Errorf("%s starts a goroutine", path)
 			}
 			call, ok := n.(*ast.SelectorExpr)
--- a/sim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -1,7 +1,7 @@
-// Package sim runs the daemons' own state machines under a virtual clock,
+// Package nativesim runs the daemons' own state machines under a virtual clock,
 // with a seeded network, disks and runners. It causes failures and checks the
 // rules from what senders and runners see.
-package sim
+package nativesim
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 	"sort"
 	"strings"
 
-	"myrtlewinch/description"
-	"myrtlewinch/eventqueue"
-	"myrtlewinch/rules"
-	"myrtlewinch/stand"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/eventqueue"
+	"myrtlewinch/internal/simulation/invariants"
+	"myrtlewinch/internal/simulation/testbackend"
 )
 
 const (
@@ -25,7 +25,7 @@
 // World is a whole site in virtual time.
 type World struct {
 	Seed   int64
-	Book   *rules.Book
+	Book   *invariants.Book
 	Text   string
 	Site   *description.Description
 	Random *rand.Rand
@@ -34,7 +34,7 @@
 	nodes    map[string]*node
 	address  map[string]string
 	runners  map[string]*runner
-	platform *stand.Platform
+	platform *testbackend.Platform
 	// cuts holds the directed pairs that no message passes.
 	cuts map[[2]string]bool
 	// lossPart of messages are lost and twicePart come twice.
@@ -100,19 +100,19 @@
 	}
 	w := &World{
 		Seed: seed, Text: text, Site: d, Random: rand.New(rand.NewSource(seed)),
-		Book:  rules.New(d.Store.LoadsPer10s, d.SecondGoes),
+		Book:  invariants.New(d.Store.LoadsPer10s, d.SecondGoes),
 		nodes: map[string]*node{}, address: map[string]string{}, runners: map[string]*runner{},
-		platform: stand.NewPlatform(), cuts: map[[2]string]bool{}, busy: map[string]bool{}, events: eventqueue.New(startMs),
+		platform: testbackend.NewPlatform(), cuts: map[[2]string]bool{}, busy: map[string]bool{}, events: eventqueue.New(startMs),
 	}
 	for i, member := range d.Controllers {
-		n := w.addNode(member, wire.Controller)
+		n := w.addNode(member, protocol.Controller)
 		n.disk = &simDisk{keys: map[string]string{}, incarnation: member.Name + "-disk-0"}
 		if i < 3 {
 			w.seeds = append(w.seeds, n.address)
 		}
 	}
 	for _, member := range d.Routers {
-		w.addNode(member, wire.Router)
+		w.addNode(member, protocol.Router)
 	}
 	for _, r := range d.Runners {
 		w.runners[r.Name] = &runner{name: r.Name, room: r.Room}
--- a/hollow/line.go
+++ b/internal/simulation/scalesim/line.go
@@ -1,11 +1,11 @@
-package hollow
+package scalesim
 
 import (
 	"bytes"
 	"net/rpc"
 
-	"myrtlewinch/daemon"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
 )
 
 // buffer is one way of a stream in memory.
@@ -18,8 +18,8 @@
 // their bytes. Real lines put what waits into one frame; so this is the most.
 type line struct {
 	way buffer
-	out *wire.ClientCodec
-	in  *wire.ServerCodec
+	out *protocol.ClientCodec
+	in  *protocol.ServerCodec
 	seq uint64
 	// ackBytes is what the answer to a frame takes.
 	ackBytes int
@@ -27,13 +27,13 @@
 
 func newLine() (*line, error) {
 	l := &line{}
-	l.out, l.in = wire.NewClientCodec(&l.way), wire.NewServerCodec(&l.way)
+	l.out, l.in = protocol.NewClientCodec(&l.way), protocol.NewServerCodec(&l.way)
 	// The second answer no longer tells gob's types.
 	back := &buffer{}
-	answers := wire.NewServerCodec(back)
+	answers := protocol.NewServerCodec(back)
 	for range 2 {
 		back.Reset()
-		if err := answers.WriteResponse(&rpc.Response{ServiceMethod: method, Seq: 1 << 14}, &daemon.Ack{}); err != nil {
+		if err := answers.WriteResponse(&rpc.Response{ServiceMethod: method, Seq: 1 << 14}, &process.Ack{}); err != nil {
 			return nil, err
 		}
 	}
@@ -44,22 +44,22 @@
 const method = "Door.Take"
 
 // encode writes a message and gives its bytes.
-func (l *line) encode(e wire.Envelope) (int, error) {
+func (l *line) encode(e protocol.Envelope) (int, error) {
 	l.seq++
 	before := l.way.Len()
-	err := l.out.WriteRequest(&rpc.Request{ServiceMethod: method, Seq: l.seq}, []wire.Envelope{e})
+	err := l.out.WriteRequest(&rpc.Request{ServiceMethod: method, Seq: l.seq}, []protocol.Envelope{e})
 	return l.way.Len() - before, err
 }
 
 // decode reads the message that was written last.
-func (l *line) decode() (wire.Envelope, error) {
+func (l *line) decode() (protocol.Envelope, error) {
 	var header rpc.Request
 	if err := l.in.ReadRequestHeader(&header); err != nil {
-		return wire.Envelope{}, err
+		return protocol.Envelope{}, err
 	}
-	var batch []wire.Envelope
+	var batch []protocol.Envelope
 	if err := l.in.ReadRequestBody(&batch); err != nil {
-		return wire.Envelope{}, err
+		return protocol.Envelope{}, err
 	}
 	return batch[0], nil
 }
--- a/hollow/load.go
+++ b/internal/simulation/scalesim/load.go
@@ -1,4 +1,4 @@
-package hollow
+package scalesim
 
 // Load is what one role did while it was measured.
 type Load struct {
--- a/hollow/maps.go
+++ b/internal/simulation/scalesim/maps.go
@@ -1,11 +1,11 @@
-package hollow
+package scalesim
 
 import (
 	"encoding/json"
 	"fmt"
 	"math"
 
-	"myrtlewinch/servicemap"
+	"myrtlewinch/internal/config"
 )
 
 const (
@@ -30,8 +30,8 @@
 type format struct{}
 
 // Read gives the map, or every fault found.
-func (format) Read(text []byte) (*servicemap.Map, []string) {
-	var m servicemap.Map
+func (format) Read(text []byte) (*config.Map, []string) {
+	var m config.Map
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{err.Error()}
 	}
@@ -54,20 +54,20 @@
 
 // text is the service map of a version, as an operator would write it.
 func (s Size) text(version uint64) string {
-	engine := &servicemap.Engine{
+	engine := &config.Engine{
 		Slots: slots, CacheTokens: cacheTokens, Stride: 5, RoomMb: roomMb, AdapterRoom: adapterRoom, LoadsPerSec: loadsPerSec,
 	}
 	for i := range s.Models {
-		engine.Models = append(engine.Models, servicemap.Model{
+		engine.Models = append(engine.Models, config.Model{
 			Name: modelName(i), Mb: modelMb, LoadMs: loadMs, Adapters: s.adaptersOf(i), AdapterMb: adapterMb,
 		})
 	}
-	m := servicemap.Map{Version: version, Services: []servicemap.Service{{Name: service, SoundnessPath: "/health", MostStreams: 100_000, Engine: engine}}}
+	m := config.Map{Version: version, Services: []config.Service{{Name: service, SoundnessPath: "/health", MostStreams: 100_000, Engine: engine}}}
 	for i := range s.Routes {
-		m.Routes = append(m.Routes, servicemap.Route{
-			Name: fmt.Sprintf("route-%04d", i), Host: host, Prefix: routeName(i), Kind: servicemap.Stream, Resume: true, Tries: 2,
+		m.Routes = append(m.Routes, config.Route{
+			Name: fmt.Sprintf("route-%04d", i), Host: host, Prefix: routeName(i), Kind: config.Stream, Resume: true, Tries: 2,
 			// What a change is about: the time-out of one route.
-			GiveUpMs: 30_000 + int64(version), AimMs: 760, GapMs: 72, Priority: i % 3, Split: []servicemap.Share{{Service: service, Weight: 1}},
+			GiveUpMs: 30_000 + int64(version), AimMs: 760, GapMs: 72, Priority: i % 3, Split: []config.Share{{Service: service, Weight: 1}},
 		})
 	}
 	text, err := json.Marshal(m)
--- a/hollow/measure.go
+++ b/internal/simulation/scalesim/measure.go
@@ -1,4 +1,4 @@
-package hollow
+package scalesim
 
 import (
 	"runtime"
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/relay"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
 )
 
 // calibrate works out what the clock itself costs.
@@ -79,10 +79,10 @@
 	return out, nil
 }
 
-func (s *Site) tally() relay.Tally {
-	var sum relay.Tally
+func (s *Site) tally() proxy.Tally {
+	var sum proxy.Tally
 	for _, n := range s.routers {
-		t := n.machine.(*relay.Machine).Tally
+		t := n.machine.(*proxy.Machine).Tally
 		sum.LookUps += t.LookUps
 		sum.Misses += t.Misses
 	}
@@ -92,7 +92,7 @@
 // split tells the roles apart, and lets go of one after the other to see what
 // each holds.
 func (s *Site) split(out *Result) {
-	s.step(s.routers[0], relay.Look{})
+	s.step(s.routers[0], proxy.Look{})
 	primary := s.routers[0].primary
 	leader := slices.IndexFunc(s.controllers, func(n *node) bool { return n.place.Name == primary })
 	followers := slices.Clone(s.controllers)
@@ -129,10 +129,10 @@
 	offered := map[string]bool{}
 	for i := range s.size.Models {
 		for _, router := range s.routers {
-			e := wire.Envelope{Site: siteName, From: router.place, Body: wire.MapLookUp{Service: service, Model: modelName(i)}}
+			e := protocol.Envelope{Site: siteName, From: router.place, Body: protocol.MapLookUp{Service: service, Model: modelName(i)}}
 			long := false
 			for _, send := range leader.machine.Step(s.events.NowMs(), e).Sends {
-				index, is := send.Body.(wire.MapIndex)
+				index, is := send.Body.(protocol.MapIndex)
 				if !is {
 					continue
 				}
--- a/hollow/runner.go
+++ b/internal/simulation/scalesim/runner.go
@@ -1,15 +1,15 @@
-package hollow
+package scalesim
 
 import (
 	"maps"
 	"slices"
 
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/protocol"
 )
 
 // runner stands in for one runner: it holds what it is told to hold.
 type runner struct {
-	entry  wire.RunnerEntry
+	entry  protocol.RunnerEntry
 	held   map[string]map[string]bool
 	disk   map[string]bool
 	calls  int64
@@ -19,34 +19,34 @@
 	toldMs int64
 }
 
-func (r *runner) models() []wire.HeldModel {
-	out := make([]wire.HeldModel, 0, len(r.held))
+func (r *runner) models() []protocol.HeldModel {
+	out := make([]protocol.HeldModel, 0, len(r.held))
 	for _, name := range slices.Sorted(maps.Keys(r.held)) {
-		out = append(out, wire.HeldModel{Name: name, Version: 1, Adapters: slices.Sorted(maps.Keys(r.held[name]))})
+		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: slices.Sorted(maps.Keys(r.held[name]))})
 	}
 	return out
 }
 
-func (r *runner) state() wire.RunnerState {
-	return wire.RunnerState{
+func (r *runner) state() protocol.RunnerState {
+	return protocol.RunnerState{
 		Models: r.models(), Busy: r.busy, Calls: r.calls, Active: r.active, CacheUsed: int64(r.active) * requestTokens, CacheTotal: cacheTokens,
 	}
 }
 
 // command is the runner's side of an order.
-func (r *runner) command(s *Site, c wire.CommandCall) wire.CommandOutcome {
+func (r *runner) command(s *Site, c protocol.CommandCall) protocol.CommandOutcome {
 	if r.busy || c.Expected != r.calls {
-		return wire.CommandBusy
+		return protocol.CommandBusy
 	}
 	of, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return wire.CommandRefused
+			return protocol.CommandRefused
 		}
 		there = of[c.Adapter]
 	}
 	if c.Load == there {
-		return wire.CommandInEffect
+		return protocol.CommandInEffect
 	}
 	r.calls++
 	r.busy = true
@@ -73,5 +73,5 @@
 			delete(r.held[c.Model], c.Adapter)
 		}
 	})
-	return wire.CommandTaken
+	return protocol.CommandTaken
 }
--- a/hollow/runtime.go
+++ b/internal/simulation/scalesim/runtime.go
@@ -1,13 +1,13 @@
-package hollow
+package scalesim
 
 import (
 	"fmt"
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/relay"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
 )
 
 // fail ends the run; of several errors the first one counts.
@@ -22,7 +22,7 @@
 	if n.machine == nil {
 		return
 	}
-	s.step(n, wire.Tick{})
+	s.step(n, protocol.Tick{})
 	s.events.After(tickMs, func() { s.tick(n) })
 }
 
@@ -40,16 +40,16 @@
 func (s *Site) step(n *node, input any) {
 	to := &n.load.ControlNs
 	switch input.(type) {
-	case relay.Request, relay.Told, relay.Ended:
+	case proxy.Request, proxy.Told, proxy.Ended:
 		to = &n.load.ServingNs
 	}
-	var out wire.Effects
+	var out protocol.Effects
 	tookNs := s.timed(to, func() { out = n.machine.Step(s.events.NowMs(), input) })
 	if s.counting {
 		n.stepNs = max(n.stepNs, tookNs)
 	}
 	for _, save := range out.Saves {
-		s.events.After(wayMs, func() { s.step(n, wire.Saved{Number: save.Number, Ok: true}) })
+		s.events.After(wayMs, func() { s.step(n, protocol.Saved{Number: save.Number, Ok: true}) })
 	}
 	for _, send := range out.Sends {
 		s.send(n, send)
@@ -63,16 +63,16 @@
 }
 
 // send brings a message over, through the codec.
-func (s *Site) send(n *node, send wire.Send) {
+func (s *Site) send(n *node, send protocol.Send) {
 	to := s.nodes[send.Address]
 	if to == nil {
 		return
 	}
 	var size int
-	var got wire.Envelope
+	var got protocol.Envelope
 	var err error
 	s.timed(&n.load.WireNs, func() {
-		size, err = s.line.encode(wire.Envelope{Site: siteName, From: n.place, To: send.To, Body: send.Body})
+		size, err = s.line.encode(protocol.Envelope{Site: siteName, From: n.place, To: send.To, Body: send.Body})
 	})
 	if err == nil {
 		s.timed(&to.load.WireNs, func() { got, err = s.line.decode() })
@@ -97,41 +97,41 @@
 }
 
 // call carries a call of a controller outward.
-func (s *Site) call(n *node, call wire.Call) {
+func (s *Site) call(n *node, call protocol.Call) {
 	count := func(to *int64) {
 		if s.counting {
 			*to++
 		}
 	}
 	switch body := call.Body.(type) {
-	case wire.FleetCall:
+	case protocol.FleetCall:
 		count(&n.load.Lists)
-		s.events.After(listLagMs, func() { s.step(n, wire.Fleet{Ok: true, Runners: s.list()}) })
-	case wire.StateCall:
+		s.events.After(listLagMs, func() { s.step(n, protocol.Fleet{Ok: true, Runners: s.list()}) })
+	case protocol.StateCall:
 		count(&n.load.States)
 		s.events.After(2*wayMs, func() {
-			said := wire.StateSaid{Runner: body.Runner, Number: body.Number}
+			said := protocol.StateSaid{Runner: body.Runner, Number: body.Number}
 			if r := s.byAddress[call.Address]; r != nil && r.entry.ID == body.Runner {
 				said.Ok, said.State, r.toldMs = true, r.state(), s.events.NowMs()
 			}
 			s.step(n, said)
 		})
-	case wire.CommandCall:
+	case protocol.CommandCall:
 		count(&n.load.Orders)
 		s.events.After(wayMs, func() {
-			outcome := wire.CommandRefused
+			outcome := protocol.CommandRefused
 			if r := s.byAddress[call.Address]; r != nil {
 				outcome = r.command(s, body)
 			}
 			s.events.After(wayMs, func() {
-				s.step(n, wire.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: outcome})
+				s.step(n, protocol.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: outcome})
 			})
 		})
 	}
 }
 
-func (s *Site) list() []wire.RunnerEntry {
-	out := make([]wire.RunnerEntry, 0, len(s.runners))
+func (s *Site) list() []protocol.RunnerEntry {
+	out := make([]protocol.RunnerEntry, 0, len(s.runners))
 	for _, r := range s.runners {
 		e := r.entry
 		e.Models = r.models()
@@ -141,28 +141,28 @@
 }
 
 // answered plays the runner that a request was sent to.
-func (s *Site) answered(n *node, answer wire.Answer) {
+func (s *Site) answered(n *node, answer protocol.Answer) {
 	switch body := answer.Body.(type) {
-	case steward.Taken:
+	case controller.Taken:
 		s.taken, s.version, s.handedMs = true, body.Version, s.events.NowMs()
 		s.watch()
-	case relay.Status:
+	case proxy.Status:
 		n.primary = body.Primary
-	case relay.Send:
+	case proxy.Send:
 		r := s.byID[body.Go.Runner]
 		if r == nil {
 			return
 		}
 		r.active++
 		s.events.After(firstMs, func() {
-			s.step(n, relay.Told{ID: answer.ID, Runner: body.Go.Runner, Heard: relay.Heard{HasLoad: true, Running: r.active, Slots: slots}})
+			s.step(n, proxy.Told{ID: answer.ID, Runner: body.Go.Runner, Heard: proxy.Heard{HasLoad: true, Running: r.active, Slots: slots}})
 		})
 		s.events.After(int64(s.size.LastsMs), func() {
 			r.active--
-			s.step(n, relay.Ended{ID: answer.ID, Outcome: relay.Answered, Passed: true})
+			s.step(n, proxy.Ended{ID: answer.ID, Outcome: proxy.Answered, Passed: true})
 		})
-	case wire.Dropped:
-		if n.place.Part == wire.Router && s.counting {
+	case protocol.Dropped:
+		if n.place.Part == protocol.Router && s.counting {
 			s.dropped++
 		}
 	}
--- a/hollow/site.go
+++ b/internal/simulation/scalesim/site.go
@@ -1,4 +1,4 @@
-package hollow
+package scalesim
 
 import (
 	"fmt"
@@ -7,12 +7,12 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/bounds"
-	"myrtlewinch/control"
-	"myrtlewinch/eventqueue"
-	"myrtlewinch/relay"
-	"myrtlewinch/steward"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/proxy"
+	"myrtlewinch/internal/simulation/eventqueue"
 )
 
 const (
@@ -38,9 +38,9 @@
 
 // node is one daemon.
 type node struct {
-	place   wire.Place
+	place   protocol.Place
 	machine interface {
-		Step(nowMs int64, input any) wire.Effects
+		Step(nowMs int64, input any) protocol.Effects
 	}
 	load  Load
 	lines map[string]bool
@@ -111,7 +111,7 @@
 	at := 0
 	for i := range s.size.Runners {
 		r := &runner{held: map[string]map[string]bool{}, disk: map[string]bool{}}
-		r.entry = wire.RunnerEntry{
+		r.entry = protocol.RunnerEntry{
 			ID: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Service: service, Address: fmt.Sprintf("10.%d.%d.%d:8080", 128+i>>16, i>>8&255, i&255),
 			Zone: s.zone(i), Slots: slots, LeftMs: -1,
 		}
@@ -145,7 +145,7 @@
 
 func (s *Site) add(name string, i int, part string) *node {
 	n := &node{lines: map[string]bool{}}
-	n.place = wire.Place{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7660", map[string]int{wire.Router: 1, wire.Controller: 2}[part], i/250, i%250), Zone: s.zone(i), Part: part, Incarnation: fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15)}
+	n.place = protocol.Place{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7660", map[string]int{protocol.Router: 1, protocol.Controller: 2}[part], i/250, i%250), Zone: s.zone(i), Part: part, Incarnation: fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15)}
 	s.nodes[n.place.Address] = n
 	return n
 }
@@ -154,18 +154,18 @@
 func (s *Site) begin() error {
 	var seeds []string
 	for i := range s.size.Controllers {
-		n := s.add(fmt.Sprintf("core-%s-%d", s.zone(i), i), i, wire.Controller)
+		n := s.add(fmt.Sprintf("core-%s-%d", s.zone(i), i), i, protocol.Controller)
 		s.controllers = append(s.controllers, n)
 		if len(seeds) < 3 {
 			seeds = append(seeds, n.place.Address)
 		}
 	}
 	for i := range s.size.Routers {
-		s.routers = append(s.routers, s.add(fmt.Sprintf("edge-%s-%d", s.zone(i), i), i, wire.Router))
+		s.routers = append(s.routers, s.add(fmt.Sprintf("edge-%s-%d", s.zone(i), i), i, protocol.Router))
 	}
 	for _, n := range s.controllers {
-		tenant := steward.New(steward.Settings{Self: n.place, Bounds: usualBounds, ListAddress: listAddress, ListPerSec: 47, ControlPort: "8146"}, format{})
-		machine, err := control.New(control.Settings{
+		tenant := controller.New(controller.Settings{Self: n.place, Bounds: usualBounds, ListAddress: listAddress, ListPerSec: 47, ControlPort: "8146"}, format{})
+		machine, err := consensus.New(consensus.Settings{
 			Site: siteName, Self: n.place, Seeds: seeds, Tenant: tenant, Losses: 2, Founds: true,
 			GapMs: usualBounds.LeaseMs + usualBounds.ThawMs, AwayMs: max(1000, usualBounds.CatchUpMs/4), ShowMs: 400,
 		}, map[string]string{}, s.events.NowMs())
@@ -175,7 +175,7 @@
 		n.machine = machine
 	}
 	for _, n := range s.routers {
-		n.machine = relay.New(relay.Settings{Site: siteName, Self: n.place, Seeds: seeds, Bounds: usualBounds}, format{}, s.events.NowMs())
+		n.machine = proxy.New(proxy.Settings{Site: siteName, Self: n.place, Seeds: seeds, Bounds: usualBounds}, format{}, s.events.NowMs())
 	}
 	for _, n := range append(slices.Clone(s.controllers), s.routers...) {
 		s.events.After(s.random.Int64N(tickMs), func() { s.tick(n) })
--- a/hollow/size.go
+++ b/internal/simulation/scalesim/size.go
@@ -1,9 +1,9 @@
-// Package hollow runs the machines of a whole large site in one process,
+// Package scalesim runs the machines of a whole large site in one process,
 // without sockets: many routers, some controllers, and stand-ins for the
 // runners, in virtual time. Every message goes through the codec of the wire,
 // so that its bytes are true, and the processor time of each role is summed up.
 // It is for working out what each role costs at sizes that no bench reaches.
-package hollow
+package scalesim
 
 import "fmt"
 
--- a/hollow/table.go
+++ b/internal/simulation/scalesim/table.go
@@ -1,4 +1,4 @@
-package hollow
+package scalesim
 
 import (
 	"fmt"
--- a/hollow/workload.go
+++ b/internal/simulation/scalesim/workload.go
@@ -1,18 +1,18 @@
-package hollow
+package scalesim
 
 import (
 	"fmt"
 	"slices"
 
-	"myrtlewinch/relay"
-	"myrtlewinch/steward"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/proxy"
 )
 
 // handOver gives the next map to every controller; the primary takes it.
 func (s *Site) handOver() {
 	text := s.size.text(s.version + 1)
 	for _, n := range s.controllers {
-		s.step(n, steward.HandOver{ID: 1, BuiltOn: s.version, Text: text})
+		s.step(n, controller.HandOver{ID: 1, BuiltOn: s.version, Text: text})
 	}
 }
 
@@ -20,7 +20,7 @@
 func (s *Site) behind() int {
 	count := 0
 	for _, n := range s.routers {
-		if m := n.machine.(*relay.Machine).Map(); m == nil || m.Version < s.version {
+		if m := n.machine.(*proxy.Machine).Map(); m == nil || m.Version < s.version {
 			count++
 		}
 	}
@@ -42,14 +42,14 @@
 		s.requests++
 		rank, _ := slices.BinarySearch(s.shares, s.random.Float64())
 		model := s.ranks[min(rank, len(s.ranks)-1)]
-		asked := relay.Asked{
+		asked := proxy.Asked{
 			Try: fmt.Sprintf("%016x", s.random.Uint64()), Model: modelName(model), PromptTokens: promptTokens, OutTokens: outTokens, LeftMs: 30_000,
 		}
 		if of := s.size.adaptersOf(model); of > 0 && s.random.IntN(2) == 0 {
 			asked.Adapter = fmt.Sprintf("a%d", 1+s.random.IntN(of))
 		}
 		n := s.routers[s.random.IntN(len(s.routers))]
-		s.step(n, relay.Request{ID: uint64(s.requests), Host: host, Path: routeName(s.random.IntN(s.size.Routes)) + "x", Asked: asked})
+		s.step(n, proxy.Request{ID: uint64(s.requests), Host: host, Path: routeName(s.random.IntN(s.size.Routes)) + "x", Asked: asked})
 	}
 	s.events.After(1, s.ask)
 }
--- a/stand/cutter.go
+++ b/internal/simulation/testbackend/cutter.go
@@ -1,11 +1,11 @@
-package stand
+package testbackend
 
 import (
 	"net"
 	"sync"
 	"sync/atomic"
 
-	"myrtlewinch/crew"
+	"myrtlewinch/internal/threads"
 )
 
 // Cutter stands on the way to a back end and cuts streams off in the middle:
@@ -47,8 +47,8 @@
 		}
 		var once sync.Once
 		end := func() { once.Do(func() { _, _ = near.Close(), far.Close() }) }
-		crew.Side(func() { c.carry(far, near, &c.Towards, end) })
-		crew.Side(func() { c.carry(near, far, &c.Back, end) })
+		threads.Side(func() { c.carry(far, near, &c.Towards, end) })
+		threads.Side(func() { c.carry(near, far, &c.Back, end) })
 	}
 }
 
--- a/stand/platform.go
+++ b/internal/simulation/testbackend/platform.go
@@ -1,4 +1,4 @@
-package stand
+package testbackend
 
 import (
 	"net/http"
@@ -6,24 +6,24 @@
 	"strings"
 	"sync"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // Platform lists the runners and marks those about to leave.
 type Platform struct {
 	mu      sync.Mutex
-	runners map[string]wire.Listed
+	runners map[string]protocol.Listed
 }
 
 // NewPlatform makes an empty platform.
-func NewPlatform() *Platform { return &Platform{runners: map[string]wire.Listed{}} }
+func NewPlatform() *Platform { return &Platform{runners: map[string]protocol.Listed{}} }
 
 // List gives the runners in order of name.
-func (p *Platform) List() []wire.Listed {
+func (p *Platform) List() []protocol.Listed {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]wire.Listed, 0, len(p.runners))
+	list := make([]protocol.Listed, 0, len(p.runners))
 	for _, listed := range p.runners {
 		list = append(list, listed)
 	}
@@ -32,14 +32,14 @@
 }
 
 // Put lists a runner, or replaces it.
-func (p *Platform) Put(listed wire.Listed) {
+func (p *Platform) Put(listed protocol.Listed) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.runners[listed.Name] = listed
 }
 
 // Mark marks the present incarnation of a runner as leaving.
-func (p *Platform) Mark(name string) (wire.Listed, bool) {
+func (p *Platform) Mark(name string) (protocol.Listed, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed, ok := p.runners[name]
@@ -64,7 +64,7 @@
 	case r.URL.Path == "/runners" && r.Method == http.MethodGet:
 		writeJSON(w, http.StatusOK, p.List())
 	case one && r.Method == http.MethodPut:
-		var listed wire.Listed
+		var listed protocol.Listed
 		if readJSON(w, r, &listed) {
 			listed.Name = name
 			p.Put(listed)
@@ -80,6 +80,6 @@
 		}
 		fallthrough
 	default:
-		writeJSON(w, http.StatusNotFound, defect.Answer{Kind: defect.UnknownPage, Detail: r.URL.Path, Ran: "no"})
+		writeJSON(w, http.StatusNotFound, errkind.Answer{Kind: errkind.UnknownPage, Detail: r.URL.Path, Ran: "no"})
 	}
 }
--- a/stand/runner.go
+++ b/internal/simulation/testbackend/runner.go
@@ -1,15 +1,15 @@
-// Package stand holds the stand-ins for what lies outside the system: the
+// Package testbackend holds the stand-ins for what lies outside the system: the
 // runners with their weight store, the platform, and the senders.
-package stand
+package testbackend
 
 import (
 	"sort"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/ledger"
-	"myrtlewinch/rules"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/invariants"
 )
 
 // Runner is a back end: it holds what it is told to, within its room, and
@@ -18,7 +18,7 @@
 	Name, Incarnation string
 	Room              int64
 	LoadMs            int64
-	Book              *rules.Book
+	Book              *invariants.Book
 	// Careless makes it run under any revision, for showing that the system
 	// does not lean on the runners' guard alone.
 	Careless bool
@@ -26,42 +26,42 @@
 	epoch     uint64
 	lastOrder uint64
 	lastState string
-	order     wire.Order
+	order     protocol.Order
 	endsMs    int64
-	held      map[string]wire.Held
+	held      map[string]protocol.Held
 	revision  uint64
 	seen      map[string]bool
 	running   int64
 }
 
 // NewRunner makes a runner that holds nothing.
-func NewRunner(name, incarnation string, room, loadMs int64, book *rules.Book) *Runner {
+func NewRunner(name, incarnation string, room, loadMs int64, book *invariants.Book) *Runner {
 	return &Runner{
 		Name: name, Incarnation: incarnation, Room: room, LoadMs: loadMs, Book: book,
-		held: map[string]wire.Held{}, seen: map[string]bool{},
+		held: map[string]protocol.Held{}, seen: map[string]bool{},
 	}
 }
 
 // settle ends an order whose time has come.
 func (r *Runner) settle(nowMs int64) {
-	if r.lastState != wire.OrderUnderWay || nowMs < r.endsMs {
+	if r.lastState != protocol.OrderUnderWay || nowMs < r.endsMs {
 		return
 	}
-	r.lastState = wire.OrderDone
+	r.lastState = protocol.OrderDone
 	item := ledger.Item{Model: r.order.Model, Adapter: r.order.Adapter}.String()
-	if r.order.Action == wire.Load {
-		r.held[item] = wire.Held{Model: r.order.Model, Adapter: r.order.Adapter, Size: r.order.Size}
+	if r.order.Action == protocol.Load {
+		r.held[item] = protocol.Held{Model: r.order.Model, Adapter: r.order.Adapter, Size: r.order.Size}
 		return
 	}
 	delete(r.held, item)
 }
 
 // Report is the runner's word on itself.
-func (r *Runner) Report(nowMs int64) wire.Report {
+func (r *Runner) Report(nowMs int64) protocol.Report {
 	r.settle(nowMs)
-	report := wire.Report{
+	report := protocol.Report{
 		Runner: r.Name, Incarnation: r.Incarnation, Room: r.Room, Burden: r.running, Epoch: r.epoch,
-		LastOrder: r.lastOrder, LastState: r.lastState, Held: []wire.Held{},
+		LastOrder: r.lastOrder, LastState: r.lastState, Held: []protocol.Held{},
 	}
 	for _, held := range r.held {
 		report.Held = append(report.Held, held)
@@ -78,13 +78,13 @@
 
 // Order takes an order, or refuses one of a lower epoch, for another
 // incarnation, or while another is under way. A repeat changes nothing.
-func (r *Runner) Order(nowMs int64, o wire.Order) (wire.Report, defect.Kind) {
+func (r *Runner) Order(nowMs int64, o protocol.Order) (protocol.Report, errkind.Kind) {
 	r.settle(nowMs)
 	switch {
 	case o.Incarnation != r.Incarnation:
-		return wire.Report{}, defect.OtherRunner
+		return protocol.Report{}, errkind.OtherRunner
 	case o.Epoch < r.epoch:
-		return wire.Report{}, defect.LowerEpoch
+		return protocol.Report{}, errkind.LowerEpoch
 	}
 	if r.Book != nil {
 		r.Book.Order(nowMs, r.Name, o.Holder, o.Epoch)
@@ -93,12 +93,12 @@
 	if o.Number <= r.lastOrder {
 		return r.Report(nowMs), ""
 	}
-	if r.lastState == wire.OrderUnderWay {
-		return wire.Report{}, defect.RunnerDropped
+	if r.lastState == protocol.OrderUnderWay {
+		return protocol.Report{}, errkind.RunnerDropped
 	}
-	r.order, r.lastOrder, r.lastState = o, o.Number, wire.OrderUnderWay
+	r.order, r.lastOrder, r.lastState = o, o.Number, protocol.OrderUnderWay
 	r.endsMs = nowMs + r.LoadMs/10
-	if o.Action == wire.Load {
+	if o.Action == protocol.Load {
 		r.endsMs = nowMs + r.LoadMs
 		taken := o.Size
 		for _, held := range r.held {
@@ -109,50 +109,50 @@
 			r.Book.Room(nowMs, r.Name, taken, r.Room)
 		}
 		if taken > r.Room {
-			r.lastState = wire.OrderFailed
+			r.lastState = protocol.OrderFailed
 		}
 	}
 	return r.Report(nowMs), ""
 }
 
 // Run starts a request, or says that it did not run it.
-func (r *Runner) Run(nowMs int64, call traffic.RunCall, router string) *traffic.RunDrop {
+func (r *Runner) Run(nowMs int64, call router.RunCall, routerName string) *router.RunDrop {
 	r.settle(nowMs)
 	no := false
-	drop := func(kind defect.Kind) *traffic.RunDrop {
-		return &traffic.RunDrop{Kind: string(kind), Request: call.Request, Ran: &no, Revision: r.revision}
+	drop := func(kind errkind.Kind) *router.RunDrop {
+		return &router.RunDrop{Kind: string(kind), Request: call.Request, Ran: &no, Revision: r.revision}
 	}
 	if r.Book != nil {
 		r.Book.Arrived(nowMs, call.Service, call.Request, r.Name, r.Incarnation)
 	}
 	if call.Incarnation != r.Incarnation {
-		return drop(defect.OtherRunner)
+		return drop(errkind.OtherRunner)
 	}
 	if call.Revision < r.revision && !r.Careless {
-		return drop(defect.StaleRevision)
+		return drop(errkind.StaleRevision)
 	}
 	r.revision = call.Revision
 	if call.Model != "" {
 		_, model := r.held[call.Model]
 		_, adapter := r.held[ledger.Item{Model: call.Model, Adapter: call.Adapter}.String()]
 		if !model || !adapter {
-			return drop(defect.NotHeld)
+			return drop(errkind.NotHeld)
 		}
 	}
 	id := call.Service + "/" + call.Request
 	if r.seen[id] && !call.Repeatable {
-		return drop(defect.AlreadyTaken)
+		return drop(errkind.AlreadyTaken)
 	}
 	r.seen[id] = true
 	r.running++
 	if r.Book != nil {
-		r.Book.Started(nowMs, call.Service, call.Request, r.Name, call.Repeatable, router, call.Revision)
+		r.Book.Started(nowMs, call.Service, call.Request, r.Name, call.Repeatable, routerName, call.Revision)
 	}
 	return nil
 }
 
 // Forget drops everything that is held, without a new incarnation.
-func (r *Runner) Forget() { r.held = map[string]wire.Held{} }
+func (r *Runner) Forget() { r.held = map[string]protocol.Held{} }
 
 // Done ends a request that Run started.
 func (r *Runner) Done() { r.running-- }
--- a/stand/runnerdoor.go
+++ b/internal/simulation/testbackend/runnerdoor.go
@@ -1,4 +1,4 @@
-package stand
+package testbackend
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"sync"
 	"time"
 
-	"myrtlewinch/defect"
-	"myrtlewinch/traffic"
-	"myrtlewinch/wire"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/protocol"
 )
 
 // RunnerDoor is a runner's door to the network.
@@ -42,7 +42,7 @@
 		d.mu.Unlock()
 		writeJSON(w, http.StatusOK, report)
 	case "POST /orders":
-		var order wire.Order
+		var order protocol.Order
 		if !readJSON(w, r, &order) {
 			return
 		}
@@ -50,21 +50,21 @@
 		report, kind := d.runner.Order(d.nowMs(), order)
 		d.mu.Unlock()
 		if kind != "" {
-			writeJSON(w, http.StatusConflict, defect.Answer{Kind: kind, Ran: "no"})
+			writeJSON(w, http.StatusConflict, errkind.Answer{Kind: kind, Ran: "no"})
 			return
 		}
 		writeJSON(w, http.StatusOK, report)
 	case "POST /run":
-		var call traffic.RunCall
+		var call router.RunCall
 		if readJSON(w, r, &call) {
 			d.run(w, r, call)
 		}
 	default:
-		writeJSON(w, http.StatusNotFound, defect.Answer{Kind: defect.UnknownPage})
+		writeJSON(w, http.StatusNotFound, errkind.Answer{Kind: errkind.UnknownPage})
 	}
 }
 
-func (d *RunnerDoor) run(w http.ResponseWriter, r *http.Request, call traffic.RunCall) {
+func (d *RunnerDoor) run(w http.ResponseWriter, r *http.Request, call router.RunCall) {
 	d.mu.Lock()
 	drop := d.runner.Run(d.nowMs(), call, "")
 	incarnation := d.runner.Incarnation
@@ -83,7 +83,7 @@
 			return
 		}
 		text, _ := json.Marshal(map[string]string{"service": call.Service, "model": call.Model, "said": "answer to " + call.Request})
-		writeJSON(w, http.StatusOK, traffic.RunAnswer{Request: call.Request, Incarnation: incarnation, Answer: text})
+		writeJSON(w, http.StatusOK, router.RunAnswer{Request: call.Request, Incarnation: incarnation, Answer: text})
 		return
 	}
 	encoder := json.NewEncoder(w)
@@ -95,10 +95,10 @@
 		if d.Torn && piece == 2 {
 			panic(http.ErrAbortHandler)
 		}
-		_ = encoder.Encode(traffic.RunAnswer{Request: call.Request, Incarnation: incarnation, Piece: piece, Text: fmt.Sprintf("piece %d of %s", piece, call.Request)})
+		_ = encoder.Encode(router.RunAnswer{Request: call.Request, Incarnation: incarnation, Piece: piece, Text: fmt.Sprintf("piece %d of %s", piece, call.Request)})
 		_ = flush.Flush()
 	}
-	_ = encoder.Encode(traffic.RunAnswer{Request: call.Request, Incarnation: incarnation, End: &d.Pieces})
+	_ = encoder.Encode(router.RunAnswer{Request: call.Request, Incarnation: incarnation, End: &d.Pieces})
 }
 
 func (d *RunnerDoor) work(r *http.Request) bool {
@@ -118,7 +118,7 @@
 		err = json.Unmarshal(text, into)
 	}
 	if err != nil {
-		writeJSON(w, http.StatusBadRequest, defect.Answer{Kind: defect.BadRequest, Detail: err.Error(), Ran: "no"})
+		writeJSON(w, http.StatusBadRequest, errkind.Answer{Kind: errkind.BadRequest, Detail: err.Error(), Ran: "no"})
 	}
 	return err == nil
 }
--- a/stand/sender.go
+++ b/internal/simulation/testbackend/sender.go
@@ -1,4 +1,4 @@
-package stand
+package testbackend
 
 import (
 	"bufio"
@@ -13,12 +13,12 @@
 	"sync"
 	"time"
 
-	"myrtlewinch/crew"
-	"myrtlewinch/defect"
-	"myrtlewinch/description"
-	"myrtlewinch/outward"
-	"myrtlewinch/rules"
-	"myrtlewinch/traffic"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/httpclient"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/simulation/invariants"
+	"myrtlewinch/internal/threads"
 )
 
 // Mix is how often a service is asked, and what it may name.
@@ -52,14 +52,14 @@
 	Name    string
 	Routers []string
 	Mix     []Mix
-	Book    *rules.Book
+	Book    *invariants.Book
 	NowMs   func() int64
 
 	mu     sync.Mutex
 	random *rand.Rand
 	count  int
 	kinds  map[string]map[string]int
-	out    *outward.Transport
+	out    *httpclient.Transport
 	avoid  map[string]int64
 	under  sync.WaitGroup
 	stop   chan struct{}
@@ -68,16 +68,16 @@
 const underMost = 512
 
 // NewSender makes a sender whose choices follow from the seed.
-func NewSender(name string, routers []string, mix []Mix, book *rules.Book, nowMs func() int64, seed int64) *Sender {
+func NewSender(name string, routers []string, mix []Mix, book *invariants.Book, nowMs func() int64, seed int64) *Sender {
 	return &Sender{
 		Name: name, Routers: routers, Mix: mix, Book: book, NowMs: nowMs,
 		random: rand.New(rand.NewSource(seed)), kinds: map[string]map[string]int{},
-		out: outward.New(), avoid: map[string]int64{}, stop: make(chan struct{}),
+		out: httpclient.New(), avoid: map[string]int64{}, stop: make(chan struct{}),
 	}
 }
 
 // Join adds a thread for each service to the crew.
-func (s *Sender) Join(c *crew.Crew) {
+func (s *Sender) Join(c *threads.Crew) {
 	var once sync.Once
 	places := make(chan struct{}, underMost)
 	for _, mix := range s.Mix {
@@ -97,7 +97,7 @@
 					continue
 				}
 				s.under.Add(1)
-				crew.Side(func() {
+				threads.Side(func() {
 					defer s.under.Done()
 					defer func() { <-places }()
 					s.One(mix)
@@ -110,7 +110,7 @@
 // For asks for a time, or until the process is told to stop, and waits until
 // every answer has come.
 func (s *Sender) For(length time.Duration) {
-	var c crew.Crew
+	var c threads.Crew
 	s.Join(&c)
 	c.Signals(nil)
 	timeUp := make(chan struct{})
@@ -190,7 +190,7 @@
 	for range s.Routers {
 		s.Book.Asked(mix.Service, id)
 		kind = s.send(router, mix, id, body)
-		if kind != string(defect.Stopping) && kind != notReached {
+		if kind != string(errkind.Stopping) && kind != notReached {
 			break
 		}
 		router = s.elsewhere(router)
@@ -226,11 +226,11 @@
 	return open[s.random.Intn(len(open))]
 }
 
-func (s *Sender) send(router string, mix Mix, id string, body []byte) string {
+func (s *Sender) send(address string, mix Mix, id string, body []byte) string {
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
 	// Sending again is the caller's decision, never the transport's.
-	answer, wrote, err := s.out.Go(ctx, http.MethodPost, "http://"+router+"/services/"+mix.Service, body, func() bool { return true })
+	answer, wrote, err := s.out.Go(ctx, http.MethodPost, "http://"+address+"/services/"+mix.Service, body, func() bool { return true })
 	if err != nil && !wrote {
 		s.Book.Told(s.NowMs(), mix.Service, id, notReached, true)
 		return notReached
@@ -241,7 +241,7 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		var said defect.Answer
+		var said errkind.Answer
 		text, _ := io.ReadAll(answer.Body)
 		if json.Unmarshal(text, &said) != nil {
 			s.Book.Wrong(s.NowMs(), mix.Service, id, "an answer that is neither the runner's nor a kind")
@@ -257,7 +257,7 @@
 	if err != nil {
 		return "stream broke in an answer"
 	}
-	var said traffic.RunAnswer
+	var said router.RunAnswer
 	if json.Unmarshal(text, &said) != nil || said.Request != id || !strings.Contains(string(said.Answer), "answer to "+id+`"`) {
 		s.Book.Wrong(s.NowMs(), mix.Service, id, "not the whole answer to this request")
 		return "wrong"
@@ -271,7 +271,7 @@
 	lines := bufio.NewScanner(body)
 	piece, incarnation := 0, ""
 	for lines.Scan() {
-		var said traffic.RunAnswer
+		var said router.RunAnswer
 		if json.Unmarshal(lines.Bytes(), &said) != nil {
 			// The last line of a stream that broke may be torn.
 			break
--- a/disk/disk.go
+++ b/internal/storage/disk.go
@@ -1,4 +1,4 @@
-// Package disk keeps a daemon's own state in one data folder, through buntdb.
+// Package storage keeps a daemon's own state in one data folder, through buntdb.
 //
 // What buntdb leaves open is closed here. It ignores errors of its syncs, so
 // it is told never to sync and each change is synced by this package. A
@@ -6,7 +6,7 @@
 // one key. Its shrink replaces the file without syncing the folder, so it is
 // never used; a fresh file is written, synced and put in place here. It
 // panics after a failed write, so a defect closes the disk for good.
-package disk
+package storage
 
 import (
 	"crypto/rand"
--- a/disk/trim.go
+++ b/internal/storage/trim.go
@@ -1,4 +1,4 @@
-package disk
+package storage
 
 import (
 	"bytes"
--- a/crew/crew.go
+++ b/internal/threads/crew.go
@@ -1,6 +1,6 @@
-// Package crew is the one place that starts goroutines: a thread per duty,
+// Package threads is the one place that starts goroutines: a thread per duty,
 // gathered in an oklog/run group so that all end when one does.
-package crew
+package threads
 
 import (
 	"context"
--- a/steward/document.go
+++ /dev/null
@@ -1,6 +0,0 @@
-package steward
-
-import "myrtlewinch/servicemap"
-
-// Document is a service map that was read.
-type Document = servicemap.Map
