--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -33,7 +33,15 @@
 // Demand tells the primary what look-ups another controller answered.
 type Demand struct{ Counts placement.Counts }
 
+// The names under which the messages of this package are known between daemons.
+// They are not derived from the Go package, so that daemons of the release
+// before understand them.
+const (
+	softWireName   = "myrtlewinch/steward.Soft"
+	demandWireName = "myrtlewinch/steward.Demand"
+)
+
 func init() {
-	gob.Register(Soft{})
-	gob.Register(Demand{})
+	gob.RegisterName(softWireName, Soft{})
+	gob.RegisterName(demandWireName, Demand{})
 }
--- a/internal/protocol/bodies.go
+++ b/internal/protocol/bodies.go
@@ -317,12 +317,45 @@
 // Demand tells the primary what look-ups a follower answered.
 type Demand struct{ Counts map[string]int64 }
 
-func init() {
-	for _, body := range []any{
-		Heartbeat{}, Hello{}, Known{}, Sightings{}, Promise{}, Promised{}, Keep{}, Kept{}, Renew{},
-		Release{}, Transfer{}, Opinion{}, Opined{}, Follow{}, Snapshot{}, Followed{}, Ask{}, Word{}, Nudge{}, Prolong{}, Prolonged{},
-		LookUp{}, Index{}, Demand{}, Retire{},
-	} {
-		gob.Register(body)
+// wirePrefix begins the name under which a type of message is known on the
+// connections between daemons. It is not derived from the Go package, so that
+// daemons of the release before understand this one.
+const wirePrefix = "myrtlewinch/wire."
+
+// register names each type of message on the wire. A Go type may be renamed;
+// its name here, and the names of its fields, stay as they are.
+func register(bodies map[string]any) {
+	for name, body := range bodies {
+		gob.RegisterName(wirePrefix+name, body)
 	}
 }
+
+func init() {
+	register(map[string]any{
+		"Heartbeat": Heartbeat{},
+		"Hello":     Hello{},
+		"Known":     Known{},
+		"Sightings": Sightings{},
+		"Promise":   Promise{},
+		"Promised":  Promised{},
+		"Keep":      Keep{},
+		"Kept":      Kept{},
+		"Renew":     Renew{},
+		"Release":   Release{},
+		"Transfer":  Transfer{},
+		"Opinion":   Opinion{},
+		"Opined":    Opined{},
+		"Follow":    Follow{},
+		"Snapshot":  Snapshot{},
+		"Followed":  Followed{},
+		"Ask":       Ask{},
+		"Word":      Word{},
+		"Nudge":     Nudge{},
+		"Prolong":   Prolong{},
+		"Prolonged": Prolonged{},
+		"LookUp":    LookUp{},
+		"Index":     Index{},
+		"Demand":    Demand{},
+		"Retire":    Retire{},
+	})
+}
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -1,7 +1,5 @@
 package protocol
 
-import "encoding/gob"
-
 // HeldModel is a model that a runner holds, with its adapters.
 type HeldModel struct {
 	Name     string
@@ -177,7 +175,10 @@
 )
 
 func init() {
-	for _, body := range []any{MapAsk{}, MapWord{}, MapLookUp{}, MapIndex{}} {
-		gob.Register(body)
-	}
+	register(map[string]any{
+		"MapAsk":    MapAsk{},
+		"MapWord":   MapWord{},
+		"MapLookUp": MapLookUp{},
+		"MapIndex":  MapIndex{},
+	})
 }
--- a/internal/simulation/localcluster/write.go
+++ b/internal/simulation/localcluster/write.go
@@ -55,10 +55,10 @@
 	start := func(name, format string, args ...any) {
 		fmt.Fprintf(&run, "\"$BIN\"/"+format+" & PIDS=\"$PIDS $!\"; echo $! > %s.pid\n", append(args, name)...)
 	}
-	start("platform", "platform --http %s", platform)
+	start("platform", "testplatform --http %s", platform)
 	run.WriteString("sleep 0.5\n")
 	for _, r := range d.Runners {
-		start(r.Name, "runner --name %s --http %s --platform %s --room %d", r.Name, address(), platform, r.Room)
+		start(r.Name, "testrunner --name %s --http %s --platform %s --room %d", r.Name, address(), platform, r.Room)
 	}
 	var controllers, routers, witnesses []string
 	var all []settings.Settings
