--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -88,7 +88,7 @@
 	if err != nil {
 		cli.Failed("%v", err)
 	}
-	var c threads.Crew
+	var c threads.Group
 	made.Join(&c)
 	c.Signals(made.Leave)
 	newReload(file, place, made, logger).join(&c, hangups)
@@ -122,8 +122,8 @@
 }
 
 // self is this process as its peers know it.
-func self(place platform.Place, part string) protocol.Place {
-	return protocol.Place{Name: place.Name, Address: place.Inner(), Zone: place.Zone, Part: part}
+func self(place platform.Place, part string) protocol.Node {
+	return protocol.Node{Name: place.Name, Address: place.Inner(), Zone: place.Zone, Part: part}
 }
 
 func newRouter(place platform.Place, logger *log.Logger) (part, error) {
--- a/cmd/myrtlewinch/reload.go
+++ b/cmd/myrtlewinch/reload.go
@@ -30,7 +30,7 @@
 }
 
 // join adds the duty that reads the file after each signal, and now and then.
-func (r *reload) join(c *threads.Crew, hangups <-chan os.Signal) {
+func (r *reload) join(c *threads.Group, hangups <-chan os.Signal) {
 	done := make(chan struct{})
 	c.Duty(func() error {
 		ticker := time.NewTicker(checkMs * time.Millisecond)
--- a/cmd/testrunner/main.go
+++ b/cmd/testrunner/main.go
@@ -45,14 +45,14 @@
 		cli.Failed("%v", err)
 	}
 	incarnation := hex.EncodeToString(token)
-	if err := announce(platform, protocol.Listed{Name: name, Address: address, Incarnation: incarnation}); err != nil {
+	if err := announce(platform, protocol.ListedRunner{Name: name, Address: address, Incarnation: incarnation}); err != nil {
 		cli.Failed("platform: %v", err)
 	}
 	runner := testbackend.NewRunner(name, incarnation, room, loadMs, nil)
 	cli.Web(at, testbackend.NewRunnerDoor(runner, process.NewClock().NowMs, workMs, pieces))
 }
 
-func announce(platform string, listed protocol.Listed) error {
+func announce(platform string, listed protocol.ListedRunner) error {
 	text, _ := json.Marshal(listed)
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -61,7 +61,7 @@
 
 // Daemon is a controller or a router, ready to run.
 type Daemon interface {
-	Join(*threads.Crew)
+	Join(*threads.Group)
 	Leave()
 }
 
@@ -85,7 +85,7 @@
 	if err != nil {
 		Failed("%v", err)
 	}
-	var c threads.Crew
+	var c threads.Group
 	daemon.Join(&c)
 	c.Signals(daemon.Leave)
 	logger.Info("running", "address", set.Address, "http", set.HTTP, "version", settings.Version)
@@ -114,7 +114,7 @@
 // Web runs a handler until the program is told to stop.
 func Web(at net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
-	var c threads.Crew
+	var c threads.Group
 	c.Duty(func() error { return server.Serve(at) }, func() { _ = server.Close() })
 	c.Signals(nil)
 	if err := c.Run(); err != nil && err != http.ErrServerClosed {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -56,14 +56,14 @@
 	machine *Machine
 	tenant  *keepTenant
 	keys    map[string]string
-	place   protocol.Place
+	place   protocol.Node
 	down    bool
 	// gone says that the machine was removed for good.
 	gone bool
 	life int
 	// saveMs replaces the usual time that a save takes.
 	saveMs int64
-	saves  []protocol.Save
+	saves  []protocol.DiskWrite
 	saving bool
 	// departed, where it is set, is called once a planned stop was answered.
 	departed func()
@@ -83,7 +83,7 @@
 	}
 	for i := range count {
 		name := fmt.Sprintf("core-%d", i+1)
-		w.nodes[name] = &coreNode{place: protocol.Place{
+		w.nodes[name] = &coreNode{place: protocol.Node{
 			Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3), Part: protocol.Controller, Incarnation: name + "-disk",
 		}}
 		w.start(name, map[string]string{}, true)
@@ -101,7 +101,7 @@
 	}
 	slices.Sort(seeds)
 	w.seeds = seeds[:min(3, len(seeds))]
-	w.nodes[name] = &coreNode{place: protocol.Place{Name: name, Address: address, Zone: zone, Part: protocol.Controller, Incarnation: name + "-disk"}}
+	w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: address, Zone: zone, Part: protocol.Controller, Incarnation: name + "-disk"}}
 	w.start(name, map[string]string{}, false)
 }
 
@@ -138,10 +138,10 @@
 	}
 	life := n.life
 	out := n.machine.Step(w.nowMs, input)
-	for _, note := range out.Notes {
+	for _, note := range out.LogLines {
 		w.history = append(w.history, fmt.Sprintf("%7d %s: %s", w.nowMs-3_600_000, name, note))
 	}
-	n.saves = append(n.saves, out.Saves...)
+	n.saves = append(n.saves, out.DiskWrites...)
 	w.saveNext(n, life)
 	for _, answer := range out.Answers {
 		if _, is := answer.Body.(Departed); is && n.departed != nil {
@@ -180,7 +180,7 @@
 		keys := maps.Clone(n.keys)
 		save.Write.Apply(keys)
 		n.keys = keys
-		w.step(n.place.Name, protocol.Saved{Number: save.Number, Ok: true})
+		w.step(n.place.Name, protocol.DiskWriteDone{Number: save.Number, Ok: true})
 		w.saveNext(n, life)
 	})
 }
@@ -233,7 +233,7 @@
 	return &answered
 }
 
-func (w *core) record() protocol.Record { return w.nodes[w.primary()].machine.record }
+func (w *core) record() protocol.EpochRecord { return w.nodes[w.primary()].machine.record }
 
 func (w *core) until(ms int64, what string, ok func() bool) {
 	for range ms / 50 {
@@ -460,7 +460,7 @@
 			}
 		}
 		slices.Sort(w.seeds)
-		w.nodes[name] = &coreNode{place: protocol.Place{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: protocol.Controller, Incarnation: name}}
+		w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: protocol.Controller, Incarnation: name}}
 		w.start(name, map[string]string{}, false)
 		w.run(4000)
 		w.until(2500, "a primary", w.serves)
--- a/internal/consensus/departure.go
+++ b/internal/consensus/departure.go
@@ -81,23 +81,23 @@
 
 // mayLeave says, at the primary, whether a member has nothing left that some
 // other daemon could take over. A successor that still catches up is waited for.
-func (m *Machine) mayLeave(seat protocol.Seat) bool {
+func (m *Machine) mayLeave(seat protocol.MemberID) bool {
 	return m.election.proposal == nil && !m.copyIsAwaited(seat) && !m.voteIsAwaited(seat) && m.copiesKnowRecord(seat)
 }
 
 // copiesKnowRecord says whether all other copies that stay know the record that
 // names them. One that does not would not take over, and might be the only one
 // left once the member is gone.
-func (m *Machine) copiesKnowRecord(but protocol.Seat) bool {
-	return !slices.ContainsFunc(m.record.Replicas, func(seat protocol.Seat) bool {
+func (m *Machine) copiesKnowRecord(but protocol.MemberID) bool {
+	return !slices.ContainsFunc(m.record.Replicas, func(seat protocol.MemberID) bool {
 		return seat != but && seat != m.ownSeat() && m.staysCopy(seat) && m.replication.peers[seat.Name].epoch != m.record.Epoch
 	})
 }
 
 // copyIsAwaited says whether another daemon is to hold the copy of a member
 // that leaves. The primary's own stays recorded until the next one drops it.
-func (m *Machine) copyIsAwaited(seat protocol.Seat) bool {
-	enough := m.countCopies(func(other protocol.Seat) bool { return other != seat && m.provenCopy(other) }) > m.set.Losses
+func (m *Machine) copyIsAwaited(seat protocol.MemberID) bool {
+	enough := m.countCopies(func(other protocol.MemberID) bool { return other != seat && m.provenCopy(other) }) > m.set.Losses
 	if seat == m.ownSeat() {
 		return !enough && m.successor(m.record.Replicas)
 	}
@@ -106,7 +106,7 @@
 
 // voteIsAwaited says whether the vote of a member that leaves is to pass to
 // another daemon. While it passes, the set of before still counts.
-func (m *Machine) voteIsAwaited(seat protocol.Seat) bool {
+func (m *Machine) voteIsAwaited(seat protocol.MemberID) bool {
 	if !slices.Contains(m.record.Voters(), seat) {
 		return false
 	}
@@ -115,10 +115,10 @@
 
 // successor says whether a live daemon that is not leaving stands outside the
 // members.
-func (m *Machine) successor(members []protocol.Seat) bool {
+func (m *Machine) successor(members []protocol.MemberID) bool {
 	for _, place := range m.roster.Part(protocol.Controller) {
-		seat := protocol.Seat{Name: place.Name, Incarnation: place.Incarnation}
-		sits := slices.ContainsFunc(members, func(member protocol.Seat) bool { return member.Name == seat.Name })
+		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
+		sits := slices.ContainsFunc(members, func(member protocol.MemberID) bool { return member.Name == seat.Name })
 		if !sits && m.replication.live(m.nowMs, seat) && !m.replication.leaves(seat) {
 			return true
 		}
@@ -127,7 +127,7 @@
 }
 
 // countCopies counts the recorded copies of which something holds.
-func (m *Machine) countCopies(holds func(protocol.Seat) bool) int {
+func (m *Machine) countCopies(holds func(protocol.MemberID) bool) int {
 	count := 0
 	for _, seat := range m.record.Replicas {
 		if holds(seat) {
@@ -138,7 +138,7 @@
 }
 
 // staysCopy says, at the primary, whether a recorded copy can be relied on.
-func (m *Machine) staysCopy(seat protocol.Seat) bool {
+func (m *Machine) staysCopy(seat protocol.MemberID) bool {
 	if seat == m.ownSeat() {
 		return !m.leaving.wanted
 	}
@@ -147,13 +147,13 @@
 
 // provenCopy says whether a recorded copy can be relied on and has answered
 // this primary.
-func (m *Machine) provenCopy(seat protocol.Seat) bool {
+func (m *Machine) provenCopy(seat protocol.MemberID) bool {
 	f := m.replication.peers[seat.Name]
 	return m.staysCopy(seat) && (seat == m.ownSeat() || f.answered)
 }
 
 // leaves says whether the disk's daemon is stopping as planned.
-func (c *replication) leaves(seat protocol.Seat) bool {
+func (c *replication) leaves(seat protocol.MemberID) bool {
 	f := c.peers[seat.Name]
 	return f != nil && f.incarnation == seat.Incarnation && f.leaving
 }
--- a/internal/consensus/departure_test.go
+++ b/internal/consensus/departure_test.go
@@ -72,7 +72,7 @@
 // lose kills as many members as may be lost, of those that the newest record
 // names as copies or as witnesses.
 func (w *core) lose(which string, count int) {
-	var newest protocol.Record
+	var newest protocol.EpochRecord
 	for _, n := range w.nodes {
 		if !n.down && n.machine.record.Epoch > newest.Epoch {
 			newest = n.machine.record
@@ -132,11 +132,11 @@
 func (w *core) withoutVote(member string) {
 	record := w.record()
 	for name, n := range w.nodes {
-		if _, sits := record.Names(name); !sits {
+		if _, sits := record.MemberNamed(name); !sits {
 			for i, seat := range record.Witnesses {
 				if seat.Name == member {
 					record.Witnesses = slices.Clone(record.Witnesses)
-					record.Witnesses[i] = protocol.Seat{Name: name, Incarnation: n.place.Incarnation}
+					record.Witnesses[i] = protocol.MemberID{Name: name, Incarnation: n.place.Incarnation}
 				}
 			}
 		}
@@ -173,7 +173,7 @@
 	w := served(qt.New(t), 1, 4)
 	leaver := w.backup()
 	for name, n := range w.nodes {
-		if !w.record().HasReplica(protocol.Seat{Name: name, Incarnation: n.place.Incarnation}) {
+		if !w.record().HasReplica(protocol.MemberID{Name: name, Incarnation: n.place.Incarnation}) {
 			n.saveMs = 100_000
 		}
 	}
--- a/internal/consensus/duty.go
+++ b/internal/consensus/duty.go
@@ -32,7 +32,7 @@
 	reading      bool
 	platformMs   int64
 	platformOkMs int64
-	listing      map[string]protocol.Listed
+	listing      map[string]protocol.ListedRunner
 	seen         map[string]*seenRunner
 	wants        map[ledger.Item]*want
 	placeMs      int64
@@ -64,7 +64,7 @@
 	okMs     int64
 	orderMs  int64
 	burden   int64
-	report   protocol.Report
+	report   protocol.RunnerReport
 	// since says from when each item has been held, for the minimum stay.
 	since map[string]int64
 	// orders counts what was intended for it; quiet says that none was open
@@ -101,7 +101,7 @@
 }
 
 func newDuty() duty {
-	return duty{loadMs: firstLoadMs, turnsMs: map[string]int64{}, listing: map[string]protocol.Listed{}, seen: map[string]*seenRunner{}, wants: map[ledger.Item]*want{}}
+	return duty{loadMs: firstLoadMs, turnsMs: map[string]int64{}, listing: map[string]protocol.ListedRunner{}, seen: map[string]*seenRunner{}, wants: map[ledger.Item]*want{}}
 }
 
 // begin forgets what an earlier primacy knew; the pace's bucket starts empty.
@@ -113,8 +113,8 @@
 	d.pace = pace{atMs: nowMs}
 }
 
-func (d *duty) soft(nowMs int64) protocol.Soft {
-	soft := protocol.Soft{Burdens: map[string]int64{}, Turns: d.turns}
+func (d *duty) soft(nowMs int64) protocol.Hints {
+	soft := protocol.Hints{Burdens: map[string]int64{}, Turns: d.turns}
 	for name, s := range d.seen {
 		soft.Burdens[name] = s.burden
 		if nowMs-s.okMs > darkMs {
@@ -126,15 +126,15 @@
 }
 
 // marks lists the leaving incarnations, also those not yet on the disks.
-func (d *duty) marks(s *ledger.State) []protocol.Mark {
-	var marks []protocol.Mark
+func (d *duty) marks(s *ledger.State) []protocol.LeavingRunner {
+	var marks []protocol.LeavingRunner
 	for mark := range s.Marks {
 		if row := s.Rows[mark.Runner]; row == nil || row.Incarnation == mark.Incarnation {
 			marks = append(marks, mark)
 		}
 	}
 	for _, listed := range d.listing {
-		mark := protocol.Mark{Runner: listed.Name, Incarnation: listed.Incarnation}
+		mark := protocol.LeavingRunner{Runner: listed.Name, Incarnation: listed.Incarnation}
 		if listed.Leaving && !slices.Contains(marks, mark) {
 			marks = append(marks, mark)
 		}
@@ -143,7 +143,7 @@
 	return marks
 }
 
-func (d *duty) demanded(nowMs int64, said protocol.Demand) {
+func (d *duty) demanded(nowMs int64, said protocol.DemandReport) {
 	for key, count := range said.Counts {
 		parts := strings.SplitN(key, "/", 3)
 		if len(parts) != 3 || parts[1] == "" {
@@ -189,7 +189,7 @@
 	d := &m.duty
 	if m.nowMs-d.platformMs >= platformMs && !d.reading {
 		d.platformMs, d.reading = m.nowMs, true
-		m.out.Calls = append(m.out.Calls, protocol.Call{Address: m.set.Platform, Body: protocol.PlatformCall{}})
+		m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: m.set.Platform, Body: protocol.PlatformCall{}})
 	}
 	for _, name := range d.names() {
 		listed := d.listing[name]
@@ -204,7 +204,7 @@
 			s.asking = d.calls
 			row := m.state.Rows[name]
 			s.quiet, s.askedOrders = row != nil && row.Intent == nil, s.orders
-			m.out.Calls = append(m.out.Calls, protocol.Call{Address: listed.Address, Body: protocol.ReportCall{Runner: name, Number: s.asking, Epoch: m.record.Epoch}})
+			m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: listed.Address, Body: protocol.ReportCall{Runner: name, Number: s.asking, Epoch: m.record.Epoch}})
 		}
 	}
 	if m.mayOrder() {
@@ -248,7 +248,7 @@
 	return true
 }
 
-func (m *Machine) listed(in protocol.Listing) {
+func (m *Machine) listed(in protocol.RunnerListResult) {
 	d := &m.duty
 	if !m.isPrimary() {
 		return
@@ -260,10 +260,10 @@
 		return
 	}
 	d.platformOkMs = m.nowMs
-	listing := map[string]protocol.Listed{}
+	listing := map[string]protocol.ListedRunner{}
 	for _, l := range in.Runners {
 		listing[l.Name] = l
-		mark := protocol.Mark{Runner: l.Name, Incarnation: l.Incarnation}
+		mark := protocol.LeavingRunner{Runner: l.Name, Incarnation: l.Incarnation}
 		if l.Leaving && !m.state.Marks[mark] {
 			m.note("%s is leaving", l.Name)
 			m.submit(func(bool) {}, ledger.MarkLeaving{Mark: mark})
@@ -277,7 +277,7 @@
 	}
 }
 
-func (m *Machine) reported(in protocol.Reported) {
+func (m *Machine) reported(in protocol.RunnerReportResult) {
 	s := m.duty.seen[in.Runner]
 	if !m.isPrimary() || s == nil {
 		return
@@ -378,7 +378,7 @@
 		s.firstOrder, s.firstMs = row.Intent.Number, m.nowMs
 	}
 	s.orderMs = m.nowMs
-	m.out.Calls = append(m.out.Calls, protocol.Call{Address: row.Address, Body: protocol.OrderCall{
+	m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: row.Address, Body: protocol.OrderCall{
 		Runner: name, UntilMs: m.election.leaseUntilMs,
 		Order: protocol.Order{
 			Holder: m.set.Self.Name, Epoch: m.record.Epoch, Number: row.Intent.Number, Incarnation: row.Incarnation, Action: row.Intent.Action,
--- a/internal/consensus/duty_test.go
+++ b/internal/consensus/duty_test.go
@@ -22,19 +22,19 @@
 
 // serving makes a primary whose pair is whole, at 100 s of its clock.
 func serving(t *testing.T) *Machine {
-	self := protocol.Place{Name: "a", Address: "a:1", Zone: "z", Part: protocol.Controller, Incarnation: "1"}
+	self := protocol.Node{Name: "a", Address: "a:1", Zone: "z", Part: protocol.Controller, Incarnation: "1"}
 	m, err := New(Settings{Site: "s", Self: self, Platform: "platform"}, map[string]string{}, 100_000)
 	qt.Assert(t, err, qt.IsNil)
-	a, b, c := protocol.Seat{Name: "a", Incarnation: "1"}, protocol.Seat{Name: "b", Incarnation: "1"}, protocol.Seat{Name: "c", Incarnation: "1"}
-	set := []protocol.Seat{a, b, c}
+	a, b, c := protocol.MemberID{Name: "a", Incarnation: "1"}, protocol.MemberID{Name: "b", Incarnation: "1"}, protocol.MemberID{Name: "c", Incarnation: "1"}
+	set := []protocol.MemberID{a, b, c}
 	for _, name := range []string{"b", "c"} {
-		m.roster.Heard(100_000, protocol.Place{Name: name, Address: name + ":1", Zone: "y", Part: protocol.Controller, Incarnation: "1"})
+		m.roster.Heard(100_000, protocol.Node{Name: name, Address: name + ":1", Zone: "y", Part: protocol.Controller, Incarnation: "1"})
 	}
 	m.state.Do(protocol.Position{Epoch: 1, Number: 1}, []ledger.Command{ledger.Accept{Text: described, Epoch: 1}})
 	qt.Assert(t, m.describe(), qt.IsNil)
 	m.replication.synced, m.replication.taken = m.state.Position, m.state.Position
-	m.election.grants = map[protocol.Seat]int64{a: 1 << 40, b: 1 << 40}
-	m.becomePrimary(protocol.Record{Epoch: 1, Primary: "a", Replicas: []protocol.Seat{a, b}, Witnesses: set, Before: set})
+	m.election.grants = map[protocol.MemberID]int64{a: 1 << 40, b: 1 << 40}
+	m.becomePrimary(protocol.EpochRecord{Epoch: 1, Primary: "a", Replicas: []protocol.MemberID{a, b}, Witnesses: set, Before: set})
 	settle(m, 100_000)
 	qt.Assert(t, m.active(), qt.IsTrue)
 	return m
@@ -43,11 +43,11 @@
 // settle ends all writes, on this disk and on the backup's.
 func settle(m *Machine, nowMs int64) {
 	for number := range m.saves {
-		m.Step(nowMs, protocol.Saved{Number: number, Ok: true})
+		m.Step(nowMs, protocol.DiskWriteDone{Number: number, Ok: true})
 	}
 	m.Step(nowMs, protocol.Envelope{
-		Site: "s", To: "a", From: protocol.Place{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
-		Body: protocol.Followed{Epoch: 1, At: m.state.Position},
+		Site: "s", To: "a", From: protocol.Node{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
+		Body: protocol.AppendReply{Epoch: 1, At: m.state.Position},
 	})
 }
 
@@ -64,16 +64,16 @@
 // answerAll answers each question to a runner but those that are left out.
 func answerAll(m *Machine, nowMs int64, asked []protocol.ReportCall, epoch uint64, out ...string) {
 	for _, call := range asked {
-		said := protocol.Reported{Runner: call.Runner, Address: call.Runner + ":1", Number: call.Number}
+		said := protocol.RunnerReportResult{Runner: call.Runner, Address: call.Runner + ":1", Number: call.Number}
 		if len(out) == 0 || call.Runner != out[0] {
 			said.Ok = true
-			said.Report = protocol.Report{Runner: call.Runner, Incarnation: "1", Room: 10, Epoch: epoch}
+			said.Report = protocol.RunnerReport{Runner: call.Runner, Incarnation: "1", Room: 10, Epoch: epoch}
 		}
 		m.Step(nowMs, said)
 	}
 }
 
-var bothRunners = protocol.Listing{Ok: true, Runners: []protocol.Listed{
+var bothRunners = protocol.RunnerListResult{Ok: true, Runners: []protocol.ListedRunner{
 	{Name: "r", Address: "r:1", Incarnation: "1"}, {Name: "q", Address: "q:1", Incarnation: "1"},
 }}
 
@@ -82,17 +82,17 @@
 func TestReportsInOrder(t *testing.T) {
 	cases := []struct {
 		about string
-		say   func(asked protocol.ReportCall) protocol.Reported
+		say   func(asked protocol.ReportCall) protocol.RunnerReportResult
 		row   bool
 	}{
-		{"the answer", func(asked protocol.ReportCall) protocol.Reported {
-			return protocol.Reported{Runner: "r", Address: "r:1", Number: asked.Number, Ok: true}
+		{"the answer", func(asked protocol.ReportCall) protocol.RunnerReportResult {
+			return protocol.RunnerReportResult{Runner: "r", Address: "r:1", Number: asked.Number, Ok: true}
 		}, true},
-		{"a late one of another question", func(asked protocol.ReportCall) protocol.Reported {
-			return protocol.Reported{Runner: "r", Address: "r:1", Number: asked.Number + 7, Ok: true}
+		{"a late one of another question", func(asked protocol.ReportCall) protocol.RunnerReportResult {
+			return protocol.RunnerReportResult{Runner: "r", Address: "r:1", Number: asked.Number + 7, Ok: true}
 		}, false},
-		{"the answer to an order", func(protocol.ReportCall) protocol.Reported {
-			return protocol.Reported{Runner: "r", Address: "r:1", Ok: true}
+		{"the answer to an order", func(protocol.ReportCall) protocol.RunnerReportResult {
+			return protocol.RunnerReportResult{Runner: "r", Address: "r:1", Ok: true}
 		}, false},
 	}
 	for _, test := range cases {
@@ -105,7 +105,7 @@
 			for _, call := range asked {
 				if call.Runner == "r" {
 					said := test.say(call)
-					said.Report = protocol.Report{Runner: "r", Incarnation: "1", Room: 10, Epoch: 1}
+					said.Report = protocol.RunnerReport{Runner: "r", Incarnation: "1", Room: 10, Epoch: 1}
 					m.Step(101_510, said)
 				}
 			}
@@ -143,12 +143,12 @@
 				m.election.leaseUntilMs = nowMs + 1000
 				for len(m.saves) > 0 {
 					for number := range m.saves {
-						orders = append(orders, calls[protocol.OrderCall](m.Step(nowMs, protocol.Saved{Number: number, Ok: true}))...)
+						orders = append(orders, calls[protocol.OrderCall](m.Step(nowMs, protocol.DiskWriteDone{Number: number, Ok: true}))...)
 					}
 				}
 				orders = append(orders, calls[protocol.OrderCall](m.Step(nowMs, protocol.Envelope{
-					Site: "s", To: "a", From: protocol.Place{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
-					Body: protocol.Followed{Epoch: 1, At: m.state.Position},
+					Site: "s", To: "a", From: protocol.Node{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
+					Body: protocol.AppendReply{Epoch: 1, At: m.state.Position},
 				}))...)
 			}
 			// One that is not answered is repeated under its number.
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -36,18 +36,18 @@
 	ballot  protocol.Ballot
 	opposed bool
 	// asked holds whom the promise was asked of; granted who gave it.
-	asked   map[protocol.Seat]bool
-	granted map[protocol.Seat]bool
+	asked   map[protocol.MemberID]bool
+	granted map[protocol.MemberID]bool
 	// refused holds who refused for the sake of a higher ballot.
-	refused map[protocol.Seat]bool
-	top     protocol.Record
+	refused map[protocol.MemberID]bool
+	top     protocol.EpochRecord
 	topKept protocol.Ballot
 	// proposal is the record being kept, by this ballot.
-	proposal  *protocol.Record
-	keepers   map[protocol.Seat]bool
+	proposal  *protocol.EpochRecord
+	keepers   map[protocol.MemberID]bool
 	completes bool
 	// grants holds when the last renewal that was granted had been sent.
-	grants       map[protocol.Seat]int64
+	grants       map[protocol.MemberID]int64
 	leaseUntilMs int64
 	ordersMs     int64
 	takesMs      int64
@@ -58,7 +58,7 @@
 	// learnMs is when peers were last asked for a newer record.
 	learnMs int64
 	// first is the record that the founding under way would make.
-	first protocol.Record
+	first protocol.EpochRecord
 	// finishes says that first is another's attempt, which this one completes.
 	finishes bool
 }
@@ -72,7 +72,7 @@
 }
 
 // entitled says whether this disk may become primary under the record.
-func (m *Machine) entitled(record protocol.Record) bool {
+func (m *Machine) entitled(record protocol.EpochRecord) bool {
 	// The older interface has no one who takes over from a daemon that stops.
 	stops := m.leaving.wanted && m.set.Tenant == nil
 	return !m.broken && !stops && record.HasReplica(m.ownSeat())
@@ -132,7 +132,7 @@
 		if m.nowMs-s.renewMs >= m.waits.RenewMs {
 			s.renewMs = m.nowMs
 			for _, voter := range m.record.Voters() {
-				m.sendName(voter.Name, protocol.Renew{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
+				m.sendName(voter.Name, protocol.RenewLease{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
 			}
 			if s.proposal != nil {
 				m.sendKeeps()
@@ -168,7 +168,7 @@
 	m.election.proposal = nil
 	if f := m.election.founding; f != nil {
 		m.election.founding = nil
-		m.answer(f.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it"})
+		m.answer(f.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it"})
 	}
 }
 
@@ -186,25 +186,25 @@
 	}
 	for _, place := range asked {
 		if place.Name != m.record.Primary {
-			m.send(place, protocol.Opinion{Epoch: m.record.Epoch})
+			m.send(place, protocol.PrimaryQuery{Epoch: m.record.Epoch})
 		}
 	}
 }
 
-func (m *Machine) opinion(e protocol.Envelope, ask protocol.Opinion) {
+func (m *Machine) opinion(e protocol.Envelope, ask protocol.PrimaryQuery) {
 	// What counts is the primary's own word, not that its daemon lives: it may
 	// have lost its disk or stepped down.
 	heardMs := m.nowMs - m.election.heardMs
 	if m.isPrimary() {
 		heardMs = 0
 	}
-	m.reply(e, protocol.Opined{Epoch: ask.Epoch, HeardMs: heardMs, Record: m.record})
+	m.reply(e, protocol.PrimaryReply{Epoch: ask.Epoch, HeardMs: heardMs, Record: m.record})
 }
 
 // opined takes what a peer knows. One that asked by an older record goes by the
 // newer one from then on, and asks anew: those who know the newest record may
 // hold no copy, and then only those who don't know it can take over.
-func (m *Machine) opined(_ protocol.Place, said protocol.Opined) {
+func (m *Machine) opined(_ protocol.Node, said protocol.PrimaryReply) {
 	if len(said.Record.Replicas) > 0 && said.Record.Epoch > m.record.Epoch && !m.isPrimary() {
 		m.adopt(said.Record, protocol.Ballot{})
 		if m.election.role == asking {
@@ -226,11 +226,11 @@
 	}
 	s.learnMs = m.nowMs
 	for _, place := range m.roster.Part(protocol.Controller) {
-		m.send(place, protocol.Opinion{Epoch: m.record.Epoch})
+		m.send(place, protocol.PrimaryQuery{Epoch: m.record.Epoch})
 	}
 }
 
-func (m *Machine) transferred(from protocol.Place, said protocol.Transfer) {
+func (m *Machine) transferred(from protocol.Node, said protocol.TransferPrimary) {
 	if said.Record.Primary == from.Name && !m.isPrimary() {
 		m.adopt(said.Record, protocol.Ballot{})
 	}
@@ -245,7 +245,7 @@
 	s.sinceMs, s.askedMs = m.nowMs, m.nowMs
 	s.round = max(s.round, m.ballot.Round, m.witness.Promised.Round) + 1
 	s.ballot = protocol.Ballot{Round: s.round, Name: m.set.Self.Name}
-	s.asked, s.granted, s.refused = map[protocol.Seat]bool{}, map[protocol.Seat]bool{}, map[protocol.Seat]bool{}
+	s.asked, s.granted, s.refused = map[protocol.MemberID]bool{}, map[protocol.MemberID]bool{}, map[protocol.MemberID]bool{}
 	s.top, s.topKept = m.record, m.ballot
 	// What only this daemon's own witness keeps names whom to ask, too: of a
 	// bootstrap that was cut short there is nothing else.
@@ -259,12 +259,12 @@
 }
 
 // promise is what a candidate asks of each witness.
-func (m *Machine) promise() protocol.Promise {
+func (m *Machine) promise() protocol.Prepare {
 	f := m.election.founding
 	// Seeds that have not kept a half-recorded first record are blank still; they
 	// must be able to agree to its end.
 	finishes := m.set.Tenant != nil && f == nil && m.record.Epoch == 0 && m.election.top.Epoch == firstEpoch
-	return protocol.Promise{
+	return protocol.Prepare{
 		Ballot: m.election.ballot, Found: finishes || f != nil && !f.Recover, Recover: f != nil && f.Recover,
 		AllSeeds: f != nil && len(f.Witnesses) == len(m.set.Seeds),
 	}
@@ -279,7 +279,7 @@
 	}
 }
 
-func (m *Machine) promised(from protocol.Place, said protocol.Promised) {
+func (m *Machine) promised(from protocol.Node, said protocol.PrepareReply) {
 	s := &m.election
 	s.round = max(s.round, said.Highest.Round)
 	if s.role != promising || said.Ballot != s.ballot {
@@ -311,12 +311,12 @@
 		}
 		return
 	}
-	s.granted[protocol.Seat{Name: from.Name, Incarnation: from.Incarnation}] = true
+	s.granted[protocol.MemberID{Name: from.Name, Incarnation: from.Incarnation}] = true
 	if s.founding != nil {
 		m.foundWith()
 		return
 	}
-	if s.top.Majority(func(v protocol.Seat) bool { return s.granted[v] }) && s.top.Epoch > 0 {
+	if s.top.Majority(func(v protocol.MemberID) bool { return s.granted[v] }) && s.top.Epoch > 0 {
 		m.keep(s.top, true)
 	}
 }
@@ -325,15 +325,15 @@
 // for its sake that no majority is left. Two that go on side by side hold each
 // other's witnesses off for as long as both of them try; but one witness may
 // remember a ballot of long ago.
-func (m *Machine) heedRival(from protocol.Place, highest protocol.Ballot, record protocol.Record, agreed map[protocol.Seat]bool) {
+func (m *Machine) heedRival(from protocol.Node, highest protocol.Ballot, record protocol.EpochRecord, agreed map[protocol.MemberID]bool) {
 	s := &m.election
 	if s.founding != nil || !s.ballot.Less(highest) {
 		return
 	}
-	s.refused[protocol.Seat{Name: from.Name, Incarnation: from.Incarnation}] = true
+	s.refused[protocol.MemberID{Name: from.Name, Incarnation: from.Incarnation}] = true
 	// Right after its start this daemon has not heard of the others yet.
 	started := m.nowMs-m.startMs < m.waits.MissMs
-	mayAgree := func(voter protocol.Seat) bool {
+	mayAgree := func(voter protocol.MemberID) bool {
 		there := started || voter == m.ownSeat() || m.roster.Live(m.nowMs, voter.Name)
 		return agreed[voter] || there && !s.refused[voter]
 	}
@@ -343,14 +343,14 @@
 	if s.role == keeping {
 		// What witnesses granted with the record would keep the other out.
 		for _, voter := range s.proposal.Voters() {
-			m.sendName(voter.Name, protocol.Release{Epoch: s.proposal.Epoch, Ballot: s.ballot})
+			m.sendName(voter.Name, protocol.ReleaseLease{Epoch: s.proposal.Epoch, Ballot: s.ballot})
 		}
 	}
 	m.retreat(m.waits.AttemptMs)
 }
 
 // keep asks the witnesses to store a record under the present ballot.
-func (m *Machine) keep(record protocol.Record, completes bool) {
+func (m *Machine) keep(record protocol.EpochRecord, completes bool) {
 	s := &m.election
 	if s.role != primary {
 		s.role = keeping
@@ -358,9 +358,9 @@
 	}
 	s.proposal = &record
 	s.completes = completes
-	s.keepers = map[protocol.Seat]bool{}
+	s.keepers = map[protocol.MemberID]bool{}
 	if s.role != primary {
-		s.grants = map[protocol.Seat]int64{}
+		s.grants = map[protocol.MemberID]int64{}
 	}
 	m.sendKeeps()
 }
@@ -370,20 +370,20 @@
 		if m.election.keepers[voter] {
 			continue
 		}
-		m.sendName(voter.Name, protocol.Keep{Ballot: m.election.ballot, Record: *m.election.proposal, EchoMs: m.nowMs})
+		m.sendName(voter.Name, protocol.Accept{Ballot: m.election.ballot, Record: *m.election.proposal, EchoMs: m.nowMs})
 	}
 }
 
-func (m *Machine) kept(from protocol.Place, said protocol.Kept) {
+func (m *Machine) kept(from protocol.Node, said protocol.AcceptReply) {
 	s := &m.election
 	s.round = max(s.round, said.Highest.Round)
-	voter := protocol.Seat{Name: from.Name, Incarnation: from.Incarnation}
+	voter := protocol.MemberID{Name: from.Name, Incarnation: from.Incarnation}
 	if said.Ballot != s.ballot || !said.Granted {
 		// A new witness that missed the record that took it in is blank still,
 		// and takes no renewal: it is given that record again.
 		missed := said.Ballot == s.ballot && said.Record.Epoch < m.record.Epoch && !s.ballot.Less(said.Highest)
 		if missed && s.role == primary && slices.Contains(m.record.Witnesses, voter) {
-			m.send(from, protocol.Keep{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
+			m.send(from, protocol.Accept{Ballot: s.ballot, Record: m.record, EchoMs: m.nowMs})
 		}
 		if s.role == keeping && said.Ballot == s.ballot {
 			m.heedRival(from, said.Highest, *s.proposal, s.keepers)
@@ -401,7 +401,7 @@
 		return
 	}
 	s.keepers[voter] = true
-	if !s.proposal.Majority(func(v protocol.Seat) bool { return s.keepers[v] }) {
+	if !s.proposal.Majority(func(v protocol.MemberID) bool { return s.keepers[v] }) {
 		return
 	}
 	record := *s.proposal
@@ -420,7 +420,7 @@
 			m.retreat(m.waits.MissMs)
 			return
 		}
-		m.keep(protocol.Record{
+		m.keep(protocol.EpochRecord{
 			Epoch: record.Epoch + 1, Primary: m.set.Self.Name, Replicas: record.Replicas,
 			Witnesses: record.Witnesses, Before: record.Witnesses, Gone: record.Gone,
 		}, false)
@@ -439,14 +439,14 @@
 	}
 	slices.Sort(sent)
 	for _, at := range slices.Backward(sent) {
-		if m.record.Majority(func(v protocol.Seat) bool { given, ok := s.grants[v]; return ok && given >= at }) {
+		if m.record.Majority(func(v protocol.MemberID) bool { given, ok := s.grants[v]; return ok && given >= at }) {
 			s.leaseUntilMs = max(s.leaseUntilMs, at+m.waits.LeaseMs)
 			return
 		}
 	}
 }
 
-func (m *Machine) becomePrimary(record protocol.Record) {
+func (m *Machine) becomePrimary(record protocol.EpochRecord) {
 	s := &m.election
 	m.adopt(record, s.ballot)
 	s.role = primary
@@ -509,7 +509,7 @@
 	}
 	if f := m.election.founding; f != nil {
 		m.election.founding = nil
-		m.answer(f.ID, protocol.Dropped{Kind: errkind.AcceptanceUnknown, Detail: "the founding may have been recorded; ask for the status"})
+		m.answer(f.ID, protocol.Rejection{Kind: errkind.AcceptanceUnknown, Detail: "the founding may have been recorded; ask for the status"})
 	}
 }
 
@@ -524,9 +524,9 @@
 	m.losePrimacy(why)
 	m.election.nextMs = m.nowMs + 2*m.waits.LeaseMs
 	for _, voter := range voters {
-		m.sendName(voter.Name, protocol.Release{Epoch: epoch, Ballot: m.election.ballot})
+		m.sendName(voter.Name, protocol.ReleaseLease{Epoch: epoch, Ballot: m.election.ballot})
 	}
 	if paired {
-		m.sendName(peer.Name, protocol.Transfer{Record: m.record})
+		m.sendName(peer.Name, protocol.TransferPrimary{Record: m.record})
 	}
 }
--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -13,25 +13,25 @@
 // the present witnesses and of those before.
 func TestCountHold(t *testing.T) {
 	a, b, c, d := diskOf("a", "1"), diskOf("b", "1"), diskOf("c", "1"), diskOf("d", "1")
-	set, next := []protocol.Seat{a, b, c}, []protocol.Seat{a, b, d}
+	set, next := []protocol.MemberID{a, b, c}, []protocol.MemberID{a, b, d}
 	cases := []struct {
 		about             string
-		witnesses, before []protocol.Seat
-		grants            map[protocol.Seat]int64
+		witnesses, before []protocol.MemberID
+		grants            map[protocol.MemberID]int64
 		fromMs            int64
 	}{
-		{"none granted", set, set, map[protocol.Seat]int64{}, 0},
-		{"one is no majority", set, set, map[protocol.Seat]int64{a: 100}, 0},
-		{"two: from the earlier", set, set, map[protocol.Seat]int64{a: 100, b: 200}, 100},
-		{"three: from the second", set, set, map[protocol.Seat]int64{a: 100, b: 200, c: 300}, 200},
-		{"a disk that is no witness", set, set, map[protocol.Seat]int64{a: 100, d: 300}, 0},
-		{"another disk of a witness's name", set, set, map[protocol.Seat]int64{a: 100, diskOf("b", "2"): 300}, 0},
-		{"a change of the set: both need a majority", next, set, map[protocol.Seat]int64{a: 100, d: 300}, 0},
-		{"a change of the set: both have one", next, set, map[protocol.Seat]int64{a: 100, b: 200, d: 300}, 100},
+		{"none granted", set, set, map[protocol.MemberID]int64{}, 0},
+		{"one is no majority", set, set, map[protocol.MemberID]int64{a: 100}, 0},
+		{"two: from the earlier", set, set, map[protocol.MemberID]int64{a: 100, b: 200}, 100},
+		{"three: from the second", set, set, map[protocol.MemberID]int64{a: 100, b: 200, c: 300}, 200},
+		{"a disk that is no witness", set, set, map[protocol.MemberID]int64{a: 100, d: 300}, 0},
+		{"another disk of a witness's name", set, set, map[protocol.MemberID]int64{a: 100, diskOf("b", "2"): 300}, 0},
+		{"a change of the set: both need a majority", next, set, map[protocol.MemberID]int64{a: 100, d: 300}, 0},
+		{"a change of the set: both have one", next, set, map[protocol.MemberID]int64{a: 100, b: 200, d: 300}, 100},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			m := &Machine{waits: usualTiming, record: protocol.Record{Epoch: 1, Witnesses: test.witnesses, Before: test.before}}
+			m := &Machine{waits: usualTiming, record: protocol.EpochRecord{Epoch: 1, Witnesses: test.witnesses, Before: test.before}}
 			m.election.grants = test.grants
 			m.countLease()
 			untilMs := int64(0)
@@ -54,7 +54,7 @@
 	effects := m.Step(m.nowMs+1, HandOver{ID: 3, Base: 1, Text: described})
 	qt.Assert(t, m.isPrimary(), qt.IsFalse)
 	qt.Assert(t, effects.Answers, qt.HasLen, 1)
-	qt.Assert(t, effects.Answers[0].Body.(protocol.Dropped).Kind.Reply().Drop, qt.IsTrue)
+	qt.Assert(t, effects.Answers[0].Body.(protocol.Rejection).Kind.Reply().Drop, qt.IsTrue)
 }
 
 // One that still hears the primary keeps another from taking over.
@@ -76,8 +76,8 @@
 			m.Step(nowMs, protocol.Tick{})
 			qt.Assert(t, m.election.role, qt.Equals, asking)
 			m.Step(nowMs+10, protocol.Envelope{
-				Site: "s", To: "a", From: protocol.Place{Name: "c", Address: "c:1", Part: protocol.Controller, Incarnation: "1"},
-				Body: protocol.Opined{Epoch: 1, HeardMs: test.heardMs},
+				Site: "s", To: "a", From: protocol.Node{Name: "c", Address: "c:1", Part: protocol.Controller, Incarnation: "1"},
+				Body: protocol.PrimaryReply{Epoch: 1, HeardMs: test.heardMs},
 			})
 			m.Step(nowMs+usualTiming.OpinionMs, protocol.Tick{})
 			qt.Assert(t, m.election.role == promising, qt.Equals, test.takes)
@@ -105,7 +105,7 @@
 			ballot := m.election.ballot
 			w.kill(primary)
 			for name, n := range w.nodes {
-				if n.down || next.HasReplica(protocol.Seat{Name: name, Incarnation: n.place.Incarnation}) {
+				if n.down || next.HasReplica(protocol.MemberID{Name: name, Incarnation: n.place.Incarnation}) {
 					continue
 				}
 				n.machine.witness.Record, n.machine.witness.Kept = next, ballot
@@ -129,7 +129,7 @@
 	m := w.nodes[primary].machine
 	var spare string
 	for name, n := range w.nodes {
-		if !m.record.HasReplica(protocol.Seat{Name: name, Incarnation: n.place.Incarnation}) {
+		if !m.record.HasReplica(protocol.MemberID{Name: name, Incarnation: n.place.Incarnation}) {
 			spare = name
 		}
 	}
@@ -139,11 +139,11 @@
 	for i, seat := range next.Replicas {
 		if seat.Name != primary {
 			replaced = seat.Name
-			next.Replicas = append(append([]protocol.Seat{}, next.Replicas[:i]...), next.Replicas[i+1:]...)
+			next.Replicas = append(append([]protocol.MemberID{}, next.Replicas[:i]...), next.Replicas[i+1:]...)
 			break
 		}
 	}
-	next.Replicas = append(next.Replicas, protocol.Seat{Name: spare, Incarnation: w.nodes[spare].place.Incarnation})
+	next.Replicas = append(next.Replicas, protocol.MemberID{Name: spare, Incarnation: w.nodes[spare].place.Incarnation})
 	for name, n := range w.nodes {
 		if name != spare {
 			n.machine.witness.Record, n.machine.witness.Kept = next, m.election.ballot
@@ -181,10 +181,10 @@
 			m := w.nodes[name].machine
 			w.kill(primary)
 			m.askPromises(false)
-			var refusal any = protocol.Promised{Ballot: m.election.ballot, Highest: test.highest}
+			var refusal any = protocol.PrepareReply{Ballot: m.election.ballot, Highest: test.highest}
 			if test.keeps {
 				m.keep(m.record, true)
-				refusal = protocol.Kept{Ballot: m.election.ballot, Highest: test.highest, Record: m.record}
+				refusal = protocol.AcceptReply{Ballot: m.election.ballot, Highest: test.highest, Record: m.record}
 			}
 			var effects protocol.Effects
 			refusing := test.refusing
@@ -197,7 +197,7 @@
 			qt.Assert(t, m.election.role == follower, qt.Equals, test.givesWay)
 			released := 0
 			for _, send := range effects.Sends {
-				if _, is := send.Body.(protocol.Release); is {
+				if _, is := send.Body.(protocol.ReleaseLease); is {
 					released++
 				}
 			}
@@ -220,7 +220,7 @@
 			// Some attempts of its own, behind a cut, that nobody heard of.
 			n := w.nodes[remembers]
 			n.machine.witness.Promised = protocol.Ballot{Round: 40, Name: remembers}
-			n.keys[witness.Key] = n.machine.witness.Text()
+			n.keys[witness.Key] = n.machine.witness.Encode()
 			for name := range w.nodes {
 				w.kill(name)
 			}
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -22,7 +22,7 @@
 // just what this very founding would give it, since an earlier go at it was
 // cut short. Nothing else ever takes a blank disk for a beginning.
 func (m *Machine) found(f Founding) {
-	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Dropped{Kind: kind, Detail: detail}) }
+	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Rejection{Kind: kind, Detail: detail}) }
 	if m.record.Epoch > 0 || m.state.Position.Number > 0 {
 		drop(errkind.AlreadyFounded, "this controller belongs to a founded site")
 		return
@@ -46,41 +46,41 @@
 }
 
 // firstRecord is the record that an operator's act would make, or why it can't.
-func (m *Machine) firstRecord(f Founding) (protocol.Record, string) {
+func (m *Machine) firstRecord(f Founding) (protocol.EpochRecord, string) {
 	set := map[string]bool{}
-	var witnesses []protocol.Seat
+	var witnesses []protocol.MemberID
 	for _, name := range f.Witnesses {
 		set[name] = true
 		place, ok := m.roster.Place(name)
 		if !ok || place.Part != protocol.Controller {
-			return protocol.Record{}, "witnesses: no controller named " + name + " is known here"
+			return protocol.EpochRecord{}, "witnesses: no controller named " + name + " is known here"
 		}
-		witnesses = append(witnesses, protocol.Seat{Name: name, Incarnation: place.Incarnation})
+		witnesses = append(witnesses, protocol.MemberID{Name: name, Incarnation: place.Incarnation})
 	}
 	if len(f.Witnesses) != 3 && m.set.Tenant == nil || len(set) != len(f.Witnesses) {
-		return protocol.Record{}, "witnesses: must be three different controllers"
+		return protocol.EpochRecord{}, "witnesses: must be three different controllers"
 	}
 	if m.set.Tenant != nil {
 		return m.seedsRecord(witnesses), ""
 	}
 	backup, ok := m.roster.Place(f.Backup)
 	if !ok || backup.Part != protocol.Controller || f.Backup == m.set.Self.Name {
-		return protocol.Record{}, "backup: must be another controller that is known here"
+		return protocol.EpochRecord{}, "backup: must be another controller that is known here"
 	}
-	return protocol.Record{
+	return protocol.EpochRecord{
 		Epoch: 1, Primary: m.set.Self.Name,
-		Replicas:  []protocol.Seat{m.ownSeat(), {Name: backup.Name, Incarnation: backup.Incarnation}},
+		Replicas:  []protocol.MemberID{m.ownSeat(), {Name: backup.Name, Incarnation: backup.Incarnation}},
 		Witnesses: witnesses, Before: witnesses,
 	}, ""
 }
 
 // same says whether two records are of one act.
-func same(a, b protocol.Record) bool {
+func same(a, b protocol.EpochRecord) bool {
 	return a.Epoch == b.Epoch && a.Primary == b.Primary && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Witnesses, b.Witnesses)
 }
 
 // otherFounding ends a founding once a witness is seen to hold another record.
-func (m *Machine) otherFounding(from protocol.Place, said protocol.Promised) bool {
+func (m *Machine) otherFounding(from protocol.Node, said protocol.PrepareReply) bool {
 	s := &m.election
 	if s.founding.Recover {
 		return m.otherRecovery(from, said)
@@ -103,7 +103,7 @@
 	s.founding = nil
 	// Whoever keeps that record finishes it, if it is left the time.
 	m.retreat(foundAfterMs)
-	m.answer(id, protocol.Dropped{Kind: errkind.AlreadyFounded, Detail: "a witness belongs to another founding"})
+	m.answer(id, protocol.Rejection{Kind: errkind.AlreadyFounded, Detail: "a witness belongs to another founding"})
 	return true
 }
 
@@ -112,7 +112,7 @@
 // finish another's attempt a majority will do, as for any half-recorded record.
 func (m *Machine) foundWith() {
 	if m.election.finishes {
-		if m.election.first.Majority(func(v protocol.Seat) bool { return m.election.granted[v] }) {
+		if m.election.first.Majority(func(v protocol.MemberID) bool { return m.election.granted[v] }) {
 			m.keep(m.election.first, true)
 		}
 		return
@@ -194,8 +194,8 @@
 
 // seedsRecord is the first record of a site that its seeds found: as many of
 // them as may be lost, and one more, hold copies.
-func (m *Machine) seedsRecord(witnesses []protocol.Seat) protocol.Record {
-	record := protocol.Record{Epoch: 1, Primary: m.set.Self.Name, Replicas: []protocol.Seat{m.ownSeat()}, Witnesses: witnesses, Before: witnesses}
+func (m *Machine) seedsRecord(witnesses []protocol.MemberID) protocol.EpochRecord {
+	record := protocol.EpochRecord{Epoch: 1, Primary: m.set.Self.Name, Replicas: []protocol.MemberID{m.ownSeat()}, Witnesses: witnesses, Before: witnesses}
 	for _, seat := range witnesses {
 		if seat != m.ownSeat() && len(record.Replicas) < m.set.Losses+1 {
 			record.Replicas = append(record.Replicas, seat)
--- a/internal/consensus/index.go
+++ b/internal/consensus/index.go
@@ -33,7 +33,7 @@
 func (m *Machine) lookUp(e protocol.Envelope, ask protocol.LookUp) {
 	m.index.looked++
 	key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-	answer := protocol.Index{ID: ask.ID, Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Behind: m.described == nil}
+	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Behind: m.described == nil}
 	if m.described != nil {
 		if service, ok := m.described.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
 			m.index.counts[key.String()]++
@@ -52,14 +52,14 @@
 }
 
 // turnOf is the turn of a key that no runner holds.
-func turnOf(soft protocol.Soft, key choice.Key, line choice.Line) int64 {
+func turnOf(soft protocol.Hints, key choice.Key, line choice.Line) int64 {
 	if len(line.Holders) > 0 {
 		return 0
 	}
 	return soft.Turns[key.Item().String()]
 }
 
-func (m *Machine) softNow() protocol.Soft {
+func (m *Machine) softNow() protocol.Hints {
 	if m.isPrimary() {
 		return m.duty.soft(m.nowMs)
 	}
@@ -91,7 +91,7 @@
 		if len(line.Holders) > 0 {
 			for _, place := range m.roster.Part(protocol.Router) {
 				if _, asked := routers[place.Name]; asked {
-					m.send(place, protocol.Index{Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Holders: line.Holders})
+					m.send(place, protocol.LookUpReply{Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Holders: line.Holders})
 				}
 			}
 		}
@@ -102,7 +102,7 @@
 }
 
 // tellWaited tells a router what is loaded of what its requests wait for.
-func (m *Machine) tellWaited(to protocol.Place, keys []protocol.LookUp) {
+func (m *Machine) tellWaited(to protocol.Node, keys []protocol.LookUp) {
 	if m.described == nil {
 		return
 	}
@@ -110,11 +110,11 @@
 		key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
 		line := m.table.Look(key, m.described, m.state, m.softNow())
 		if len(line.Holders) > 0 {
-			m.send(to, protocol.Index{Key: key.String(), At: m.state.Position, Holders: line.Holders})
+			m.send(to, protocol.LookUpReply{Key: key.String(), At: m.state.Position, Holders: line.Holders})
 			continue
 		}
 		if turnMs := turnOf(m.softNow(), key, line); turnMs > 0 {
-			m.send(to, protocol.Index{Key: key.String(), At: m.state.Position, Loading: line.Loading, TurnMs: turnMs})
+			m.send(to, protocol.LookUpReply{Key: key.String(), At: m.state.Position, Loading: line.Loading, TurnMs: turnMs})
 		}
 		if service, ok := m.described.Service(ask.Service); ok && service.Allows(ask.Model) {
 			m.duty.waited(m.nowMs, ask.Model, ask.Adapter)
@@ -134,14 +134,14 @@
 	if len(m.index.counts) == 0 {
 		return
 	}
-	demand := protocol.Demand{Counts: m.index.counts}
+	demand := protocol.DemandReport{Counts: m.index.counts}
 	m.index.counts = map[string]int64{}
 	if m.record.Primary != "" {
 		m.sendName(m.record.Primary, demand)
 	}
 }
 
-func (m *Machine) demanded(said protocol.Demand) {
+func (m *Machine) demanded(said protocol.DemandReport) {
 	if m.isPrimary() {
 		m.duty.demanded(m.nowMs, said)
 	}
--- a/internal/consensus/index_test.go
+++ b/internal/consensus/index_test.go
@@ -10,17 +10,17 @@
 )
 
 // asks brings a router's look-up and gives the answers that leave.
-func asks(m *Machine, nowMs int64, service, model string) []protocol.Index {
+func asks(m *Machine, nowMs int64, service, model string) []protocol.LookUpReply {
 	return indexed(m.Step(nowMs, protocol.Envelope{
-		Site: "s", To: "a", From: protocol.Place{Name: "e", Address: "e:1", Part: protocol.Router, Incarnation: "1"},
+		Site: "s", To: "a", From: protocol.Node{Name: "e", Address: "e:1", Part: protocol.Router, Incarnation: "1"},
 		Body: protocol.LookUp{ID: 7, Service: service, Model: model},
 	}))
 }
 
-func indexed(effects protocol.Effects) []protocol.Index {
-	var out []protocol.Index
+func indexed(effects protocol.Effects) []protocol.LookUpReply {
+	var out []protocol.LookUpReply
 	for _, send := range effects.Sends {
-		if index, ok := send.Body.(protocol.Index); ok {
+		if index, ok := send.Body.(protocol.LookUpReply); ok {
 			out = append(out, index)
 		}
 	}
@@ -43,7 +43,7 @@
 		{"held by two", func(m *Machine) { m.state.Rows["r"].Held["m"], m.state.Rows["q"].Held["m"] = item, item }, "v", "m", 2, false, 0, true},
 		{"held by a leaver", func(m *Machine) {
 			m.state.Rows["r"].Held["m"] = item
-			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, "v", "m", 0, false, 0, true},
 		{"held by a dark one", func(m *Machine) {
 			m.state.Rows["r"].Held["m"] = item
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -23,7 +23,7 @@
 // Settings is what a controller knows before it knows anyone.
 type Settings struct {
 	Site     string
-	Self     protocol.Place
+	Self     protocol.Node
 	Seeds    []string
 	Platform string
 	// GapMs replaces the usual gap between the orders of two holders.
@@ -64,8 +64,8 @@
 
 // remembered is the record with the ballot it was kept under.
 type remembered struct {
-	Record protocol.Record `json:"record"`
-	Ballot protocol.Ballot `json:"ballot"`
+	Record protocol.EpochRecord `json:"record"`
+	Ballot protocol.Ballot      `json:"ballot"`
 }
 
 // Machine is one controller. It reads no clock, no socket and no disk.
@@ -79,7 +79,7 @@
 	state   *ledger.State
 	// described is the description in force, compiled; nil while none is.
 	described *description.Description
-	record    protocol.Record
+	record    protocol.EpochRecord
 	ballot    protocol.Ballot
 	saves     map[uint64]func(ok bool)
 	saved     uint64
@@ -97,7 +97,7 @@
 	leaving      departure
 	// retired says that this disk's name has passed to another for good.
 	retired bool
-	roster  *failuredetector.Roster
+	roster  *failuredetector.Detector
 	// peers is the list last kept on the disk, peersSum what names it, and
 	// peersMs when it was written.
 	peers       string
@@ -148,7 +148,7 @@
 	if m.witness.Record.Epoch > 0 && m.record.Epoch == 0 {
 		m.record.Witnesses, m.record.Before = m.witness.Record.Witnesses, m.witness.Record.Before
 	}
-	var places []protocol.Place
+	var places []protocol.Node
 	if text := keys[peersKey]; text != "" {
 		if err := json.Unmarshal([]byte(text), &places); err != nil {
 			return nil, errors.Wrap(err, "the remembered peers on the disk can't be read")
@@ -191,8 +191,8 @@
 	return nil
 }
 
-func (m *Machine) ownSeat() protocol.Seat {
-	return protocol.Seat{Name: m.set.Self.Name, Incarnation: m.set.Self.Incarnation}
+func (m *Machine) ownSeat() protocol.MemberID {
+	return protocol.MemberID{Name: m.set.Self.Name, Incarnation: m.set.Self.Incarnation}
 }
 
 // Inputs beside those of package wire.
@@ -234,7 +234,7 @@
 	switch in := input.(type) {
 	case protocol.Envelope:
 		m.receive(in)
-	case protocol.Saved:
+	case protocol.DiskWriteDone:
 		then := m.saves[in.Number]
 		delete(m.saves, in.Number)
 		if then != nil {
@@ -243,9 +243,9 @@
 		if !in.Ok {
 			m.breakDisk()
 		}
-	case protocol.Reported:
+	case protocol.RunnerReportResult:
 		m.reported(in)
-	case protocol.Listing:
+	case protocol.RunnerListResult:
 		m.listed(in)
 	case HandOver:
 		m.handOver(in)
@@ -330,9 +330,9 @@
 	}
 	switch body := e.Body.(type) {
 	case protocol.Heartbeat:
-	case protocol.Hello:
-		m.reply(e, protocol.Known{Peers: m.known(e.From), Record: m.record})
-	case protocol.Known:
+	case protocol.PeersRequest:
+		m.reply(e, protocol.PeersReply{Peers: m.known(e.From), Record: m.record})
+	case protocol.PeersReply:
 		m.roster.Learn(m.nowMs, body.Peers)
 		// What a core peer holds as its record is complete, so it may be
 		// taken; a router knows only the epoch and who is primary.
@@ -341,48 +341,48 @@
 		}
 	case protocol.Retire:
 		m.heedRetire(body.Record)
-	case protocol.Sightings:
+	case protocol.HeartbeatReports:
 		for _, s := range body.Seen {
 			m.roster.Told(m.nowMs, s)
 		}
-	case protocol.Promise:
+	case protocol.Prepare:
 		if body.Found && !body.AllSeeds && !m.mayBootstrap() {
 			m.count(errkind.NotFirstDisk)
-			m.reply(e, protocol.Promised{Ballot: body.Ballot, NotFirstDisk: true})
+			m.reply(e, protocol.PrepareReply{Ballot: body.Ballot, NotFirstDisk: true})
 			return
 		}
-		answer, changed := m.witness.Promise(m.nowMs, e.From.Name, body)
+		answer, changed := m.witness.Prepare(m.nowMs, e.From.Name, body)
 		answer.At = m.replication.synced
 		m.saveWitness(changed, func() { m.reply(e, answer) })
-	case protocol.Keep:
-		answer, changed := m.witness.Keep(m.nowMs, body)
+	case protocol.Accept:
+		answer, changed := m.witness.Accept(m.nowMs, body)
 		m.saveWitness(changed, func() { m.reply(e, answer) })
-	case protocol.Renew:
+	case protocol.RenewLease:
 		answer, changed := m.witness.Renew(m.nowMs, body)
 		m.saveWitness(changed, func() { m.reply(e, answer) })
-	case protocol.Release:
+	case protocol.ReleaseLease:
 		m.witness.Release(e.From.Name, body)
-	case protocol.Promised:
+	case protocol.PrepareReply:
 		m.promised(e.From, body)
-	case protocol.Kept:
+	case protocol.AcceptReply:
 		m.kept(e.From, body)
-	case protocol.Opinion:
+	case protocol.PrimaryQuery:
 		m.opinion(e, body)
-	case protocol.Opined:
+	case protocol.PrimaryReply:
 		m.opined(e.From, body)
-	case protocol.Transfer:
+	case protocol.TransferPrimary:
 		m.transferred(e.From, body)
-	case protocol.Follow:
+	case protocol.Append:
 		m.follow(e, body)
 	case protocol.Snapshot:
 		m.takeSnapshot(e, body)
-	case protocol.Followed:
+	case protocol.AppendReply:
 		m.followed(e.From, body)
-	case protocol.Ask:
+	case protocol.RouterPoll:
 		m.asked(e, body)
 	case protocol.LookUp:
 		m.lookUp(e, body)
-	case protocol.Demand:
+	case protocol.DemandReport:
 		m.demanded(body)
 	default:
 		m.count(errkind.Malformed)
@@ -392,7 +392,7 @@
 // known is what another daemon is told of the site. A router of a service map
 // needs the controllers only, and all routers ask at once while a primary is
 // missing.
-func (m *Machine) known(to protocol.Place) []protocol.Place {
+func (m *Machine) known(to protocol.Node) []protocol.Node {
 	if m.set.Tenant == nil || to.Part != protocol.Router {
 		return m.roster.Places()
 	}
@@ -408,7 +408,7 @@
 	case m.broken:
 	case changed:
 		m.witnessSaves++
-		m.save(storage.Write{Sets: map[string]string{witness.Key: m.witness.Text()}}, func(ok bool) {
+		m.save(storage.Write{Sets: map[string]string{witness.Key: m.witness.Encode()}}, func(ok bool) {
 			m.witnessSaves--
 			if ok {
 				then()
@@ -440,7 +440,7 @@
 	if then != nil {
 		m.saves[m.saved] = then
 	}
-	m.out.Saves = append(m.out.Saves, protocol.Save{Number: m.saved, Write: w})
+	m.out.DiskWrites = append(m.out.DiskWrites, protocol.DiskWrite{Number: m.saved, Write: w})
 }
 
 // breakDisk is the end of this daemon's part in writes until it is restarted:
@@ -456,7 +456,7 @@
 
 func (m *Machine) reply(e protocol.Envelope, body any) { m.send(e.From, body) }
 
-func (m *Machine) send(to protocol.Place, body any) {
+func (m *Machine) send(to protocol.Node, body any) {
 	if to.Name == m.set.Self.Name {
 		m.local = append(m.local, protocol.Envelope{Site: m.set.Site, From: m.set.Self, To: to.Name, Body: body})
 		return
@@ -471,7 +471,7 @@
 }
 
 func (m *Machine) note(format string, args ...any) {
-	m.out.Notes = append(m.out.Notes, fmt.Sprintf(format, args...))
+	m.out.LogLines = append(m.out.LogLines, fmt.Sprintf(format, args...))
 }
 
 func (m *Machine) count(kind errkind.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
@@ -481,7 +481,7 @@
 }
 
 // adopt takes a complete record as the one in force.
-func (m *Machine) adopt(record protocol.Record, ballot protocol.Ballot) {
+func (m *Machine) adopt(record protocol.EpochRecord, ballot protocol.Ballot) {
 	if record.Epoch < m.record.Epoch {
 		return
 	}
--- a/internal/consensus/machine_test.go
+++ b/internal/consensus/machine_test.go
@@ -10,27 +10,27 @@
 
 // A record is taken over only from who can have it whole.
 func TestKnownRecords(t *testing.T) {
-	seats := []protocol.Seat{{Name: "b", Incarnation: "1"}, {Name: "a", Incarnation: "1"}}
-	whole := protocol.Record{Epoch: 7, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}
+	seats := []protocol.MemberID{{Name: "b", Incarnation: "1"}, {Name: "a", Incarnation: "1"}}
+	whole := protocol.EpochRecord{Epoch: 7, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}
 	cases := []struct {
 		about  string
-		record protocol.Record
+		record protocol.EpochRecord
 		epoch  uint64
 	}{
 		{"whole and newer", whole, 7},
-		{"a router's, without the pair", protocol.Record{Epoch: 7, Primary: "b"}, 2},
-		{"older", protocol.Record{Epoch: 1, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}, 2},
-		{"one that says that this disk is gone", protocol.Record{Epoch: 7, Primary: "b", Replicas: seats[:1], Witnesses: seats, Before: seats, Gone: seats[1:]}, 2},
+		{"a router's, without the pair", protocol.EpochRecord{Epoch: 7, Primary: "b"}, 2},
+		{"older", protocol.EpochRecord{Epoch: 1, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}, 2},
+		{"one that says that this disk is gone", protocol.EpochRecord{Epoch: 7, Primary: "b", Replicas: seats[:1], Witnesses: seats, Before: seats, Gone: seats[1:]}, 2},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			self := protocol.Place{Name: "a", Address: "a:1", Zone: "z", Part: protocol.Controller, Incarnation: "1"}
+			self := protocol.Node{Name: "a", Address: "a:1", Zone: "z", Part: protocol.Controller, Incarnation: "1"}
 			m, err := New(Settings{Site: "s", Self: self}, map[string]string{}, 100_000)
 			qt.Assert(t, err, qt.IsNil)
-			m.record = protocol.Record{Epoch: 2, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}
+			m.record = protocol.EpochRecord{Epoch: 2, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}
 			m.Step(100_001, protocol.Envelope{
-				Site: "s", To: "a", From: protocol.Place{Name: "x", Address: "x:1", Part: protocol.Router, Incarnation: "1"},
-				Body: protocol.Known{Record: test.record},
+				Site: "s", To: "a", From: protocol.Node{Name: "x", Address: "x:1", Part: protocol.Router, Incarnation: "1"},
+				Body: protocol.PeersReply{Record: test.record},
 			})
 			qt.Assert(t, m.record.Epoch, qt.Equals, test.epoch)
 			qt.Assert(t, m.retired, qt.Equals, len(test.record.Gone) > 0)
--- a/internal/consensus/machine_witness_test.go
+++ b/internal/consensus/machine_witness_test.go
@@ -16,11 +16,11 @@
 		about string
 		ask   func(m *Machine) any
 	}{
-		{"a promise", func(*Machine) any { return protocol.Promise{Ballot: ballot} }},
+		{"a promise", func(*Machine) any { return protocol.Prepare{Ballot: ballot} }},
 		{"a record", func(m *Machine) any {
 			next := m.record
 			next.Epoch++
-			return protocol.Keep{Ballot: ballot, Record: next}
+			return protocol.Accept{Ballot: ballot, Record: next}
 		}},
 	}
 	for _, test := range cases {
@@ -28,18 +28,18 @@
 			w := served(qt.New(t), 1, 3)
 			name := w.backup()
 			m := w.nodes[name].machine
-			m.witness.Release(m.record.Primary, protocol.Release{Epoch: m.record.Epoch, Ballot: m.witness.Kept})
+			m.witness.Release(m.record.Primary, protocol.ReleaseLease{Epoch: m.record.Epoch, Ballot: m.witness.Kept})
 			ask := protocol.Envelope{
 				Site: "s", To: name, Body: test.ask(m),
-				From: protocol.Place{Name: "core-9", Address: "10.0.0.9:7", Part: protocol.Controller, Incarnation: "1"},
+				From: protocol.Node{Name: "core-9", Address: "10.0.0.9:7", Part: protocol.Controller, Incarnation: "1"},
 			}
 			first := m.Step(w.nowMs, ask)
-			qt.Assert(t, first.Saves, qt.HasLen, 1)
+			qt.Assert(t, first.DiskWrites, qt.HasLen, 1)
 			qt.Assert(t, first.Sends, qt.HasLen, 0)
 			again := m.Step(w.nowMs+1, ask)
-			qt.Assert(t, again.Saves, qt.HasLen, 0)
+			qt.Assert(t, again.DiskWrites, qt.HasLen, 0)
 			qt.Assert(t, again.Sends, qt.HasLen, 0)
-			synced := m.Step(w.nowMs+2, protocol.Saved{Number: first.Saves[0].Number, Ok: true})
+			synced := m.Step(w.nowMs+2, protocol.DiskWriteDone{Number: first.DiskWrites[0].Number, Ok: true})
 			qt.Assert(t, synced.Sends, qt.HasLen, 2)
 		})
 	}
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -44,8 +44,8 @@
 // whose names have passed to another, if the copies should change: by one
 // member at a time. Of a lost or leaving copy nothing is given up before
 // another has taken its place; only what is over the number that must be is.
-func (m *Machine) nextCopies() (copies, gone []protocol.Seat, changes bool) {
-	var bad, extra protocol.Seat
+func (m *Machine) nextCopies() (copies, gone []protocol.MemberID, changes bool) {
+	var bad, extra protocol.MemberID
 	for _, seat := range m.record.Replicas {
 		switch {
 		case seat == m.ownSeat():
@@ -59,14 +59,14 @@
 	// over, so that none is recruited needlessly; but none is given up because of
 	// one that has not answered.
 	want, good, proven := m.set.Losses+1, m.countCopies(m.staysCopy), m.countCopies(m.provenCopy)
-	without := func(lost protocol.Seat) []protocol.Seat {
-		return slices.DeleteFunc(slices.Clone(m.record.Replicas), func(seat protocol.Seat) bool { return seat == lost })
+	without := func(lost protocol.MemberID) []protocol.MemberID {
+		return slices.DeleteFunc(slices.Clone(m.record.Replicas), func(seat protocol.MemberID) bool { return seat == lost })
 	}
 	switch {
-	case proven >= want && bad != protocol.Seat{}:
+	case proven >= want && bad != protocol.MemberID{}:
 		m.note("%s is a copy no longer; enough others are", bad.Name)
 		return without(bad), m.record.Gone, true
-	case proven > want && extra != protocol.Seat{}:
+	case proven > want && extra != protocol.MemberID{}:
 		m.note("%s is a copy no longer; more are kept than must be", extra.Name)
 		return without(extra), m.record.Gone, true
 	case good >= want:
@@ -78,7 +78,7 @@
 	}
 	gone = m.record.Gone
 	// A disk that came back blank under the name takes over the name.
-	if old, ok := m.record.Names(spare.Name); ok && old != spare {
+	if old, ok := m.record.MemberNamed(spare.Name); ok && old != spare {
 		gone = m.record.Replaced(old)
 	}
 	m.note("recruiting %s as a copy", spare.Name)
@@ -86,7 +86,7 @@
 }
 
 // nextPrimary is the copy that a primary which stops on purpose asks to take over.
-func (m *Machine) nextPrimary() (protocol.Seat, bool) {
+func (m *Machine) nextPrimary() (protocol.MemberID, bool) {
 	for _, seat := range m.record.Replicas {
 		if seat != m.ownSeat() && m.staysCopy(seat) {
 			return seat, true
@@ -98,11 +98,11 @@
 // recruit picks a follower that holds every change that was answered, in
 // another zone if it can. What is answered from then on needs it as well, so
 // it need not have what is still on its way.
-func (m *Machine) recruit(lost protocol.Seat) (protocol.Seat, bool) {
-	var best protocol.Seat
+func (m *Machine) recruit(lost protocol.MemberID) (protocol.MemberID, bool) {
+	var best protocol.MemberID
 	found, other := false, false
 	for _, place := range m.roster.Part(protocol.Controller) {
-		seat := protocol.Seat{Name: place.Name, Incarnation: place.Incarnation}
+		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
 		c := m.replication.peers[place.Name]
 		if seat == lost || m.record.HasReplica(seat) || c == nil || c.acked < m.replication.committed {
 			continue
--- a/internal/consensus/offer.go
+++ b/internal/consensus/offer.go
@@ -30,10 +30,10 @@
 	pending *candidate
 	line    []HandOver
 	// holds are by process, not by name: two of one name may live for a while.
-	holds map[protocol.Seat]*routerHold
+	holds map[protocol.MemberID]*routerHold
 	// numbers registers the routers' processes in the order in which they first
 	// asked; latest is the one that holds each name.
-	numbers map[protocol.Seat]uint64
+	numbers map[protocol.MemberID]uint64
 	latest  map[string]uint64
 }
 
@@ -63,7 +63,7 @@
 }
 
 func (m *Machine) drop(id uint64, kind errkind.Kind, detail string, faults []string) {
-	m.answer(id, protocol.Dropped{Kind: kind, Detail: detail, Faults: faults, Revision: m.offer.current.Number, Primary: m.record.Primary})
+	m.answer(id, protocol.Rejection{Kind: kind, Detail: detail, Faults: faults, Revision: m.offer.current.Number, Primary: m.record.Primary})
 }
 
 func (m *Machine) handOver(in HandOver) {
@@ -130,7 +130,7 @@
 // nudge makes the routers ask at once rather than at their next turn.
 func (m *Machine) nudge() {
 	for _, place := range m.roster.Part(protocol.Router) {
-		m.send(place, protocol.Nudge{Epoch: m.record.Epoch})
+		m.send(place, protocol.PollRequest{Epoch: m.record.Epoch})
 	}
 }
 
@@ -222,13 +222,13 @@
 
 // forget begins the holds and the registration of routers anew.
 func (o *offer) forget() {
-	o.holds, o.numbers, o.latest = map[protocol.Seat]*routerHold{}, map[protocol.Seat]uint64{}, map[string]uint64{}
+	o.holds, o.numbers, o.latest = map[protocol.MemberID]*routerHold{}, map[protocol.MemberID]uint64{}, map[string]uint64{}
 }
 
 // register gives a router's process its number. One that shows that it got it
 // lives, and has the name unless a later one does. The rest are retired.
 // No two primacies give the same number.
-func (o *offer) register(epoch uint64, seat protocol.Seat, shown uint64) (number uint64, retired bool) {
+func (o *offer) register(epoch uint64, seat protocol.MemberID, shown uint64) (number uint64, retired bool) {
 	number = o.numbers[seat]
 	if number == 0 {
 		number = epoch<<24 + uint64(len(o.numbers)+1)
@@ -272,18 +272,18 @@
 }
 
 // asked answers a router. Only a router that counts is given a hold.
-func (m *Machine) asked(e protocol.Envelope, ask protocol.Ask) {
+func (m *Machine) asked(e protocol.Envelope, ask protocol.RouterPoll) {
 	if !m.active() {
 		return
 	}
 	o := &m.offer
-	seat := protocol.Seat{Name: e.From.Name, Incarnation: e.From.Incarnation}
+	seat := protocol.MemberID{Name: e.From.Name, Incarnation: e.From.Incarnation}
 	number, retired := o.register(m.record.Epoch, seat, ask.Number)
 	if retired {
-		m.reply(e, protocol.Word{EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch, Number: number, Retired: true})
+		m.reply(e, protocol.RouterUpdate{EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch, Number: number, Retired: true})
 		return
 	}
-	word := protocol.Word{
+	word := protocol.RouterUpdate{
 		EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch,
 		Revision: o.current.Number, Sum: o.token, Number: number,
 		Leaving: m.duty.marks(m.state), Peers: m.roster.Places(),
--- a/internal/consensus/offer_test.go
+++ b/internal/consensus/offer_test.go
@@ -9,16 +9,16 @@
 	"myrtlewinch/internal/protocol"
 )
 
-func diskOf(name, incarnation string) protocol.Seat {
-	return protocol.Seat{Name: name, Incarnation: incarnation}
+func diskOf(name, incarnation string) protocol.MemberID {
+	return protocol.MemberID{Name: name, Incarnation: incarnation}
 }
 
 // A description waits for every process that may still use the one in force,
 // and for a majority of the listed routers.
 func TestRoutersReady(t *testing.T) {
 	const nowMs = 10_000
-	holds := func(seats map[protocol.Seat]routerHold) map[protocol.Seat]*routerHold {
-		out := map[protocol.Seat]*routerHold{}
+	holds := func(seats map[protocol.MemberID]routerHold) map[protocol.MemberID]*routerHold {
+		out := map[protocol.MemberID]*routerHold{}
 		for s, hold := range seats {
 			out[s] = &hold
 		}
@@ -26,19 +26,19 @@
 	}
 	cases := []struct {
 		about string
-		holds map[protocol.Seat]routerHold
+		holds map[protocol.MemberID]routerHold
 		ready bool
 	}{
 		{"nobody was heard", nil, false},
-		{"all acknowledged", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {acked: "t"}}, true},
-		{"one may still use the old", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs + 1}}, false},
-		{"its lease has run out", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs}}, true},
-		{"no majority", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {untilMs: nowMs}, diskOf("c", "1"): {untilMs: nowMs}}, false},
-		{"what was given to peers may run", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs + 1}, diskOf("b", "1"): {acked: "t"}}, false},
-		{"that was waited out", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs}, diskOf("b", "1"): {acked: "t"}}, true},
-		{"acknowledged was another offer", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "u"}, diskOf("b", "1"): {acked: "t"}}, false},
-		{"an old process of a name may still use the old", map[protocol.Seat]routerHold{diskOf("a", "1"): {untilMs: nowMs + 1}, diskOf("a", "2"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}}, false},
-		{"one who is not listed is no part of the majority", map[protocol.Seat]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("x", "1"): {acked: "t"}}, false},
+		{"all acknowledged", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {acked: "t"}}, true},
+		{"one may still use the old", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs + 1}}, false},
+		{"its lease has run out", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}, diskOf("c", "1"): {untilMs: nowMs}}, true},
+		{"no majority", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("b", "1"): {untilMs: nowMs}, diskOf("c", "1"): {untilMs: nowMs}}, false},
+		{"what was given to peers may run", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs + 1}, diskOf("b", "1"): {acked: "t"}}, false},
+		{"that was waited out", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "t", givenMs: nowMs}, diskOf("b", "1"): {acked: "t"}}, true},
+		{"acknowledged was another offer", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "u"}, diskOf("b", "1"): {acked: "t"}}, false},
+		{"an old process of a name may still use the old", map[protocol.MemberID]routerHold{diskOf("a", "1"): {untilMs: nowMs + 1}, diskOf("a", "2"): {acked: "t"}, diskOf("b", "1"): {acked: "t"}}, false},
+		{"one who is not listed is no part of the majority", map[protocol.MemberID]routerHold{diskOf("a", "1"): {acked: "t"}, diskOf("x", "1"): {acked: "t"}}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
--- a/internal/consensus/office.go
+++ b/internal/consensus/office.go
@@ -34,7 +34,7 @@
 // that operators use.
 type Office struct {
 	shell *process.Shell
-	disk  *storage.Disk
+	disk  *storage.Store
 }
 
 // NewOffice opens the data folder and makes the controller; nothing runs yet.
@@ -45,7 +45,7 @@
 	}
 	keys := d.Keys()
 	clock := process.NewClock()
-	self := protocol.Place{
+	self := protocol.Node{
 		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.Controller, Incarnation: keys["incarnation"],
 	}
 	machine, err := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, keys, clock.NowMs())
@@ -59,7 +59,7 @@
 }
 
 // Join adds the controller's duties to a crew.
-func (o *Office) Join(c *threads.Crew) { o.shell.Join(c) }
+func (o *Office) Join(c *threads.Group) { o.shell.Join(c) }
 
 // Halt makes the controller stand still until it is released.
 func (o *Office) Halt() (release func()) { return o.shell.Halt() }
@@ -111,7 +111,7 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-func dropped(w http.ResponseWriter, said protocol.Dropped) {
+func dropped(w http.ResponseWriter, said protocol.Rejection) {
 	errkind.Answer{
 		Kind: said.Kind, Detail: said.Detail, Faults: said.Faults, Revision: said.Revision, Primary: said.Primary,
 	}.Write(w)
@@ -144,7 +144,7 @@
 	case Accepted:
 		w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatUint(said.Revision, 10)))
 		writeJSON(w, said)
-	case protocol.Dropped:
+	case protocol.Rejection:
 		dropped(w, said)
 	}
 }
@@ -233,7 +233,7 @@
 	switch said := answer.(type) {
 	case Founded:
 		writeJSON(w, said)
-	case protocol.Dropped:
+	case protocol.Rejection:
 		dropped(w, said)
 	}
 }
--- a/internal/consensus/place_test.go
+++ b/internal/consensus/place_test.go
@@ -50,17 +50,17 @@
 		{"and goes with its runner", func(m *Machine) {
 			m.duty.want(m.nowMs-20_000, ledger.Item{Model: "m"}, 1)
 			m.state.Rows["r"].Held["m"] = held
-			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, []string{"m"}},
 		{"goes with one runner and is held by another", func(m *Machine) {
 			m.duty.want(m.nowMs-20_000, ledger.Item{Model: "m"}, 1)
 			m.state.Rows["r"].Held["m"], m.state.Rows["q"].Held["m"] = held, held
-			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"goes with its runner, and nobody has asked for long", func(m *Machine) {
 			m.duty.want(m.nowMs-60_000, ledger.Item{Model: "m"}, 1)
 			m.state.Rows["r"].Held["m"] = held
-			m.state.Marks[protocol.Mark{Runner: "r", Incarnation: "1"}] = true
+			m.state.Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"a crowd earns a second copy, after first ones", func(m *Machine) {
 			m.duty.want(m.nowMs, ledger.Item{Model: "m"}, busyScore)
@@ -93,8 +93,8 @@
 	}{
 		{"where there is room", func(m *Machine) { m.state.Rows["r"].Held["n"] = held }, true, "q", protocol.Load},
 		{"not where the report says something else", func(m *Machine) {
-			m.duty.seen["r"].report = protocol.Report{Held: []protocol.Held{{Model: "x", Size: 9}}}
-			m.duty.seen["q"].report = protocol.Report{Held: []protocol.Held{{Model: "x", Size: 9}}}
+			m.duty.seen["r"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
+			m.duty.seen["q"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
 		}, false, "", ""},
 		{"not where an order of someone else is under way", func(m *Machine) {
 			m.duty.seen["r"].report.LastState = protocol.OrderUnderWay
@@ -106,14 +106,14 @@
 		{"nothing goes before its stay is over", func(m *Machine) {
 			for _, name := range []string{"r", "q"} {
 				m.state.Rows[name].Held["n"] = held
-				m.duty.seen[name].report.Held = []protocol.Held{{Model: "n", Size: 6}}
+				m.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				m.duty.seen[name].since["n"] = m.nowMs - stayMs + 1
 			}
 		}, false, "", ""},
 		{"the second copy goes once it is", func(m *Machine) {
 			for _, name := range []string{"r", "q"} {
 				m.state.Rows[name].Held["n"] = held
-				m.duty.seen[name].report.Held = []protocol.Held{{Model: "n", Size: 6}}
+				m.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				m.duty.seen[name].since["n"] = m.nowMs - stayMs
 			}
 		}, true, "r", protocol.Unload},
@@ -121,7 +121,7 @@
 			m.described.Models[1].Copies = 2
 			for _, name := range []string{"r", "q"} {
 				m.state.Rows[name].Held["n"] = held
-				m.duty.seen[name].report.Held = []protocol.Held{{Model: "n", Size: 6}}
+				m.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				m.duty.seen[name].since["n"] = m.nowMs - stayMs
 			}
 		}, false, "", ""},
@@ -133,7 +133,7 @@
 			m.state.Rows["r"].Held, m.state.Rows["q"].Held = map[string]ledger.Holding{}, map[string]ledger.Holding{}
 			test.do(m)
 			if test.about == "where there is room" {
-				m.duty.seen["r"].report.Held = []protocol.Held{{Model: "n", Size: 6}}
+				m.duty.seen["r"].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 			}
 			m.duty.pace.tokens = 1
 			m.takeShares()
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -16,7 +16,7 @@
 // were lost: an operator's explicit act, which must name what it goes on from.
 // Three live controllers must agree, blank or not; none may have a later copy.
 func (m *Machine) recoverFrom(f Founding) {
-	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Dropped{Kind: kind, Detail: detail}) }
+	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Rejection{Kind: kind, Detail: detail}) }
 	at := m.state.Position
 	switch {
 	case at.Number == 0:
@@ -53,7 +53,7 @@
 	// back, and a blank one under its name is none of it.
 	first.Gone = m.record.Gone
 	for _, seat := range m.record.Replicas {
-		lost := protocol.Record{Gone: first.Gone}
+		lost := protocol.EpochRecord{Gone: first.Gone}
 		first.Gone = lost.Replaced(seat)
 	}
 	m.note("recovering: %s", shown)
@@ -63,7 +63,7 @@
 
 // otherRecovery ends a recovery where a witness has a later copy, and goes
 // above any epoch that one knows.
-func (m *Machine) otherRecovery(from protocol.Place, said protocol.Promised) bool {
+func (m *Machine) otherRecovery(from protocol.Node, said protocol.PrepareReply) bool {
 	s := &m.election
 	if said.Record.Epoch >= s.first.Epoch {
 		s.first.Epoch = said.Record.Epoch + epochStep
@@ -75,7 +75,7 @@
 	id := s.founding.ID
 	s.founding = nil
 	m.retreat(0)
-	m.answer(id, protocol.Dropped{Kind: errkind.NotTaken, Detail: fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, said.At.Number, said.At.Epoch)})
+	m.answer(id, protocol.Rejection{Kind: errkind.NotTaken, Detail: fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, said.At.Number, said.At.Epoch)})
 	return true
 }
 
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -38,7 +38,7 @@
 	// recentBytes is the size of the rows in recent.
 	recentBytes int
 	peers       map[string]*followerState
-	soft        protocol.Soft
+	soft        protocol.Hints
 	sentMs      int64
 	beganMs     int64
 	// away is the witness that was last said to stay away for good.
@@ -96,7 +96,7 @@
 	// behindMs is since when it lacks changes without taking any, or nought.
 	behindMs int64
 	// contact is the follower's clock as it was last told.
-	contact protocol.Contact
+	contact protocol.ClockEcho
 	// answered says that it was heard in this primacy, and epoch by which record.
 	answered bool
 	epoch    uint64
@@ -105,14 +105,14 @@
 }
 
 // live says whether the very disk answered lately.
-func (c *replication) live(nowMs int64, seat protocol.Seat) bool {
+func (c *replication) live(nowMs int64, seat protocol.MemberID) bool {
 	f := c.peers[seat.Name]
 	return f != nil && f.incarnation == seat.Incarnation && nowMs-f.heardMs <= c.waits.MissMs
 }
 
 // keepsUp says whether the disk also takes writes: one that stalls lets its
 // daemon answer and would hold up every write of the site.
-func (c *replication) keepsUp(nowMs int64, seat protocol.Seat) bool {
+func (c *replication) keepsUp(nowMs int64, seat protocol.MemberID) bool {
 	if !c.live(nowMs, seat) {
 		return false
 	}
@@ -238,7 +238,7 @@
 		return
 	}
 	done := c.synced.Number
-	pairs := [][]protocol.Seat{m.record.Replicas}
+	pairs := [][]protocol.MemberID{m.record.Replicas}
 	// While a new pair is being recorded, either may turn out to be in force.
 	if m.election.proposal != nil {
 		pairs = append(pairs, m.election.proposal.Replicas)
@@ -281,7 +281,7 @@
 	}
 }
 
-func (m *Machine) sendFollow(to protocol.Place) {
+func (m *Machine) sendFollow(to protocol.Node) {
 	c := &m.replication
 	f := c.peers[to.Name]
 	if f == nil {
@@ -301,9 +301,9 @@
 		f.sent, f.sentMs = f.acked, m.nowMs
 	}
 	c.sequence++
-	follow := protocol.Follow{
+	follow := protocol.Append{
 		Record: m.record, Ballot: m.election.ballot, Last: m.state.Position, Soft: c.soft, PeersSum: m.roster.Sum(),
-		Sequence: c.sequence, MayLeave: f.leaving && m.mayLeave(protocol.Seat{Name: to.Name, Incarnation: f.incarnation}),
+		Sequence: c.sequence, MayLeave: f.leaving && m.mayLeave(protocol.MemberID{Name: to.Name, Incarnation: f.incarnation}),
 	}
 	// Without the lease a majority may stand behind another by now.
 	if m.nowMs < m.election.leaseUntilMs {
@@ -339,7 +339,7 @@
 	return false
 }
 
-func (m *Machine) followed(from protocol.Place, said protocol.Followed) {
+func (m *Machine) followed(from protocol.Node, said protocol.AppendReply) {
 	c := &m.replication
 	if !m.isPrimary() || said.Epoch != m.record.Epoch && said.Epoch != m.record.Epoch-1 {
 		return
@@ -376,14 +376,14 @@
 
 // resendGap has changes sent again that the follower lacks although it heard
 // the message that brought them or a later one.
-func (f *followerState) resendGap(said protocol.Followed) {
+func (f *followerState) resendGap(said protocol.AppendReply) {
 	if said.Heard >= f.sentSequence && said.Taken.Number < f.sent {
 		f.sent = max(f.acked, said.Taken.Number)
 	}
 }
 
 // heedPrimary says whether a message of a primary counts.
-func (m *Machine) heedPrimary(from protocol.Place, record protocol.Record, ballot protocol.Ballot) bool {
+func (m *Machine) heedPrimary(from protocol.Node, record protocol.EpochRecord, ballot protocol.Ballot) bool {
 	if record.Epoch < m.record.Epoch || record.Primary != from.Name || record.Epoch == 0 {
 		m.count(errkind.LowerEpoch)
 		return false
@@ -397,7 +397,7 @@
 
 // hearPrimary notes that the primary lives. A message that answers what this
 // daemon said long ago was held up on its way, and tells nothing of now.
-func (m *Machine) hearPrimary(echo protocol.Contact) {
+func (m *Machine) hearPrimary(echo protocol.ClockEcho) {
 	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.waits.MissMs {
 		m.count(errkind.Overtaken)
 		return
@@ -409,7 +409,7 @@
 	}
 }
 
-func (m *Machine) follow(e protocol.Envelope, said protocol.Follow) {
+func (m *Machine) follow(e protocol.Envelope, said protocol.Append) {
 	if m.isPrimary() && said.Record.Epoch == m.record.Epoch || !m.heedPrimary(e.From, said.Record, said.Ballot) {
 		return
 	}
@@ -429,7 +429,7 @@
 // takeChanges takes those that go on from what this disk has, and says whether
 // there were any. What is compiled from the state, such as a large
 // configuration, is brought up to it once for all of them.
-func (m *Machine) takeChanges(from protocol.Place, changes []protocol.Change) bool {
+func (m *Machine) takeChanges(from protocol.Node, changes []protocol.Change) bool {
 	changed := map[string]string{}
 	took := false
 	for _, change := range changes {
@@ -452,7 +452,7 @@
 }
 
 // heedWord takes what a primary's message says beside the changes.
-func (m *Machine) heedWord(said protocol.Follow) {
+func (m *Machine) heedWord(said protocol.Append) {
 	if len(said.Peers) > 0 {
 		m.replication.peersSum = 0
 		if m.roster.Learn(m.nowMs, said.Peers) {
@@ -469,7 +469,7 @@
 
 // noteContact takes the echo of this daemon's own clock. That of another life
 // of the process says nothing here.
-func (m *Machine) noteContact(echo protocol.Contact) {
+func (m *Machine) noteContact(echo protocol.ClockEcho) {
 	if echo.StartMs != m.startMs || echo.SentMs > m.nowMs {
 		return
 	}
@@ -515,13 +515,13 @@
 
 // tellFollowed says how far this disk is. One that takes no writes any more
 // says nothing, so that another takes its part.
-func (m *Machine) tellFollowed(to protocol.Place) {
+func (m *Machine) tellFollowed(to protocol.Node) {
 	if m.broken {
 		return
 	}
-	m.send(to, protocol.Followed{
+	m.send(to, protocol.AppendReply{
 		Epoch: m.record.Epoch, At: m.replication.synced, WitnessBlank: m.witness.Blank(), PeersSum: m.replication.peersSum,
-		Contact: protocol.Contact{SentMs: m.nowMs, StartMs: m.startMs}, Leaving: m.leaving.wanted,
+		Contact: protocol.ClockEcho{SentMs: m.nowMs, StartMs: m.startMs}, Leaving: m.leaving.wanted,
 		Taken: m.replication.taken, Heard: m.replication.heard.sequence,
 	})
 }
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -41,7 +41,7 @@
 			return protocol.Snapshot{Sequence: 1 << 40, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()}
 		}},
 		{"a change that was taken before", func(m *Machine) any {
-			return protocol.Follow{Sequence: m.replication.sequence, Record: m.record, Ballot: m.election.ballot, Changes: m.replication.recent}
+			return protocol.Append{Sequence: m.replication.sequence, Record: m.record, Ballot: m.election.ballot, Changes: m.replication.recent}
 		}},
 	}
 	for _, test := range cases {
@@ -76,7 +76,7 @@
 	w.write("before")
 	primary, backup := w.primary(), w.backup()
 	m := w.nodes[primary].machine
-	old := protocol.Followed{Epoch: m.record.Epoch, At: m.state.Position, Taken: m.state.Position}
+	old := protocol.AppendReply{Epoch: m.record.Epoch, At: m.state.Position, Taken: m.state.Position}
 	w.write("after")
 	acked := m.replication.peers[backup].acked
 	w.step(primary, w.from(backup, primary, old))
@@ -105,16 +105,22 @@
 func TestContact(t *testing.T) {
 	cases := []struct {
 		about string
-		echo  func(m *Machine) protocol.Contact
+		echo  func(m *Machine) protocol.ClockEcho
 		has   bool
 	}{
-		{"an echo of just now", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs - 1, StartMs: m.startMs} }, true},
-		{"an echo of a lease ago", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs - 1500, StartMs: m.startMs} }, false},
-		{"no echo", func(*Machine) protocol.Contact { return protocol.Contact{} }, false},
-		{"another life's", func(m *Machine) protocol.Contact {
-			return protocol.Contact{SentMs: m.nowMs - 1, StartMs: m.startMs - 1}
+		{"an echo of just now", func(m *Machine) protocol.ClockEcho {
+			return protocol.ClockEcho{SentMs: m.nowMs - 1, StartMs: m.startMs}
+		}, true},
+		{"an echo of a lease ago", func(m *Machine) protocol.ClockEcho {
+			return protocol.ClockEcho{SentMs: m.nowMs - 1500, StartMs: m.startMs}
+		}, false},
+		{"no echo", func(*Machine) protocol.ClockEcho { return protocol.ClockEcho{} }, false},
+		{"another life's", func(m *Machine) protocol.ClockEcho {
+			return protocol.ClockEcho{SentMs: m.nowMs - 1, StartMs: m.startMs - 1}
+		}, false},
+		{"of the future", func(m *Machine) protocol.ClockEcho {
+			return protocol.ClockEcho{SentMs: m.nowMs + 1, StartMs: m.startMs}
 		}, false},
-		{"of the future", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs + 1, StartMs: m.startMs} }, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -190,14 +196,16 @@
 func TestLateWordIsNoSignOfLife(t *testing.T) {
 	cases := []struct {
 		about string
-		echo  func(m *Machine) protocol.Contact
+		echo  func(m *Machine) protocol.ClockEcho
 		lives bool
 	}{
-		{"of just now", func(m *Machine) protocol.Contact { return protocol.Contact{SentMs: m.nowMs - 300, StartMs: m.startMs} }, true},
-		{"held up", func(m *Machine) protocol.Contact {
-			return protocol.Contact{SentMs: m.nowMs - usualTiming.MissMs - 1, StartMs: m.startMs}
+		{"of just now", func(m *Machine) protocol.ClockEcho {
+			return protocol.ClockEcho{SentMs: m.nowMs - 300, StartMs: m.startMs}
+		}, true},
+		{"held up", func(m *Machine) protocol.ClockEcho {
+			return protocol.ClockEcho{SentMs: m.nowMs - usualTiming.MissMs - 1, StartMs: m.startMs}
 		}, false},
-		{"the first, which answers nothing", func(*Machine) protocol.Contact { return protocol.Contact{} }, true},
+		{"the first, which answers nothing", func(*Machine) protocol.ClockEcho { return protocol.ClockEcho{} }, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -206,7 +214,7 @@
 			m, p := w.nodes[name].machine, w.nodes[primary].machine
 			w.kill(primary)
 			w.run(800)
-			m.Step(w.nowMs, w.from(primary, name, protocol.Follow{Record: m.record, Ballot: p.election.ballot, Sequence: p.replication.sequence + 1, Contact: test.echo(m)}))
+			m.Step(w.nowMs, w.from(primary, name, protocol.Append{Record: m.record, Ballot: p.election.ballot, Sequence: p.replication.sequence + 1, Contact: test.echo(m)}))
 			qt.Assert(t, m.election.heardMs == w.nowMs, qt.Equals, test.lives)
 		})
 	}
--- a/internal/consensus/retired.go
+++ b/internal/consensus/retired.go
@@ -12,13 +12,13 @@
 // the one that a recorded epoch names. One that was replaced is told so, and a
 // blank one waits until the recorded one is silent.
 func (m *Machine) heeds(e protocol.Envelope) bool {
-	seat := protocol.Seat{Name: e.From.Name, Incarnation: e.From.Incarnation}
+	seat := protocol.MemberID{Name: e.From.Name, Incarnation: e.From.Incarnation}
 	if slices.Contains(m.record.Gone, seat) {
 		m.count(errkind.OtherDaemon)
 		m.send(e.From, protocol.Retire{Record: m.record})
 		return false
 	}
-	named, ok := m.record.Names(seat.Name)
+	named, ok := m.record.MemberNamed(seat.Name)
 	if !ok || named == seat {
 		return true
 	}
@@ -30,7 +30,7 @@
 }
 
 // heedRetire takes the word only with a record that says so and is not older.
-func (m *Machine) heedRetire(record protocol.Record) {
+func (m *Machine) heedRetire(record protocol.EpochRecord) {
 	if record.Epoch >= m.record.Epoch && slices.Contains(record.Gone, m.ownSeat()) {
 		m.retire()
 	}
@@ -59,6 +59,6 @@
 	case HandOver:
 		m.drop(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
 	case Founding:
-		m.answer(in.ID, protocol.Dropped{Kind: errkind.AlreadyFounded, Detail: "this daemon is retired"})
+		m.answer(in.ID, protocol.Rejection{Kind: errkind.AlreadyFounded, Detail: "this daemon is retired"})
 	}
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -15,33 +15,33 @@
 
 // Status is what a controller believes.
 type Status struct {
-	Site         string          `json:"site"`
-	Name         string          `json:"name"`
-	Part         string          `json:"part"`
-	Incarnation  string          `json:"incarnation"`
-	Role         string          `json:"role"`
-	Active       bool            `json:"active"`
-	Orders       bool            `json:"orders"`
-	DiskBroken   bool            `json:"diskBroken"`
-	Retired      bool            `json:"retired"`
-	WitnessBlank bool            `json:"witnessBlank"`
-	Record       protocol.Record `json:"record"`
+	Site         string               `json:"site"`
+	Name         string               `json:"name"`
+	Part         string               `json:"part"`
+	Incarnation  string               `json:"incarnation"`
+	Role         string               `json:"role"`
+	Active       bool                 `json:"active"`
+	Orders       bool                 `json:"orders"`
+	DiskBroken   bool                 `json:"diskBroken"`
+	Retired      bool                 `json:"retired"`
+	WitnessBlank bool                 `json:"witnessBlank"`
+	Record       protocol.EpochRecord `json:"record"`
 	// Away lists the witnesses that the primary misses for long.
-	Away     []string          `json:"witnessesAway"`
-	Position protocol.Position `json:"position"`
-	Revision uint64            `json:"revision"`
-	Pending  uint64            `json:"pending"`
-	LookUps  uint64            `json:"lookUps"`
-	Peers    []PeerStatus      `json:"fellows"`
-	Rows     []*ledger.Row     `json:"rows"`
-	Leaving  []protocol.Mark   `json:"leaving"`
-	Platform int64             `json:"platformAgeMs"`
-	Routers  []RouterStatus    `json:"routers"`
+	Away     []string                 `json:"witnessesAway"`
+	Position protocol.Position        `json:"position"`
+	Revision uint64                   `json:"revision"`
+	Pending  uint64                   `json:"pending"`
+	LookUps  uint64                   `json:"lookUps"`
+	Peers    []PeerStatus             `json:"fellows"`
+	Rows     []*ledger.Row            `json:"rows"`
+	Leaving  []protocol.LeavingRunner `json:"leaving"`
+	Platform int64                    `json:"platformAgeMs"`
+	Routers  []RouterStatus           `json:"routers"`
 }
 
 // PeerStatus is a peer and when it was last heard of (-1: never).
 type PeerStatus struct {
-	protocol.Place
+	protocol.Node
 	AgoMs int64 `json:"agoMs"`
 }
 
--- a/internal/consensus/tenant.go
+++ b/internal/consensus/tenant.go
@@ -39,20 +39,20 @@
 	// OrdersFromMs is from when a new primary may order, since the one before
 	// may have ordered until its lease ran out.
 	OrdersFromMs() int64
-	Self() protocol.Place
+	Self() protocol.Node
 	Epoch() uint64
 	// Primary is whom this daemon takes for the primary; its name may be empty.
-	Primary() protocol.Place
+	Primary() protocol.Node
 	// Controllers and Routers list the live peers of a part, without itself.
-	Controllers() []protocol.Place
-	Routers() []protocol.Place
+	Controllers() []protocol.Node
+	Routers() []protocol.Node
 	// Row reads the copied state; a primary's own may be ahead of what is safe.
 	Row(key string) string
 	// Submit changes rows (an empty value forgets one); then runs with true
 	// once they are safe on all copies that must have them, or with false when
 	// that can't be known any more.
 	Submit(rows map[string]string, then func(ok bool))
-	Send(to protocol.Place, body any)
+	Send(to protocol.Node, body any)
 	Call(address string, body any)
 	Answer(id uint64, body any)
 	Note(format string, args ...any)
@@ -62,35 +62,35 @@
 // host lets a tenant ask the machine.
 type host struct{ m *Machine }
 
-func (h host) NowMs() int64         { return h.m.nowMs }
-func (h host) Active() bool         { return h.m.active() }
-func (h host) InContact() bool      { return h.m.inContact() }
-func (h host) LeaseUntilMs() int64  { return h.m.election.leaseUntilMs }
-func (h host) OrdersFromMs() int64  { return h.m.election.ordersMs }
-func (h host) Self() protocol.Place { return h.m.set.Self }
-func (h host) Epoch() uint64        { return h.m.record.Epoch }
+func (h host) NowMs() int64        { return h.m.nowMs }
+func (h host) Active() bool        { return h.m.active() }
+func (h host) InContact() bool     { return h.m.inContact() }
+func (h host) LeaseUntilMs() int64 { return h.m.election.leaseUntilMs }
+func (h host) OrdersFromMs() int64 { return h.m.election.ordersMs }
+func (h host) Self() protocol.Node { return h.m.set.Self }
+func (h host) Epoch() uint64       { return h.m.record.Epoch }
 
-func (h host) Primary() protocol.Place {
+func (h host) Primary() protocol.Node {
 	place, _ := h.m.roster.Place(h.m.record.Primary)
 	return place
 }
 
-func (h host) live(part string) []protocol.Place {
-	return slices.DeleteFunc(h.m.roster.Part(part), func(p protocol.Place) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
+func (h host) live(part string) []protocol.Node {
+	return slices.DeleteFunc(h.m.roster.Part(part), func(p protocol.Node) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
 }
 
-func (h host) Controllers() []protocol.Place { return h.live(protocol.Controller) }
-func (h host) Routers() []protocol.Place     { return h.live(protocol.Router) }
-func (h host) Row(key string) string         { return h.m.state.Kept[key] }
+func (h host) Controllers() []protocol.Node { return h.live(protocol.Controller) }
+func (h host) Routers() []protocol.Node     { return h.live(protocol.Router) }
+func (h host) Row(key string) string        { return h.m.state.Kept[key] }
 
 func (h host) Submit(rows map[string]string, then func(ok bool)) {
 	h.m.submit(then, ledger.Put{Rows: rows})
 }
 
-func (h host) Send(to protocol.Place, body any) { h.m.send(to, body) }
+func (h host) Send(to protocol.Node, body any) { h.m.send(to, body) }
 
 func (h host) Call(address string, body any) {
-	h.m.out.Calls = append(h.m.out.Calls, protocol.Call{Address: address, Body: body})
+	h.m.out.Calls = append(h.m.out.Calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
 func (h host) Answer(id uint64, body any)      { h.m.answer(id, body) }
--- a/internal/consensus/timing.go
+++ b/internal/consensus/timing.go
@@ -8,7 +8,7 @@
 	LeaseMs int64
 	// RenewMs passes between two renewals.
 	RenewMs int64
-	// MissMs is how long a primary may be silent before peers are asked.
+	// TimeoutMs is how long a primary may be silent before peers are asked.
 	MissMs int64
 	// OpinionMs is how long they have to answer.
 	OpinionMs int64
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -12,15 +12,15 @@
 // A controller that is cut off from a majority hands nothing out: no answer to
 // a look-up and no redirect, since what it knows may have been replaced.
 func TestNothingIsHandedOutWithoutContact(t *testing.T) {
-	primary := protocol.Place{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
-	router := protocol.Place{Name: "edge-1", Address: "10.0.1.1:7", Part: protocol.Router}
+	primary := protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
+	router := protocol.Node{Name: "edge-1", Address: "10.0.1.1:7", Part: protocol.Router}
 	for _, contact := range []bool{true, false} {
 		s := New(Settings{Self: wordSelf, ControlPort: "80"}, wordFormat{})
-		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []protocol.Place{primary}}, primary: primary}
-		s.Receive(h, protocol.Envelope{From: router, Body: protocol.MapLookUp{ID: 1, Service: "llm"}})
+		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []protocol.Node{primary}}, primary: primary}
+		s.Receive(h, protocol.Envelope{From: router, Body: protocol.IndexLookUp{ID: 1, Service: "llm"}})
 		qt.Assert(t, len(h.sent) > 0, qt.Equals, contact)
 		s.Input(h, Read{ID: 2})
-		said := h.answers[0].(protocol.Dropped)
+		said := h.answers[0].(protocol.Rejection)
 		qt.Assert(t, said.Kind, qt.Equals, errkind.NotPrimary)
 		qt.Assert(t, said.Primary != "", qt.Equals, contact)
 	}
@@ -29,11 +29,11 @@
 // followerHost is a machine that is not the primary.
 type followerHost struct {
 	wordHost
-	primary protocol.Place
+	primary protocol.Node
 }
 
-func (h *followerHost) Active() bool            { return false }
-func (h *followerHost) Primary() protocol.Place { return h.primary }
+func (h *followerHost) Active() bool           { return false }
+func (h *followerHost) Primary() protocol.Node { return h.primary }
 
 // A follower's index never goes back to what a late snapshot tells.
 func TestLateIndexSnapshots(t *testing.T) {
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -210,7 +210,7 @@
 	row := encode(successor{math.MaxUint64, protocol.Sum("")})
 	bytes := historyMost * (len(successorKey(math.MaxUint64)) + len(row) + len("state/kept/"))
 	t.Logf("%d bytes", bytes)
-	qt.Assert(t, bytes < protocol.FrameMost/4, qt.IsTrue)
+	qt.Assert(t, bytes < protocol.MaxFrameBytes/4, qt.IsTrue)
 }
 
 // A refusal whose write has no known end is no clear answer.
--- a/internal/controller/host_test.go
+++ b/internal/controller/host_test.go
@@ -10,10 +10,10 @@
 type heldHost struct {
 	*wordHost
 	active   bool
-	primary  protocol.Place
+	primary  protocol.Node
 	ordersMs int64
 	writes   []heldWrite
-	calls    []protocol.Call
+	calls    []protocol.OutboundCall
 	// told are the answers to each id, in words.
 	told   map[uint64][]string
 	counts map[string]int
@@ -31,13 +31,13 @@
 	}
 }
 
-func (h *heldHost) Count(name string)       { h.counts[name]++ }
-func (h *heldHost) Active() bool            { return h.active }
-func (h *heldHost) Primary() protocol.Place { return h.primary }
-func (h *heldHost) OrdersFromMs() int64     { return h.ordersMs }
+func (h *heldHost) Count(name string)      { h.counts[name]++ }
+func (h *heldHost) Active() bool           { return h.active }
+func (h *heldHost) Primary() protocol.Node { return h.primary }
+func (h *heldHost) OrdersFromMs() int64    { return h.ordersMs }
 
 func (h *heldHost) Call(address string, body any) {
-	h.calls = append(h.calls, protocol.Call{Address: address, Body: body})
+	h.calls = append(h.calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
 // Submit shows the rows at once, as a primary's own state does.
@@ -62,7 +62,7 @@
 	switch said := body.(type) {
 	case Taken:
 		text = fmt.Sprintf("taken %d", said.Version)
-	case protocol.Dropped:
+	case protocol.Rejection:
 		text = string(said.Kind)
 		if said.Revision > 0 {
 			text += fmt.Sprintf(" %d", said.Revision)
--- a/internal/controller/maps.go
+++ b/internal/controller/maps.go
@@ -58,7 +58,7 @@
 	// told is the version and epoch that routers were last told.
 	told []uint64
 	// sent says which map each router was last sent.
-	sent map[protocol.Place]sentMap
+	sent map[protocol.Node]sentMap
 }
 
 type sentMap struct {
@@ -67,12 +67,12 @@
 }
 
 func newMaps() maps {
-	return maps{sent: map[protocol.Place]sentMap{}, historyMost: historyMost}
+	return maps{sent: map[protocol.Node]sentMap{}, historyMost: historyMost}
 }
 
 // send says whether the map in force is to be sent to a router, and notes it.
 // Another life of the router is another place.
-func (m *maps) send(nowMs int64, to protocol.Place) bool {
+func (m *maps) send(nowMs int64, to protocol.Node) bool {
 	if last := m.sent[to]; last.version == m.current.version && nowMs-last.atMs < onWayMs {
 		return false
 	}
@@ -142,7 +142,7 @@
 	case !s.serving || !h.Active():
 		s.notPrimary(h, in.ID)
 	case len(m.queue) >= queueMost:
-		h.Answer(in.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "too many orders wait"})
+		h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "too many orders wait"})
 	default:
 		m.queue = append(m.queue, in)
 		m.next(s, h)
@@ -180,7 +180,7 @@
 
 func (m *maps) refuseStale(h consensus.Host, in HandOver) {
 	h.Count(countStale)
-	h.Answer(in.ID, protocol.Dropped{Kind: errkind.StaleBase, Detail: "another version is in force", Revision: m.current.version})
+	h.Answer(in.ID, protocol.Rejection{Kind: errkind.StaleBase, Detail: "another version is in force", Revision: m.current.version})
 }
 
 // refuseAhead refuses an order on top of a version that has not been in force.
@@ -193,7 +193,7 @@
 	}
 	rows, room := refusedRows(h, in.BuiltOn, sum)
 	if !room {
-		h.Answer(in.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "too many orders build on versions that have not been in force"})
+		h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "too many orders build on versions that have not been in force"})
 		return
 	}
 	m.write(s, h, in, rows, func() { m.refuseStale(h, in) })
@@ -209,11 +209,11 @@
 		}
 	}
 	h.Count(countUnknown)
-	h.Answer(in.ID, protocol.Dropped{Kind: errkind.AcceptanceUnknown, Detail: "it is older than the orders that are remembered", Revision: m.current.version})
+	h.Answer(in.ID, protocol.Rejection{Kind: errkind.AcceptanceUnknown, Detail: "it is older than the orders that are remembered", Revision: m.current.version})
 }
 
 func refuseFaulty(h consensus.Host, in HandOver, faults []string) {
-	h.Answer(in.ID, protocol.Dropped{Kind: errkind.FaultyDescription, Detail: "the map has no effect", Faults: faults})
+	h.Answer(in.ID, protocol.Rejection{Kind: errkind.FaultyDescription, Detail: "the map has no effect", Faults: faults})
 }
 
 // write brings rows to the copies, and goes on with then once they are safe.
@@ -224,7 +224,7 @@
 		m.writing = false
 		if !ok {
 			// The copies may have it, so neither yes nor no would be true.
-			h.Answer(in.ID, protocol.Dropped{Kind: errkind.AcceptanceUnknown, Detail: "it may be in force; ask again"})
+			h.Answer(in.ID, protocol.Rejection{Kind: errkind.AcceptanceUnknown, Detail: "it may be in force; ask again"})
 			return
 		}
 		then()
--- a/internal/controller/maps_test.go
+++ b/internal/controller/maps_test.go
@@ -132,13 +132,13 @@
 		}, told{1: {gone}}, 0, 0},
 		{"elsewhere", func(x scene) {
 			x.s.Ended(x.h)
-			x.h.primary = protocol.Place{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
-			x.h.controllers = []protocol.Place{x.h.primary}
+			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
+			x.h.controllers = []protocol.Node{x.h.primary}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone + " 10.0.0.2:80"}}, 0, 0},
 		{"elsewhere, and dead as far as is known", func(x scene) {
 			x.s.Ended(x.h)
-			x.h.primary = protocol.Place{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
+			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone}}, 0, 0},
 		{"a primary that may not speak takes none", func(x scene) {
--- a/internal/controller/office.go
+++ b/internal/controller/office.go
@@ -36,7 +36,7 @@
 // OfficeSettings is the place of a controller process.
 type OfficeSettings struct {
 	Site  string
-	Self  protocol.Place
+	Self  protocol.Node
 	Seeds []string
 	// Losses is how many disks may be lost at once.
 	Losses     int
@@ -75,7 +75,7 @@
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { o.doors.ServeHTTP(w, r) })
 	o.shell = process.New(process.Settings{
 		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Exchanger: exchanger,
-		Renew: func() (process.Machine, *storage.Disk, error) {
+		Renew: func() (process.Machine, *storage.Store, error) {
 			return o.anew(set).machine(storage.Reopen, format, clock)
 		},
 	}, machine, d, peers, web, handler)
@@ -92,7 +92,7 @@
 }
 
 // machine opens the data folder and makes a controller from what it holds.
-func (set OfficeSettings) machine(open func(folder, site string) (*storage.Disk, error), format Format, clock process.Clock) (process.Machine, *storage.Disk, error) {
+func (set OfficeSettings) machine(open func(folder, site string) (*storage.Store, error), format Format, clock process.Clock) (process.Machine, *storage.Store, error) {
 	d, err := open(set.Data, set.Site)
 	if err != nil {
 		return nil, nil, err
@@ -120,7 +120,7 @@
 }
 
 // Join adds the controller's duties to a crew.
-func (o *Office) Join(c *threads.Crew) { o.shell.Join(c) }
+func (o *Office) Join(c *threads.Group) { o.shell.Join(c) }
 
 // Leave hands the copy, the vote and the primacy of this daemon to others
 // before a planned stop, as far as there are any and within LeaveMs.
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -30,13 +30,13 @@
 	h.calls = nil
 	for _, call := range calls {
 		switch body := call.Body.(type) {
-		case protocol.FleetCall:
-			s.Input(h, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
-		case protocol.StateCall:
-			s.Input(h, protocol.StateSaid{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{CacheTotal: 100}})
-		case protocol.CommandCall:
+		case protocol.ListRunners:
+			s.Input(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
+		case protocol.GetRunnerState:
+			s.Input(h, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{CacheTotal: 100}})
+		case protocol.RunnerOrder:
 			orders++
-			s.Input(h, protocol.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: protocol.CommandTaken})
+			s.Input(h, protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: protocol.OutcomeAccepted})
 		}
 	}
 	return orders
@@ -79,7 +79,7 @@
 			s.Began(h)
 			writeMs, orderMs, endMs := never, never, never
 			for ; h.nowMs < beganMs+4000; h.nowMs += 50 {
-				s.Receive(h, protocol.Envelope{From: protocol.Place{Name: "router-1", Part: protocol.Router}, Body: protocol.MapLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+				s.Receive(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 				s.Tick(h)
 				if orders := platformOf(h, s); orders > 0 && orderMs == never {
 					orderMs = h.nowMs - beganMs
@@ -117,7 +117,7 @@
 	s.Ended(h)
 	orders := 0
 	for endMs := h.nowMs + 2000; h.nowMs < endMs; h.nowMs += 50 {
-		s.Receive(h, protocol.Envelope{From: protocol.Place{Name: "router-1", Part: protocol.Router}, Body: protocol.MapLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+		s.Receive(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 		s.Tick(h)
 		orders += platformOf(h, s)
 	}
--- a/internal/controller/roll.go
+++ b/internal/controller/roll.go
@@ -14,7 +14,7 @@
 	calledMs    int64
 	called      bool
 	routers     int
-	controllers []protocol.Place
+	controllers []protocol.Node
 	sum         uint64
 }
 
@@ -27,7 +27,7 @@
 	r.routers = s.countRouters(h)
 	// Words that were sent share the list, so a new one is made each time.
 	r.controllers = append(h.Controllers(), h.Self())
-	r.sum = protocol.SumPlaces(r.controllers)
+	r.sum = protocol.SumNodes(r.controllers)
 }
 
 // countRouters is how many routers may spend the budget of second tries.
--- a/internal/controller/steward.go
+++ b/internal/controller/steward.go
@@ -24,7 +24,7 @@
 
 // Settings is what a steward knows before it knows anyone.
 type Settings struct {
-	Self        protocol.Place
+	Self        protocol.Node
 	Bounds      bounds.Bounds
 	ListAddress string
 	ListPerSec  float64
@@ -94,9 +94,9 @@
 // Receive takes a message of a router or of a peer.
 func (s *Steward) Receive(h consensus.Host, e protocol.Envelope) bool {
 	switch body := e.Body.(type) {
-	case protocol.MapAsk:
+	case protocol.ConfigPoll:
 		s.asked(h, e.From, body)
-	case protocol.MapLookUp:
+	case protocol.IndexLookUp:
 		// Cut off, this daemon may know of runners that have long left. A router
 		// that hears nothing asks another controller.
 		if !h.InContact() {
@@ -133,23 +133,23 @@
 		if !s.serving || !h.Active() {
 			s.notPrimary(h, in.ID)
 		} else if s.maps.current.version == 0 {
-			h.Answer(in.ID, protocol.Dropped{Kind: errkind.NotTaken, Detail: "no map is in force yet"})
+			h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "no map is in force yet"})
 		} else {
 			h.Answer(in.ID, Text{Version: s.maps.current.version, Text: s.maps.current.text})
 		}
 	case Look:
 		h.Answer(in.ID, s.status(h))
-	case protocol.Fleet:
+	case protocol.RunnerList:
 		if s.serving && s.keeper.Fleet(h.NowMs(), in) {
 			s.leaving.take(s.keeper.Leaving())
 			s.tellRouters(h)
 		}
-	case protocol.StateSaid:
+	case protocol.RunnerStateResult:
 		if s.serving {
 			s.keeper.State(h.NowMs(), in)
 			s.hurry(h)
 		}
-	case protocol.CommandSaid:
+	case protocol.RunnerOrderResult:
 		if s.serving {
 			s.keeper.Commanded(h.NowMs(), in)
 			s.hurry(h)
@@ -188,7 +188,7 @@
 func (s *Steward) goOn(h consensus.Host) {
 	calls, tells := s.keeper.Tick(h.NowMs(), h.LeaseUntilMs())
 	for _, call := range calls {
-		if order, is := call.Body.(protocol.CommandCall); is {
+		if order, is := call.Body.(protocol.RunnerOrder); is {
 			h.Note("order %d to %s: %s %s %s", order.Number, order.Runner, action(order.Load), order.Model, order.Adapter)
 		}
 		h.Call(call.Address, call.Body)
@@ -232,7 +232,7 @@
 
 // asked answers a router's constant question. What the router has is not sent
 // again, so that the answer costs the same however large the site is.
-func (s *Steward) asked(h consensus.Host, from protocol.Place, ask protocol.MapAsk) {
+func (s *Steward) asked(h consensus.Host, from protocol.Node, ask protocol.ConfigPoll) {
 	if !s.serving || !h.Active() {
 		return
 	}
@@ -252,9 +252,9 @@
 }
 
 // word is what routers are told now, without the map itself.
-func (s *Steward) word(h consensus.Host) protocol.MapWord {
+func (s *Steward) word(h consensus.Host) protocol.ConfigUpdate {
 	s.roll.call(s, h)
-	return protocol.MapWord{
+	return protocol.ConfigUpdate{
 		Epoch: h.Epoch(), Version: s.maps.current.version, Sum: s.maps.current.sum,
 		Leaving: s.leaving.ids, LeavingSum: s.leaving.sum, AgeMs: s.keeper.ListAgeMs(h.NowMs()),
 		Routers: s.roll.routers, Controllers: s.roll.controllers, ControllersSum: s.roll.sum,
@@ -283,9 +283,9 @@
 // just now. Without that it may be one no longer, and the operator would go
 // round in a circle.
 func (s *Steward) notPrimary(h consensus.Host, id uint64) {
-	said := protocol.Dropped{Kind: errkind.NotPrimary, Detail: "the primary answers this"}
+	said := protocol.Rejection{Kind: errkind.NotPrimary, Detail: "the primary answers this"}
 	primary := h.Primary()
-	alive := slices.ContainsFunc(h.Controllers(), func(p protocol.Place) bool { return p.Name == primary.Name })
+	alive := slices.ContainsFunc(h.Controllers(), func(p protocol.Node) bool { return p.Name == primary.Name })
 	if host, _, err := net.SplitHostPort(primary.Address); err == nil && alive && h.InContact() {
 		said.Primary = net.JoinHostPort(host, s.set.ControlPort)
 	}
--- a/internal/controller/words_test.go
+++ b/internal/controller/words_test.go
@@ -29,34 +29,34 @@
 type wordHost struct {
 	nowMs                int64
 	rows                 map[string]string
-	controllers, routers []protocol.Place
+	controllers, routers []protocol.Node
 	sent                 []protocol.Send
 	answers              []any
 	// outOfContact says that no majority is known to stand behind this daemon.
 	outOfContact bool
 }
 
-var wordSelf = protocol.Place{Name: "core-1", Address: "c:1", Part: protocol.Controller}
-
-func (h *wordHost) NowMs() int64            { return h.nowMs }
-func (h *wordHost) Active() bool            { return true }
-func (h *wordHost) InContact() bool         { return !h.outOfContact }
-func (h *wordHost) LeaseUntilMs() int64     { return h.nowMs + 2000 }
-func (h *wordHost) OrdersFromMs() int64     { return h.nowMs }
-func (h *wordHost) Self() protocol.Place    { return wordSelf }
-func (h *wordHost) Epoch() uint64           { return 1 }
-func (h *wordHost) Primary() protocol.Place { return wordSelf }
-func (h *wordHost) Controllers() []protocol.Place {
-	return append([]protocol.Place{}, h.controllers...)
+var wordSelf = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.Controller}
+
+func (h *wordHost) NowMs() int64           { return h.nowMs }
+func (h *wordHost) Active() bool           { return true }
+func (h *wordHost) InContact() bool        { return !h.outOfContact }
+func (h *wordHost) LeaseUntilMs() int64    { return h.nowMs + 2000 }
+func (h *wordHost) OrdersFromMs() int64    { return h.nowMs }
+func (h *wordHost) Self() protocol.Node    { return wordSelf }
+func (h *wordHost) Epoch() uint64          { return 1 }
+func (h *wordHost) Primary() protocol.Node { return wordSelf }
+func (h *wordHost) Controllers() []protocol.Node {
+	return append([]protocol.Node{}, h.controllers...)
 }
-func (h *wordHost) Routers() []protocol.Place { return h.routers }
+func (h *wordHost) Routers() []protocol.Node  { return h.routers }
 func (h *wordHost) Row(key string) string     { return h.rows[key] }
 func (h *wordHost) Call(string, any)          {}
 func (h *wordHost) Answer(_ uint64, body any) { h.answers = append(h.answers, body) }
 func (h *wordHost) Note(string, ...any)       {}
 func (h *wordHost) Count(string)              {}
 
-func (h *wordHost) Send(to protocol.Place, body any) {
+func (h *wordHost) Send(to protocol.Node, body any) {
 	h.sent = append(h.sent, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
@@ -68,10 +68,10 @@
 }
 
 // said gives the words that were sent since the last time.
-func (h *wordHost) said() []protocol.MapWord {
-	var out []protocol.MapWord
+func (h *wordHost) said() []protocol.ConfigUpdate {
+	var out []protocol.ConfigUpdate
 	for _, send := range h.sent {
-		if word, ok := send.Body.(protocol.MapWord); ok {
+		if word, ok := send.Body.(protocol.ConfigUpdate); ok {
 			out = append(out, word)
 		}
 	}
@@ -79,10 +79,10 @@
 	return out
 }
 
-func placed(part string, count int) []protocol.Place {
-	var out []protocol.Place
+func placed(part string, count int) []protocol.Node {
+	var out []protocol.Node
 	for i := range count {
-		out = append(out, protocol.Place{Name: fmt.Sprintf("%s-%d", part, i+10), Address: fmt.Sprintf("%s:%d", part, i), Part: part})
+		out = append(out, protocol.Node{Name: fmt.Sprintf("%s-%d", part, i+10), Address: fmt.Sprintf("%s:%d", part, i), Part: part})
 	}
 	return out
 }
@@ -95,17 +95,17 @@
 	return h, s
 }
 
-func ask(h *wordHost, s *Steward, in protocol.MapAsk) protocol.MapWord {
+func ask(h *wordHost, s *Steward, in protocol.ConfigPoll) protocol.ConfigUpdate {
 	h.said()
-	s.Receive(h, protocol.Envelope{From: protocol.Place{Name: "router-x", Address: "x:1", Part: protocol.Router}, Body: in})
+	s.Receive(h, protocol.Envelope{From: protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router}, Body: in})
 	return h.said()[0]
 }
 
 // What a router has already is not told again, whatever part of it that is.
 func TestWordsLeaveOutWhatIsThere(t *testing.T) {
 	h, s := begun(2)
-	s.Input(h, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
-	full := ask(h, s, protocol.MapAsk{EchoMs: 9})
+	s.Input(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
+	full := ask(h, s, protocol.ConfigPoll{EchoMs: 9})
 	qt.Assert(t, full.EchoMs, qt.Equals, int64(9))
 	qt.Assert(t, full.Leaving, qt.DeepEquals, []string{"p1"})
 	qt.Assert(t, full.Controllers, qt.HasLen, 5)
@@ -114,13 +114,13 @@
 	qt.Assert(t, protocol.Sum(text), qt.Equals, full.Sum)
 	cases := []struct {
 		about                    string
-		ask                      protocol.MapAsk
+		ask                      protocol.ConfigPoll
 		text, leaving, companion bool
 	}{
-		{"all", protocol.MapAsk{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, false, false, false},
-		{"no map", protocol.MapAsk{LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, true, false, false},
-		{"other leavers", protocol.MapAsk{Version: 1, LeavingSum: 7, ControllersSum: full.ControllersSum}, false, true, false},
-		{"other controllers", protocol.MapAsk{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: 7}, false, false, true},
+		{"all", protocol.ConfigPoll{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, false, false, false},
+		{"no map", protocol.ConfigPoll{LeavingSum: full.LeavingSum, ControllersSum: full.ControllersSum}, true, false, false},
+		{"other leavers", protocol.ConfigPoll{Version: 1, LeavingSum: 7, ControllersSum: full.ControllersSum}, false, true, false},
+		{"other controllers", protocol.ConfigPoll{Version: 1, LeavingSum: full.LeavingSum, ControllersSum: 7}, false, false, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -145,7 +145,7 @@
 		qt.Assert(t, len(word.Packed) > 0, qt.IsTrue)
 		qt.Assert(t, word.Version, qt.Equals, uint64(1))
 	}
-	s.Input(h, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
+	s.Input(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
 	words = h.said()
 	qt.Assert(t, words, qt.HasLen, 3)
 	for _, word := range words {
@@ -172,10 +172,10 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			h, s := begun(0)
-			from := protocol.Place{Name: "router-x", Address: "x:1", Part: protocol.Router, Incarnation: "1"}
+			from := protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router, Incarnation: "1"}
 			sent := func() bool {
 				h.said()
-				s.Receive(h, protocol.Envelope{From: from, Body: protocol.MapAsk{EchoMs: h.nowMs}})
+				s.Receive(h, protocol.Envelope{From: from, Body: protocol.ConfigPoll{EchoMs: h.nowMs}})
 				return len(h.said()[0].Packed) > 0
 			}
 			qt.Assert(t, sent(), qt.IsTrue)
@@ -207,7 +207,7 @@
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
 			h, s := begun(routers)
 			from := h.routers[0]
-			in := protocol.MapAsk{Version: 1, LeavingSum: s.leaving.sum, ControllersSum: s.roll.sum}
+			in := protocol.ConfigPoll{Version: 1, LeavingSum: s.leaving.sum, ControllersSum: s.roll.sum}
 			for i := range b.N {
 				// As many ask in each ms as the routers there are would.
 				h.nowMs = 10_000 + int64(i)*300/int64(routers)
--- a/internal/election/witness/witness.go
+++ b/internal/election/witness/witness.go
@@ -10,19 +10,19 @@
 // Key is where the record lies on the disk.
 const Key = "witness"
 
-// Memory is the durable record of one witness.
-type Memory struct {
-	Promised protocol.Ballot `json:"promised"`
-	Kept     protocol.Ballot `json:"kept"`
-	Record   protocol.Record `json:"record"`
-	Founding bool            `json:"founding,omitempty"`
+// State is the durable record of one witness.
+type State struct {
+	Promised protocol.Ballot      `json:"promised"`
+	Kept     protocol.Ballot      `json:"kept"`
+	Record   protocol.EpochRecord `json:"record"`
+	Founding bool                 `json:"founding,omitempty"`
 }
 
 // Witness decides what one disk promises and keeps. Its caller saves the
 // memory, where it changed, before the answer leaves.
 type Witness struct {
-	Memory
-	self protocol.Seat
+	State
+	self protocol.MemberID
 	// leaseMs is how long no other may become primary after a renewal.
 	leaseMs      int64
 	startMs      int64
@@ -32,12 +32,12 @@
 
 // New makes a witness from what its disk holds. A lease lasts leaseMs, at all
 // witnesses and the primary alike.
-func New(self protocol.Seat, saved string, nowMs, leaseMs int64) (*Witness, error) {
+func New(self protocol.MemberID, saved string, nowMs, leaseMs int64) (*Witness, error) {
 	w := &Witness{self: self, startMs: nowMs, leaseMs: leaseMs}
 	if saved == "" {
 		return w, nil
 	}
-	err := json.Unmarshal([]byte(saved), &w.Memory)
+	err := json.Unmarshal([]byte(saved), &w.State)
 	// A hold given before the restart may still run. Only the one whose record
 	// was kept last can have been given it, since a renewal is of a kept record;
 	// so all others wait it out, and that one need not.
@@ -60,15 +60,15 @@
 	return true
 }
 
-// Text is the memory as it is saved.
-func (w *Witness) Text() string {
-	text, _ := json.Marshal(w.Memory)
+// Encode is the memory as it is saved.
+func (w *Witness) Encode() string {
+	text, _ := json.Marshal(w.State)
 	return string(text)
 }
 
-// Promise answers a candidate. Changed says that the memory must be saved.
-func (w *Witness) Promise(nowMs int64, from string, ask protocol.Promise) (answer protocol.Promised, changed bool) {
-	answer = protocol.Promised{Ballot: ask.Ballot, Highest: w.Promised, Record: w.Record, Kept: w.Kept, Blank: w.Blank()}
+// Prepare answers a candidate. Changed says that the memory must be saved.
+func (w *Witness) Prepare(nowMs int64, from string, ask protocol.Prepare) (answer protocol.PrepareReply, changed bool) {
+	answer = protocol.PrepareReply{Ballot: ask.Ballot, Highest: w.Promised, Record: w.Record, Kept: w.Kept, Blank: w.Blank()}
 	// A blank disk votes only in an explicit act of the operator's.
 	if w.Blank() && !(ask.Found && w.Record.Epoch == 0) && !ask.Recover {
 		return answer, false
@@ -88,9 +88,9 @@
 	return answer, changed
 }
 
-// Keep stores a record.
-func (w *Witness) Keep(nowMs int64, ask protocol.Keep) (answer protocol.Kept, changed bool) {
-	answer = protocol.Kept{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
+// Accept stores a record.
+func (w *Witness) Accept(nowMs int64, ask protocol.Accept) (answer protocol.AcceptReply, changed bool) {
+	answer = protocol.AcceptReply{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
 	taken := false
 	for _, seat := range ask.Record.Witnesses {
 		taken = taken || seat == w.self
@@ -102,7 +102,7 @@
 	if ask.Ballot.Less(w.Promised) {
 		return answer, false
 	}
-	before := w.Memory
+	before := w.State
 	w.Promised = ask.Ballot
 	// A higher record shows that this lower one was complete already.
 	if ask.Record.Epoch >= w.Record.Epoch {
@@ -119,15 +119,15 @@
 
 // Renew prolongs the primary's hold. A witness that missed the record takes
 // it from the renewal, since only a complete record is renewed.
-func (w *Witness) Renew(nowMs int64, ask protocol.Renew) (answer protocol.Kept, changed bool) {
-	answer = protocol.Kept{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
+func (w *Witness) Renew(nowMs int64, ask protocol.RenewLease) (answer protocol.AcceptReply, changed bool) {
+	answer = protocol.AcceptReply{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
 	if w.Blank() || ask.Ballot.Less(w.Promised) || ask.Record.Epoch < w.Record.Epoch {
 		return answer, false
 	}
 	// A hold is given only under what is on the disk: after a restart it must
 	// be known whose it may be.
 	if ask.Record.Epoch > w.Record.Epoch || ask.Ballot != w.Kept {
-		return w.Keep(nowMs, protocol.Keep{Ballot: ask.Ballot, Record: ask.Record, EchoMs: ask.EchoMs})
+		return w.Accept(nowMs, protocol.Accept{Ballot: ask.Ballot, Record: ask.Record, EchoMs: ask.EchoMs})
 	}
 	w.grantLease(nowMs, ask.Ballot.Name)
 	answer.Granted = true
@@ -135,7 +135,7 @@
 }
 
 // Release ends the lease on purpose.
-func (w *Witness) Release(from string, ask protocol.Release) {
+func (w *Witness) Release(from string, ask protocol.ReleaseLease) {
 	if ask.Epoch == w.Record.Epoch && ask.Ballot == w.Kept && from == w.holder {
 		w.leaseUntilMs = 0
 		w.holder = ""
--- a/internal/election/witness/witness_test.go
+++ b/internal/election/witness/witness_test.go
@@ -8,13 +8,13 @@
 	"myrtlewinch/internal/protocol"
 )
 
-var seats = []protocol.Seat{{Name: "a", Incarnation: "1"}, {Name: "b", Incarnation: "1"}, {Name: "c", Incarnation: "1"}}
+var seats = []protocol.MemberID{{Name: "a", Incarnation: "1"}, {Name: "b", Incarnation: "1"}, {Name: "c", Incarnation: "1"}}
 
 // leaseMs is the lease of the witnesses here.
 const leaseMs = 1500
 
-func record(epoch uint64, primary string) protocol.Record {
-	return protocol.Record{Epoch: epoch, Primary: primary, Replicas: seats[:2], Witnesses: seats, Before: seats}
+func record(epoch uint64, primary string) protocol.EpochRecord {
+	return protocol.EpochRecord{Epoch: epoch, Primary: primary, Replicas: seats[:2], Witnesses: seats, Before: seats}
 }
 
 func ballot(round uint64, name string) protocol.Ballot {
@@ -32,8 +32,8 @@
 	founded := func(t *testing.T) *Witness {
 		w, err := New(seats[0], "", 0, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
-		w.Promise(0, "a", protocol.Promise{Ballot: ballot(1, "a"), Found: true})
-		w.Keep(0, protocol.Keep{Ballot: ballot(1, "a"), Record: record(1, "a"), Found: true})
+		w.Prepare(0, "a", protocol.Prepare{Ballot: ballot(1, "a"), Found: true})
+		w.Accept(0, protocol.Accept{Ballot: ballot(1, "a"), Record: record(1, "a"), Found: true})
 		return w
 	}
 	blank := func(t *testing.T) *Witness {
@@ -42,29 +42,29 @@
 		return w
 	}
 	restarted := func(t *testing.T) *Witness {
-		w, err := New(seats[0], founded(t).Text(), 10_000, leaseMs)
+		w, err := New(seats[0], founded(t).Encode(), 10_000, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
 		return w
 	}
 	again := func(t *testing.T, w *Witness) *Witness {
-		w, err := New(seats[0], w.Text(), 10_000, leaseMs)
+		w, err := New(seats[0], w.Encode(), 10_000, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
 		return w
 	}
 	promised := func(t *testing.T) *Witness {
 		w := founded(t)
-		w.Promise(5_000, "b", protocol.Promise{Ballot: ballot(2, "b")})
+		w.Prepare(5_000, "b", protocol.Prepare{Ballot: ballot(2, "b")})
 		return again(t, w)
 	}
 	lower := func(t *testing.T) *Witness {
 		w := founded(t)
-		w.Keep(1, protocol.Keep{Ballot: ballot(1, "a"), Record: record(2, "a")})
-		w.Keep(5_000, protocol.Keep{Ballot: ballot(2, "b"), Record: record(1, "a")})
+		w.Accept(1, protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")})
+		w.Accept(5_000, protocol.Accept{Ballot: ballot(2, "b"), Record: record(1, "a")})
 		return again(t, w)
 	}
 	renewed := func(t *testing.T) *Witness {
 		w := founded(t)
-		w.Renew(5_000, protocol.Renew{Ballot: ballot(5, "c"), Record: record(1, "a")})
+		w.Renew(5_000, protocol.RenewLease{Ballot: ballot(5, "c"), Record: record(1, "a")})
 		return again(t, w)
 	}
 	cases := []struct {
@@ -73,60 +73,60 @@
 		steps []step
 	}{
 		{"a blank disk votes only in a founding", blank, []step{
-			{"plain promise", 0, "b", protocol.Promise{Ballot: ballot(1, "b")}, false},
-			{"renewal", 0, "b", protocol.Renew{Ballot: ballot(1, "b"), Record: record(1, "b")}, false},
-			{"founding", 0, "b", protocol.Promise{Ballot: ballot(1, "b"), Found: true}, true},
+			{"plain promise", 0, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
+			{"renewal", 0, "b", protocol.RenewLease{Ballot: ballot(1, "b"), Record: record(1, "b")}, false},
+			{"founding", 0, "b", protocol.Prepare{Ballot: ballot(1, "b"), Found: true}, true},
 		}},
 		{"a blank disk is taken in only by a record that names it", blank, []step{
-			{"not named", 0, "b", protocol.Keep{Ballot: ballot(1, "b"), Record: protocol.Record{Epoch: 3, Witnesses: seats[1:]}}, false},
-			{"named", 0, "b", protocol.Keep{Ballot: ballot(1, "b"), Record: record(3, "b")}, true},
+			{"not named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: protocol.EpochRecord{Epoch: 3, Witnesses: seats[1:]}}, false},
+			{"named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: record(3, "b")}, true},
 		}},
 		{"the hold keeps others out", founded, []step{
-			{"while it runs", 1499, "b", protocol.Promise{Ballot: ballot(2, "b")}, false},
-			{"the holder itself may", 1499, "a", protocol.Promise{Ballot: ballot(2, "a")}, true},
-			{"lower ballot", 1600, "b", protocol.Promise{Ballot: ballot(1, "b")}, false},
-			{"once out", 1600, "b", protocol.Promise{Ballot: ballot(3, "b")}, true},
-			{"the old one renews no more", 1601, "a", protocol.Renew{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
+			{"while it runs", 1499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"the holder itself may", 1499, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
+			{"lower ballot", 1600, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
+			{"once out", 1600, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
+			{"the old one renews no more", 1601, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
 		}},
 		{"a renewal prolongs", founded, []step{
-			{"renew", 1000, "a", protocol.Renew{Ballot: ballot(1, "a"), Record: record(1, "a")}, true},
-			{"still out", 2400, "b", protocol.Promise{Ballot: ballot(2, "b")}, false},
-			{"in at last", 2501, "b", protocol.Promise{Ballot: ballot(2, "b")}, true},
+			{"renew", 1000, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, true},
+			{"still out", 2400, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"in at last", 2501, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
 		}},
 		{"a restarted witness waits a full hold", restarted, []step{
-			{"too early", 11_499, "b", protocol.Promise{Ballot: ballot(2, "b")}, false},
-			{"too early for a third", 11_499, "c", protocol.Promise{Ballot: ballot(2, "c")}, false},
-			{"after", 11_500, "b", protocol.Promise{Ballot: ballot(2, "b")}, true},
+			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"too early for a third", 11_499, "c", protocol.Prepare{Ballot: ballot(2, "c")}, false},
+			{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
 		}},
 		{"the one whose record it kept last need not wait for its own hold", restarted, []step{
-			{"too early for others", 10_001, "b", protocol.Promise{Ballot: ballot(2, "b")}, false},
-			{"the holder", 10_001, "a", protocol.Promise{Ballot: ballot(2, "a")}, true},
-			{"still too early for others", 11_499, "b", protocol.Promise{Ballot: ballot(3, "b")}, false},
+			{"too early for others", 10_001, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"the holder", 10_001, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
+			{"still too early for others", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
 		}},
 		{"one that promised after it kept forgets whose hold runs", promised, []step{
-			{"too early", 11_499, "b", protocol.Promise{Ballot: ballot(3, "b")}, false},
-			{"too early for all", 11_499, "a", protocol.Promise{Ballot: ballot(3, "a")}, false},
-			{"after", 11_500, "b", protocol.Promise{Ballot: ballot(3, "b")}, true},
+			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
+			{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
+			{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
 		}},
 		{"one that completed a lower record for another forgets too", lower, []step{
-			{"too early", 11_499, "b", protocol.Promise{Ballot: ballot(3, "b")}, false},
-			{"too early for all", 11_499, "a", protocol.Promise{Ballot: ballot(3, "a")}, false},
+			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
+			{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
 		}},
 		{"a renewal under another ballot is kept", renewed, []step{
-			{"the holder by renewal", 10_001, "c", protocol.Promise{Ballot: ballot(6, "c")}, true},
-			{"the one before", 10_001, "a", protocol.Promise{Ballot: ballot(7, "a")}, false},
+			{"the holder by renewal", 10_001, "c", protocol.Prepare{Ballot: ballot(6, "c")}, true},
+			{"the one before", 10_001, "a", protocol.Prepare{Ballot: ballot(7, "a")}, false},
 		}},
 		{"a release opens at once", founded, []step{
-			{"by another", 10, "b", protocol.Release{Epoch: 1, Ballot: ballot(1, "a")}, true},
-			{"still held", 11, "b", protocol.Promise{Ballot: ballot(2, "b")}, false},
-			{"a late one of an earlier grant", 11, "a", protocol.Release{Epoch: 1}, true},
-			{"still held too", 11, "b", protocol.Promise{Ballot: ballot(2, "b")}, false},
-			{"by the primary", 12, "a", protocol.Release{Epoch: 1, Ballot: ballot(1, "a")}, true},
-			{"open", 13, "b", protocol.Promise{Ballot: ballot(2, "b")}, true},
+			{"by another", 10, "b", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
+			{"still held", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"a late one of an earlier grant", 11, "a", protocol.ReleaseLease{Epoch: 1}, true},
+			{"still held too", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"by the primary", 12, "a", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
+			{"open", 13, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
 		}},
 		{"a lower epoch does not replace a higher", founded, []step{
-			{"higher", 1, "a", protocol.Keep{Ballot: ballot(1, "a"), Record: record(2, "a")}, true},
-			{"lower renewal", 2, "a", protocol.Renew{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
+			{"higher", 1, "a", protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")}, true},
+			{"lower renewal", 2, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
 		}},
 	}
 	for _, test := range cases {
@@ -135,16 +135,16 @@
 			for _, s := range test.steps {
 				granted := true
 				switch ask := s.ask.(type) {
-				case protocol.Promise:
-					answer, _ := w.Promise(s.nowMs, s.from, ask)
+				case protocol.Prepare:
+					answer, _ := w.Prepare(s.nowMs, s.from, ask)
 					granted = answer.Granted
-				case protocol.Keep:
-					answer, _ := w.Keep(s.nowMs, ask)
+				case protocol.Accept:
+					answer, _ := w.Accept(s.nowMs, ask)
 					granted = answer.Granted
-				case protocol.Renew:
+				case protocol.RenewLease:
 					answer, _ := w.Renew(s.nowMs, ask)
 					granted = answer.Granted
-				case protocol.Release:
+				case protocol.ReleaseLease:
 					w.Release(s.from, ask)
 				}
 				qt.Assert(t, granted, qt.Equals, s.granted, qt.Commentf(s.about))
--- a/internal/failuredetector/roster.go
+++ b/internal/failuredetector/roster.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// BeatMs is how often a daemon beats and a watcher tells.
-	BeatMs = 300
-	// MissMs is how long a silent daemon still counts as live.
-	MissMs = 1500
+	// HeartbeatMs is how often a daemon beats and a watcher tells.
+	HeartbeatMs = 300
+	// TimeoutMs is how long a silent daemon still counts as live.
+	TimeoutMs = 1500
 	// Watchers is how many peers a daemon beats to.
 	Watchers = 3
 
@@ -27,27 +27,27 @@
 )
 
 type peer struct {
-	place  protocol.Place
+	place  protocol.Node
 	seenMs int64
 	seen   bool
 }
 
-// Roster is what one daemon knows of its peers.
-type Roster struct {
-	self    protocol.Place
+// Detector is what one daemon knows of its peers.
+type Detector struct {
+	self    protocol.Node
 	seeds   []string
 	peers   map[string]*peer
 	beatMs  int64
 	helloMs int64
 	// sorted is all places in order of name and sum their sum, worked out when
 	// they are asked for; nil and nought once a place changed.
-	sorted []protocol.Place
+	sorted []protocol.Node
 	sum    uint64
 }
 
 // New makes a roster that knows only seeds and what was remembered.
-func New(self protocol.Place, seeds []string, remembered []protocol.Place) *Roster {
-	r := &Roster{self: self, seeds: seeds, peers: map[string]*peer{}, beatMs: -BeatMs, helloMs: -helloMs}
+func New(self protocol.Node, seeds []string, remembered []protocol.Node) *Detector {
+	r := &Detector{self: self, seeds: seeds, peers: map[string]*peer{}, beatMs: -HeartbeatMs, helloMs: -helloMs}
 	r.Learn(0, remembered)
 	return r
 }
@@ -55,7 +55,7 @@
 // Learn takes places told by others. A place that was heard of lately is
 // believed over one that is only told; a silent one may have moved. False says
 // that some of what was told was not believed, so that it is to be told again.
-func (r *Roster) Learn(nowMs int64, places []protocol.Place) bool {
+func (r *Detector) Learn(nowMs int64, places []protocol.Node) bool {
 	believed := true
 	for _, place := range places {
 		if place.Name == "" || place.Name == r.self.Name {
@@ -68,7 +68,7 @@
 		if known == nil {
 			r.peers[place.Name] = &peer{place: place}
 			r.changed()
-		} else if known.place != place && (!known.seen || nowMs-known.seenMs > MissMs) {
+		} else if known.place != place && (!known.seen || nowMs-known.seenMs > TimeoutMs) {
 			known.place = place
 			r.changed()
 		} else if known.place != place {
@@ -79,7 +79,7 @@
 }
 
 // Heard notes a message that came from the peer itself.
-func (r *Roster) Heard(nowMs int64, place protocol.Place) {
+func (r *Detector) Heard(nowMs int64, place protocol.Node) {
 	if place.Name == "" || place.Name == r.self.Name {
 		return
 	}
@@ -101,11 +101,11 @@
 // makeRoom says whether there is room for a further peer. Of a full roster it
 // forgets the one that was silent for longest: on a site whose machines are
 // replaced day by day, new ones would be ignored otherwise.
-func (r *Roster) makeRoom(nowMs int64) bool {
+func (r *Detector) makeRoom(nowMs int64) bool {
 	if len(r.peers) < most {
 		return true
 	}
-	oldest, oldestMs := "", nowMs-MissMs
+	oldest, oldestMs := "", nowMs-TimeoutMs
 	for name, known := range r.peers {
 		seenMs := known.seenMs
 		if !known.seen {
@@ -126,10 +126,10 @@
 // neverMs stands for the time at which a peer was seen that never was.
 const neverMs = math.MinInt64
 
-func (r *Roster) changed() { r.sorted, r.sum = nil, 0 }
+func (r *Detector) changed() { r.sorted, r.sum = nil, 0 }
 
 // Told takes a watcher's sighting.
-func (r *Roster) Told(nowMs int64, s protocol.Sighting) {
+func (r *Detector) Told(nowMs int64, s protocol.HeartbeatReport) {
 	known := r.peers[s.Place.Name]
 	if known == nil || !known.seen || known.seenMs < nowMs-s.AgoMs {
 		r.Heard(nowMs-s.AgoMs, s.Place)
@@ -137,7 +137,7 @@
 }
 
 // Seen says how long ago the peer was last heard of, if ever.
-func (r *Roster) Seen(nowMs int64, name string) (int64, bool) {
+func (r *Detector) Seen(nowMs int64, name string) (int64, bool) {
 	known := r.peers[name]
 	if known == nil || !known.seen {
 		return 0, false
@@ -146,57 +146,57 @@
 }
 
 // Live says whether the peer was heard of lately.
-func (r *Roster) Live(nowMs int64, name string) bool {
+func (r *Detector) Live(nowMs int64, name string) bool {
 	agoMs, seen := r.Seen(nowMs, name)
-	return seen && agoMs <= MissMs
+	return seen && agoMs <= TimeoutMs
 }
 
 // Place finds a peer, or this daemon itself.
-func (r *Roster) Place(name string) (protocol.Place, bool) {
+func (r *Detector) Place(name string) (protocol.Node, bool) {
 	if name == r.self.Name {
 		return r.self, true
 	}
 	known := r.peers[name]
 	if known == nil {
-		return protocol.Place{}, false
+		return protocol.Node{}, false
 	}
 	return known.place, true
 }
 
 // Places lists all known peers and this daemon, in order of name. The list
 // is shared: whoever asks must not change it.
-func (r *Roster) Places() []protocol.Place {
+func (r *Detector) Places() []protocol.Node {
 	if r.sorted == nil {
-		r.sorted = make([]protocol.Place, 0, len(r.peers)+1)
+		r.sorted = make([]protocol.Node, 0, len(r.peers)+1)
 		r.sorted = append(r.sorted, r.self)
 		for _, known := range r.peers {
 			r.sorted = append(r.sorted, known.place)
 		}
-		slices.SortFunc(r.sorted, func(a, b protocol.Place) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(r.sorted, func(a, b protocol.Node) int { return strings.Compare(a.Name, b.Name) })
 	}
 	return r.sorted
 }
 
 // Sum names the list of all places, so that it need not be told again.
-func (r *Roster) Sum() uint64 {
+func (r *Detector) Sum() uint64 {
 	if r.sum == 0 {
-		r.sum = protocol.SumPlaces(r.Places())
+		r.sum = protocol.SumNodes(r.Places())
 	}
 	return r.sum
 }
 
 // Others lists all peers without this daemon.
-func (r *Roster) Others() []protocol.Place {
-	return r.those(func(p protocol.Place) bool { return true })
+func (r *Detector) Others() []protocol.Node {
+	return r.those(func(p protocol.Node) bool { return true })
 }
 
 // Part lists the peers of a part, without this daemon.
-func (r *Roster) Part(part string) []protocol.Place {
-	return r.those(func(p protocol.Place) bool { return p.Part == part })
+func (r *Detector) Part(part string) []protocol.Node {
+	return r.those(func(p protocol.Node) bool { return p.Part == part })
 }
 
-func (r *Roster) those(are func(protocol.Place) bool) []protocol.Place {
-	var out []protocol.Place
+func (r *Detector) those(are func(protocol.Node) bool) []protocol.Node {
+	var out []protocol.Node
 	for _, place := range r.Places() {
 		if place.Name != r.self.Name && are(place) {
 			out = append(out, place)
@@ -206,11 +206,11 @@
 }
 
 // Watchers lists whom a daemon beats to: its successors on the ring.
-func (r *Roster) Watchers(name string) []protocol.Place {
+func (r *Detector) Watchers(name string) []protocol.Node {
 	places := slices.Clone(r.Places())
-	slices.SortFunc(places, func(a, b protocol.Place) int { return cmp.Compare(spot(a.Name), spot(b.Name)) })
-	var out []protocol.Place
-	start := slices.IndexFunc(places, func(p protocol.Place) bool { return p.Name == name })
+	slices.SortFunc(places, func(a, b protocol.Node) int { return cmp.Compare(spot(a.Name), spot(b.Name)) })
+	var out []protocol.Node
+	start := slices.IndexFunc(places, func(p protocol.Node) bool { return p.Name == name })
 	if start < 0 {
 		return nil
 	}
@@ -227,15 +227,15 @@
 }
 
 // Tick gives the messages that are due. Primary is whom to tell, if known.
-func (r *Roster) Tick(nowMs int64, epoch uint64, primary string, serving bool) []protocol.Send {
+func (r *Detector) Tick(nowMs int64, epoch uint64, primary string, serving bool) []protocol.Send {
 	var sends []protocol.Send
-	if nowMs-r.beatMs >= BeatMs {
+	if nowMs-r.beatMs >= HeartbeatMs {
 		r.beatMs = nowMs
 		for _, place := range r.Watchers(r.self.Name) {
 			sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.Heartbeat{Epoch: epoch, Serving: serving}})
 		}
 		if to, ok := r.Place(primary); ok && primary != r.self.Name {
-			sends = append(sends, protocol.Send{To: to.Name, Address: to.Address, Body: protocol.Sightings{Seen: r.sightings(nowMs)}})
+			sends = append(sends, protocol.Send{To: to.Name, Address: to.Address, Body: protocol.HeartbeatReports{Seen: r.sightings(nowMs)}})
 		}
 	}
 	if nowMs-r.helloMs >= helloMs && !r.Live(nowMs, primary) && primary != r.self.Name {
@@ -245,11 +245,11 @@
 	return sends
 }
 
-func (r *Roster) sightings(nowMs int64) []protocol.Sighting {
-	var seen []protocol.Sighting
+func (r *Detector) sightings(nowMs int64) []protocol.HeartbeatReport {
+	var seen []protocol.HeartbeatReport
 	for _, place := range r.Places() {
 		if r.Live(nowMs, place.Name) {
-			seen = append(seen, protocol.Sighting{Place: place, AgoMs: nowMs - r.peers[place.Name].seenMs})
+			seen = append(seen, protocol.HeartbeatReport{Place: place, AgoMs: nowMs - r.peers[place.Name].seenMs})
 		}
 	}
 	return seen
@@ -257,23 +257,23 @@
 
 // hellos goes to all seeds and, since seeds may be gone, to one remembered
 // peer after the other.
-func (r *Roster) hellos(nowMs int64) []protocol.Send {
+func (r *Detector) hellos(nowMs int64) []protocol.Send {
 	var sends []protocol.Send
 	for _, seed := range r.seeds {
 		if seed != r.self.Address {
-			sends = append(sends, protocol.Send{Address: seed, Body: protocol.Hello{}})
+			sends = append(sends, protocol.Send{Address: seed, Body: protocol.PeersRequest{}})
 		}
 	}
 	places := r.Others()
 	if len(places) > 0 {
 		place := places[int(nowMs/helloMs)%len(places)]
-		sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.Hello{}})
+		sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.PeersRequest{}})
 	}
 	return sends
 }
 
 // At finds a peer that was heard of itself, or this daemon, by address.
-func (r *Roster) At(address string) (protocol.Place, bool) {
+func (r *Detector) At(address string) (protocol.Node, bool) {
 	if address == r.self.Address {
 		return r.self, true
 	}
@@ -282,8 +282,8 @@
 			return known.place, true
 		}
 	}
-	return protocol.Place{}, false
+	return protocol.Node{}, false
 }
 
 // Reseed replaces the seeds; peers that are known stay known.
-func (r *Roster) Reseed(seeds []string) { r.seeds = seeds }
+func (r *Detector) Reseed(seeds []string) { r.seeds = seeds }
--- a/internal/failuredetector/roster_test.go
+++ b/internal/failuredetector/roster_test.go
@@ -9,38 +9,38 @@
 	"myrtlewinch/internal/protocol"
 )
 
-func place(name, address string) protocol.Place {
-	return protocol.Place{Name: name, Address: address, Part: protocol.Router, Incarnation: address}
+func place(name, address string) protocol.Node {
+	return protocol.Node{Name: name, Address: address, Part: protocol.Router, Incarnation: address}
 }
 
 // A place heard of lately is believed over one that is only told.
 func TestLearn(t *testing.T) {
 	cases := []struct {
 		about string
-		do    func(r *Roster)
+		do    func(r *Detector)
 		at    string
 	}{
-		{"told", func(r *Roster) { r.Learn(1000, []protocol.Place{place("b", "old")}) }, "old"},
-		{"told anew", func(r *Roster) {
-			r.Learn(1000, []protocol.Place{place("b", "old")})
-			r.Learn(1001, []protocol.Place{place("b", "new")})
+		{"told", func(r *Detector) { r.Learn(1000, []protocol.Node{place("b", "old")}) }, "old"},
+		{"told anew", func(r *Detector) {
+			r.Learn(1000, []protocol.Node{place("b", "old")})
+			r.Learn(1001, []protocol.Node{place("b", "new")})
 		}, "new"},
-		{"heard, then told otherwise", func(r *Roster) {
+		{"heard, then told otherwise", func(r *Detector) {
 			r.Heard(1000, place("b", "heard"))
-			r.Learn(1000+MissMs, []protocol.Place{place("b", "told")})
+			r.Learn(1000+TimeoutMs, []protocol.Node{place("b", "told")})
 		}, "heard"},
-		{"heard, silent, then told otherwise", func(r *Roster) {
+		{"heard, silent, then told otherwise", func(r *Detector) {
 			r.Heard(1000, place("b", "heard"))
-			r.Learn(1001+MissMs, []protocol.Place{place("b", "told")})
+			r.Learn(1001+TimeoutMs, []protocol.Node{place("b", "told")})
 		}, "told"},
-		{"moved", func(r *Roster) { r.Heard(1000, place("b", "heard")); r.Heard(1001, place("b", "moved")) }, "moved"},
-		{"a sighting older than what was heard", func(r *Roster) {
+		{"moved", func(r *Detector) { r.Heard(1000, place("b", "heard")); r.Heard(1001, place("b", "moved")) }, "moved"},
+		{"a sighting older than what was heard", func(r *Detector) {
 			r.Heard(1000, place("b", "heard"))
-			r.Told(1100, protocol.Sighting{Place: place("b", "seen"), AgoMs: 200})
+			r.Told(1100, protocol.HeartbeatReport{Place: place("b", "seen"), AgoMs: 200})
 		}, "heard"},
-		{"a later sighting", func(r *Roster) {
+		{"a later sighting", func(r *Detector) {
 			r.Heard(1000, place("b", "heard"))
-			r.Told(1100, protocol.Sighting{Place: place("b", "seen"), AgoMs: 50})
+			r.Told(1100, protocol.HeartbeatReport{Place: place("b", "seen"), AgoMs: 50})
 		}, "seen"},
 	}
 	for _, test := range cases {
@@ -56,7 +56,7 @@
 
 // Each daemon has a few watchers, none of them itself, and all agree on them.
 func TestWatchers(t *testing.T) {
-	var all []protocol.Place
+	var all []protocol.Node
 	for i := range 9 {
 		all = append(all, place(fmt.Sprintf("d-%d", i), fmt.Sprint(i)))
 	}
@@ -82,11 +82,11 @@
 // A daemon that hears the primary asks nobody; one that does not asks its
 // seeds and one remembered peer after the other.
 func TestHellos(t *testing.T) {
-	r := New(place("a", "here"), []string{"seed", "here"}, []protocol.Place{place("b", "b"), place("c", "c")})
+	r := New(place("a", "here"), []string{"seed", "here"}, []protocol.Node{place("b", "b"), place("c", "c")})
 	asked := map[string]bool{}
 	for nowMs := int64(10_000); nowMs < 14_000; nowMs += 50 {
 		for _, send := range r.Tick(nowMs, 1, "p", false) {
-			if _, ok := send.Body.(protocol.Hello); ok {
+			if _, ok := send.Body.(protocol.PeersRequest); ok {
 				asked[send.Address] = true
 			}
 		}
@@ -95,7 +95,7 @@
 	for nowMs := int64(14_000); nowMs < 18_000; nowMs += 50 {
 		r.Heard(nowMs, place("p", "p"))
 		for _, send := range r.Tick(nowMs, 1, "p", false) {
-			_, ok := send.Body.(protocol.Hello)
+			_, ok := send.Body.(protocol.PeersRequest)
 			qt.Assert(t, ok, qt.IsFalse)
 		}
 	}
@@ -105,16 +105,16 @@
 func TestSum(t *testing.T) {
 	cases := []struct {
 		about   string
-		do      func(r *Roster) bool
+		do      func(r *Detector) bool
 		changes bool
 		took    bool
 	}{
-		{"told the same", func(r *Roster) bool { return r.Learn(2000, []protocol.Place{place("b", "1")}) }, false, true},
-		{"heard again", func(r *Roster) bool { r.Heard(2000, place("b", "1")); return true }, false, true},
-		{"told of another", func(r *Roster) bool { return r.Learn(2000, []protocol.Place{place("c", "1")}) }, true, true},
-		{"heard to have moved", func(r *Roster) bool { r.Heard(2000, place("b", "2")); return true }, true, true},
-		{"told otherwise of one that lives", func(r *Roster) bool { return r.Learn(2000, []protocol.Place{place("b", "2")}) }, false, false},
-		{"told otherwise of a silent one", func(r *Roster) bool { return r.Learn(9000, []protocol.Place{place("b", "2")}) }, true, true},
+		{"told the same", func(r *Detector) bool { return r.Learn(2000, []protocol.Node{place("b", "1")}) }, false, true},
+		{"heard again", func(r *Detector) bool { r.Heard(2000, place("b", "1")); return true }, false, true},
+		{"told of another", func(r *Detector) bool { return r.Learn(2000, []protocol.Node{place("c", "1")}) }, true, true},
+		{"heard to have moved", func(r *Detector) bool { r.Heard(2000, place("b", "2")); return true }, true, true},
+		{"told otherwise of one that lives", func(r *Detector) bool { return r.Learn(2000, []protocol.Node{place("b", "2")}) }, false, false},
+		{"told otherwise of a silent one", func(r *Detector) bool { return r.Learn(9000, []protocol.Node{place("b", "2")}) }, true, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -125,7 +125,7 @@
 			qt.Assert(t, test.do(r), qt.Equals, test.took)
 			qt.Assert(t, r.Sum() != before, qt.Equals, test.changes)
 			// What was given out before stays as it was.
-			qt.Assert(t, places, qt.DeepEquals, []protocol.Place{place("a", "here"), place("b", "1")})
+			qt.Assert(t, places, qt.DeepEquals, []protocol.Node{place("a", "here"), place("b", "1")})
 		})
 	}
 }
@@ -141,19 +141,19 @@
 
 // Machines that were replaced make room for new ones; those that are there stay.
 func TestAFullRosterForgetsTheSilent(t *testing.T) {
-	place := func(i int) protocol.Place {
-		return protocol.Place{Name: fmt.Sprintf("edge-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Part: protocol.Router}
+	place := func(i int) protocol.Node {
+		return protocol.Node{Name: fmt.Sprintf("edge-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Part: protocol.Router}
 	}
 	cases := []struct {
 		about string
-		add   func(r *Roster, nowMs int64, p protocol.Place)
+		add   func(r *Detector, nowMs int64, p protocol.Node)
 	}{
-		{"heard", func(r *Roster, nowMs int64, p protocol.Place) { r.Heard(nowMs, p) }},
-		{"told", func(r *Roster, nowMs int64, p protocol.Place) { r.Learn(nowMs, []protocol.Place{p}) }},
+		{"heard", func(r *Detector, nowMs int64, p protocol.Node) { r.Heard(nowMs, p) }},
+		{"told", func(r *Detector, nowMs int64, p protocol.Node) { r.Learn(nowMs, []protocol.Node{p}) }},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			r := New(protocol.Place{Name: "core-1"}, nil, nil)
+			r := New(protocol.Node{Name: "core-1"}, nil, nil)
 			nowMs := int64(1000)
 			for i := range 3 * most {
 				nowMs += 10
--- a/internal/native/choice/table.go
+++ b/internal/native/choice/table.go
@@ -35,7 +35,7 @@
 func (t *Table) Forget() { t.lines = nil }
 
 // Look gives the line for a key.
-func (t *Table) Look(key Key, d *description.Description, s *ledger.State, soft protocol.Soft) Line {
+func (t *Table) Look(key Key, d *description.Description, s *ledger.State, soft protocol.Hints) Line {
 	if t.lines == nil || t.at != s.Position {
 		t.lines, t.at = map[Key]Line{}, s.Position
 	}
@@ -47,7 +47,7 @@
 	return line
 }
 
-func compile(key Key, d *description.Description, s *ledger.State, soft protocol.Soft) Line {
+func compile(key Key, d *description.Description, s *ledger.State, soft protocol.Hints) Line {
 	var line Line
 	if d == nil {
 		return line
--- a/internal/native/ledger/command.go
+++ b/internal/native/ledger/command.go
@@ -48,7 +48,7 @@
 // Arrive notes a runner's incarnation. A new one begins with only what it
 // says itself that it holds; nothing known of the one before counts.
 type Arrive struct {
-	Report  protocol.Report
+	Report  protocol.RunnerReport
 	Address string
 }
 
@@ -69,7 +69,7 @@
 
 // Correct takes what a runner says that it holds, while no order is open, as
 // what it holds: it may have dropped something by itself.
-type Correct struct{ Report protocol.Report }
+type Correct struct{ Report protocol.RunnerReport }
 
 // Apply replaces what the row holds.
 func (c Correct) Apply(s *State) {
@@ -85,7 +85,7 @@
 }
 
 // MarkLeaving notes that an incarnation is leaving, for good.
-type MarkLeaving struct{ Mark protocol.Mark }
+type MarkLeaving struct{ Mark protocol.LeavingRunner }
 
 // Apply adds the mark.
 func (c MarkLeaving) Apply(s *State) {
--- a/internal/native/ledger/ledger.go
+++ b/internal/native/ledger/ledger.go
@@ -80,7 +80,7 @@
 }
 
 // Agrees says whether the row holds just what the report says.
-func (r *Row) Agrees(report protocol.Report) bool {
+func (r *Row) Agrees(report protocol.RunnerReport) bool {
 	for _, h := range report.Held {
 		if r.Held[Item{h.Model, h.Adapter}.String()].Size != h.Size {
 			return false
@@ -118,7 +118,7 @@
 	Orders   uint64
 	Rows     map[string]*Row
 	// Marks are the leaving incarnations; they only grow.
-	Marks map[protocol.Mark]bool
+	Marks map[protocol.LeavingRunner]bool
 	// Kept are plain rows that a controller's tenant keeps.
 	Kept  map[string]string
 	dirty map[string]bool
@@ -126,7 +126,7 @@
 
 // New makes an empty state.
 func New() *State {
-	return &State{Rows: map[string]*Row{}, Marks: map[protocol.Mark]bool{}, Kept: map[string]string{}, dirty: map[string]bool{}}
+	return &State{Rows: map[string]*Row{}, Marks: map[protocol.LeavingRunner]bool{}, Kept: map[string]string{}, dirty: map[string]bool{}}
 }
 
 // Command changes the state at the primary.
@@ -189,7 +189,9 @@
 
 const keptKey = "kept/"
 
-func markKey(mark protocol.Mark) string { return "mark/" + mark.Runner + "/" + mark.Incarnation }
+func markKey(mark protocol.LeavingRunner) string {
+	return "mark/" + mark.Runner + "/" + mark.Incarnation
+}
 
 // Take brings rows into the state, as a follower or after a restart does.
 func (s *State) Take(rows map[string]string) error {
@@ -223,7 +225,7 @@
 		return json.Unmarshal([]byte(text), row)
 	case strings.HasPrefix(key, "mark/"):
 		runner, incarnation, _ := strings.Cut(strings.TrimPrefix(key, "mark/"), "/")
-		s.Marks[protocol.Mark{Runner: runner, Incarnation: incarnation}] = true
+		s.Marks[protocol.LeavingRunner{Runner: runner, Incarnation: incarnation}] = true
 		return nil
 	case strings.HasPrefix(key, keptKey):
 		s.keep(strings.TrimPrefix(key, keptKey), text)
@@ -234,5 +236,5 @@
 
 // Leaving says whether the runner's present incarnation is marked.
 func (s *State) Leaving(row *Row) bool {
-	return row.Leaving || s.Marks[protocol.Mark{Runner: row.Runner, Incarnation: row.Incarnation}]
+	return row.Leaving || s.Marks[protocol.LeavingRunner{Runner: row.Runner, Incarnation: row.Incarnation}]
 }
--- a/internal/native/router/cache.go
+++ b/internal/native/router/cache.go
@@ -32,7 +32,7 @@
 }
 
 // indexed takes an answer of the index, or its word of a change.
-func (m *Machine) indexed(said protocol.Index) {
+func (m *Machine) indexed(said protocol.LookUpReply) {
 	delete(m.silent, said.ID)
 	m.cutSinceMs = 0
 	parts := strings.SplitN(said.Key, "/", 3)
@@ -84,7 +84,7 @@
 }
 
 // evict takes a runner that said that it does not hold the item out of the line.
-func (m *Machine) evict(key choice.Key, mark protocol.Mark) {
+func (m *Machine) evict(key choice.Key, mark protocol.LeavingRunner) {
 	if e := m.cache[key]; e != nil {
 		e.holders = slices.DeleteFunc(e.holders, func(h protocol.Holder) bool {
 			return h.Runner == mark.Runner && h.Incarnation == mark.Incarnation
--- a/internal/native/router/gate.go
+++ b/internal/native/router/gate.go
@@ -44,7 +44,7 @@
 	shell   *process.Shell
 	machine *Machine
 	set     settings.Settings
-	self    protocol.Place
+	self    protocol.Node
 	under   atomic.Int64
 	names   atomic.Uint64
 	// lastMs is when the last request came.
@@ -58,7 +58,7 @@
 		return nil, err
 	}
 	clock := process.NewClock()
-	self := protocol.Place{
+	self := protocol.Node{
 		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.Router, Incarnation: hex.EncodeToString(token),
 	}
 	machine := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, clock.NowMs())
@@ -68,7 +68,7 @@
 }
 
 // Join adds the router's duties to a crew.
-func (g *Gate) Join(c *threads.Crew) { g.shell.Join(c) }
+func (g *Gate) Join(c *threads.Group) { g.shell.Join(c) }
 
 // Halt makes the router stand still until it is released.
 func (g *Gate) Halt() (release func()) { return g.shell.Halt() }
@@ -184,7 +184,7 @@
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
-			case protocol.Dropped:
+			case protocol.Rejection:
 				errkind.Answer{Kind: said.Kind, Detail: said.Detail, Request: name, RetryMs: said.RetryMs}.Write(w)
 				return
 			case Go:
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -47,7 +47,7 @@
 // Settings is what a router knows before it knows anyone.
 type Settings struct {
 	Site     string
-	Self     protocol.Place
+	Self     protocol.Node
 	Seeds    []string
 	Platform string
 }
@@ -57,7 +57,7 @@
 	set    Settings
 	nowMs  int64
 	out    protocol.Effects
-	roster *failuredetector.Roster
+	roster *failuredetector.Detector
 
 	// The revision in force as far as this router knows.
 	revision uint64
@@ -82,7 +82,7 @@
 	platformMs   int64
 	reading      bool
 	readMs       int64
-	marks        map[protocol.Mark]bool
+	marks        map[protocol.LeavingRunner]bool
 	// leavers are the runners whose present incarnation is leaving by the
 	// latest word. A cached entry may still name the incarnation before, and
 	// a request to that would reach the leaver as well.
@@ -122,7 +122,7 @@
 		set: set, nowMs: nowMs, roster: failuredetector.New(set.Self, set.Seeds, nil),
 		askedMs: nowMs - askMs, leaveWordMs: nowMs - leaveMs - 1, echoMs: nowMs - 1, revUntilMs: nowMs,
 		givenUntilMs: nowMs + wordHoldMs, prolonged: map[string]int64{},
-		marks: map[protocol.Mark]bool{}, cache: map[choice.Key]*entry{}, requests: map[uint64]*request{},
+		marks: map[protocol.LeavingRunner]bool{}, cache: map[choice.Key]*entry{}, requests: map[uint64]*request{},
 		holding: map[string]int{}, budgets: map[string]*budget{}, taken: newTakenIDs(),
 		busy: map[string]int64{}, suspect: map[string]int64{}, silent: map[uint64]int64{},
 		Tally: Tally{Drops: map[errkind.Kind]uint64{}},
@@ -161,7 +161,7 @@
 			}
 			m.forget(r)
 		}
-	case protocol.Listing:
+	case protocol.RunnerListResult:
 		m.listing(in)
 	case Leave:
 		m.leaving = true
@@ -188,7 +188,7 @@
 	// The platform is read here only while the primary gives no word.
 	if m.set.Platform != "" && m.nowMs-m.leaveWordMs > ownReadMs && m.nowMs-m.platformMs >= platformMs && !m.reading {
 		m.platformMs, m.readMs, m.reading = m.nowMs, m.nowMs, true
-		m.out.Calls = append(m.out.Calls, protocol.Call{Address: m.set.Platform, Body: protocol.PlatformCall{}})
+		m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: m.set.Platform, Body: protocol.PlatformCall{}})
 	}
 	m.prolong()
 	m.turnTarget()
@@ -198,7 +198,7 @@
 func (m *Machine) ask() {
 	m.askedMs = m.nowMs
 	if place, ok := m.roster.Place(m.primary); ok && m.primary != "" {
-		m.send(place, protocol.Ask{EchoMs: m.nowMs, Revision: m.revision, Held: m.heldSum, GivenMs: max(0, m.givenUntilMs-m.nowMs), Waiting: m.waitingKeys(), Number: m.number})
+		m.send(place, protocol.RouterPoll{EchoMs: m.nowMs, Revision: m.revision, Held: m.heldSum, GivenMs: max(0, m.givenUntilMs-m.nowMs), Waiting: m.waitingKeys(), Number: m.number})
 	}
 }
 
@@ -234,29 +234,29 @@
 		if body.Serving && body.Epoch == m.epoch {
 			m.servedMs = m.nowMs
 		}
-	case protocol.Hello:
-		m.send(e.From, protocol.Known{Peers: m.roster.Places(), Record: protocol.Record{Epoch: m.epoch, Primary: m.primary}})
-	case protocol.Known:
+	case protocol.PeersRequest:
+		m.send(e.From, protocol.PeersReply{Peers: m.roster.Places(), Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary}})
+	case protocol.PeersReply:
 		m.roster.Learn(m.nowMs, body.Peers)
 		m.heed(body.Record.Epoch, body.Record.Primary)
-	case protocol.Opinion:
+	case protocol.PrimaryQuery:
 		if body.Epoch == m.epoch {
-			m.send(e.From, protocol.Opined{Epoch: body.Epoch, HeardMs: m.nowMs - max(m.servedMs, m.echoMs)})
+			m.send(e.From, protocol.PrimaryReply{Epoch: body.Epoch, HeardMs: m.nowMs - max(m.servedMs, m.echoMs)})
 		}
-	case protocol.Nudge:
+	case protocol.PollRequest:
 		if body.Epoch < m.epoch {
 			m.count(errkind.LowerEpoch)
 			return
 		}
 		m.heed(body.Epoch, e.From.Name)
 		m.ask()
-	case protocol.Word:
+	case protocol.RouterUpdate:
 		m.word(e.From, body)
-	case protocol.Prolong:
+	case protocol.ExtendLease:
 		m.giveProlong(e.From, body)
-	case protocol.Prolonged:
+	case protocol.ExtendLeaseReply:
 		m.takeProlonged(e.From, body)
-	case protocol.Index:
+	case protocol.LookUpReply:
 		m.indexed(body)
 	default:
 		m.count(errkind.Malformed)
@@ -272,7 +272,7 @@
 }
 
 // word takes the primary's answer to a question of this very process.
-func (m *Machine) word(from protocol.Place, w protocol.Word) {
+func (m *Machine) word(from protocol.Node, w protocol.RouterUpdate) {
 	if w.Epoch < m.epoch {
 		m.count(errkind.LowerEpoch)
 		return
@@ -344,7 +344,7 @@
 	return d
 }
 
-func (m *Machine) mark(leaving []protocol.Mark) {
+func (m *Machine) mark(leaving []protocol.LeavingRunner) {
 	m.leavers = map[string]bool{}
 	for _, mark := range leaving {
 		m.marks[mark] = true
@@ -352,15 +352,15 @@
 	}
 }
 
-func (m *Machine) listing(in protocol.Listing) {
+func (m *Machine) listing(in protocol.RunnerListResult) {
 	m.reading = false
 	if !in.Ok {
 		return
 	}
-	var leaving []protocol.Mark
+	var leaving []protocol.LeavingRunner
 	for _, l := range in.Runners {
 		if l.Leaving {
-			leaving = append(leaving, protocol.Mark{Runner: l.Name, Incarnation: l.Incarnation})
+			leaving = append(leaving, protocol.LeavingRunner{Runner: l.Name, Incarnation: l.Incarnation})
 		}
 	}
 	m.mark(leaving)
@@ -384,7 +384,7 @@
 
 func (m *Machine) usable() bool { return m.nowMs < m.usableUntil() }
 
-func (m *Machine) send(to protocol.Place, body any) {
+func (m *Machine) send(to protocol.Node, body any) {
 	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
@@ -393,7 +393,7 @@
 }
 
 func (m *Machine) note(format string, args ...any) {
-	m.out.Notes = append(m.out.Notes, fmt.Sprintf(format, args...))
+	m.out.LogLines = append(m.out.LogLines, fmt.Sprintf(format, args...))
 }
 
 func (m *Machine) count(kind errkind.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -20,15 +20,15 @@
 	ids   uint64
 }
 
-var core = protocol.Place{Name: "core-1", Address: "c1", Part: protocol.Controller}
+var core = protocol.Node{Name: "core-1", Address: "c1", Part: protocol.Controller}
 
 func newBench(c *qt.C) *bench {
 	text, err := os.ReadFile("../../../examples/zagreb.json")
 	c.Assert(err, qt.IsNil)
 	b := &bench{c: c, nowMs: 10_000}
-	b.m = New(Settings{Site: "zagreb", Self: protocol.Place{Name: "edge-1", Incarnation: "i", Zone: "trnje"}, Platform: "p"}, b.nowMs)
-	b.take(protocol.Nudge{Epoch: 1})
-	b.word(protocol.Word{Revision: 1, Text: string(text), Sum: "one"})
+	b.m = New(Settings{Site: "zagreb", Self: protocol.Node{Name: "edge-1", Incarnation: "i", Zone: "trnje"}, Platform: "p"}, b.nowMs)
+	b.take(protocol.PollRequest{Epoch: 1})
+	b.word(protocol.RouterUpdate{Revision: 1, Text: string(text), Sum: "one"})
 	return b
 }
 
@@ -42,7 +42,7 @@
 }
 
 // word answers the latest question with the primary's word, renewed.
-func (b *bench) word(w protocol.Word) {
+func (b *bench) word(w protocol.RouterUpdate) {
 	b.nowMs++
 	b.m.ask()
 	b.nowMs++
@@ -59,7 +59,7 @@
 }
 
 func (b *bench) index(key string, number uint64, runners ...string) protocol.Effects {
-	index := protocol.Index{ID: b.m.asks, Key: key, At: protocol.Position{Epoch: 1, Number: number}}
+	index := protocol.LookUpReply{ID: b.m.asks, Key: key, At: protocol.Position{Epoch: 1, Number: number}}
 	for _, name := range runners {
 		index.Holders = append(index.Holders, protocol.Holder{Runner: name, Incarnation: name + "-1", Address: name})
 	}
@@ -89,7 +89,7 @@
 
 func (b *bench) kind() errkind.Kind {
 	for _, answer := range b.out.Answers {
-		if said, ok := answer.Body.(protocol.Dropped); ok {
+		if said, ok := answer.Body.(protocol.Rejection); ok {
 			return said.Kind
 		}
 	}
@@ -115,15 +115,15 @@
 	b.ask("move", "", "c")
 	c.Assert(b.goes(), qt.DeepEquals, []string{"table-2"})
 	// Past its bound an entry is a miss.
-	b.word(protocol.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 	b.nowMs += entryMs + 1
-	b.word(protocol.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 	b.ask("move", "", "d")
 	c.Assert(b.goes(), qt.HasLen, 0)
 	c.Assert(b.m.Tally.Hits, qt.Equals, uint64(2))
 	c.Assert(b.m.Tally.LookUps, qt.Equals, b.m.Tally.Requests)
 	c.Assert(len(b.m.cache), qt.Equals, 1, qt.Commentf("only what was named is kept"))
-	b.take(protocol.Index{Key: "narration/narrator-1/", Holders: []protocol.Holder{{Runner: "language-1"}}})
+	b.take(protocol.LookUpReply{Key: "narration/narrator-1/", Holders: []protocol.Holder{{Runner: "language-1"}}})
 	c.Assert(len(b.m.cache), qt.Equals, 1)
 }
 
@@ -270,44 +270,44 @@
 			b.nowMs += leaveMs
 			b.step(protocol.Tick{})
 			b.nowMs++
-			b.step(protocol.Listing{Ok: true})
+			b.step(protocol.RunnerListResult{Ok: true})
 		}, true, 1},
 		{"acknowledged and still pending", func(b *bench) {
-			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
 			b.nowMs += pendingMs - 2
 			b.m.leaveWordMs = b.nowMs
 		}, true, 1},
 		{"acknowledged and no word since", func(b *bench) {
-			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
 			b.nowMs += pendingMs + 1
 			b.m.leaveWordMs = b.nowMs
 		}, false, 1},
 		{"accepted", func(b *bench) {
-			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(protocol.Word{Revision: 2, Sum: "two"})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.RouterUpdate{Revision: 2, Sum: "two"})
 		}, true, 2},
 		{"another text was accepted", func(b *bench) {
-			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(protocol.Word{Revision: 2, Sum: "three"})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.RouterUpdate{Revision: 2, Sum: "three"})
 		}, true, 1},
 		{"given up by the next primary", func(b *bench) {
-			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(protocol.Word{Epoch: 2, Revision: 1, Sum: "one"})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.RouterUpdate{Epoch: 2, Revision: 1, Sum: "one"})
 			b.nowMs += pendingMs + 1
 			b.m.leaveWordMs = b.nowMs
 		}, true, 1},
 		{"an older word", func(b *bench) {
-			b.word(protocol.Word{Revision: 2, Sum: "two", Text: next})
-			b.word(protocol.Word{Revision: 1, Sum: "one"})
+			b.word(protocol.RouterUpdate{Revision: 2, Sum: "two", Text: next})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 		}, true, 2},
 		{"a lower epoch", func(b *bench) {
-			b.word(protocol.Word{Epoch: 3, Revision: 1, Sum: "one"})
-			b.word(protocol.Word{Epoch: 2, Revision: 2, Sum: "two", Text: next})
+			b.word(protocol.RouterUpdate{Epoch: 3, Revision: 1, Sum: "one"})
+			b.word(protocol.RouterUpdate{Epoch: 2, Revision: 2, Sum: "two", Text: next})
 		}, true, 1},
 		{"a runner knows a higher one", func(b *bench) { b.m.higher = 2 }, false, 1},
 		{"a word for the process before", func(b *bench) {
 			b.nowMs += wordHoldMs + 1
-			b.take(protocol.Word{EchoMs: b.nowMs, For: "old", Epoch: 1, Revision: 1, Renew: true})
+			b.take(protocol.RouterUpdate{EchoMs: b.nowMs, For: "old", Epoch: 1, Revision: 1, Renew: true})
 		}, false, 1},
 	}
 	for _, test := range cases {
@@ -332,11 +332,11 @@
 	to := b.out.Answers[0].Body.(Go)
 	c.Assert(b.m.MaySend(b.nowMs, to), qt.IsTrue)
 	c.Assert(b.m.MaySend(b.nowMs+leaveMs, to), qt.IsFalse, qt.Commentf("a frozen router wakes with an old word"))
-	b.word(protocol.Word{Revision: 1, Sum: "one", Leaving: []protocol.Mark{{Runner: "table-1", Incarnation: "table-1-1"}}})
+	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Leaving: []protocol.LeavingRunner{{Runner: "table-1", Incarnation: "table-1-1"}}})
 	b.ask("move", "", "b")
 	c.Assert(b.goes(), qt.HasLen, 0)
 	// Marks only grow: a later word without it changes nothing.
-	b.word(protocol.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 	b.ask("move", "", "c")
 	c.Assert(b.goes(), qt.HasLen, 0)
 }
@@ -348,10 +348,10 @@
 	b := newBench(c)
 	b.ask("move", "", "a")
 	b.index(moves, 1, "table-1")
-	b.word(protocol.Word{Revision: 1, Sum: "one", Leaving: []protocol.Mark{{Runner: "table-1", Incarnation: "table-1-2"}}})
+	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Leaving: []protocol.LeavingRunner{{Runner: "table-1", Incarnation: "table-1-2"}}})
 	b.ask("move", "", "b")
 	c.Assert(b.goes(), qt.HasLen, 0)
-	b.word(protocol.Word{Revision: 1, Sum: "one"})
+	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 	c.Assert(b.goes(), qt.DeepEquals, []string{"table-1"}, qt.Commentf("it was replaced and is no leaver any more"))
 }
 
@@ -362,7 +362,7 @@
 		kind  errkind.Kind
 	}{
 		{"no description", func(b *bench) {
-			b.m = New(Settings{Site: "zagreb", Self: protocol.Place{Name: "e", Incarnation: "i"}}, b.nowMs)
+			b.m = New(Settings{Site: "zagreb", Self: protocol.Node{Name: "e", Incarnation: "i"}}, b.nowMs)
 			b.ask("move", "", "a")
 		}, errkind.NoWord},
 		{"unknown service", func(b *bench) { b.ask("tea", "", "a") }, errkind.UnknownService},
@@ -444,13 +444,13 @@
 		t.Run(test.about, func(t *testing.T) {
 			b := newBench(qt.New(t))
 			b.ask("narration", "narrator-7", "q")
-			b.take(protocol.Index{ID: b.m.asks, Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: test.turnMs})
+			b.take(protocol.LookUpReply{ID: b.m.asks, Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: test.turnMs})
 			if test.kind == "" {
 				b.c.Assert(b.out.Answers, qt.HasLen, 0)
-				b.take(protocol.Index{Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: 90_000})
+				b.take(protocol.LookUpReply{Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: 90_000})
 			}
 			b.c.Assert(b.kind(), qt.Equals, errkind.NoTurn)
-			said := b.out.Answers[0].Body.(protocol.Dropped)
+			said := b.out.Answers[0].Body.(protocol.Rejection)
 			b.c.Assert(said.RetryMs > 50_000, qt.IsTrue)
 			// It has not run, so the same id may come back at its turn.
 			b.index("narration/narrator-7/", 2, "language-1")
--- a/internal/native/router/policy.go
+++ b/internal/native/router/policy.go
@@ -163,7 +163,7 @@
 	r.service = service
 	best, bestCost := -1, int64(0)
 	for i, h := range e.holders {
-		mark := protocol.Mark{Runner: h.Runner, Incarnation: h.Incarnation}
+		mark := protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}
 		runner, listed := m.described.Runner(h.Runner)
 		if !listed || !service.Uses(runner.Pool) || m.marks[mark] || m.leavers[h.Runner] || r.tried[mark] {
 			continue
@@ -226,7 +226,7 @@
 		m.unhold(r)
 		m.busy[h.Runner]++
 		m.Tally.Goes++
-		r.tried[protocol.Mark{Runner: h.Runner, Incarnation: h.Incarnation}] = true
+		r.tried[protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}] = true
 		m.answer(r.ID, Go{
 			Name: r.Name, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
 			Runner: h.Runner, Address: h.Address, Incarnation: h.Incarnation, Revision: m.revision,
--- a/internal/native/router/prolong.go
+++ b/internal/native/router/prolong.go
@@ -33,7 +33,7 @@
 	m.prolongMs = m.nowMs
 	for _, member := range m.described.Routers {
 		if place, ok := m.roster.Place(member.Name); ok && member.Name != m.set.Self.Name {
-			m.send(place, protocol.Prolong{EchoMs: m.nowMs, Revision: m.revision})
+			m.send(place, protocol.ExtendLease{EchoMs: m.nowMs, Revision: m.revision})
 		}
 	}
 	m.grant(m.set.Self.Name, m.nowMs)
@@ -41,15 +41,15 @@
 
 // giveProlong renews a peer's hold. What is given is told to the primary
 // with the acknowledgement of a next revision, and none is given after it.
-func (m *Machine) giveProlong(from protocol.Place, ask protocol.Prolong) {
+func (m *Machine) giveProlong(from protocol.Node, ask protocol.ExtendLease) {
 	if !m.steady() || ask.Revision != m.revision || !m.listed(from.Name) || !m.listed(m.set.Self.Name) {
 		return
 	}
 	m.givenUntilMs = max(m.givenUntilMs, m.nowMs+wordHoldMs)
-	m.send(from, protocol.Prolonged{EchoMs: ask.EchoMs, For: from.Incarnation, Revision: ask.Revision})
+	m.send(from, protocol.ExtendLeaseReply{EchoMs: ask.EchoMs, For: from.Incarnation, Revision: ask.Revision})
 }
 
-func (m *Machine) takeProlonged(from protocol.Place, said protocol.Prolonged) {
+func (m *Machine) takeProlonged(from protocol.Node, said protocol.ExtendLeaseReply) {
 	if !m.steady() || said.For != m.set.Self.Incarnation || said.Revision != m.revision || said.EchoMs > m.nowMs {
 		return
 	}
--- a/internal/native/router/prolong_test.go
+++ b/internal/native/router/prolong_test.go
@@ -10,22 +10,22 @@
 	"myrtlewinch/internal/protocol"
 )
 
-func edge(n int) protocol.Place {
+func edge(n int) protocol.Node {
 	name := fmt.Sprintf("edge-%d", n)
-	return protocol.Place{Name: name, Address: name, Part: protocol.Router, Incarnation: name}
+	return protocol.Node{Name: name, Address: name, Part: protocol.Router, Incarnation: name}
 }
 
 // granted says whether the last step renewed a peer's hold.
 func (b *bench) granted() bool {
 	for _, send := range b.out.Sends {
-		if _, ok := send.Body.(protocol.Prolonged); ok {
+		if _, ok := send.Body.(protocol.ExtendLeaseReply); ok {
 			return true
 		}
 	}
 	return false
 }
 
-func (b *bench) from(place protocol.Place, body any) {
+func (b *bench) from(place protocol.Node, body any) {
 	b.step(protocol.Envelope{Site: "zagreb", From: place, Body: body})
 }
 
@@ -33,15 +33,15 @@
 	cases := []struct {
 		about    string
 		peers    []int
-		said     protocol.Prolonged
+		said     protocol.ExtendLeaseReply
 		prolongs bool
 	}{
-		{"four of nine with itself are five", []int{2, 3, 4, 5}, protocol.Prolonged{For: "i", Revision: 1}, true},
-		{"three are too few", []int{2, 3, 4}, protocol.Prolonged{For: "i", Revision: 1}, false},
-		{"one that answers twice is one", []int{2, 3, 4, 4}, protocol.Prolonged{For: "i", Revision: 1}, false},
-		{"one that is not listed does not count", []int{2, 3, 4, 77}, protocol.Prolonged{For: "i", Revision: 1}, false},
-		{"for the process before", []int{2, 3, 4, 5}, protocol.Prolonged{For: "old", Revision: 1}, false},
-		{"of another revision", []int{2, 3, 4, 5}, protocol.Prolonged{For: "i", Revision: 2}, false},
+		{"four of nine with itself are five", []int{2, 3, 4, 5}, protocol.ExtendLeaseReply{For: "i", Revision: 1}, true},
+		{"three are too few", []int{2, 3, 4}, protocol.ExtendLeaseReply{For: "i", Revision: 1}, false},
+		{"one that answers twice is one", []int{2, 3, 4, 4}, protocol.ExtendLeaseReply{For: "i", Revision: 1}, false},
+		{"one that is not listed does not count", []int{2, 3, 4, 77}, protocol.ExtendLeaseReply{For: "i", Revision: 1}, false},
+		{"for the process before", []int{2, 3, 4, 5}, protocol.ExtendLeaseReply{For: "old", Revision: 1}, false},
+		{"of another revision", []int{2, 3, 4, 5}, protocol.ExtendLeaseReply{For: "i", Revision: 2}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -76,13 +76,13 @@
 	}{
 		{"steady", func(*bench) {}, 2, 1, true},
 		{"to one that is not listed", func(*bench) {}, 77, 1, false},
-		{"of an older revision", func(b *bench) { b.word(protocol.Word{Revision: 2, Sum: "two", Text: next}) }, 2, 1, false},
+		{"of an older revision", func(b *bench) { b.word(protocol.RouterUpdate{Revision: 2, Sum: "two", Text: next}) }, 2, 1, false},
 		{"after it acknowledged a next one", func(b *bench) {
-			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
 		}, 2, 1, false},
 		{"after that was given up", func(b *bench) {
-			b.word(protocol.Word{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(protocol.Word{Revision: 1, Sum: "one"})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 		}, 2, 1, true},
 		{"a runner told of a higher one", func(b *bench) { b.m.higher = 2 }, 2, 1, false},
 	}
@@ -93,7 +93,7 @@
 			b.nowMs += wordHoldMs
 			test.do(b)
 			b.m.givenUntilMs = 0
-			b.from(edge(test.from), protocol.Prolong{EchoMs: 1, Revision: test.of})
+			b.from(edge(test.from), protocol.ExtendLease{EchoMs: 1, Revision: test.of})
 			c.Assert(b.granted(), qt.Equals, test.gives)
 			c.Assert(b.m.givenUntilMs > 0, qt.Equals, test.gives)
 		})
--- a/internal/native/router/request.go
+++ b/internal/native/router/request.go
@@ -88,7 +88,7 @@
 	// mayHaveRun is set once a go was lost: from then on no answer is a drop.
 	mayHaveRun bool
 	runner     string
-	tried      map[protocol.Mark]bool
+	tried      map[protocol.LeavingRunner]bool
 	// turnMs is when what it needs may be held, by the index's last word, or
 	// nought.
 	turnMs int64
@@ -125,7 +125,7 @@
 func (m *Machine) take(in Request) {
 	m.Tally.Requests++
 	r := &request{
-		Request: in, cameMs: m.nowMs, deadlineMs: m.nowMs + unansweredMs, tried: map[protocol.Mark]bool{},
+		Request: in, cameMs: m.nowMs, deadlineMs: m.nowMs + unansweredMs, tried: map[protocol.LeavingRunner]bool{},
 		key: choice.Key{Service: in.Service, Model: in.Model, Adapter: in.Adapter},
 	}
 	m.requests[in.ID] = r
@@ -177,7 +177,7 @@
 		m.taken.forget(r.Service + "/" + r.Name)
 	}
 	m.Tally.Drops[kind]++
-	said := protocol.Dropped{Kind: kind, Detail: detail}
+	said := protocol.Rejection{Kind: kind, Detail: detail}
 	if r.turnMs > m.nowMs && kind.Reply().RetryAfterSec > 0 {
 		said.RetryMs = r.turnMs - m.nowMs
 	}
@@ -218,7 +218,7 @@
 	}
 	r.away = false
 	m.busy[r.runner]--
-	mark := protocol.Mark{Runner: r.runner}
+	mark := protocol.LeavingRunner{Runner: r.runner}
 	for tried := range r.tried {
 		if tried.Runner == r.runner {
 			mark = tried
--- a/internal/native/router/status.go
+++ b/internal/native/router/status.go
@@ -13,22 +13,22 @@
 
 // Status is what a router believes.
 type Status struct {
-	Site     string          `json:"site"`
-	Name     string          `json:"name"`
-	Part     string          `json:"part"`
-	Epoch    uint64          `json:"epoch"`
-	Primary  string          `json:"primary"`
-	Revision uint64          `json:"revision"`
-	Held     string          `json:"held,omitempty"`
-	Usable   bool            `json:"usable"`
-	Stopping bool            `json:"stopping"`
-	Retired  bool            `json:"retired"`
-	UsableMs int64           `json:"usableMs"`
-	WordMs   int64           `json:"wordAgeMs"`
-	Waiting  int             `json:"waiting"`
-	Leaving  []protocol.Mark `json:"leaving"`
-	Cache    []EntryStatus   `json:"cache"`
-	Tally    Tally           `json:"tally"`
+	Site     string                   `json:"site"`
+	Name     string                   `json:"name"`
+	Part     string                   `json:"part"`
+	Epoch    uint64                   `json:"epoch"`
+	Primary  string                   `json:"primary"`
+	Revision uint64                   `json:"revision"`
+	Held     string                   `json:"held,omitempty"`
+	Usable   bool                     `json:"usable"`
+	Stopping bool                     `json:"stopping"`
+	Retired  bool                     `json:"retired"`
+	UsableMs int64                    `json:"usableMs"`
+	WordMs   int64                    `json:"wordAgeMs"`
+	Waiting  int                      `json:"waiting"`
+	Leaving  []protocol.LeavingRunner `json:"leaving"`
+	Cache    []EntryStatus            `json:"cache"`
+	Tally    Tally                    `json:"tally"`
 }
 
 // EntryStatus is a cached entry.
--- a/internal/native/statediff/comparison.go
+++ b/internal/native/statediff/comparison.go
@@ -66,7 +66,7 @@
 	b.AgesMs[field] = ageMs
 }
 
-func seats(list []protocol.Seat) string {
+func seats(list []protocol.MemberID) string {
 	var names []string
 	for _, seat := range list {
 		names = append(names, seat.Name+"/"+seat.Incarnation)
@@ -75,7 +75,7 @@
 	return strings.Join(names, " ")
 }
 
-func (b *Belief) leaving(marks []protocol.Mark) {
+func (b *Belief) leaving(marks []protocol.LeavingRunner) {
 	for _, mark := range marks {
 		b.put("leaving "+mark.Runner+"/"+mark.Incarnation, "yes", -1)
 	}
--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -9,8 +9,8 @@
 
 // Tell is what a router that asked lately is told unasked.
 type Tell struct {
-	To    protocol.Place
-	Index protocol.MapIndex
+	To    protocol.Node
+	Index protocol.IndexReply
 }
 
 const (
@@ -36,14 +36,14 @@
 // ask is a router's last look-up of a key; waits says that it had no holder,
 // sum what it was last told, and lost the count up to which it was told.
 type ask struct {
-	to        *protocol.Place
+	to        *protocol.Node
 	atMs      int64
 	waits     bool
 	sum, lost uint64
 }
 
 // see counts whether a holder went.
-func (a *asked) see(index *protocol.MapIndex) {
+func (a *asked) see(index *protocol.IndexReply) {
 	now := make([]uint64, 0, len(index.Holders))
 	for i := range index.Holders {
 		now = append(now, sumHolder(sumStart, &index.Holders[i]))
@@ -72,16 +72,16 @@
 
 // askers are the routers that asked lately.
 type askers struct {
-	places map[string]*protocol.Place
+	places map[string]*protocol.Node
 	models map[*model]bool
 	count  int
 }
 
 func newAskers() askers {
-	return askers{places: map[string]*protocol.Place{}, models: map[*model]bool{}}
+	return askers{places: map[string]*protocol.Node{}, models: map[*model]bool{}}
 }
 
-func (a *askers) note(nowMs int64, m *model, from protocol.Place, told *protocol.MapIndex) {
+func (a *askers) note(nowMs int64, m *model, from protocol.Node, told *protocol.IndexReply) {
 	adapter := told.Adapter
 	place := a.places[from.Name]
 	if place == nil || *place != from {
@@ -131,7 +131,7 @@
 }
 
 // LookUp answers a router's look-up, and counts it as demand.
-func (k *Keeper) LookUp(nowMs int64, from protocol.Place, in protocol.MapLookUp) protocol.MapIndex {
+func (k *Keeper) LookUp(nowMs int64, from protocol.Node, in protocol.IndexLookUp) protocol.IndexReply {
 	m := k.lookedUp(in.Service, in.Model)
 	if m != nil {
 		key := demandKey{in.Service, in.Model, in.Adapter}
@@ -166,7 +166,7 @@
 // sum names what a router does by an answer: which runners it may choose, or
 // whether there is hope of one. Loads and times change all the while; they come
 // with the next answer.
-func sum(index *protocol.MapIndex) uint64 {
+func sum(index *protocol.IndexReply) uint64 {
 	n := sumStart
 	for i := range index.Holders {
 		n = sumHolder(n, &index.Holders[i])
@@ -182,7 +182,7 @@
 	sumPrime uint64 = 1099511628211
 )
 
-func sumHolder(n uint64, h *protocol.MapHolder) uint64 {
+func sumHolder(n uint64, h *protocol.IndexHolder) uint64 {
 	for _, text := range [...]string{h.ID, h.Address} {
 		for i := range len(text) {
 			n = (n ^ uint64(text[i])) * sumPrime
@@ -206,14 +206,14 @@
 }
 
 // index makes the answer for a key as a router without a name gets it.
-func (k *Keeper) index(nowMs int64, service, name, adapter string) protocol.MapIndex {
-	return k.indexIn(nil, nowMs, protocol.Place{}, service, name, adapter)
+func (k *Keeper) index(nowMs int64, service, name, adapter string) protocol.IndexReply {
+	return k.indexIn(nil, nowMs, protocol.Node{}, service, name, adapter)
 }
 
 // indexIn makes the answer for a key, with its holders in the given room. Of
 // very many holders a router is offered some.
-func (k *Keeper) indexIn(room []protocol.MapHolder, nowMs int64, to protocol.Place, service, name, adapter string) protocol.MapIndex {
-	out := protocol.MapIndex{
+func (k *Keeper) indexIn(room []protocol.IndexHolder, nowMs int64, to protocol.Node, service, name, adapter string) protocol.IndexReply {
+	out := protocol.IndexReply{
 		Service: service, Model: name, Adapter: adapter, Epoch: k.epoch, Change: k.change, Known: k.known, TurnMs: -1, Holders: room,
 	}
 	m := k.lookedUp(service, name)
@@ -242,7 +242,7 @@
 			if r.away() || r.suspect != suspect || m != m.service.plain && !r.offers(thing{Model: name}) {
 				continue
 			}
-			out.Holders = append(out.Holders, protocol.MapHolder{
+			out.Holders = append(out.Holders, protocol.IndexHolder{
 				ID: r.entry.ID, Address: r.entry.Address, Zone: r.entry.Zone, Slots: r.entry.Slots,
 				Adapter: adapter == "" || r.offers(x),
 				Active:  r.state.Active, Queued: r.state.Queued,
@@ -261,13 +261,13 @@
 		out.TurnMs, out.Loading = k.turn(nowMs, m, adapter, out.Holders)
 	}
 	// No request goes where only the adapter lacks, and there may be many such.
-	out.Holders = slices.DeleteFunc(out.Holders, func(h protocol.MapHolder) bool { return !h.Adapter })
+	out.Holders = slices.DeleteFunc(out.Holders, func(h protocol.IndexHolder) bool { return !h.Adapter })
 	return out
 }
 
 // turn works out when something will be held, and whether it is being loaded.
-func (k *Keeper) turn(nowMs int64, m *model, adapter string, holders []protocol.MapHolder) (turnMs int64, loading bool) {
-	if slices.ContainsFunc(holders, func(h protocol.MapHolder) bool { return h.Adapter }) {
+func (k *Keeper) turn(nowMs int64, m *model, adapter string, holders []protocol.IndexHolder) (turnMs int64, loading bool) {
+	if slices.ContainsFunc(holders, func(h protocol.IndexHolder) bool { return h.Adapter }) {
 		return 0, false
 	}
 	if !k.active {
@@ -336,7 +336,7 @@
 	for _, m := range k.dirty {
 		m.dirty = false
 		for _, adapter := range sortedKeys(m.asks) {
-			index := k.indexIn(k.room[:0], nowMs, protocol.Place{}, m.service.name, m.name, adapter)
+			index := k.indexIn(k.room[:0], nowMs, protocol.Node{}, m.service.name, m.name, adapter)
 			k.room = index.Holders[:0]
 			// Of so many holders each router is offered others. That one of them
 			// comes or goes makes little difference, and so much is looked up all
--- a/internal/placement/index_test.go
+++ b/internal/placement/index_test.go
@@ -16,7 +16,7 @@
 func TestRoutersAreTold(t *testing.T) {
 	c := qt.New(t)
 	b := ordered(c)
-	b.outcome(protocol.CommandTaken)
+	b.outcome(protocol.OutcomeAccepted)
 	b.tick(500)
 	b.say(4, false, "m001", "m004")
 	_, tells := b.k.Tick(b.nowMs+10, b.nowMs+2000)
@@ -57,10 +57,10 @@
 			k := s.keeper("one")
 			k.Begin(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 			e := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: held("a1")}
-			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{e}})
+			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
 			for _, adapter := range test.asks {
 				for _, router := range []string{"one", "two"} {
-					index := k.LookUp(s.events.NowMs(), protocol.Place{Name: router}, protocol.MapLookUp{Service: llm, Model: "m000", Adapter: adapter})
+					index := k.LookUp(s.events.NowMs(), protocol.Node{Name: router}, protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: adapter})
 					for _, h := range index.Holders {
 						c.Assert(h.Adapter, qt.IsTrue)
 					}
@@ -102,14 +102,14 @@
 			one := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m000"}}}
 			two := one
 			two.ID, two.Address = "r2", "10.0.0.2:80"
-			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{one}})
-			k.LookUp(s.events.NowMs(), protocol.Place{Name: "router"}, protocol.MapLookUp{Service: llm, Model: "m000"})
+			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one}})
+			k.LookUp(s.events.NowMs(), protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m000"})
 			k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			s.events.RunFor(test.laterMs)
-			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{one, two}})
+			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one, two}})
 			_, tells := k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			c.Assert(tells, qt.HasLen, test.told)
-			k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{two}})
+			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{two}})
 			_, tells = k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			c.Assert(tells, qt.HasLen, 1)
 		})
@@ -120,19 +120,19 @@
 func TestTurnIsTold(t *testing.T) {
 	c := qt.New(t)
 	b := ordered(c)
-	index := b.k.LookUp(b.nowMs, protocol.Place{Name: "router"}, protocol.MapLookUp{ID: 9, Service: llm, Model: "m004"})
+	index := b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{ID: 9, Service: llm, Model: "m004"})
 	c.Assert(index.ID, qt.Equals, uint64(9))
 	c.Assert(index.Known, qt.IsTrue)
 	c.Assert(index.Loading, qt.IsTrue)
 	c.Assert(index.TurnMs > 1500 && index.TurnMs < 2500, qt.IsTrue)
-	c.Assert(b.k.LookUp(b.nowMs, protocol.Place{Name: "router"}, protocol.MapLookUp{Service: "other"}).Holders, qt.HasLen, 0)
+	c.Assert(b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "other"}).Holders, qt.HasLen, 0)
 }
 
 // Before any list was read, nothing is claimed.
 func TestUnknownBeforeTheList(t *testing.T) {
 	c := qt.New(t)
 	k := New(standBounds, "one", "list", 47)
-	c.Assert(k.LookUp(1, protocol.Place{Name: "router"}, protocol.MapLookUp{Service: llm, Model: "m001"}).Known, qt.IsFalse)
+	c.Assert(k.LookUp(1, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m001"}).Known, qt.IsFalse)
 	c.Assert(k.ListAgeMs(1), qt.Equals, int64(-1))
 }
 
@@ -140,11 +140,11 @@
 func TestPlainServiceHasItsRunners(t *testing.T) {
 	c := qt.New(t)
 	b := newBench(c)
-	b.k.Fleet(b.nowMs, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{
+	b.k.Fleet(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{
 		{ID: "p1", Service: "plain", Address: "10.0.0.8:80", Slots: 6, LeftMs: -1},
 		{ID: "p2", Service: "plain", Address: "10.0.0.9:80", Slots: 6, LeftMs: 2000, Leaving: true},
 	}})
-	index := b.k.LookUp(b.nowMs, protocol.Place{Name: "router"}, protocol.MapLookUp{Service: "plain"})
+	index := b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "plain"})
 	c.Assert(index.Holders, qt.HasLen, 1)
 	c.Assert(index.Holders[0].ID, qt.Equals, "p1")
 	c.Assert(index.Holders[0].Adapter, qt.IsTrue)
@@ -157,14 +157,14 @@
 	b := newBench(c, "m001")
 	for range 3 {
 		b.tick(1000)
-		b.k.State(b.nowMs, protocol.StateSaid{Runner: b.asked.Runner, Number: b.asked.Number})
+		b.k.State(b.nowMs, protocol.RunnerStateResult{Runner: b.asked.Runner, Number: b.asked.Number})
 	}
 	c.Assert(b.k.runners["r1"].suspect, qt.IsTrue)
 	c.Assert(b.holds("m001"), qt.IsTrue)
 	e := protocol.RunnerEntry{Service: llm, Slots: 64, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m001"}}}
 	first, second := e, e
 	first.ID, first.Address, second.ID, second.Address = "r1", "10.0.0.1:80", "r2", "10.0.0.2:80"
-	b.k.Fleet(b.nowMs, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{first, second}})
+	b.k.Fleet(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{first, second}})
 	holders := b.k.index(b.nowMs, llm, "m001", "").Holders
 	c.Assert(holders, qt.HasLen, 1)
 	c.Assert(holders[0].ID, qt.Equals, "r2")
@@ -191,8 +191,8 @@
 	follower := New(s.bounds, "two", "list", 47)
 	follower.SetMap(s.m)
 	follower.TakeSoft(s.events.NowMs(), image)
-	from := protocol.Place{Name: "router"}
-	ids := func(x protocol.MapIndex) map[string]bool {
+	from := protocol.Node{Name: "router"}
+	ids := func(x protocol.IndexReply) map[string]bool {
 		out := map[string]bool{}
 		for _, h := range x.Holders {
 			out[h.ID] = h.Adapter
@@ -200,7 +200,7 @@
 		return out
 	}
 	for i := range 9 {
-		in := protocol.MapLookUp{Service: llm, Model: "m000", Adapter: fmt.Sprintf("a%d", i+1), Tokens: 5, Waits: i == 0}
+		in := protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: fmt.Sprintf("a%d", i+1), Tokens: 5, Waits: i == 0}
 		index := follower.LookUp(s.events.NowMs(), from, in)
 		c.Assert(index.Known, qt.IsTrue)
 		c.Assert(index.Change, qt.Equals, k.Change())
@@ -208,7 +208,7 @@
 	}
 	// Those who only want to be sure of a holder wait for no load.
 	c.Assert(follower.Waits(), qt.IsFalse)
-	follower.LookUp(s.events.NowMs(), from, protocol.MapLookUp{Service: llm, Model: "m000", Adapter: "a30", Waits: true})
+	follower.LookUp(s.events.NowMs(), from, protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: "a30", Waits: true})
 	c.Assert(follower.Waits(), qt.IsTrue)
 	demand := follower.DrainDemand()
 	c.Assert(demand, qt.HasLen, 10)
--- a/internal/placement/keeper.go
+++ b/internal/placement/keeper.go
@@ -63,13 +63,13 @@
 	cleanMs   int64
 	askers    askers
 	// room is for answers that are only looked at.
-	room []protocol.MapHolder
+	room []protocol.IndexHolder
 	// ranks and sampled are room for picking what a router is offered.
 	ranks   []ranked
 	sampled []*runner
 	pending map[demandKey]*DemandCount
 	counts  figures
-	calls   []protocol.Call
+	calls   []protocol.OutboundCall
 	// softLoading is, at a follower, what the primary said of loads.
 	soft map[string]SoftLoad
 }
@@ -214,7 +214,7 @@
 // Tick gives the calls that are due, and what routers that asked lately are
 // to be told. It may be called at any time, best each 50 ms and after inputs
 // that bring an answer nearer.
-func (k *Keeper) Tick(nowMs, holdUntilMs int64) (calls []protocol.Call, tells []Tell) {
+func (k *Keeper) Tick(nowMs, holdUntilMs int64) (calls []protocol.OutboundCall, tells []Tell) {
 	k.nowMs = nowMs
 	if k.active {
 		k.tickList(nowMs)
--- a/internal/placement/keeper_test.go
+++ b/internal/placement/keeper_test.go
@@ -217,7 +217,7 @@
 	c.Assert(k.Leaving(), qt.DeepEquals, []string{leaver.entry.ID})
 	for name := range leaver.held {
 		c.Assert(s.copies(name) >= 2, qt.IsTrue, qt.Commentf("%s", name))
-		for _, h := range k.LookUp(s.events.NowMs(), load.from, protocol.MapLookUp{Service: llm, Model: name}).Holders {
+		for _, h := range k.LookUp(s.events.NowMs(), load.from, protocol.IndexLookUp{Service: llm, Model: name}).Holders {
 			c.Assert(h.ID, qt.Not(qt.Equals), leaver.entry.ID)
 		}
 	}
