--- a/internal/placement/offer.go
+++ b/internal/placement/offer.go
@@ -24,7 +24,7 @@
 // sample picks, of a long list of runners, those that a router is offered. They
 // are the same ones as long as they may be offered, and others for each router,
 // so that all runners of a model are used.
-func (k *Keeper) sample(runners []*runner, to protocol.Place, may func(r *runner) bool) []*runner {
+func (k *Keeper) sample(runners []*runner, to protocol.Node, may func(r *runner) bool) []*runner {
 	salt := seedOf(to.Name)
 	limit := uint64(math.MaxUint64)
 	// Those beyond a part of all ranks hardly ever are among the first.
--- a/internal/placement/offer_test.go
+++ b/internal/placement/offer_test.go
@@ -27,14 +27,14 @@
 		}
 		list = append(list, e)
 	}
-	k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: list})
+	k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: list})
 	return k
 }
 
 func offeredTo(k *Keeper, router, zone, model, adapter string) []string {
 	var out []string
-	in := protocol.MapLookUp{Service: llm, Model: model, Adapter: adapter}
-	for _, h := range k.LookUp(1000, protocol.Place{Name: router, Zone: zone}, in).Holders {
+	in := protocol.IndexLookUp{Service: llm, Model: model, Adapter: adapter}
+	for _, h := range k.LookUp(1000, protocol.Node{Name: router, Zone: zone}, in).Holders {
 		out = append(out, h.ID)
 	}
 	return out
@@ -118,7 +118,7 @@
 				nowMs += 50
 				calls, _ := k.Tick(nowMs, nowMs+2000)
 				for _, call := range calls {
-					body, is := call.Body.(protocol.StateCall)
+					body, is := call.Body.(protocol.GetRunnerState)
 					if !is {
 						continue
 					}
@@ -130,7 +130,7 @@
 					for _, name := range sortedKeys(r.held) {
 						models = append(models, protocol.HeldModel{Name: name, Adapters: sortedKeys(r.held[name].adapters)})
 					}
-					k.State(nowMs, protocol.StateSaid{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{Models: models}})
+					k.State(nowMs, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{Models: models}})
 				}
 			}
 			qt.Assert(t, int64(asked)*1000/(2*k.usualMs()) <= 510, qt.IsTrue, qt.Commentf("%d in %d ms", asked, 2*k.usualMs()))
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -10,7 +10,7 @@
 )
 
 // Commanded takes what became of the call of an order.
-func (k *Keeper) Commanded(nowMs int64, in protocol.CommandSaid) {
+func (k *Keeper) Commanded(nowMs int64, in protocol.RunnerOrderResult) {
 	r := k.runners[in.Runner]
 	if !k.active || r == nil {
 		return
@@ -18,26 +18,26 @@
 	o := r.order
 	if o == nil || o.number != in.Number {
 		k.counts.Late++
-		if in.Outcome == protocol.CommandFenced {
+		if in.Outcome == protocol.OutcomeFenced {
 			k.lowFence()
 		}
 		return
 	}
 	switch in.Outcome {
-	case protocol.CommandTaken:
+	case protocol.OutcomeAccepted:
 		k.counts.Taken++
-	case protocol.CommandBusy, protocol.CommandInEffect, protocol.CommandNotSent:
+	case protocol.OutcomeBusy, protocol.OutcomeAlreadyInEffect, protocol.OutcomeNotSent:
 		k.counts.Busy++
-	case protocol.CommandRefused:
+	case protocol.OutcomeRefused:
 		k.counts.Refused++
-	case protocol.CommandUnknown:
+	case protocol.OutcomeUnknown:
 		k.counts.Unknown++
-	case protocol.CommandFenced:
+	case protocol.OutcomeFenced:
 		k.lowFence()
 	}
 	if !r.said(nowMs, in.Outcome, k) {
 		k.store.settled(nowMs, in.Number, false)
-	} else if in.Outcome == protocol.CommandTaken {
+	} else if in.Outcome == protocol.OutcomeAccepted {
 		k.store.settled(nowMs, in.Number, true)
 	}
 	k.replan = true
@@ -88,7 +88,7 @@
 func (k *Keeper) send(nowMs, holdUntilMs int64, r *runner) {
 	o := r.order
 	o.untilMs = min(nowMs+orderMs, holdUntilMs)
-	k.calls = append(k.calls, protocol.Call{Address: r.entry.Address, Body: protocol.CommandCall{
+	k.calls = append(k.calls, protocol.OutboundCall{Address: r.entry.Address, Body: protocol.RunnerOrder{
 		Runner: r.entry.ID, Number: o.number, Holder: k.holder, Fence: k.epoch,
 		Load: o.load, Model: o.Model, Adapter: o.Adapter, Expected: o.expected, UntilMs: o.untilMs,
 	}})
--- a/internal/placement/polling.go
+++ b/internal/placement/polling.go
@@ -24,7 +24,7 @@
 )
 
 // State takes a runner's answer to a question.
-func (k *Keeper) State(nowMs int64, in protocol.StateSaid) {
+func (k *Keeper) State(nowMs int64, in protocol.RunnerStateResult) {
 	r := k.runners[in.Runner]
 	if r == nil || !k.active || in.Number == 0 || in.Number != r.asking {
 		return
@@ -138,7 +138,7 @@
 		asks = 1
 		k.number++
 		r.asking, r.askedMs = k.number, nowMs
-		k.calls = append(k.calls, protocol.Call{Address: r.entry.Address, Body: protocol.StateCall{Runner: r.entry.ID, Number: k.number}})
+		k.calls = append(k.calls, protocol.OutboundCall{Address: r.entry.Address, Body: protocol.GetRunnerState{Runner: r.entry.ID, Number: k.number}})
 	}
 	k.judge(nowMs, r)
 	return asks
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -295,14 +295,14 @@
 
 // said settles what the call of an order brought. It says whether the load
 // may count as never begun (false) or not be known (true).
-func (r *runner) said(nowMs int64, outcome protocol.CommandOutcome, t touched) (open bool) {
+func (r *runner) said(nowMs int64, outcome protocol.OrderOutcome, t touched) (open bool) {
 	o := r.order
 	repeated := o.repeats > 0
 	switch {
-	case outcome == protocol.CommandTaken:
+	case outcome == protocol.OutcomeAccepted:
 		o.phase, o.phaseMs = taken, nowMs
 		return true
-	case outcome == protocol.CommandUnknown, repeated:
+	case outcome == protocol.OutcomeUnknown, repeated:
 		// Whatever became of a repeat, the first one may have been taken.
 		if o.phase != taken {
 			o.phase, o.phaseMs = unknown, nowMs
@@ -313,7 +313,7 @@
 	if !o.load {
 		r.setGoing(o.thing, false, t)
 	}
-	if outcome == protocol.CommandRefused || outcome == protocol.CommandBusy {
+	if outcome == protocol.OutcomeRefused || outcome == protocol.OutcomeBusy {
 		r.coolMs = nowMs + coolMs
 	}
 	return false
--- a/internal/placement/runner_test.go
+++ b/internal/placement/runner_test.go
@@ -13,8 +13,8 @@
 	c     *qt.C
 	k     *Keeper
 	nowMs int64
-	asked protocol.StateCall
-	order protocol.CommandCall
+	asked protocol.GetRunnerState
+	order protocol.RunnerOrder
 	sent  int
 }
 
@@ -31,7 +31,7 @@
 	for _, name := range held {
 		e.Models = append(e.Models, protocol.HeldModel{Name: name})
 	}
-	b.k.Fleet(b.nowMs, protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{e}})
+	b.k.Fleet(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
 }
 
 // tick goes on by so many ms, and takes up what is asked and ordered.
@@ -41,9 +41,9 @@
 		calls, _ := b.k.Tick(b.nowMs, b.nowMs+2000)
 		for _, call := range calls {
 			switch body := call.Body.(type) {
-			case protocol.StateCall:
+			case protocol.GetRunnerState:
 				b.asked = body
-			case protocol.CommandCall:
+			case protocol.RunnerOrder:
 				b.order = body
 				b.sent++
 			}
@@ -56,15 +56,15 @@
 	for _, name := range held {
 		state.Models = append(state.Models, protocol.HeldModel{Name: name})
 	}
-	b.k.State(b.nowMs, protocol.StateSaid{Runner: b.asked.Runner, Number: b.asked.Number, Ok: true, State: state})
+	b.k.State(b.nowMs, protocol.RunnerStateResult{Runner: b.asked.Runner, Number: b.asked.Number, Ok: true, State: state})
 }
 
-func (b *bench) outcome(o protocol.CommandOutcome) {
-	b.k.Commanded(b.nowMs, protocol.CommandSaid{Runner: b.order.Runner, Number: b.order.Number, Outcome: o})
+func (b *bench) outcome(o protocol.OrderOutcome) {
+	b.k.Commanded(b.nowMs, protocol.RunnerOrderResult{Runner: b.order.Runner, Number: b.order.Number, Outcome: o})
 }
 
 func (b *bench) want(model string) {
-	b.k.LookUp(b.nowMs, protocol.Place{Name: "router"}, protocol.MapLookUp{Service: llm, Model: model, Waits: true})
+	b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: model, Waits: true})
 }
 
 func (b *bench) holds(model string) bool {
@@ -91,13 +91,13 @@
 // followed by another.
 func TestOrdersSettle(t *testing.T) {
 	type word struct {
-		outcome protocol.CommandOutcome
+		outcome protocol.OrderOutcome
 		state   bool
 		calls   int64
 		busy    bool
 		held    []string
 	}
-	said := func(o protocol.CommandOutcome) word { return word{outcome: o} }
+	said := func(o protocol.OrderOutcome) word { return word{outcome: o} }
 	told := func(calls int64, busy bool, held ...string) word {
 		return word{state: true, calls: calls, busy: busy, held: held}
 	}
@@ -110,21 +110,21 @@
 		open, holds bool
 		sent        int
 	}{
-		{"taken alone is not done", []word{said(protocol.CommandTaken)}, true, false, 1},
-		{"a state from before says nothing", []word{said(protocol.CommandTaken), told(3, false, "m001")}, true, false, 1},
-		{"busy is not done", []word{said(protocol.CommandTaken), told(4, true, "m001")}, true, false, 1},
-		{"done", []word{said(protocol.CommandTaken), told(4, true, "m001"), told(4, false, both...)}, false, true, 1},
-		{"done before the answer", []word{told(4, false, both...), said(protocol.CommandTaken)}, false, true, 1},
+		{"taken alone is not done", []word{said(protocol.OutcomeAccepted)}, true, false, 1},
+		{"a state from before says nothing", []word{said(protocol.OutcomeAccepted), told(3, false, "m001")}, true, false, 1},
+		{"busy is not done", []word{said(protocol.OutcomeAccepted), told(4, true, "m001")}, true, false, 1},
+		{"done", []word{said(protocol.OutcomeAccepted), told(4, true, "m001"), told(4, false, both...)}, false, true, 1},
+		{"done before the answer", []word{told(4, false, both...), said(protocol.OutcomeAccepted)}, false, true, 1},
 		{"an older state afterwards", []word{told(4, false, both...), told(3, false, "m001")}, false, true, 1},
-		{"refused for the count: asks, then orders anew", []word{said(protocol.CommandBusy), told(3, false, "m001")}, true, false, 2},
-		{"a lower fence: no more orders", []word{said(protocol.CommandFenced), told(3, false, "m001")}, false, false, 1},
-		{"unknown and not taken: the same again", []word{said(protocol.CommandUnknown), told(3, false, "m001")}, true, false, 2},
-		{"unknown and under way", []word{said(protocol.CommandUnknown), told(4, true, "m001")}, true, false, 1},
-		{"unknown and done", []word{said(protocol.CommandUnknown), told(4, false, both...)}, false, true, 1},
-		{"a repeat refused: the first may be under way", []word{said(protocol.CommandUnknown), told(3, false, "m001"), said(protocol.CommandBusy)}, true, false, 2},
-		{"a repeat refused: the first was done", []word{said(protocol.CommandUnknown), told(3, false, "m001"), said(protocol.CommandBusy), told(4, false, both...)}, false, true, 2},
-		{"already so", []word{said(protocol.CommandInEffect), told(3, false, both...)}, false, true, 1},
-		{"another holder's order came", []word{said(protocol.CommandBusy), told(5, false, "m001", "m004")}, false, true, 1},
+		{"refused for the count: asks, then orders anew", []word{said(protocol.OutcomeBusy), told(3, false, "m001")}, true, false, 2},
+		{"a lower fence: no more orders", []word{said(protocol.OutcomeFenced), told(3, false, "m001")}, false, false, 1},
+		{"unknown and not taken: the same again", []word{said(protocol.OutcomeUnknown), told(3, false, "m001")}, true, false, 2},
+		{"unknown and under way", []word{said(protocol.OutcomeUnknown), told(4, true, "m001")}, true, false, 1},
+		{"unknown and done", []word{said(protocol.OutcomeUnknown), told(4, false, both...)}, false, true, 1},
+		{"a repeat refused: the first may be under way", []word{said(protocol.OutcomeUnknown), told(3, false, "m001"), said(protocol.OutcomeBusy)}, true, false, 2},
+		{"a repeat refused: the first was done", []word{said(protocol.OutcomeUnknown), told(3, false, "m001"), said(protocol.OutcomeBusy), told(4, false, both...)}, false, true, 2},
+		{"already so", []word{said(protocol.OutcomeAlreadyInEffect), told(3, false, both...)}, false, true, 1},
+		{"another holder's order came", []word{said(protocol.OutcomeBusy), told(5, false, "m001", "m004")}, false, true, 1},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -155,7 +155,7 @@
 func TestRestartIsANewLife(t *testing.T) {
 	c := qt.New(t)
 	b := ordered(c)
-	b.outcome(protocol.CommandTaken)
+	b.outcome(protocol.OutcomeAccepted)
 	b.tick(300)
 	b.list("r2")
 	c.Assert(b.holds("m001"), qt.IsFalse)
@@ -169,7 +169,7 @@
 	c.Assert(b.order.Runner, qt.Equals, "r2")
 	c.Assert(b.order.Expected, qt.Equals, int64(0))
 	// A late word on the old life's order changes nothing.
-	b.k.Commanded(b.nowMs, protocol.CommandSaid{Runner: "r1", Number: 1, Outcome: protocol.CommandTaken})
+	b.k.Commanded(b.nowMs, protocol.RunnerOrderResult{Runner: "r1", Number: 1, Outcome: protocol.OutcomeAccepted})
 	c.Assert(b.k.runners["r2"].order.phase, qt.Equals, sent)
 }
 
@@ -177,7 +177,7 @@
 func TestHigherFenceGoesOn(t *testing.T) {
 	c := qt.New(t)
 	b := ordered(c)
-	b.outcome(protocol.CommandFenced)
+	b.outcome(protocol.OutcomeFenced)
 	b.k.SetFence(7)
 	b.tick(300)
 	b.say(3, false, "m001")
@@ -209,7 +209,7 @@
 		b.list("r1", "m001")
 		calls, _ := b.k.Tick(1000, test.holdMs)
 		for _, call := range calls {
-			if asked, ok := call.Body.(protocol.StateCall); ok {
+			if asked, ok := call.Body.(protocol.GetRunnerState); ok {
 				b.asked = asked
 			}
 		}
@@ -218,7 +218,7 @@
 		calls, _ = b.k.Tick(1100, test.holdMs)
 		found := false
 		for _, call := range calls {
-			if order, ok := call.Body.(protocol.CommandCall); ok {
+			if order, ok := call.Body.(protocol.RunnerOrder); ok {
 				found = true
 				c.Assert(order.UntilMs, qt.Equals, test.untilMs)
 			}
--- a/internal/placement/runnerlist.go
+++ b/internal/placement/runnerlist.go
@@ -37,7 +37,7 @@
 
 // Fleet takes what a read of the platform's list brought; changed says that
 // the set of leaving runners did.
-func (k *Keeper) Fleet(nowMs int64, in protocol.Fleet) (changed bool) {
+func (k *Keeper) Fleet(nowMs int64, in protocol.RunnerList) (changed bool) {
 	k.reading = false
 	if !in.Ok {
 		k.counts.ListFails++
@@ -186,6 +186,6 @@
 	}
 	if !k.reading && nowMs >= k.listNextMs && k.listAddress != "" {
 		k.reading, k.listAskedMs = true, nowMs
-		k.calls = append(k.calls, protocol.Call{Address: k.listAddress, Body: protocol.FleetCall{}})
+		k.calls = append(k.calls, protocol.OutboundCall{Address: k.listAddress, Body: protocol.ListRunners{}})
 	}
 }
--- a/internal/placement/soft.go
+++ b/internal/placement/soft.go
@@ -177,7 +177,7 @@
 }
 
 // pend counts a look-up at a follower.
-func (k *Keeper) pend(key demandKey, in protocol.MapLookUp, waits int) {
+func (k *Keeper) pend(key demandKey, in protocol.IndexLookUp, waits int) {
 	c := k.pending[key]
 	if c == nil {
 		if len(k.pending) >= pendingMost {
--- a/internal/placement/stand_test.go
+++ b/internal/placement/stand_test.go
@@ -229,15 +229,15 @@
 	return tells
 }
 
-func (s *stand) call(k *Keeper, call protocol.Call) {
+func (s *stand) call(k *Keeper, call protocol.OutboundCall) {
 	way := int64(1 + s.rnd.IntN(4))
 	switch body := call.Body.(type) {
-	case protocol.FleetCall:
-		s.events.After(2*way, func() { k.Fleet(s.events.NowMs(), protocol.Fleet{Ok: true, Runners: s.list(800)}) })
-	case protocol.StateCall:
+	case protocol.ListRunners:
+		s.events.After(2*way, func() { k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: s.list(800)}) })
+	case protocol.GetRunnerState:
 		s.events.After(2*way, func() {
 			r := s.at(call.Address)
-			said := protocol.StateSaid{Runner: body.Runner, Number: body.Number}
+			said := protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number}
 			if r != nil && !r.dead && r.entry.ID == body.Runner && s.rnd.Float64() >= s.lossOut && len(r.past) > 0 {
 				said.Ok = true
 				lagMs := int64(100 + s.rnd.IntN(100))
@@ -250,10 +250,12 @@
 			}
 			k.State(s.events.NowMs(), said)
 		})
-	case protocol.CommandCall:
+	case protocol.RunnerOrder:
 		s.orders++
 		if s.rnd.Float64() < s.lossIn/2 {
-			s.events.After(300, func() { k.Commanded(s.events.NowMs(), protocol.CommandSaid{Runner: body.Runner, Number: body.Number}) })
+			s.events.After(300, func() {
+				k.Commanded(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number})
+			})
 			return
 		}
 		if s.rnd.Float64() < s.lossIn {
@@ -265,9 +267,9 @@
 			lost := s.rnd.Float64() < s.lossOut || way > 300
 			s.events.After(way, func() {
 				if lost {
-					outcome = protocol.CommandUnknown
+					outcome = protocol.OutcomeUnknown
 				}
-				k.Commanded(s.events.NowMs(), protocol.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: outcome})
+				k.Commanded(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: outcome})
 			})
 		})
 	}
@@ -283,30 +285,30 @@
 }
 
 // command is the runner's side of an order.
-func (s *stand) command(address string, c protocol.CommandCall) protocol.CommandOutcome {
+func (s *stand) command(address string, c protocol.RunnerOrder) protocol.OrderOutcome {
 	r := s.at(address)
 	if r == nil {
-		return protocol.CommandNotSent
+		return protocol.OutcomeNotSent
 	}
 	if r.entry.ID != c.Runner {
-		return protocol.CommandRefused
+		return protocol.OutcomeRefused
 	}
 	if c.Fence < r.fence {
-		return protocol.CommandFenced
+		return protocol.OutcomeFenced
 	}
 	r.fence = c.Fence
 	if r.finish != nil || c.Expected != r.calls {
-		return protocol.CommandBusy
+		return protocol.OutcomeBusy
 	}
 	_, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return protocol.CommandRefused
+			return protocol.OutcomeRefused
 		}
 		there = r.held[c.Model][c.Adapter]
 	}
 	if c.Load == there {
-		return protocol.CommandInEffect
+		return protocol.OutcomeAlreadyInEffect
 	}
 	r.calls++
 	m := s.model(c.Model)
@@ -341,7 +343,7 @@
 		r.finish = func() { delete(r.held[c.Model], c.Adapter) }
 	}
 	r.busyMs = s.events.NowMs() + took
-	return protocol.CommandTaken
+	return protocol.OutcomeAccepted
 }
 
 // ceiling gives the most loads that began in any window.
@@ -367,7 +369,7 @@
 type traffic struct {
 	s       *stand
 	k       *Keeper
-	from    protocol.Place
+	from    protocol.Node
 	waiting map[demandKey][]int64
 	asked   map[demandKey]int
 	late    map[demandKey]int
@@ -377,14 +379,14 @@
 }
 
 func newTraffic(s *stand, k *Keeper) *traffic {
-	return &traffic{s: s, k: k, from: protocol.Place{Name: "router-1", Address: "x"}, waiting: map[demandKey][]int64{}, asked: map[demandKey]int{}, late: map[demandKey]int{}, runMs: 600}
+	return &traffic{s: s, k: k, from: protocol.Node{Name: "router-1", Address: "x"}, waiting: map[demandKey][]int64{}, asked: map[demandKey]int{}, late: map[demandKey]int{}, runMs: 600}
 }
 
 // ask sends one request. Holders are checked against the runners themselves.
 func (t *traffic) ask(model, adapter string) {
 	key := demandKey{llm, model, adapter}
 	t.asked[key]++
-	index := t.k.LookUp(t.s.events.NowMs(), t.from, protocol.MapLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.try(key)})
+	index := t.k.LookUp(t.s.events.NowMs(), t.from, protocol.IndexLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.try(key)})
 	_ = index
 	if !t.try(key) {
 		t.waiting[key] = append(t.waiting[key], t.s.events.NowMs())
--- a/internal/process/peers.go
+++ b/internal/process/peers.go
@@ -35,13 +35,13 @@
 // address, so that a frozen peer holds up no other.
 type lines struct {
 	mu     sync.Mutex
-	open   map[string]*ringbuffer.Ring[protocol.Envelope]
+	open   map[string]*ringbuffer.Buffer[protocol.Envelope]
 	closed bool
 	count  func(string)
 }
 
 func newLines(count func(string)) *lines {
-	return &lines{open: map[string]*ringbuffer.Ring[protocol.Envelope]{}, count: count}
+	return &lines{open: map[string]*ringbuffer.Buffer[protocol.Envelope]{}, count: count}
 }
 
 func (l *lines) put(address string, e protocol.Envelope) {
@@ -89,7 +89,7 @@
 
 // carry brings a line's messages over, in order. What can't be brought is
 // dropped: every message is repeated by a later tick where it matters.
-func (l *lines) carry(address string, line *ringbuffer.Ring[protocol.Envelope]) {
+func (l *lines) carry(address string, line *ringbuffer.Buffer[protocol.Envelope]) {
 	var open *route
 	var heldUntil time.Time
 	for {
@@ -122,7 +122,7 @@
 
 // takeBatch gives what waits in a line, at least one message, up to a number
 // and to the message that makes it large. False says that the line has ended.
-func takeBatch(line *ringbuffer.Ring[protocol.Envelope]) ([]protocol.Envelope, bool) {
+func takeBatch(line *ringbuffer.Buffer[protocol.Envelope]) ([]protocol.Envelope, bool) {
 	first, ok := line.Take()
 	if !ok {
 		return nil, false
@@ -144,11 +144,11 @@
 	switch body := e.Body.(type) {
 	case protocol.Snapshot:
 		return rowBytes(body.Rows)
-	case protocol.Follow:
+	case protocol.Append:
 		for _, change := range body.Changes {
 			bytes += rowBytes(change.Rows)
 		}
-	case protocol.MapWord:
+	case protocol.ConfigUpdate:
 		return len(body.Packed)
 	}
 	return bytes
--- a/internal/process/peers_test.go
+++ b/internal/process/peers_test.go
@@ -17,7 +17,7 @@
 }
 
 func followOf(changes, bytes int) protocol.Envelope {
-	var follow protocol.Follow
+	var follow protocol.Append
 	for range changes {
 		follow.Changes = append(follow.Changes, protocol.Change{Rows: map[string]string{"map": strings.Repeat("r", bytes)}})
 	}
@@ -48,7 +48,7 @@
 		{"a large one behind small ones", append(repeat(5, small), imageOf(400_000), small), []int{6, 1}, 2166 * time.Millisecond},
 		{"changes of some size", repeat(10, followOf(1, 54_209)), []int{5, 5}, 1951 * time.Millisecond},
 		{"many changes in one", repeat(2, followOf(19, 54_209)), []int{1, 1}, 3216 * time.Millisecond},
-		{"a map for routers", repeat(2, protocol.Envelope{Body: protocol.MapWord{Packed: make([]byte, 300_000)}}), []int{1, 1}, 2000 * time.Millisecond},
+		{"a map for routers", repeat(2, protocol.Envelope{Body: protocol.ConfigUpdate{Packed: make([]byte, 300_000)}}), []int{1, 1}, 2000 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/process/saving.go
+++ b/internal/process/saving.go
@@ -14,20 +14,20 @@
 // saving is a write with the disk that it is for: after a defect the next
 // machine has another.
 type saving struct {
-	protocol.Save
-	disk *storage.Disk
+	protocol.DiskWrite
+	disk *storage.Store
 }
 
 // saved ends a write of a disk.
 type saved struct {
-	protocol.Saved
-	disk *storage.Disk
+	protocol.DiskWriteDone
+	disk *storage.Store
 }
 
 // renewed brings a machine that was made anew.
 type renewed struct {
 	machine Machine
-	disk    *storage.Disk
+	disk    *storage.Store
 }
 
 // savesMost bounds the writes that go to the platter together.
@@ -38,7 +38,7 @@
 // sync for each.
 func (s *Shell) save() error {
 	current := s.disk
-	var failed *storage.Disk
+	var failed *storage.Store
 	defer func() { current.Close() }()
 	var waiting []saving
 	for {
@@ -55,7 +55,7 @@
 		}
 		err := current.Save(writes...)
 		for _, next := range batch {
-			s.Put(saved{protocol.Saved{Number: next.Number, Ok: err == nil}, current})
+			s.Put(saved{protocol.DiskWriteDone{Number: next.Number, Ok: err == nil}, current})
 		}
 		if err != nil && failed != current {
 			failed = current
@@ -94,7 +94,7 @@
 // renew waits until the disk takes writes again and begins anew from it. A
 // daemon that stayed deaf would be one loss more for good, and one that ended
 // by itself would be counted as one that can't be relied on.
-func (s *Shell) renew(failed *storage.Disk) {
+func (s *Shell) renew(failed *storage.Store) {
 	for {
 		select {
 		case <-s.ended:
--- a/internal/process/saving_test.go
+++ b/internal/process/saving_test.go
@@ -29,8 +29,8 @@
 			w.ended <- w.name
 			return protocol.Effects{}
 		}
-		return protocol.Effects{Saves: []protocol.Save{{Number: 1, Write: storage.Write{Sets: map[string]string{"key": in}}}}}
-	case protocol.Saved:
+		return protocol.Effects{DiskWrites: []protocol.DiskWrite{{Number: 1, Write: storage.Write{Sets: map[string]string{"key": in}}}}}
+	case protocol.DiskWriteDone:
 		if in.Ok {
 			w.ended <- w.name + " wrote"
 		} else {
@@ -54,13 +54,13 @@
 		return at
 	}
 	made := make(chan struct{})
-	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000, Renew: func() (Machine, *storage.Disk, error) {
+	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000, Renew: func() (Machine, *storage.Store, error) {
 		defer close(made)
 		again, err := storage.Reopen(folder, "s")
 		return &writer{"second", ended}, again, err
 	}}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
 	done, over := make(chan struct{}), make(chan struct{})
-	var group threads.Crew
+	var group threads.Group
 	s.Join(&group)
 	group.Until(done)
 	threads.Side(func() { _ = group.Run(); close(over) })
@@ -97,7 +97,7 @@
 	ended := make(chan string, 16)
 	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
 	done, over := make(chan struct{}), make(chan struct{})
-	var group threads.Crew
+	var group threads.Group
 	s.Join(&group)
 	group.Until(done)
 	threads.Side(func() { _ = group.Run(); close(over) })
@@ -130,7 +130,7 @@
 
 // Writes are taken together for one disk alone, up to a bound and in order.
 func TestTakeSaves(t *testing.T) {
-	first, second := &storage.Disk{}, &storage.Disk{}
+	first, second := &storage.Store{}, &storage.Store{}
 	for _, test := range []struct {
 		name        string
 		held        int
@@ -148,7 +148,7 @@
 			s := &Shell{saves: ringbuffer.New[saving](inputsMost)}
 			var held []saving
 			number := uint64(0)
-			next := func(d *storage.Disk) saving { number++; return saving{protocol.Save{Number: number}, d} }
+			next := func(d *storage.Store) saving { number++; return saving{protocol.DiskWrite{Number: number}, d} }
 			for range test.held {
 				held = append(held, next(first))
 			}
--- a/internal/process/shell.go
+++ b/internal/process/shell.go
@@ -37,7 +37,7 @@
 // Settings is what a shell needs beside its machine.
 type Settings struct {
 	Site   string
-	Self   protocol.Place
+	Self   protocol.Node
 	Clock  Clock
 	Log    *log.Logger
 	TickMs int64
@@ -46,23 +46,23 @@
 	Exchanger Exchanger
 	// Renew makes the machine anew from its disk once that takes writes again
 	// after a defect; nil leaves that to a restart.
-	Renew func() (Machine, *storage.Disk, error)
+	Renew func() (Machine, *storage.Store, error)
 }
 
 // Exchanger carries a call out and gives what it brought, as an input for the
 // machine; false says that it does not know the call. May makes the check at
 // the socket: no byte may be written once the process's clock shows untilMs.
 type Exchanger interface {
-	Exchange(ctx context.Context, out *httpclient.Transport, call protocol.Call, may func(untilMs int64) func() bool) (any, bool)
+	Exchange(ctx context.Context, out *httpclient.Transport, call protocol.OutboundCall, may func(untilMs int64) func() bool) (any, bool)
 }
 
 // Shell runs one machine.
 type Shell struct {
 	set     Settings
 	machine Machine
-	disk    *storage.Disk
-	inputs  *ringbuffer.Ring[any]
-	saves   *ringbuffer.Ring[saving]
+	disk    *storage.Store
+	inputs  *ringbuffer.Buffer[any]
+	saves   *ringbuffer.Buffer[saving]
 	lines   *lines
 	doorway doorway
 	out     *httpclient.Transport
@@ -78,7 +78,7 @@
 }
 
 // New makes a shell; nothing runs yet. The disk may be nil.
-func New(set Settings, machine Machine, d *storage.Disk, peers, web net.Listener, handler http.Handler) *Shell {
+func New(set Settings, machine Machine, d *storage.Store, peers, web net.Listener, handler http.Handler) *Shell {
 	s := &Shell{
 		set: set, machine: machine, disk: d,
 		inputs: ringbuffer.New[any](inputsMost), saves: ringbuffer.New[saving](inputsMost),
@@ -174,7 +174,7 @@
 }
 
 // Join adds the shell's duties to a crew.
-func (s *Shell) Join(c *threads.Crew) {
+func (s *Shell) Join(c *threads.Group) {
 	c.Duty(s.work, s.inputs.Close)
 	if s.disk != nil {
 		c.Duty(s.save, s.saves.Close)
@@ -221,22 +221,22 @@
 			if in.disk != s.disk {
 				continue
 			}
-			input = in.Saved
+			input = in.DiskWriteDone
 		}
 		s.perform(s.machine.Step(s.set.Clock.NowMs(), input))
 	}
 }
 
 func (s *Shell) perform(effects protocol.Effects) {
-	for _, note := range effects.Notes {
+	for _, note := range effects.LogLines {
 		s.set.Log.Info(note)
 	}
 	for _, name := range effects.Counts {
 		s.Count(name)
 	}
-	for _, save := range effects.Saves {
+	for _, save := range effects.DiskWrites {
 		if s.disk == nil || !s.saves.Put(saving{save, s.disk}) {
-			s.Put(saved{protocol.Saved{Number: save.Number, Ok: false}, s.disk})
+			s.Put(saved{protocol.DiskWriteDone{Number: save.Number, Ok: false}, s.disk})
 		}
 	}
 	for _, send := range effects.Sends {
@@ -266,24 +266,24 @@
 	}
 }
 
-func lost(call protocol.Call) any {
+func lost(call protocol.OutboundCall) any {
 	switch body := call.Body.(type) {
 	case protocol.OrderCall:
-		return protocol.Reported{Runner: body.Runner, Address: call.Address}
+		return protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address}
 	case protocol.ReportCall:
-		return protocol.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
-	case protocol.FleetCall:
-		return protocol.Fleet{}
-	case protocol.StateCall:
-		return protocol.StateSaid{Runner: body.Runner, Number: body.Number}
-	case protocol.CommandCall:
-		return protocol.CommandSaid{Runner: body.Runner, Number: body.Number}
+		return protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address, Number: body.Number}
+	case protocol.ListRunners:
+		return protocol.RunnerList{}
+	case protocol.GetRunnerState:
+		return protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number}
+	case protocol.RunnerOrder:
+		return protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number}
 	}
-	return protocol.Listing{}
+	return protocol.RunnerListResult{}
 }
 
 // exchange carries a call out to a runner or to the platform.
-func (s *Shell) exchange(call protocol.Call) any {
+func (s *Shell) exchange(call protocol.OutboundCall) any {
 	ctx, cancel := context.WithTimeout(context.Background(), outwardMs*time.Millisecond)
 	defer cancel()
 	if s.set.Exchanger != nil {
@@ -298,15 +298,15 @@
 		text, _ := json.Marshal(body.Order)
 		// The hold is checked again right before the order is written.
 		inTime := s.MaySend(func(nowMs int64) bool { return nowMs < body.UntilMs })
-		reported := protocol.Reported{Runner: body.Runner, Address: call.Address}
+		reported := protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address}
 		reported.Ok = s.fetch(ctx, http.MethodPost, call.Address, "/orders", text, inTime, &reported.Report)
 		return reported
 	case protocol.ReportCall:
-		reported := protocol.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
+		reported := protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address, Number: body.Number}
 		reported.Ok = s.fetch(ctx, http.MethodGet, call.Address, fmt.Sprintf("/report?epoch=%d", body.Epoch), nil, always, &reported.Report)
 		return reported
 	case protocol.PlatformCall:
-		var listing protocol.Listing
+		var listing protocol.RunnerListResult
 		listing.Ok = s.fetch(ctx, http.MethodGet, call.Address, "/runners", nil, always, &listing.Runners)
 		return listing
 	}
--- a/internal/protocol/bodies.go
+++ b/internal/protocol/bodies.go
@@ -9,7 +9,7 @@
 // Envelope carries one message between two daemons of a site.
 type Envelope struct {
 	Site string
-	From Place
+	From Node
 	To   string
 	Body any
 }
@@ -22,26 +22,26 @@
 	Serving bool
 }
 
-// Hello asks a seed, or a peer, for the peers it knows.
-type Hello struct{}
+// PeersRequest asks a seed, or a peer, for the peers it knows.
+type PeersRequest struct{}
 
-// Known answers a Hello.
-type Known struct {
-	Peers  []Place
-	Record Record
+// PeersReply answers a Hello.
+type PeersReply struct {
+	Peers  []Node
+	Record EpochRecord
 }
 
-// Sightings is what a watcher tells the primary.
-type Sightings struct{ Seen []Sighting }
+// HeartbeatReports is what a watcher tells the primary.
+type HeartbeatReports struct{ Seen []HeartbeatReport }
 
-// Sighting says how long ago a peer's heartbeat came.
-type Sighting struct {
-	Place Place
+// HeartbeatReport says how long ago a peer's heartbeat came.
+type HeartbeatReport struct {
+	Place Node
 	AgoMs int64
 }
 
-// Promise asks a witness to take part in no lower ballot.
-type Promise struct {
+// Prepare asks a witness to take part in no lower ballot.
+type Prepare struct {
 	Ballot Ballot
 	// Found is set only by an operator's explicit founding, Recover only by
 	// the explicit act that goes on from a surviving copy.
@@ -51,13 +51,13 @@
 	AllSeeds bool
 }
 
-// Promised answers a Promise.
-type Promised struct {
+// PrepareReply answers a Promise.
+type PrepareReply struct {
 	Ballot  Ballot
 	Granted bool
 	Blank   bool
 	Highest Ballot
-	Record  Record
+	Record  EpochRecord
 	Kept    Ballot
 	WaitMs  int64
 	// NotFirstDisk says that the disk can't vote for a first record: it was not
@@ -67,54 +67,54 @@
 	At Position
 }
 
-// Keep asks a witness to store a record.
-type Keep struct {
+// Accept asks a witness to store a record.
+type Accept struct {
 	Ballot Ballot
-	Record Record
+	Record EpochRecord
 	Found  bool
 	// EchoMs is the sender's own time, for counting the lease it begins.
 	EchoMs int64
 }
 
-// Kept answers a Keep or a Renew.
-type Kept struct {
+// AcceptReply answers a Keep or a Renew.
+type AcceptReply struct {
 	Ballot  Ballot
 	Epoch   uint64
 	Granted bool
 	Highest Ballot
-	Record  Record
+	Record  EpochRecord
 	EchoMs  int64
 }
 
-// Renew asks a witness to prolong the primary's hold.
-type Renew struct {
+// RenewLease asks a witness to prolong the primary's hold.
+type RenewLease struct {
 	Ballot Ballot
-	Record Record
+	Record EpochRecord
 	EchoMs int64
 }
 
-// Release gives back what a witness granted: on a planned stop, or when a
+// ReleaseLease gives back what a witness granted: on a planned stop, or when a
 // candidate gives way to another. Ballot names under which it was granted, so
 // that a late one ends no later grant.
-type Release struct {
+type ReleaseLease struct {
 	Epoch  uint64
 	Ballot Ballot
 }
 
-// Transfer tells a copy to take over now. It may not have been told of the last
+// TransferPrimary tells a copy to take over now. It may not have been told of the last
 // record yet.
-type Transfer struct{ Record Record }
+type TransferPrimary struct{ Record EpochRecord }
 
-// Opinion asks a peer whether it too misses the primary.
-type Opinion struct{ Epoch uint64 }
+// PrimaryQuery asks a peer whether it too misses the primary.
+type PrimaryQuery struct{ Epoch uint64 }
 
-// Opined answers an Opinion.
-type Opined struct {
+// PrimaryReply answers an Opinion.
+type PrimaryReply struct {
 	Epoch   uint64
 	HeardMs int64
 	// Record is the complete epoch record that the sender knows; a router sends
 	// none. Whoever asked may be the only one entitled by it.
-	Record Record
+	Record EpochRecord
 }
 
 // Position is the last change a disk holds.
@@ -139,40 +139,40 @@
 	Rows   map[string]string
 }
 
-// Soft is what the primary knows that is not worth a disk: it is only hints.
-type Soft struct {
+// Hints is what the primary knows that is not worth a disk: it is only hints.
+type Hints struct {
 	Burdens map[string]int64
 	Dark    []string
 	// Turns says in how many ms what is asked for and held nowhere may be held.
 	Turns map[string]int64
 }
 
-// Follow carries changes, or with none the primary's word that it is alive.
-type Follow struct {
-	Record  Record
+// Append carries changes, or with none the primary's word that it is alive.
+type Append struct {
+	Record  EpochRecord
 	Ballot  Ballot
 	Last    Position
 	Changes []Change
-	Soft    Soft
+	Soft    Hints
 	// Peers is left out where the follower told PeersSum itself, so that the
 	// word costs the same however large the site is.
-	Peers    []Place
+	Peers    []Node
 	PeersSum uint64
 	// Sequence counts the primary's messages of this kind and its snapshots within
 	// an epoch; a follower refuses one that was overtaken.
 	Sequence uint64
 	// Contact echoes the follower's own clock while the primary's lease runs.
-	Contact Contact
+	Contact ClockEcho
 	// MayLeave tells a follower that is leaving that nothing waits for it: it
 	// holds neither a copy nor a vote that another daemon could take over.
 	MayLeave bool
 }
 
-// Contact is a moment of a follower's own clock, in ms, as the primary last
+// ClockEcho is a moment of a follower's own clock, in ms, as the primary last
 // heard it. It returns to the follower only while the primary's lease runs, so
 // it shows that at that moment or later a majority stood behind the primary.
 // StartMs names the life of the process, since another life has another clock.
-type Contact struct {
+type ClockEcho struct {
 	SentMs, StartMs int64
 }
 
@@ -180,8 +180,8 @@
 type Snapshot struct {
 	Sequence uint64
 	// Contact is that of Follow.
-	Contact Contact
-	Record  Record
+	Contact ClockEcho
+	Record  EpochRecord
 	At      Position
 	Rows    map[string]string
 }
@@ -192,8 +192,8 @@
 	return hex.EncodeToString(sum[:8])
 }
 
-// Followed answers a Follow or a Snapshot, once what it brought is synced.
-type Followed struct {
+// AppendReply answers a Follow or a Snapshot, once what it brought is synced.
+type AppendReply struct {
 	Epoch uint64
 	At    Position
 	// Taken is what the sender took, synced or not, once it had heard the
@@ -206,14 +206,14 @@
 	// PeersSum names the list of peers that it took.
 	PeersSum uint64
 	// Contact is the sender's clock now.
-	Contact Contact
+	Contact ClockEcho
 	// Leaving says that the sender is stopping as planned: its copy and its vote
 	// are to be handed to others.
 	Leaving bool
 }
 
-// Ask is a router's constant question to the primary.
-type Ask struct {
+// RouterPoll is a router's constant question to the primary.
+type RouterPoll struct {
 	EchoMs   int64
 	Revision uint64
 	// Held is the sum of the next revision's text that the router
@@ -231,22 +231,22 @@
 	Number uint64
 }
 
-// Prolong asks a peer router to renew the lease on a revision, while the
+// ExtendLease asks a peer router to renew the lease on a revision, while the
 // primary is silent.
-type Prolong struct {
+type ExtendLease struct {
 	EchoMs   int64
 	Revision uint64
 }
 
-// Prolonged grants it.
-type Prolonged struct {
+// ExtendLeaseReply grants it.
+type ExtendLeaseReply struct {
 	EchoMs   int64
 	For      string
 	Revision uint64
 }
 
-// Word answers an Ask.
-type Word struct {
+// RouterUpdate answers an Ask.
+type RouterUpdate struct {
 	EchoMs int64
 	// For is the incarnation of the router that asked: the echo means
 	// nothing to another.
@@ -266,21 +266,21 @@
 	// showed that the router lacks it.
 	Text        string
 	PendingText string
-	Leaving     []Mark
-	Peers       []Place
+	Leaving     []LeavingRunner
+	Peers       []Node
 }
 
-// Mark says that a runner's incarnation is leaving; it never comes back.
-type Mark struct {
+// LeavingRunner says that a runner's incarnation is leaving; it never comes back.
+type LeavingRunner struct {
 	Runner      string `json:"runner"`
 	Incarnation string `json:"incarnation"`
 }
 
 // Retire tells a daemon that its name has passed to another for good.
-type Retire struct{ Record Record }
+type Retire struct{ Record EpochRecord }
 
-// Nudge tells a router to ask now.
-type Nudge struct{ Epoch uint64 }
+// PollRequest tells a router to ask now.
+type PollRequest struct{ Epoch uint64 }
 
 // LookUp is the one look-up that each request sends.
 type LookUp struct {
@@ -299,8 +299,8 @@
 	Burden      int64
 }
 
-// Index answers a LookUp, or tells a router of a change it waits for.
-type Index struct {
+// LookUpReply answers a LookUp, or tells a router of a change it waits for.
+type LookUpReply struct {
 	ID      uint64
 	Key     string
 	At      Position
@@ -314,8 +314,8 @@
 	Behind bool
 }
 
-// Demand tells the primary what look-ups a follower answered.
-type Demand struct{ Counts map[string]int64 }
+// DemandReport tells the primary what look-ups a follower answered.
+type DemandReport struct{ Counts map[string]int64 }
 
 // wirePrefix begins the name under which a type of message is known on the
 // connections between daemons. It is not derived from the Go package, so that
@@ -333,29 +333,29 @@
 func init() {
 	register(map[string]any{
 		"Heartbeat": Heartbeat{},
-		"Hello":     Hello{},
-		"Known":     Known{},
-		"Sightings": Sightings{},
-		"Promise":   Promise{},
-		"Promised":  Promised{},
-		"Keep":      Keep{},
-		"Kept":      Kept{},
-		"Renew":     Renew{},
-		"Release":   Release{},
-		"Transfer":  Transfer{},
-		"Opinion":   Opinion{},
-		"Opined":    Opined{},
-		"Follow":    Follow{},
+		"Hello":     PeersRequest{},
+		"Known":     PeersReply{},
+		"Sightings": HeartbeatReports{},
+		"Promise":   Prepare{},
+		"Promised":  PrepareReply{},
+		"Keep":      Accept{},
+		"Kept":      AcceptReply{},
+		"Renew":     RenewLease{},
+		"Release":   ReleaseLease{},
+		"Transfer":  TransferPrimary{},
+		"Opinion":   PrimaryQuery{},
+		"Opined":    PrimaryReply{},
+		"Follow":    Append{},
 		"Snapshot":  Snapshot{},
-		"Followed":  Followed{},
-		"Ask":       Ask{},
-		"Word":      Word{},
-		"Nudge":     Nudge{},
-		"Prolong":   Prolong{},
-		"Prolonged": Prolonged{},
+		"Followed":  AppendReply{},
+		"Ask":       RouterPoll{},
+		"Word":      RouterUpdate{},
+		"Nudge":     PollRequest{},
+		"Prolong":   ExtendLease{},
+		"Prolonged": ExtendLeaseReply{},
 		"LookUp":    LookUp{},
-		"Index":     Index{},
-		"Demand":    Demand{},
+		"Index":     LookUpReply{},
+		"Demand":    DemandReport{},
 		"Retire":    Retire{},
 	})
 }
--- a/internal/protocol/codec.go
+++ b/internal/protocol/codec.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// FrameMost bounds one message between daemons.
-const FrameMost = 8 << 20
+// MaxFrameBytes bounds one message between daemons.
+const MaxFrameBytes = 8 << 20
 
 // ErrFrame says that a frame was oversized.
 var ErrFrame = errors.New("frame is too large")
@@ -53,7 +53,7 @@
 	if _, err := io.ReadFull(r.from, size[:]); err != nil {
 		return err
 	}
-	if r.left = binary.BigEndian.Uint32(size[:]); r.left > FrameMost {
+	if r.left = binary.BigEndian.Uint32(size[:]); r.left > MaxFrameBytes {
 		r.left = 0
 		return ErrFrame
 	}
@@ -97,7 +97,7 @@
 	if err := f.coder.Encode(body); err != nil {
 		return err
 	}
-	if f.out.Len()-4 > FrameMost {
+	if f.out.Len()-4 > MaxFrameBytes {
 		return ErrFrame
 	}
 	binary.BigEndian.PutUint32(f.out.Bytes(), uint32(f.out.Len()-4))
--- a/internal/protocol/effects.go
+++ b/internal/protocol/effects.go
@@ -13,14 +13,14 @@
 	Body    any
 }
 
-// Save is a change of the disk; its end comes back as Saved with the number.
-type Save struct {
+// DiskWrite is a change of the disk; its end comes back as Saved with the number.
+type DiskWrite struct {
 	Number uint64
 	Write  storage.Write
 }
 
-// Saved ends a Save.
-type Saved struct {
+// DiskWriteDone ends a Save.
+type DiskWriteDone struct {
 	Number uint64
 	Ok     bool
 }
@@ -31,8 +31,8 @@
 	Body any
 }
 
-// Dropped answers with a kind of defect.
-type Dropped struct {
+// Rejection answers with a kind of defect.
+type Rejection struct {
 	Kind     errkind.Kind
 	Detail   string
 	Faults   []string
@@ -42,20 +42,20 @@
 	RetryMs int64
 }
 
-// Call goes outward, over HTTP: to a runner or to the platform.
-type Call struct {
+// OutboundCall goes outward, over HTTP: to a runner or to the platform.
+type OutboundCall struct {
 	Address string
 	Body    any
 }
 
 // Effects is what a state machine returns from a step.
 type Effects struct {
-	Sends   []Send
-	Saves   []Save
-	Answers []Answer
-	Calls   []Call
-	// Notes are short sentences for the log.
-	Notes []string
+	Sends      []Send
+	DiskWrites []DiskWrite
+	Answers    []Answer
+	Calls      []OutboundCall
+	// LogLines are short sentences for the log.
+	LogLines []string
 	// Counts are added to the counters of the process.
 	Counts []string
 }
--- a/internal/protocol/fleet.go
+++ b/internal/protocol/fleet.go
@@ -33,30 +33,30 @@
 
 // Calls outward, and what they bring back to the machine.
 type (
-	// FleetCall reads the platform's whole list.
-	FleetCall struct{}
-	// Fleet is the list, or that none came.
-	Fleet struct {
+	// ListRunners reads the platform's whole list.
+	ListRunners struct{}
+	// RunnerList is the list, or that none came.
+	RunnerList struct {
 		Ok bool
 		// Limited says that the platform wants fewer calls.
 		Limited bool
 		Runners []RunnerEntry
 	}
-	// StateCall asks a runner for its state. Number comes back.
-	StateCall struct {
+	// GetRunnerState asks a runner for its state. Number comes back.
+	GetRunnerState struct {
 		Runner string
 		Number uint64
 	}
-	// StateSaid answers a StateCall.
-	StateSaid struct {
+	// RunnerStateResult answers a GetRunnerState.
+	RunnerStateResult struct {
 		Runner string
 		Number uint64
 		Ok     bool
 		State  RunnerState
 	}
-	// CommandCall orders a runner to load or unload. It may not be written to
+	// RunnerOrder orders a runner to load or unload. It may not be written to
 	// the socket once the sender's clock shows UntilMs or more.
-	CommandCall struct {
+	RunnerOrder struct {
 		Runner  string
 		Number  uint64
 		Holder  string
@@ -68,39 +68,39 @@
 		Expected int64
 		UntilMs  int64
 	}
-	// CommandSaid answers a CommandCall.
-	CommandSaid struct {
+	// RunnerOrderResult answers a RunnerOrder.
+	RunnerOrderResult struct {
 		Runner  string
 		Number  uint64
-		Outcome CommandOutcome
+		Outcome OrderOutcome
 	}
 )
 
-// CommandOutcome is what is known of an order once its call ended.
-type CommandOutcome int
+// OrderOutcome is what is known of an order once its call ended.
+type OrderOutcome int
 
 // The outcomes of an order.
 const (
-	// CommandUnknown: it may have been taken; only a later state can tell.
-	CommandUnknown CommandOutcome = iota
-	// CommandTaken: it is under way.
-	CommandTaken
-	// CommandInEffect: it was in effect already.
-	CommandInEffect
-	// CommandBusy: another is under way, or the count did not match. Not taken.
-	CommandBusy
-	// CommandFenced: the runner has seen a higher fence. Not taken.
-	CommandFenced
-	// CommandRefused: it does not exist, or another runner answered. Not taken.
-	CommandRefused
-	// CommandNotSent: no byte was written.
-	CommandNotSent
+	// OutcomeUnknown: it may have been taken; only a later state can tell.
+	OutcomeUnknown OrderOutcome = iota
+	// OutcomeAccepted: it is under way.
+	OutcomeAccepted
+	// OutcomeAlreadyInEffect: it was in effect already.
+	OutcomeAlreadyInEffect
+	// OutcomeBusy: another is under way, or the count did not match. Not taken.
+	OutcomeBusy
+	// OutcomeFenced: the runner has seen a higher fence. Not taken.
+	OutcomeFenced
+	// OutcomeRefused: it does not exist, or another runner answered. Not taken.
+	OutcomeRefused
+	// OutcomeNotSent: no byte was written.
+	OutcomeNotSent
 )
 
 // Messages between routers and controllers where the service map is in use.
 type (
-	// MapAsk is a router's constant question to the primary.
-	MapAsk struct {
+	// ConfigPoll is a router's constant question to the primary.
+	ConfigPoll struct {
 		EchoMs int64
 		// Version and Sum name the map that the router uses; nought is none.
 		Version uint64
@@ -108,9 +108,9 @@
 		// LeavingSum and ControllersSum name the lists that it took.
 		LeavingSum, ControllersSum uint64
 	}
-	// MapWord answers a MapAsk; unasked it is sent to all routers at once when
+	// ConfigUpdate answers a ConfigPoll; unasked it is sent to all routers at once when
 	// a map came into force or a runner was seen to leave (EchoMs is nought).
-	MapWord struct {
+	ConfigUpdate struct {
 		EchoMs int64
 		Epoch  uint64
 		// Version and Sum name the map in force; Packed is the map itself, as the
@@ -129,12 +129,12 @@
 		Routers int
 		// Controllers are where look-ups and questions may go; left out where the
 		// router told ControllersSum itself.
-		Controllers    []Place
+		Controllers    []Node
 		ControllersSum uint64
 	}
-	// MapLookUp is the one look-up that each request sends. Model and Adapter
+	// IndexLookUp is the one look-up that each request sends. Model and Adapter
 	// are empty where the service holds none.
-	MapLookUp struct {
+	IndexLookUp struct {
 		ID                      uint64
 		Service, Model, Adapter string
 		// Tokens is the work that the request asks for.
@@ -147,8 +147,8 @@
 		// took to read 1,000 tokens of a prompt for the model; 0 is unknown.
 		ReadMs float64
 	}
-	// MapHolder is a runner that a choice table offers.
-	MapHolder struct {
+	// IndexHolder is a runner that a choice table offers.
+	IndexHolder struct {
 		ID, Address, Zone string
 		// Adapter says that it holds the adapter too.
 		Adapter bool
@@ -158,15 +158,15 @@
 		CacheUsed, CacheTotal int64
 		AgeMs                 int64
 	}
-	// MapIndex answers a MapLookUp, or tells a router that asked lately of a
+	// IndexReply answers a IndexLookUp, or tells a router that asked lately of a
 	// change (Id is nought).
-	MapIndex struct {
+	IndexReply struct {
 		ID                      uint64
 		Service, Model, Adapter string
 		Epoch, Change           uint64
 		// Known says that the controller has a state to answer from.
 		Known   bool
-		Holders []MapHolder
+		Holders []IndexHolder
 		// TurnMs is in how many ms it may be held where it is not, or -1 where
 		// that can't be told; Loading that a load of it is under way.
 		TurnMs  int64
@@ -176,9 +176,9 @@
 
 func init() {
 	register(map[string]any{
-		"MapAsk":    MapAsk{},
-		"MapWord":   MapWord{},
-		"MapLookUp": MapLookUp{},
-		"MapIndex":  MapIndex{},
+		"MapAsk":    ConfigPoll{},
+		"MapWord":   ConfigUpdate{},
+		"MapLookUp": IndexLookUp{},
+		"MapIndex":  IndexReply{},
 	})
 }
--- a/internal/protocol/outward.go
+++ b/internal/protocol/outward.go
@@ -46,47 +46,47 @@
 	OrderFailed   = "failed"
 )
 
-// Held is a model or adapter that a runner holds.
-type Held struct {
+// HeldItem is a model or adapter that a runner holds.
+type HeldItem struct {
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
 	Size    int64  `json:"size"`
 }
 
-// Report is a runner's own word on itself; it answers orders too.
-type Report struct {
-	Runner      string `json:"runner"`
-	Incarnation string `json:"incarnation"`
-	Room        int64  `json:"room"`
-	Burden      int64  `json:"burden"`
-	Epoch       uint64 `json:"epoch"`
-	LastOrder   uint64 `json:"lastOrder"`
-	LastState   string `json:"lastState"`
-	Held        []Held `json:"held"`
+// RunnerReport is a runner's own word on itself; it answers orders too.
+type RunnerReport struct {
+	Runner      string     `json:"runner"`
+	Incarnation string     `json:"incarnation"`
+	Room        int64      `json:"room"`
+	Burden      int64      `json:"burden"`
+	Epoch       uint64     `json:"epoch"`
+	LastOrder   uint64     `json:"lastOrder"`
+	LastState   string     `json:"lastState"`
+	Held        []HeldItem `json:"held"`
 }
 
-// Reported brings a report, or that none came, back to the machine. The
+// RunnerReportResult brings a report, or that none came, back to the machine. The
 // number is that of the call; an order's answer has none.
-type Reported struct {
+type RunnerReportResult struct {
 	Runner  string
 	Address string
 	Number  uint64
 	Ok      bool
-	Report  Report
+	Report  RunnerReport
 }
 
-// Listed is a runner in the platform's list.
-type Listed struct {
+// ListedRunner is a runner in the platform's list.
+type ListedRunner struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
 	Incarnation string `json:"incarnation"`
 	Leaving     bool   `json:"leaving"`
 }
 
-// Listing brings the platform's list, or that none came, to the machine.
-type Listing struct {
+// RunnerListResult brings the platform's list, or that none came, to the machine.
+type RunnerListResult struct {
 	Ok      bool
-	Runners []Listed
+	Runners []ListedRunner
 }
 
 // Tick tells a machine only that time has gone on.
--- a/internal/protocol/pack.go
+++ b/internal/protocol/pack.go
@@ -9,8 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TextMost bounds a packed text once it is unpacked.
-const TextMost = FrameMost
+// MaxTextBytes bounds a packed text once it is unpacked.
+const MaxTextBytes = MaxFrameBytes
 
 // Pack makes a text small for links and disks.
 func Pack(text string) []byte {
@@ -28,11 +28,11 @@
 // Unpack gives the text back.
 func Unpack(packed []byte) (string, error) {
 	var text strings.Builder
-	n, err := io.Copy(&text, io.LimitReader(flate.NewReader(bytes.NewReader(packed)), TextMost+1))
+	n, err := io.Copy(&text, io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaxTextBytes+1))
 	if err != nil {
 		return "", errors.Wrap(err, "a packed text can't be read")
 	}
-	if n > TextMost {
+	if n > MaxTextBytes {
 		return "", errors.New("a packed text is too large")
 	}
 	return text.String(), nil
--- a/internal/protocol/pack_test.go
+++ b/internal/protocol/pack_test.go
@@ -23,7 +23,7 @@
 		{"nothing", nil, "", false},
 		{"torn", packed[:len(packed)/2], "", false},
 		{"no packed text", []byte("version: 1"), "", false},
-		{"too large", Pack(strings.Repeat(" ", TextMost+1)), "", false},
+		{"too large", Pack(strings.Repeat(" ", MaxTextBytes+1)), "", false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
--- a/internal/protocol/place.go
+++ b/internal/protocol/place.go
@@ -4,8 +4,8 @@
 
 import "hash/fnv"
 
-// Place is where a daemon is to be found.
-type Place struct {
+// Node is where a daemon is to be found.
+type Node struct {
 	Name        string `json:"name"`
 	Address     string `json:"address"`
 	Zone        string `json:"zone"`
@@ -19,8 +19,8 @@
 	Router     = "router"
 )
 
-// SumPlaces names a list of places in its order; it is never nought.
-func SumPlaces(places []Place) uint64 {
+// SumNodes names a list of places in its order; it is never nought.
+func SumNodes(places []Node) uint64 {
 	texts := make([]string, 0, 5*len(places))
 	for _, p := range places {
 		texts = append(texts, p.Name, p.Address, p.Zone, p.Part, p.Incarnation)
--- a/internal/proxy/cache.go
+++ b/internal/proxy/cache.go
@@ -12,7 +12,7 @@
 // entry is a cached line of the index, for a key that was named.
 type entry struct {
 	epoch, change uint64
-	holders       []protocol.MapHolder
+	holders       []protocol.IndexHolder
 	// turnMs is when it may be held where it is not, or -1.
 	turnMs  int64
 	loading bool
@@ -38,7 +38,7 @@
 type cache map[key]*entry
 
 // take brings an index line in; false says that a newer one is there.
-func (c cache) take(nowMs int64, in protocol.MapIndex) bool {
+func (c cache) take(nowMs int64, in protocol.IndexReply) bool {
 	at := key{in.Service, in.Model, in.Adapter}
 	old := c[at]
 	if old != nil && (old.epoch > in.Epoch || old.epoch == in.Epoch && old.change > in.Change) {
@@ -90,6 +90,6 @@
 }
 
 // offers says whether a holder can be asked for the key.
-func (e *entry) offers(nowMs int64, at key, h *protocol.MapHolder) bool {
+func (e *entry) offers(nowMs int64, at key, h *protocol.IndexHolder) bool {
 	return (at.adapter == "" || h.Adapter) && e.shunned[h.ID] <= nowMs
 }
--- a/internal/proxy/cache_test.go
+++ b/internal/proxy/cache_test.go
@@ -25,8 +25,8 @@
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			lines := cache{}
-			c.Assert(lines.take(1, protocol.MapIndex{Service: "s", Epoch: 2, Change: 5, TurnMs: -1}), qt.IsTrue)
-			c.Assert(lines.take(2, protocol.MapIndex{Service: "s", Epoch: test.epoch, Change: test.change, TurnMs: 7}), qt.Equals, test.taken)
+			c.Assert(lines.take(1, protocol.IndexReply{Service: "s", Epoch: 2, Change: 5, TurnMs: -1}), qt.IsTrue)
+			c.Assert(lines.take(2, protocol.IndexReply{Service: "s", Epoch: test.epoch, Change: test.change, TurnMs: 7}), qt.Equals, test.taken)
 			want := int64(-1)
 			if test.taken {
 				want = 9
@@ -40,10 +40,10 @@
 	c := qt.New(t)
 	lines := cache{}
 	for i := range cacheMost {
-		lines.take(int64(i), protocol.MapIndex{Service: "s", Model: fmt.Sprint(i)})
+		lines.take(int64(i), protocol.IndexReply{Service: "s", Model: fmt.Sprint(i)})
 	}
 	lines[key{"s", "0", ""}].usedMs = 1 << 40
-	lines.take(1<<40, protocol.MapIndex{Service: "s", Model: "new"})
+	lines.take(1<<40, protocol.IndexReply{Service: "s", Model: "new"})
 	c.Assert(lines, qt.HasLen, cacheMost)
 	c.Assert(lines[key{"s", "0", ""}], qt.IsNotNil)
 	c.Assert(lines[key{"s", "1", ""}], qt.IsNil)
@@ -54,7 +54,7 @@
 func TestCacheShuns(t *testing.T) {
 	c := qt.New(t)
 	lines, at := cache{}, key{service: "s"}
-	line := protocol.MapIndex{Service: "s", Epoch: 1, Change: 1, Holders: []protocol.MapHolder{{ID: "a"}}}
+	line := protocol.IndexReply{Service: "s", Epoch: 1, Change: 1, Holders: []protocol.IndexHolder{{ID: "a"}}}
 	lines.take(1, line)
 	lines[at].shun(1, "a")
 	offers := func(nowMs int64) bool { return lines[at].offers(nowMs, at, &lines[at].holders[0]) }
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -251,7 +251,7 @@
 		document.Limits.HeaderBytes = test.bytes
 		text, err := json.Marshal(document)
 		c.Assert(err, qt.IsNil)
-		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.MapWord{
+		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.ConfigUpdate{
 			EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
 		}})
 		// The machine takes one input after the other, so this one is behind.
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -86,7 +86,7 @@
 }
 
 // Join adds the router's duties to a crew.
-func (g *Gate) Join(c *threads.Crew) {
+func (g *Gate) Join(c *threads.Group) {
 	g.shell.Join(c)
 	c.Duty(func() error {
 		if err := g.server.Serve(clientListener{g.front, g.limits}); !errors.Is(err, http.ErrServerClosed) {
@@ -302,7 +302,7 @@
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
-			case protocol.Dropped:
+			case protocol.Rejection:
 				over = true
 				g.tongue.Refuse(p.w, said.Kind, said.RetryMs)
 				return
--- a/internal/proxy/gate_test.go
+++ b/internal/proxy/gate_test.go
@@ -199,7 +199,7 @@
 	if err != nil {
 		return nil, "", nil, err
 	}
-	group := &threads.Crew{}
+	group := &threads.Group{}
 	g.Join(group)
 	stopped, done := make(chan struct{}), make(chan struct{})
 	group.Until(stopped)
@@ -211,11 +211,11 @@
 		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
 	}
 	text, _ := json.Marshal(document)
-	put(protocol.MapWord{EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 1, Sum: "1", Text: string(text), Routers: 1})
-	for _, line := range []protocol.MapIndex{{Service: "pages"}, {Service: "reader", Model: "m"}} {
+	put(protocol.ConfigUpdate{EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 1, Sum: "1", Text: string(text), Routers: 1})
+	for _, line := range []protocol.IndexReply{{Service: "pages"}, {Service: "reader", Model: "m"}} {
 		line.ID, line.Known, line.Epoch, line.TurnMs = 1, true, 3, -1
 		for i, address := range addresses {
-			line.Holders = append(line.Holders, protocol.MapHolder{ID: fmt.Sprint("r", i), Address: address, Slots: 8})
+			line.Holders = append(line.Holders, protocol.IndexHolder{ID: fmt.Sprint("r", i), Address: address, Slots: 8})
 		}
 		put(line)
 	}
--- a/internal/proxy/lookup.go
+++ b/internal/proxy/lookup.go
@@ -15,7 +15,7 @@
 	}
 	r.looks++
 	r.lookedMs, r.lookedAt = m.nowMs, to
-	m.send(place, protocol.MapLookUp{
+	m.send(place, protocol.IndexLookUp{
 		ID: r.lookUp, Service: r.key.service, Model: r.key.model, Adapter: r.key.adapter,
 		Tokens: r.tokens, Waits: r.missed, Prompt: r.Asked.PromptTokens, ReadMs: m.pricing.take(r.key.service, r.key.model),
 	})
@@ -46,7 +46,7 @@
 	if e != nil && len(e.holders) > 0 || m.listed == nil || !m.silent() || m.nowMs-m.atMs > listedMs {
 		return e
 	}
-	line := protocol.MapIndex{Service: at.service, Model: at.model, Adapter: at.adapter, TurnMs: -1}
+	line := protocol.IndexReply{Service: at.service, Model: at.model, Adapter: at.adapter, TurnMs: -1}
 	if e != nil {
 		line.Epoch, line.Change = e.epoch, e.change
 	}
@@ -60,7 +60,7 @@
 			}
 		}
 		if r.Service == at.service && held {
-			line.Holders = append(line.Holders, protocol.MapHolder{ID: r.ID, Address: r.Address, Zone: r.Zone, Adapter: adapter, Slots: r.Slots})
+			line.Holders = append(line.Holders, protocol.IndexHolder{ID: r.ID, Address: r.Address, Zone: r.Zone, Adapter: adapter, Slots: r.Slots})
 		}
 	}
 	if len(line.Holders) == 0 || !m.cache.take(m.nowMs, line) {
@@ -70,7 +70,7 @@
 }
 
 // indexed takes an answer of the index, or its word of a change.
-func (m *Machine) indexed(in protocol.MapIndex) {
+func (m *Machine) indexed(in protocol.IndexReply) {
 	if !in.Known {
 		return
 	}
@@ -123,7 +123,7 @@
 
 // nearest picks one of the live controllers for a router: one of its zone, and
 // of those another for each router.
-func nearest(self protocol.Place, live []protocol.Place) string {
+func nearest(self protocol.Node, live []protocol.Node) string {
 	best, bestRank, bestOwn := "", uint64(0), false
 	for _, place := range live {
 		own, rank := place.Zone == self.Zone, mix(hash(self.Name)^hash(place.Name))
@@ -137,7 +137,7 @@
 // nextController names the one after another, a live one if there is one.
 func (m *Machine) nextController(than string) string {
 	places := m.roster.Part(protocol.Controller)
-	at := slices.IndexFunc(places, func(p protocol.Place) bool { return p.Name > than })
+	at := slices.IndexFunc(places, func(p protocol.Node) bool { return p.Name > than })
 	first := ""
 	for i := range places {
 		name := places[(max(0, at)+i)%len(places)].Name
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -35,7 +35,7 @@
 // Settings is the configuration of a router: what it knows at its start.
 type Settings struct {
 	Site   string
-	Self   protocol.Place
+	Self   protocol.Node
 	Seeds  []string
 	Bounds bounds.Bounds
 	// ListAddress is where the platform lists its runners; empty is nowhere.
@@ -58,7 +58,7 @@
 	nowMs  int64
 	stepMs int64
 	out    protocol.Effects
-	roster *failuredetector.Roster
+	roster *failuredetector.Detector
 	seeds  []string
 
 	// current is the map in use, also for those on other threads.
@@ -108,7 +108,7 @@
 	times map[string]float64
 	asks  uint64
 	// What candidates found last.
-	offered    []protocol.MapHolder
+	offered    []protocol.IndexHolder
 	chosen     []candidate
 	crowdedNow bool
 	Tally      Tally
@@ -149,7 +149,7 @@
 		m.ended(in)
 	case Gone:
 		m.gone(in.ID)
-	case protocol.Fleet:
+	case protocol.RunnerList:
 		m.fleet(in)
 	case Leave:
 		if !m.leaving {
@@ -186,7 +186,7 @@
 	if m.set.ListAddress != "" && m.current.Load() != nil && m.silent() && m.nowMs >= m.readMs && !m.reading {
 		// All routers share the platform's patience.
 		m.readMs, m.reading = m.nowMs+max(silentMs, int64(m.routers)*readEachMs), true
-		m.out.Calls = append(m.out.Calls, protocol.Call{Address: m.set.ListAddress, Body: protocol.FleetCall{}})
+		m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: m.set.ListAddress, Body: protocol.ListRunners{}})
 	}
 	if m.nowMs-m.sweptMs >= sweepMs {
 		m.sweep()
@@ -228,7 +228,7 @@
 }
 
 // send adds a message to another daemon to the effects.
-func (m *Machine) send(to protocol.Place, body any) {
+func (m *Machine) send(to protocol.Node, body any) {
 	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
@@ -239,7 +239,7 @@
 
 // note adds a log line to the effects.
 func (m *Machine) note(format string, args ...any) {
-	m.out.Notes = append(m.out.Notes, fmt.Sprintf(format, args...))
+	m.out.LogLines = append(m.out.LogLines, fmt.Sprintf(format, args...))
 }
 
 // count adds an error to be counted by its kind to the effects.
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -46,9 +46,9 @@
 }
 
 var (
-	selfPlace    = protocol.Place{Name: "router-1", Address: "r:1", Zone: "z1", Part: protocol.Router}
-	primaryPlace = protocol.Place{Name: "core-1", Address: "c:1", Part: protocol.Controller}
-	otherPlace   = protocol.Place{Name: "core-2", Address: "c:2", Part: protocol.Controller}
+	selfPlace    = protocol.Node{Name: "router-1", Address: "r:1", Zone: "z1", Part: protocol.Router}
+	primaryPlace = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.Controller}
+	otherPlace   = protocol.Node{Name: "core-2", Address: "c:2", Part: protocol.Controller}
 )
 
 // bed is a machine with a hand on its clock.
@@ -70,14 +70,14 @@
 
 func (b *bed) step(input any) protocol.Effects { return b.m.Step(b.nowMs, input) }
 
-func (b *bed) from(place protocol.Place, body any) protocol.Effects {
+func (b *bed) from(place protocol.Node, body any) protocol.Effects {
 	return b.step(protocol.Envelope{Site: "site", From: place, To: selfPlace.Name, Body: body})
 }
 
-func (b *bed) word(version uint64, more ...func(*protocol.MapWord)) protocol.Effects {
+func (b *bed) word(version uint64, more ...func(*protocol.ConfigUpdate)) protocol.Effects {
 	text, err := json.Marshal(exampleMap(version))
 	b.c.Assert(err, qt.IsNil)
-	w := protocol.MapWord{EchoMs: b.nowMs, Epoch: 3, Version: version, Sum: fmt.Sprint(version), Text: string(text), Routers: 1, Controllers: []protocol.Place{primaryPlace, otherPlace}}
+	w := protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: 3, Version: version, Sum: fmt.Sprint(version), Text: string(text), Routers: 1, Controllers: []protocol.Node{primaryPlace, otherPlace}}
 	for _, change := range more {
 		change(&w)
 	}
@@ -88,17 +88,17 @@
 func ready(c *qt.C) *bed {
 	b := newBed(c)
 	b.word(1)
-	b.index(protocol.MapIndex{Service: "pages", Holders: []protocol.MapHolder{holder("p1"), holder("p2")}})
-	b.index(protocol.MapIndex{Service: "reader", Model: "m", Holders: []protocol.MapHolder{holder("r1"), holder("r2")}})
+	b.index(protocol.IndexReply{Service: "pages", Holders: []protocol.IndexHolder{holder("p1"), holder("p2")}})
+	b.index(protocol.IndexReply{Service: "reader", Model: "m", Holders: []protocol.IndexHolder{holder("r1"), holder("r2")}})
 	return b
 }
 
-func holder(id string) protocol.MapHolder {
-	return protocol.MapHolder{ID: id, Address: id + ":80", Zone: "z1", Slots: 4}
+func holder(id string) protocol.IndexHolder {
+	return protocol.IndexHolder{ID: id, Address: id + ":80", Zone: "z1", Slots: 4}
 }
 
 // index brings a line as an answer to an older look-up.
-func (b *bed) index(line protocol.MapIndex) protocol.Effects {
+func (b *bed) index(line protocol.IndexReply) protocol.Effects {
 	line.Known, line.Epoch = true, 3
 	if line.ID == 0 {
 		line.ID = 1 << 60
@@ -127,7 +127,7 @@
 	var all protocol.Effects
 	for end := b.nowMs + ms; b.nowMs < end; {
 		b.nowMs += min(25, end-b.nowMs)
-		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.from(primaryPlace, protocol.MapWord{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.version})} {
+		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.version})} {
 			all.Answers = append(all.Answers, out.Answers...)
 			all.Sends = append(all.Sends, out.Sends...)
 		}
@@ -135,9 +135,9 @@
 	return all
 }
 
-func lookUps(out protocol.Effects) (found []protocol.MapLookUp) {
+func lookUps(out protocol.Effects) (found []protocol.IndexLookUp) {
 	for _, send := range out.Sends {
-		if body, ok := send.Body.(protocol.MapLookUp); ok {
+		if body, ok := send.Body.(protocol.IndexLookUp); ok {
 			found = append(found, body)
 		}
 	}
@@ -174,7 +174,7 @@
 	c.Assert(b.m.Tally.MissesHeld, qt.Equals, uint64(0))
 	b.later(50)
 	c.Assert(b.m.Tally.MissesHeld, qt.Equals, uint64(1))
-	out = b.index(protocol.MapIndex{ID: lookUps(out)[0].ID, Service: "pages", Holders: []protocol.MapHolder{holder("p1")}})
+	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Holders: []protocol.IndexHolder{holder("p1")}})
 	c.Assert(answered[Send](c, out).Go.Runner, qt.Equals, "p1")
 }
 
@@ -203,7 +203,7 @@
 			found := lookUps(out)
 			total += len(found)
 			for _, l := range found {
-				b.index(protocol.MapIndex{ID: l.ID, Service: "pages", Holders: []protocol.MapHolder{holder("p1")}})
+				b.index(protocol.IndexReply{ID: l.ID, Service: "pages", Holders: []protocol.IndexHolder{holder("p1")}})
 			}
 			total += len(lookUps(b.later(50)))
 			b.step(Ended{ID: b.id, Outcome: Answered})
@@ -215,20 +215,22 @@
 func TestARouterNeverGoesBack(t *testing.T) {
 	cases := []struct {
 		about   string
-		word    func(*protocol.MapWord)
+		word    func(*protocol.ConfigUpdate)
 		version uint64
 		want    uint64
 	}{
-		{"a later version", func(*protocol.MapWord) {}, 9, 9},
-		{"an earlier version", func(*protocol.MapWord) {}, 4, 5},
-		{"a push", func(w *protocol.MapWord) { w.EchoMs = 0 }, 9, 9},
-		{"a lower epoch", func(w *protocol.MapWord) { w.Epoch = 2 }, 9, 5},
-		{"no text", func(w *protocol.MapWord) { w.Text = "" }, 9, 5},
-		{"a text that can't be read", func(w *protocol.MapWord) { w.Text = "{" }, 9, 5},
-		{"a packed text", func(w *protocol.MapWord) { w.Packed, w.Sum, w.Text = protocol.Pack(w.Text), protocol.Sum(w.Text), "" }, 9, 9},
-		{"a packed text of another sum", func(w *protocol.MapWord) { w.Packed, w.Text = protocol.Pack(w.Text), "" }, 9, 5},
-		{"a packed text that can't be read", func(w *protocol.MapWord) { w.Packed, w.Text = []byte("{"), "" }, 9, 5},
-		{"a question from before its life", func(w *protocol.MapWord) { w.EchoMs = 1 << 50 }, 9, 5},
+		{"a later version", func(*protocol.ConfigUpdate) {}, 9, 9},
+		{"an earlier version", func(*protocol.ConfigUpdate) {}, 4, 5},
+		{"a push", func(w *protocol.ConfigUpdate) { w.EchoMs = 0 }, 9, 9},
+		{"a lower epoch", func(w *protocol.ConfigUpdate) { w.Epoch = 2 }, 9, 5},
+		{"no text", func(w *protocol.ConfigUpdate) { w.Text = "" }, 9, 5},
+		{"a text that can't be read", func(w *protocol.ConfigUpdate) { w.Text = "{" }, 9, 5},
+		{"a packed text", func(w *protocol.ConfigUpdate) {
+			w.Packed, w.Sum, w.Text = protocol.Pack(w.Text), protocol.Sum(w.Text), ""
+		}, 9, 9},
+		{"a packed text of another sum", func(w *protocol.ConfigUpdate) { w.Packed, w.Text = protocol.Pack(w.Text), "" }, 9, 5},
+		{"a packed text that can't be read", func(w *protocol.ConfigUpdate) { w.Packed, w.Text = []byte("{"), "" }, 9, 5},
+		{"a question from before its life", func(w *protocol.ConfigUpdate) { w.EchoMs = 1 << 50 }, 9, 5},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -246,7 +248,7 @@
 func TestALeavingRunnerIsNotChosen(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	b.word(1, func(w *protocol.MapWord) { w.EchoMs, w.Leaving = 0, []string{"p1"} })
+	b.word(1, func(w *protocol.ConfigUpdate) { w.EchoMs, w.Leaving = 0, []string{"p1"} })
 	// A later word without it takes nothing back.
 	b.word(1)
 	for range 3 {
@@ -259,56 +261,56 @@
 func TestTheQuestionNamesWhatWasTold(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	asked := func() protocol.MapAsk {
+	asked := func() protocol.ConfigPoll {
 		b.nowMs += askMs
 		for _, send := range b.step(protocol.Tick{}).Sends {
-			if ask, ok := send.Body.(protocol.MapAsk); ok {
+			if ask, ok := send.Body.(protocol.ConfigPoll); ok {
 				return ask
 			}
 		}
 		c.Fatal("no question")
-		return protocol.MapAsk{}
+		return protocol.ConfigPoll{}
 	}
-	b.word(1, func(w *protocol.MapWord) { w.Leaving, w.LeavingSum, w.ControllersSum = []string{"p1"}, 7, 8 })
+	b.word(1, func(w *protocol.ConfigUpdate) { w.Leaving, w.LeavingSum, w.ControllersSum = []string{"p1"}, 7, 8 })
 	ask := asked()
 	c.Assert(ask.LeavingSum, qt.Equals, uint64(7))
 	c.Assert(ask.ControllersSum, qt.Equals, uint64(8))
 	for range 3 * leavingMs / sweepMs {
 		b.nowMs += sweepMs
-		b.word(1, func(w *protocol.MapWord) { w.LeavingSum, w.Controllers, w.ControllersSum = 7, nil, 8 })
+		b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 7, nil, 8 })
 		b.step(protocol.Tick{})
 	}
 	c.Assert(b.m.isLeaving("p1"), qt.IsTrue)
 	c.Assert(b.m.roster.Part(protocol.Controller), qt.HasLen, 2)
-	b.word(1, func(w *protocol.MapWord) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
+	b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
 	c.Assert(asked().LeavingSum, qt.Equals, uint64(9))
 }
 
 // Look-ups that need not wait go to a live controller of the own zone; what a
 // request can't go on without, and all while the primary is silent, does not.
 func TestWhomLookUpsGoTo(t *testing.T) {
-	near := protocol.Place{Name: "core-3", Address: "c:3", Zone: "z1", Part: protocol.Controller}
-	far := protocol.Place{Name: "core-4", Address: "c:4", Zone: "z2", Part: protocol.Controller}
+	near := protocol.Node{Name: "core-3", Address: "c:3", Zone: "z1", Part: protocol.Controller}
+	far := protocol.Node{Name: "core-4", Address: "c:4", Zone: "z2", Part: protocol.Controller}
 	cases := []struct {
 		about   string
-		live    []protocol.Place
+		live    []protocol.Node
 		missed  bool
 		silent  bool
 		routers int
 		want    string
 	}{
-		{"of the own zone", []protocol.Place{far, near, primaryPlace}, false, false, 89, "core-3"},
-		{"a miss", []protocol.Place{far, near, primaryPlace}, true, false, 89, "core-1"},
-		{"none is in the own zone", []protocol.Place{far}, false, false, 89, "core-4"},
+		{"of the own zone", []protocol.Node{far, near, primaryPlace}, false, false, 89, "core-3"},
+		{"a miss", []protocol.Node{far, near, primaryPlace}, true, false, 89, "core-1"},
+		{"none is in the own zone", []protocol.Node{far}, false, false, 89, "core-4"},
 		{"none was told", nil, false, false, 89, "core-1"},
-		{"few routers", []protocol.Place{far, near, primaryPlace}, false, false, 9, "core-1"},
-		{"the primary is silent", []protocol.Place{far, near, primaryPlace}, false, true, 89, "core-1"},
+		{"few routers", []protocol.Node{far, near, primaryPlace}, false, false, 9, "core-1"},
+		{"the primary is silent", []protocol.Node{far, near, primaryPlace}, false, true, 89, "core-1"},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			b := newBed(c)
-			b.word(1, func(w *protocol.MapWord) { w.Controllers, w.Routers = test.live, test.routers })
+			b.word(1, func(w *protocol.ConfigUpdate) { w.Controllers, w.Routers = test.live, test.routers })
 			if test.silent {
 				b.nowMs += silentMs + 1
 				b.m.nowMs = b.nowMs
@@ -320,10 +322,10 @@
 
 // Routers of a zone without a controller spread over all.
 func TestNearestSpreads(t *testing.T) {
-	live := []protocol.Place{{Name: "core-1", Zone: "a"}, {Name: "core-2", Zone: "b"}, {Name: "core-3", Zone: "b"}}
+	live := []protocol.Node{{Name: "core-1", Zone: "a"}, {Name: "core-2", Zone: "b"}, {Name: "core-3", Zone: "b"}}
 	counts := map[string]int{}
 	for i := range 300 {
-		counts[nearest(protocol.Place{Name: fmt.Sprintf("edge-%d", i), Zone: []string{"b", "c"}[i%2]}, live)]++
+		counts[nearest(protocol.Node{Name: fmt.Sprintf("edge-%d", i), Zone: []string{"b", "c"}[i%2]}, live)]++
 	}
 	qt.Assert(t, counts["core-1"] > 30 && counts["core-1"] < 70, qt.IsTrue)
 	qt.Assert(t, counts["core-2"] > 90 && counts["core-3"] > 90, qt.IsTrue)
@@ -369,7 +371,7 @@
 				}
 			case Break:
 				c.Assert(test.want, qt.Equals, broken)
-			case protocol.Dropped:
+			case protocol.Rejection:
 				c.Assert(test.want, qt.Equals, string(got.Kind))
 				c.Assert(got.Kind.Reply().Drop, qt.IsFalse)
 			}
@@ -385,14 +387,14 @@
 	answered[Send](c, b.step(Ended{ID: b.id, Outcome: Lost}))
 	b.m.budget("pages").tokens = 0
 	out := b.step(Ended{ID: b.id, Outcome: TurnedAway})
-	c.Assert(answered[protocol.Dropped](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
+	c.Assert(answered[protocol.Rejection](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
 }
 
 func TestTriesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
 	b.m.budget("pages").tokens = 100
-	b.index(protocol.MapIndex{Service: "pages", Change: 1, Holders: []protocol.MapHolder{holder("p1"), holder("p2"), holder("p3"), holder("p4"), holder("p5")}})
+	b.index(protocol.IndexReply{Service: "pages", Change: 1, Holders: []protocol.IndexHolder{holder("p1"), holder("p2"), holder("p3"), holder("p4"), holder("p5")}})
 	out := b.ask("/unsafe/")
 	sends := 0
 	for len(out.Answers) == 1 {
@@ -403,7 +405,7 @@
 		out = b.step(Ended{ID: b.id, Outcome: TurnedAway})
 	}
 	c.Assert(sends, qt.Equals, 3)
-	dropped := answered[protocol.Dropped](c, out)
+	dropped := answered[protocol.Rejection](c, out)
 	c.Assert(dropped.Kind, qt.Equals, errkind.RunnerDropped)
 	c.Assert(dropped.RetryMs > 0, qt.IsTrue)
 }
@@ -413,7 +415,7 @@
 	b := ready(c)
 	b.ask("/unsafe/")
 	b.m.budget("pages").tokens = 0.5
-	c.Assert(answered[protocol.Dropped](c, b.step(Ended{ID: b.id, Outcome: TurnedAway})).Kind, qt.Equals, errkind.RunnerDropped)
+	c.Assert(answered[protocol.Rejection](c, b.step(Ended{ID: b.id, Outcome: TurnedAway})).Kind, qt.Equals, errkind.RunnerDropped)
 	// A runner that could not be reached has cost nothing.
 	b = ready(c)
 	b.ask("/unsafe/")
@@ -425,23 +427,23 @@
 	cases := []struct {
 		about   string
 		path    string
-		line    protocol.MapIndex
+		line    protocol.IndexReply
 		leftMs  int64
 		kind    errkind.Kind
 		fromMs  int64
 		untilMs int64
 	}{
-		{"its turn is too late", "/stream/", protocol.MapIndex{TurnMs: 2500}, 2000, errkind.NoTurn, 0, 0},
-		{"its turn comes, and it does not", "/stream/", protocol.MapIndex{TurnMs: 500}, 2000, errkind.NoTurn, 950, 1100},
-		{"its turn comes late, and it does not", "/stream/", protocol.MapIndex{TurnMs: 1200}, 2000, errkind.NoTurn, 1450, 1550},
-		{"it is being loaded", "/stream/", protocol.MapIndex{Loading: true}, 2000, errkind.NoTurn, 800, 1000},
-		{"nobody knows", "/stream/", protocol.MapIndex{}, 2000, errkind.NoRunner, 800, 1000},
+		{"its turn is too late", "/stream/", protocol.IndexReply{TurnMs: 2500}, 2000, errkind.NoTurn, 0, 0},
+		{"its turn comes, and it does not", "/stream/", protocol.IndexReply{TurnMs: 500}, 2000, errkind.NoTurn, 950, 1100},
+		{"its turn comes late, and it does not", "/stream/", protocol.IndexReply{TurnMs: 1200}, 2000, errkind.NoTurn, 1450, 1550},
+		{"it is being loaded", "/stream/", protocol.IndexReply{Loading: true}, 2000, errkind.NoTurn, 800, 1000},
+		{"nobody knows", "/stream/", protocol.IndexReply{}, 2000, errkind.NoRunner, 800, 1000},
 		// A client gives a stream up after two seconds of silence, whatever time it names.
-		{"nobody knows, with much time", "/stream/", protocol.MapIndex{}, 8000, errkind.NoRunner, 800, 1000},
-		{"its turn is too late for a silent stream", "/stream/", protocol.MapIndex{TurnMs: 2500}, 8000, errkind.NoTurn, 0, 0},
-		{"nobody knows, and the client bears silence", "/patient/", protocol.MapIndex{}, 20_000, errkind.NoWord, 5300, 5500},
+		{"nobody knows, with much time", "/stream/", protocol.IndexReply{}, 8000, errkind.NoRunner, 800, 1000},
+		{"its turn is too late for a silent stream", "/stream/", protocol.IndexReply{TurnMs: 2500}, 8000, errkind.NoTurn, 0, 0},
+		{"nobody knows, and the client bears silence", "/patient/", protocol.IndexReply{}, 20_000, errkind.NoWord, 5300, 5500},
 		// What was told of a turn is not believed for ever.
-		{"its turn is in time for one that bears silence", "/patient/", protocol.MapIndex{TurnMs: 6000}, 20_000, errkind.NoWord, 5300, 5500},
+		{"its turn is in time for one that bears silence", "/patient/", protocol.IndexReply{TurnMs: 6000}, 20_000, errkind.NoWord, 5300, 5500},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -455,7 +457,7 @@
 			for len(out.Answers) == 0 && b.nowMs < beganMs+10_000 {
 				out = b.later(25)
 			}
-			dropped := answered[protocol.Dropped](c, out)
+			dropped := answered[protocol.Rejection](c, out)
 			c.Assert(dropped.Kind, qt.Equals, test.kind)
 			tookMs := b.nowMs - beganMs
 			c.Assert(tookMs >= test.fromMs && tookMs <= test.untilMs, qt.IsTrue, qt.Commentf("%d", tookMs))
@@ -469,8 +471,8 @@
 	b := newBed(c)
 	b.word(1)
 	out := b.ask("/safe/")
-	b.index(protocol.MapIndex{ID: lookUps(out)[0].ID, Service: "pages"})
-	c.Assert(answered[protocol.Dropped](c, b.later(100)).Kind, qt.Equals, errkind.NoRunner)
+	b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages"})
+	c.Assert(answered[protocol.Rejection](c, b.later(100)).Kind, qt.Equals, errkind.NoRunner)
 }
 
 func TestNoMapHoldsALittle(t *testing.T) {
@@ -487,19 +489,19 @@
 		c.Assert(b.step(protocol.Tick{}).Answers, qt.HasLen, 0)
 	}
 	b.nowMs += 25
-	c.Assert(answered[protocol.Dropped](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoWord)
+	c.Assert(answered[protocol.Rejection](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoWord)
 }
 
 func TestNoRoute(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	c.Assert(answered[protocol.Dropped](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.UnknownPage)
+	c.Assert(answered[protocol.Rejection](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.UnknownPage)
 	// Without word the route may be there by now.
 	for range 50 {
 		b.nowMs += 25
 		b.step(protocol.Tick{})
 	}
-	c.Assert(answered[protocol.Dropped](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.NoWord)
+	c.Assert(answered[protocol.Rejection](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.NoWord)
 }
 
 // While places are free nobody is refused; then the more urgent goes first,
@@ -520,7 +522,7 @@
 	answered[Send](c, out)
 	c.Assert(out.Answers[0].ID, qt.Equals, urgentID)
 	out = b.later(100)
-	dropped := answered[protocol.Dropped](c, out)
+	dropped := answered[protocol.Rejection](c, out)
 	c.Assert(out.Answers[0].ID, qt.Equals, laterID)
 	c.Assert(dropped.Kind, qt.Equals, errkind.NoTurn)
 	c.Assert(dropped.RetryMs > 0 && dropped.RetryMs <= 1000, qt.IsTrue)
@@ -561,7 +563,7 @@
 	c.Assert(out.Answers, qt.HasLen, 0)
 	c.Assert(lookUps(out), qt.HasLen, 1)
 	// The answer says that another holds it now.
-	out = b.index(protocol.MapIndex{ID: lookUps(out)[0].ID, Service: "pages", Change: 9, Holders: []protocol.MapHolder{{ID: "p9", Address: "p9:80", Adapter: true, Slots: 4}}})
+	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Change: 9, Holders: []protocol.IndexHolder{{ID: "p9", Address: "p9:80", Adapter: true, Slots: 4}}})
 	c.Assert(answered[Send](c, out).Go.Runner, qt.Equals, "p9")
 	// Now it is young again.
 	answered[Send](c, b.ask("/safe/"))
@@ -576,9 +578,9 @@
 	b.nowMs += 5000
 	out := b.ask("/safe/")
 	c.Assert(out.Answers, qt.HasLen, 0)
-	c.Assert(slices.ContainsFunc(out.Sends, func(s protocol.Send) bool { _, ok := s.Body.(protocol.MapAsk); return ok }), qt.IsTrue)
+	c.Assert(slices.ContainsFunc(out.Sends, func(s protocol.Send) bool { _, ok := s.Body.(protocol.ConfigPoll); return ok }), qt.IsTrue)
 	// An answer from before it stood still tells nothing of what was missed.
-	c.Assert(b.from(primaryPlace, protocol.MapWord{EchoMs: askedMs, Epoch: 3, Version: 1}).Answers, qt.HasLen, 0)
+	c.Assert(b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Answers, qt.HasLen, 0)
 	// The line is from before it stood still too; its look-up may renew it.
 	c.Assert(b.word(2).Answers, qt.HasLen, 0)
 	answered[Send](c, b.later(missMs))
@@ -600,12 +602,12 @@
 		out := b.step(protocol.Tick{})
 		calls += len(out.Calls)
 		for _, send := range out.Sends {
-			if _, ok := send.Body.(protocol.Hello); ok {
+			if _, ok := send.Body.(protocol.PeersRequest); ok {
 				hellos++
 			}
 		}
 		if len(out.Calls) > 0 {
-			b.step(protocol.Fleet{Ok: true, Runners: []protocol.RunnerEntry{
+			b.step(protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{
 				{ID: "p1", Service: "pages", Address: "p1:80", Leaving: true}, {ID: "p2", Service: "pages", Address: "p2:80", Slots: 4},
 			}})
 		}
@@ -624,20 +626,20 @@
 	b.step(Leave{})
 	// What can be sent on still is.
 	answered[Send](c, b.ask("/safe/"))
-	b.index(protocol.MapIndex{Service: "reader", Model: "m", Change: 4, Loading: true})
+	b.index(protocol.IndexReply{Service: "reader", Model: "m", Change: 4, Loading: true})
 	b.ask("/patient/", func(a *Asked) { a.LeftMs = 20_000 })
 	c.Assert(b.later(1950).Answers, qt.HasLen, 0)
-	c.Assert(answered[protocol.Dropped](c, b.later(50)).Kind, qt.Equals, errkind.Stopping)
+	c.Assert(answered[protocol.Rejection](c, b.later(50)).Kind, qt.Equals, errkind.Stopping)
 }
 
 func TestANewPrimaryIsAskedAtOnce(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	out := b.from(otherPlace, protocol.Known{Peers: []protocol.Place{otherPlace}, Record: protocol.Record{Epoch: 4, Primary: otherPlace.Name}})
+	out := b.from(otherPlace, protocol.PeersReply{Peers: []protocol.Node{otherPlace}, Record: protocol.EpochRecord{Epoch: 4, Primary: otherPlace.Name}})
 	c.Assert(out.Sends, qt.HasLen, 1)
 	c.Assert(out.Sends[0].To, qt.Equals, otherPlace.Name)
 	// A peer that trails changes nothing.
-	c.Assert(b.from(primaryPlace, protocol.Known{Record: protocol.Record{Epoch: 3, Primary: primaryPlace.Name}}).Sends, qt.HasLen, 0)
+	c.Assert(b.from(primaryPlace, protocol.PeersReply{Record: protocol.EpochRecord{Epoch: 3, Primary: primaryPlace.Name}}).Sends, qt.HasLen, 0)
 	c.Assert(b.m.primary, qt.Equals, otherPlace.Name)
 }
 
--- a/internal/proxy/primary.go
+++ b/internal/proxy/primary.go
@@ -15,7 +15,7 @@
 func (m *Machine) ask() {
 	m.askedMs = m.nowMs
 	if place, ok := m.roster.Place(m.primary); ok && m.primary != "" {
-		m.send(place, protocol.MapAsk{
+		m.send(place, protocol.ConfigPoll{
 			EchoMs: m.nowMs, Version: m.version, Sum: m.sum, LeavingSum: m.leavingSum, ControllersSum: m.controllersSum,
 		})
 	}
@@ -26,12 +26,12 @@
 func (m *Machine) hello() {
 	m.helloMs = m.nowMs
 	for _, seed := range m.seeds {
-		m.out.Sends = append(m.out.Sends, protocol.Send{Address: seed, Body: protocol.Hello{}})
+		m.out.Sends = append(m.out.Sends, protocol.Send{Address: seed, Body: protocol.PeersRequest{}})
 	}
 	known := m.roster.Part(protocol.Controller)
-	known = slices.DeleteFunc(known, func(p protocol.Place) bool { return slices.Contains(m.seeds, p.Address) })
+	known = slices.DeleteFunc(known, func(p protocol.Node) bool { return slices.Contains(m.seeds, p.Address) })
 	if len(known) > 0 {
-		m.send(known[int(m.nowMs/helloMs)%len(known)], protocol.Hello{})
+		m.send(known[int(m.nowMs/helloMs)%len(known)], protocol.PeersRequest{})
 	}
 }
 
@@ -50,20 +50,20 @@
 	m.roster.Heard(m.nowMs, e.From)
 	switch body := e.Body.(type) {
 	case protocol.Heartbeat:
-	case protocol.Hello:
-		m.send(e.From, protocol.Known{Peers: m.roster.Places(), Record: protocol.Record{Epoch: m.epoch, Primary: m.primary}})
-	case protocol.Known:
+	case protocol.PeersRequest:
+		m.send(e.From, protocol.PeersReply{Peers: m.roster.Places(), Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary}})
+	case protocol.PeersReply:
 		m.roster.Learn(m.nowMs, body.Peers)
 		m.heed(body.Record.Epoch, body.Record.Primary)
-	case protocol.Nudge:
+	case protocol.PollRequest:
 		m.heed(body.Epoch, e.From.Name)
-	case protocol.Opinion:
+	case protocol.PrimaryQuery:
 		if body.Epoch == m.epoch {
-			m.send(e.From, protocol.Opined{Epoch: body.Epoch, HeardMs: m.nowMs - m.heardMs})
+			m.send(e.From, protocol.PrimaryReply{Epoch: body.Epoch, HeardMs: m.nowMs - m.heardMs})
 		}
-	case protocol.MapWord:
+	case protocol.ConfigUpdate:
 		m.word(e.From, body)
-	case protocol.MapIndex:
+	case protocol.IndexReply:
 		m.indexed(body)
 	default:
 		m.count(errkind.Malformed)
@@ -84,7 +84,7 @@
 }
 
 // word takes the primary's word, asked or not.
-func (m *Machine) word(from protocol.Place, w protocol.MapWord) {
+func (m *Machine) word(from protocol.Node, w protocol.ConfigUpdate) {
 	if w.Epoch < m.epoch {
 		m.count(errkind.LowerEpoch)
 		return
@@ -125,7 +125,7 @@
 }
 
 // bring takes a newer map into use. A router never goes back.
-func (m *Machine) bring(w protocol.MapWord) {
+func (m *Machine) bring(w protocol.ConfigUpdate) {
 	if w.Version <= m.version {
 		return
 	}
--- a/internal/proxy/rejection.go
+++ b/internal/proxy/rejection.go
@@ -122,5 +122,5 @@
 		}
 		retryMs = max(20, min(retryMs, leftMs*3/10))
 	}
-	m.answer(r.ID, protocol.Dropped{Kind: kind, RetryMs: retryMs})
+	m.answer(r.ID, protocol.Rejection{Kind: kind, RetryMs: retryMs})
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -241,7 +241,7 @@
 }
 
 // goTo starts an attempt at a runner.
-func (m *Machine) goTo(r *request, h protocol.MapHolder) {
+func (m *Machine) goTo(r *request, h protocol.IndexHolder) {
 	if !r.earned {
 		r.earned = true
 		m.budget(r.service.Name).earn(m.set.Bounds.RetryRatio)
--- a/internal/proxy/runners.go
+++ b/internal/proxy/runners.go
@@ -17,7 +17,7 @@
 }
 
 // fleet takes the router's own reading of the list.
-func (m *Machine) fleet(in protocol.Fleet) {
+func (m *Machine) fleet(in protocol.RunnerList) {
 	m.reading = false
 	if in.Limited {
 		m.readMs += 2 * silentMs
@@ -37,7 +37,7 @@
 }
 
 // hold takes what the index tells of a runner's load.
-func (m *Machine) hold(h *protocol.MapHolder) {
+func (m *Machine) hold(h *protocol.IndexHolder) {
 	known := m.runner(h.ID)
 	if known.slots == 0 {
 		known.slots = h.Slots
--- a/internal/ringbuffer/ring.go
+++ b/internal/ringbuffer/ring.go
@@ -7,9 +7,9 @@
 // peer, and most of them never hold more than a few.
 const firstSlots = 16
 
-// Ring is a bounded first-in first-out between threads. A full ring refuses
+// Buffer is a bounded first-in first-out between threads. A full ring refuses
 // and never blocks who puts; its room grows with need, up to the bound.
-type Ring[T any] struct {
+type Buffer[T any] struct {
 	mu      sync.Mutex
 	filled  sync.Cond
 	slots   []T
@@ -21,14 +21,14 @@
 }
 
 // New makes a ring that holds so many at most.
-func New[T any](most int) *Ring[T] {
-	r := &Ring[T]{slots: make([]T, min(most, firstSlots)), most: most}
+func New[T any](most int) *Buffer[T] {
+	r := &Buffer[T]{slots: make([]T, min(most, firstSlots)), most: most}
 	r.filled.L = &r.mu
 	return r
 }
 
 // Put adds one, or says that there is no place.
-func (r *Ring[T]) Put(item T) bool {
+func (r *Buffer[T]) Put(item T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || r.count == r.most {
@@ -44,7 +44,7 @@
 	return true
 }
 
-func (r *Ring[T]) grow() {
+func (r *Buffer[T]) grow() {
 	slots := make([]T, min(r.most, 2*len(r.slots)))
 	n := copy(slots, r.slots[r.head:])
 	copy(slots[n:], r.slots[:r.head])
@@ -52,7 +52,7 @@
 }
 
 // Take waits for the next one; false means closed and empty.
-func (r *Ring[T]) Take() (T, bool) {
+func (r *Buffer[T]) Take() (T, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.count == 0 && !r.closed {
@@ -70,7 +70,7 @@
 }
 
 // Close lets takers drain the ring and then end.
-func (r *Ring[T]) Close() {
+func (r *Buffer[T]) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closed = true
@@ -78,7 +78,7 @@
 }
 
 // Burden says how many wait and how many were refused so far.
-func (r *Ring[T]) Burden() (count int, dropped uint64) {
+func (r *Buffer[T]) Burden() (count int, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count, r.dropped
--- a/internal/simulation/endurance/site_test.go
+++ b/internal/simulation/endurance/site_test.go
@@ -79,7 +79,7 @@
 	down          bool
 	life          int
 	links         map[string]*connection
-	saves         []protocol.Save
+	saves         []protocol.DiskWrite
 	syncing       bool
 	syncMs        int64
 	syncs, saved  int
@@ -160,8 +160,8 @@
 	return s
 }
 
-func (s *site) place(m *member) protocol.Place {
-	return protocol.Place{Name: m.name, Address: m.address, Zone: m.name, Part: protocol.Controller, Incarnation: m.incarnation}
+func (s *site) place(m *member) protocol.Node {
+	return protocol.Node{Name: m.name, Address: m.address, Zone: m.name, Part: protocol.Controller, Incarnation: m.incarnation}
 }
 
 func (s *site) start(m *member, keys map[string]string, first bool) {
@@ -208,18 +208,18 @@
 	}
 	life := m.life
 	out := m.machine.Step(s.nowMs, input)
-	for _, note := range out.Notes {
+	for _, note := range out.LogLines {
 		s.notes = append(s.notes, fmt.Sprintf("%d %s: %s", s.nowMs-3_600_000, m.name, note))
 	}
 	for _, name := range out.Counts {
 		s.counts[m.name+" "+name]++
 	}
-	m.saves = append(m.saves, out.Saves...)
+	m.saves = append(m.saves, out.DiskWrites...)
 	if !m.syncing {
 		s.sync(m)
 	}
 	for _, send := range out.Sends {
-		if _, is := send.Body.(protocol.Followed); is && s.broke.lostFollowed && m.life > 1 {
+		if _, is := send.Body.(protocol.AppendReply); is && s.broke.lostFollowed && m.life > 1 {
 			continue
 		}
 		for _, to := range s.members {
@@ -229,10 +229,10 @@
 		}
 	}
 	for _, call := range out.Calls {
-		if _, is := call.Body.(protocol.FleetCall); is {
+		if _, is := call.Body.(protocol.ListRunners); is {
 			s.after(10, func() {
 				if m.life == life {
-					s.step(m, protocol.Fleet{})
+					s.step(m, protocol.RunnerList{})
 				}
 			})
 		}
@@ -261,7 +261,7 @@
 		}
 		m.keys = keys
 		for _, save := range batch {
-			s.step(m, protocol.Saved{Number: save.Number, Ok: true})
+			s.step(m, protocol.DiskWriteDone{Number: save.Number, Ok: true})
 		}
 		s.sync(m)
 	})
@@ -300,7 +300,7 @@
 		}
 	case controller.Taken:
 		s.version = max(s.version, said.Version)
-	case protocol.Dropped:
+	case protocol.Rejection:
 		s.counts["refused "+string(said.Kind)]++
 	}
 }
@@ -342,9 +342,9 @@
 	s.after(readMs, s.keepReading)
 }
 
-func (s *site) record(m *member) (record protocol.Record) {
+func (s *site) record(m *member) (record protocol.EpochRecord) {
 	var kept struct {
-		Record protocol.Record `json:"record"`
+		Record protocol.EpochRecord `json:"record"`
 	}
 	if json.Unmarshal([]byte(m.keys["record"]), &kept) == nil {
 		record = kept.Record
--- a/internal/simulation/endurance/wire_test.go
+++ b/internal/simulation/endurance/wire_test.go
@@ -19,7 +19,7 @@
 	rows := func(bytes int) map[string]string {
 		return map[string]string{"kept/map": strings.Repeat("r", bytes)}
 	}
-	changes := func(count, bytes int) (follow protocol.Follow) {
+	changes := func(count, bytes int) (follow protocol.Append) {
 		for n := range count {
 			follow.Changes = append(follow.Changes, protocol.Change{At: protocol.Position{Epoch: 1, Number: uint64(n)}, Rows: rows(bytes)})
 		}
--- a/internal/simulation/faultsim/book.go
+++ b/internal/simulation/faultsim/book.go
@@ -279,7 +279,7 @@
 }
 
 // lookUp notes that a router asked for a request.
-func (b *Book) lookUp(n *node, l protocol.MapLookUp) {
+func (b *Book) lookUp(n *node, l protocol.IndexLookUp) {
 	at := life(n)
 	if b.looks[at] == nil {
 		b.looks[at] = map[uint64]int{}
--- a/internal/simulation/faultsim/fleet.go
+++ b/internal/simulation/faultsim/fleet.go
@@ -124,14 +124,14 @@
 }
 
 // list is what a call to the platform is answered with.
-func (f *fleet) list(w *World) (protocol.Fleet, bool) {
+func (f *fleet) list(w *World) (protocol.RunnerList, bool) {
 	if w.listDown {
-		return protocol.Fleet{}, false
+		return protocol.RunnerList{}, false
 	}
 	f.calls = slices.DeleteFunc(f.calls, func(atMs int64) bool { return w.NowMs()-atMs >= 1000 })
 	f.calls = append(f.calls, w.NowMs())
 	if float64(len(f.calls)) > listPerSec {
-		return protocol.Fleet{Limited: true}, true
+		return protocol.RunnerList{Limited: true}, true
 	}
 	shown := f.past[0].runners
 	for _, l := range f.past {
@@ -148,7 +148,7 @@
 			}
 		}
 	}
-	return protocol.Fleet{Ok: true, Runners: shown}, true
+	return protocol.RunnerList{Ok: true, Runners: shown}, true
 }
 
 // leave marks a runner as leaving; it ends some time after the drain, or when
--- a/internal/simulation/faultsim/network.go
+++ b/internal/simulation/faultsim/network.go
@@ -80,14 +80,14 @@
 		}
 	}
 	times := 1
-	if lookUp, is := send.Body.(protocol.MapLookUp); is {
+	if lookUp, is := send.Body.(protocol.IndexLookUp); is {
 		w.Book.lookUp(n, lookUp)
 		if w.Breaks.DoubleLookUp {
 			w.Book.lookUp(n, lookUp)
 			times++
 		}
 	}
-	if word, is := send.Body.(protocol.MapWord); is {
+	if word, is := send.Body.(protocol.ConfigUpdate); is {
 		send.Body = w.spoilt(word)
 	}
 	if to == nil || w.lossPart > 0 && w.random.Float64() < w.lossPart {
@@ -103,7 +103,7 @@
 }
 
 // spoilt is a word to routers as a broken system would give it.
-func (w *World) spoilt(word protocol.MapWord) protocol.MapWord {
+func (w *World) spoilt(word protocol.ConfigUpdate) protocol.ConfigUpdate {
 	if w.Breaks.KeepLeaving {
 		word.Leaving = nil
 	}
@@ -117,7 +117,7 @@
 
 // call carries a call of a daemon outward. As in the shell, what has not come
 // back in time counts as lost, and its answer is not heard any more.
-func (w *World) call(n *node, life int, call protocol.Call) {
+func (w *World) call(n *node, life int, call protocol.OutboundCall) {
 	ended := false
 	back := func(input any) {
 		if !ended {
@@ -127,15 +127,15 @@
 	}
 	giveUp := func(input any) { w.after(outwardMs, func() { back(input) }) }
 	switch body := call.Body.(type) {
-	case protocol.FleetCall:
-		giveUp(protocol.Fleet{})
+	case protocol.ListRunners:
+		giveUp(protocol.RunnerList{})
 		w.pass(n.name, "list", func() {
 			if said, ok := w.fleet.list(w); ok {
 				w.pass("list", n.name, func() { back(said) }, nil)
 			}
 		}, nil)
-	case protocol.StateCall:
-		said := protocol.StateSaid{Runner: body.Runner, Number: body.Number}
+	case protocol.GetRunnerState:
+		said := protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number}
 		giveUp(said)
 		w.pass(n.name, call.Address, func() {
 			r := w.fleet.at(call.Address)
@@ -148,15 +148,15 @@
 			}
 			w.pass(call.Address, n.name, func() { back(said) }, nil)
 		}, nil)
-	case protocol.CommandCall:
-		said := protocol.CommandSaid{Runner: body.Runner, Number: body.Number}
+	case protocol.RunnerOrder:
+		said := protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number}
 		if w.Breaks.SameFence {
 			body.Fence = 1
 		}
 		write := func() {
 			giveUp(said)
 			if r := w.fleet.at(call.Address); r == nil {
-				w.after(2, func() { said.Outcome = protocol.CommandNotSent; back(said) })
+				w.after(2, func() { said.Outcome = protocol.OutcomeNotSent; back(said) })
 				return
 			}
 			arrive := func() {
@@ -176,7 +176,7 @@
 				w.after(2500, arrive)
 			}
 		}
-		w.atSocket(n, life, body.UntilMs, write, func() { said.Outcome = protocol.CommandNotSent; back(said) })
+		w.atSocket(n, life, body.UntilMs, write, func() { said.Outcome = protocol.OutcomeNotSent; back(said) })
 	}
 }
 
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -41,12 +41,12 @@
 	// failed says that a save failed: the machine takes none from then on. torn
 	// is what that save left, if it left anything.
 	failed bool
-	torn   *protocol.Save
+	torn   *protocol.DiskWrite
 	wipes  int
 	// pending was asked for and is not synced yet.
-	pending []protocol.Save
+	pending []protocol.DiskWrite
 	// cached is what a broken disk called saved and has not written.
-	cached []protocol.Save
+	cached []protocol.DiskWrite
 }
 
 func (n *node) core() bool { return n.part == protocol.Controller }
@@ -59,8 +59,8 @@
 // clock is the daemon's own: monotonic, with a start of its own.
 func (n *node) clock(nowMs int64) int64 { return nowMs - n.bornMs + n.offset }
 
-func (n *node) place() protocol.Place {
-	p := protocol.Place{Name: n.name, Address: n.address + ":7", Zone: n.zone, Part: n.part, Incarnation: fmt.Sprintf("%s-life-%d", n.name, n.life)}
+func (n *node) place() protocol.Node {
+	p := protocol.Node{Name: n.name, Address: n.address + ":7", Zone: n.zone, Part: n.part, Incarnation: fmt.Sprintf("%s-life-%d", n.name, n.life)}
 	if n.core() {
 		p.Incarnation = n.disk.incarnation
 	}
@@ -160,7 +160,7 @@
 const cachedMost = 12
 
 // keep writes a save, or with a cache the one that has lain there longest.
-func (d *simDisk) keep(save protocol.Save, isCached bool) {
+func (d *simDisk) keep(save protocol.DiskWrite, isCached bool) {
 	d.cached = append(d.cached, save)
 	for len(d.cached) > 0 && (!isCached || len(d.cached) > cachedMost) {
 		d.cached[0].Write.Apply(d.keys)
@@ -196,10 +196,10 @@
 // perform carries a daemon's effects out.
 func (w *World) perform(n *node, effects protocol.Effects) {
 	life := n.life
-	for _, text := range effects.Notes {
+	for _, text := range effects.LogLines {
 		w.note("%s: %s", n.name, text)
 	}
-	for _, save := range effects.Saves {
+	for _, save := range effects.DiskWrites {
 		n.disk.pending = append(n.disk.pending, save)
 		if len(n.disk.pending) == 1 {
 			w.saveNext(n, n.made)
@@ -253,7 +253,7 @@
 		if len(d.pending) > 0 {
 			w.saveNext(n, made)
 		}
-		w.put(n, life, protocol.Saved{Number: save.Number, Ok: !d.failed})
+		w.put(n, life, protocol.DiskWriteDone{Number: save.Number, Ok: !d.failed})
 	})
 }
 
--- a/internal/simulation/faultsim/operators.go
+++ b/internal/simulation/faultsim/operators.go
@@ -253,7 +253,7 @@
 		return
 	case controller.Taken:
 		answer.outcome = outcomeAccepted
-	case protocol.Dropped:
+	case protocol.Rejection:
 		switch said.Kind {
 		case errkind.StaleBase:
 			answer.outcome, answer.current = outcomeStale, said.Revision
@@ -279,7 +279,7 @@
 	case controller.Text:
 		h.done = true
 		h.got = &said
-	case protocol.Dropped:
+	case protocol.Rejection:
 		switch said.Kind {
 		case errkind.NotPrimary:
 			var to *node
--- a/internal/simulation/faultsim/passage.go
+++ b/internal/simulation/faultsim/passage.go
@@ -57,7 +57,7 @@
 		return
 	}
 	switch said := body.(type) {
-	case protocol.Dropped:
+	case protocol.Rejection:
 		if w.Breaks.NoRetryTime {
 			said.RetryMs = 0
 		}
--- a/internal/simulation/faultsim/runner.go
+++ b/internal/simulation/faultsim/runner.go
@@ -75,27 +75,27 @@
 }
 
 // command is the runner's side of an order.
-func (r *runner) command(w *World, sender string, c protocol.CommandCall) protocol.CommandOutcome {
+func (r *runner) command(w *World, sender string, c protocol.RunnerOrder) protocol.OrderOutcome {
 	if r.entry.ID != c.Runner || r.entry.Service != llm {
-		return protocol.CommandRefused
+		return protocol.OutcomeRefused
 	}
 	w.Book.order(sender, r.entry.ID, c.Holder, c.Fence)
 	if w.Bounds.Fenced && c.Fence < r.fence {
-		return protocol.CommandFenced
+		return protocol.OutcomeFenced
 	}
 	r.fence = max(r.fence, c.Fence)
 	if r.busy || c.Expected != r.calls && !w.Breaks.NoExpected {
-		return protocol.CommandBusy
+		return protocol.OutcomeBusy
 	}
 	of, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return protocol.CommandRefused
+			return protocol.OutcomeRefused
 		}
 		there = of[c.Adapter]
 	}
 	if c.Load == there {
-		return protocol.CommandInEffect
+		return protocol.OutcomeAlreadyInEffect
 	}
 	r.calls++
 	r.busy = true
@@ -105,10 +105,10 @@
 	} else {
 		r.unload(c)
 	}
-	return protocol.CommandTaken
+	return protocol.OutcomeAccepted
 }
 
-func (r *runner) load(c protocol.CommandCall) {
+func (r *runner) load(c protocol.RunnerOrder) {
 	mb, adapters := r.taken()
 	tookMs, what := int64(10), c.Model
 	if c.Adapter != "" {
@@ -137,7 +137,7 @@
 }
 
 // unload waits until what runs with it has ended.
-func (r *runner) unload(c protocol.CommandCall) {
+func (r *runner) unload(c protocol.RunnerOrder) {
 	r.loading[c.Model] = c.Adapter == ""
 	used := slices.ContainsFunc(r.jobs, func(j *job) bool {
 		return j.p.asked.Model == c.Model && (c.Adapter == "" || j.p.asked.Adapter == c.Adapter)
--- a/internal/simulation/faultsim/tenant.go
+++ b/internal/simulation/faultsim/tenant.go
@@ -53,7 +53,7 @@
 		}
 	case controller.HandOver:
 		if t.breaks.StaleRefusal && version > in.BuiltOn {
-			h.Answer(in.ID, protocol.Dropped{Kind: errkind.StaleBase, Revision: version})
+			h.Answer(in.ID, protocol.Rejection{Kind: errkind.StaleBase, Revision: version})
 			return true
 		}
 		if t.breaks.IgnoreBase {
--- a/internal/simulation/localcluster/bad_test.go
+++ b/internal/simulation/localcluster/bad_test.go
@@ -132,7 +132,7 @@
 	for _, name := range []string{"scan-2", "scan-3"} {
 		f.Platform.Remove(name)
 	}
-	f.Platform.Put(protocol.Listed{Name: "scan-1", Address: at.Addr().String(), Incarnation: "first-scan-1"})
+	f.Platform.Put(protocol.ListedRunner{Name: "scan-1", Address: at.Addr().String(), Incarnation: "first-scan-1"})
 	ask := func() (int, string, error) {
 		status, text, err := Ask(http.MethodPost, f.Routers[0].Settings.HTTP, "/services/page", "", []byte(`{}`))
 		return status, string(text), err
--- a/internal/simulation/localcluster/fleet.go
+++ b/internal/simulation/localcluster/fleet.go
@@ -110,13 +110,13 @@
 	part.web = &http.Server{Handler: part.Door}
 	threads.Side(func() { _ = part.web.Serve(at) })
 	f.Runners = append(f.Runners, part)
-	f.Platform.Put(protocol.Listed{Name: r.Name, Address: part.Address, Incarnation: incarnation})
+	f.Platform.Put(protocol.ListedRunner{Name: r.Name, Address: part.Address, Incarnation: incarnation})
 	return nil
 }
 
 // joiner is a daemon that has not begun.
 type joiner interface {
-	Join(*threads.Crew)
+	Join(*threads.Group)
 	Leave()
 	Halt() (release func())
 }
@@ -176,7 +176,7 @@
 		return nil, err
 	}
 	part := &Part{Settings: set, made: made, done: make(chan struct{}), ended: make(chan error, 1)}
-	var c threads.Crew
+	var c threads.Group
 	made.Join(&c)
 	c.Until(part.done)
 	threads.Side(func() { part.ended <- c.Run() })
--- a/internal/simulation/localcluster/rolling_test.go
+++ b/internal/simulation/localcluster/rolling_test.go
@@ -17,7 +17,7 @@
 		mix := &sender.Mix[i]
 		mix.Models, mix.Adapters = mix.Models[:min(2, len(mix.Models))], nil
 	}
-	var asking threads.Crew
+	var asking threads.Group
 	sender.Join(&asking)
 	done, ended := make(chan struct{}), make(chan error, 1)
 	asking.Until(done)
--- a/internal/simulation/modelcheck/apply.go
+++ b/internal/simulation/modelcheck/apply.go
@@ -115,7 +115,7 @@
 		c.delayWrites(e, f)
 	case FailWrite:
 		c.lose(m, c.nowMs+returnMs)
-		c.step(e.member, protocol.Saved{Number: e.save.Number}, nil)
+		c.step(e.member, protocol.DiskWriteDone{Number: e.save.Number}, nil)
 		c.restartLater(e.member, Fault{Kind: Crash, Ms: returnMs, Return: WithDisk})
 	case CrashAfterWrite:
 		c.complete(e)
--- a/internal/simulation/modelcheck/broken_test.go
+++ b/internal/simulation/modelcheck/broken_test.go
@@ -38,9 +38,9 @@
 			out.Sends[i].Body = b.send(out.Sends[i].Body)
 		}
 	}
-	for i := range out.Saves {
+	for i := range out.DiskWrites {
 		if b.save != nil {
-			out.Saves[i].Write = b.save(out.Saves[i].Write)
+			out.DiskWrites[i].Write = b.save(out.DiskWrites[i].Write)
 		}
 	}
 	return out
@@ -93,7 +93,7 @@
 func countingLongLeases(member string, machine Stepper) Stepper {
 	return &broken{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
-			if kept, answers := envelope.Body.(protocol.Kept); answers {
+			if kept, answers := envelope.Body.(protocol.AcceptReply); answers {
 				kept.EchoMs += longerLeaseMs
 				envelope.Body = kept
 				return envelope
@@ -106,8 +106,8 @@
 // hidingRecords doesn't tell candidates what record a witness keeps.
 func hidingRecords(member string, machine Stepper) Stepper {
 	return &broken{machine: machine, send: func(body any) any {
-		if promised, ok := body.(protocol.Promised); ok {
-			promised.Record, promised.Kept = protocol.Record{}, protocol.Ballot{}
+		if promised, ok := body.(protocol.PrepareReply); ok {
+			promised.Record, promised.Kept = protocol.EpochRecord{}, protocol.Ballot{}
 			return promised
 		}
 		return body
@@ -118,7 +118,7 @@
 func deafToPromises(member string, machine Stepper) Stepper {
 	return &broken{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
-			if _, asks := envelope.Body.(protocol.Promise); asks {
+			if _, asks := envelope.Body.(protocol.Prepare); asks {
 				return nil
 			}
 		}
@@ -153,7 +153,7 @@
 			Scenario: steady, Deviations: 1, Depth: 5, Faults: []FaultKind{CutOff},
 		}},
 		{"a witness hides its record", OneRecord, hidingRecords, Scope{
-			Scenario: startsUp, Deviations: 2, Depth: 12, Faults: []FaultKind{DropMessage, CrashMidSend}, Messages: []string{"Keep"},
+			Scenario: startsUp, Deviations: 2, Depth: 12, Faults: []FaultKind{DropMessage, CrashMidSend}, Messages: []string{"Accept"},
 		}},
 		{"a witness never answers", Recovers, deafToPromises, Scope{Scenario: crashes, Depth: 1}},
 	} {
@@ -195,7 +195,7 @@
 		}
 		return hashOf(c.members[0].machine)
 	}
-	other := protocol.Place{Name: "member-2", Address: "10.0.0.2:7", Part: protocol.Controller, Incarnation: "member-2-disk"}
+	other := protocol.Node{Name: "member-2", Address: "10.0.0.2:7", Part: protocol.Controller, Incarnation: "member-2-disk"}
 	from := func(body any) protocol.Envelope {
 		return protocol.Envelope{Site: site, From: other, To: "member-1", Body: body}
 	}
@@ -206,7 +206,7 @@
 	}{
 		{"a tick", protocol.Tick{}},
 		{"a message of another", from(protocol.Heartbeat{})},
-		{"a promise", from(protocol.Promise{Ballot: protocol.Ballot{Round: 1, Name: "member-2"}, Found: true})},
+		{"a promise", from(protocol.Prepare{Ballot: protocol.Ballot{Round: 1, Name: "member-2"}, Found: true})},
 		{"a planned stop", consensus.StepDown{}},
 	} {
 		t.Run(test.about, func(t *testing.T) {
@@ -247,6 +247,6 @@
 	walk(reflect.TypeFor[consensus.Machine]())
 	qt.Assert(t, slices.Sorted(maps.Keys(left)), qt.DeepEquals, []string{
 		"consensus.Machine.local", "consensus.Machine.out", "consensus.Machine.saved", "consensus.Machine.saves", "consensus.Machine.table",
-		"failuredetector.Roster.sorted", "failuredetector.Roster.sum",
+		"failuredetector.Detector.sorted", "failuredetector.Detector.sum",
 	})
 }
--- a/internal/simulation/modelcheck/checks.go
+++ b/internal/simulation/modelcheck/checks.go
@@ -50,9 +50,9 @@
 type checks struct {
 	violation *Violation
 	// disks holds what each incarnation's disk holds.
-	disks map[protocol.Seat]*kept
+	disks map[protocol.MemberID]*kept
 	// keepers are the disks that ever kept a record under a ballot.
-	keepers map[ballotOf][]protocol.Seat
+	keepers map[ballotOf][]protocol.MemberID
 	// complete names the record of each epoch that a majority kept.
 	complete map[uint64]uint64
 	acked    []int
@@ -61,7 +61,7 @@
 }
 
 func newChecks() checks {
-	return checks{disks: map[protocol.Seat]*kept{}, keepers: map[ballotOf][]protocol.Seat{}, complete: map[uint64]uint64{}}
+	return checks{disks: map[protocol.MemberID]*kept{}, keepers: map[ballotOf][]protocol.MemberID{}, complete: map[uint64]uint64{}}
 }
 
 func (c *checks) sum() uint64 {
@@ -114,7 +114,7 @@
 	}
 }
 
-func (c *checks) witnessForward(seat protocol.Seat, before, now kept, atMs int64) {
+func (c *checks) witnessForward(seat protocol.MemberID, before, now kept, atMs int64) {
 	if now.witness.Promised.Less(before.witness.Promised) {
 		c.violated(WitnessForward, atMs, "%s promised %v, then %v", seat.Name, before.witness.Promised, now.witness.Promised)
 	}
@@ -124,18 +124,18 @@
 }
 
 // keptBy counts a disk that kept a record.
-func (c *checks) keptBy(seat protocol.Seat, record protocol.Record, ballot protocol.Ballot, atMs int64) {
+func (c *checks) keptBy(seat protocol.MemberID, record protocol.EpochRecord, ballot protocol.Ballot, atMs int64) {
 	key := ballotOf{record.Epoch, hashOf(record), ballot}
 	if !slices.Contains(c.keepers[key], seat) {
 		c.keepers[key] = append(c.keepers[key], seat)
 	}
-	if record.Majority(func(voter protocol.Seat) bool { return slices.Contains(c.keepers[key], voter) }) {
+	if record.Majority(func(voter protocol.MemberID) bool { return slices.Contains(c.keepers[key], voter) }) {
 		c.completed(record, atMs)
 	}
 }
 
 // completed notes a complete record.
-func (c *checks) completed(record protocol.Record, atMs int64) {
+func (c *checks) completed(record protocol.EpochRecord, atMs int64) {
 	sum := hashOf(record)
 	if other, known := c.complete[record.Epoch]; known && other != sum {
 		c.violated(OneRecord, atMs, "two records of epoch %d are complete, the later is %+v", record.Epoch, record)
--- a/internal/simulation/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -44,7 +44,7 @@
 	life     int
 	from     int
 	envelope protocol.Envelope
-	save     protocol.Save
+	save     protocol.DiskWrite
 	action   func()
 	about    string
 	// optional actions are not waited for.
@@ -57,7 +57,7 @@
 
 // member is one controller: a machine, its disk and its links.
 type member struct {
-	place   protocol.Place
+	place   protocol.Node
 	machine Stepper
 	tenant  *rowTenant
 	keys    map[string]string
@@ -101,7 +101,7 @@
 func newCluster(scope Scope, disks []map[string]string, founds bool) *cluster {
 	c := &cluster{scope: scope, nowMs: startMs, healedMs: startMs, checks: newChecks()}
 	for i := range scope.Members {
-		place := protocol.Place{
+		place := protocol.Node{
 			Name: fmt.Sprintf("member-%d", i+1), Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3),
 			Part: protocol.Controller, Incarnation: fmt.Sprintf("member-%d-disk", i+1),
 		}
@@ -218,7 +218,7 @@
 		c.step(e.member, e.envelope, e)
 	case writeEvent:
 		c.complete(e)
-		c.step(e.member, protocol.Saved{Number: e.save.Number, Ok: true}, nil)
+		c.step(e.member, protocol.DiskWriteDone{Number: e.save.Number, Ok: true}, nil)
 	case actionEvent:
 		e.action()
 	}
@@ -238,10 +238,10 @@
 	m := c.members[i]
 	out := m.machine.Step(c.nowMs, input)
 	m.memo = 0
-	for _, text := range out.Notes {
+	for _, text := range out.LogLines {
 		c.note("%s: %s", m.place.Name, text)
 	}
-	for _, save := range out.Saves {
+	for _, save := range out.DiskWrites {
 		m.writeFreeMs = max(m.writeFreeMs, c.nowMs+writeMs)
 		c.push(&event{atMs: m.writeFreeMs, kind: writeEvent, member: i, life: m.life, save: save, cause: cause})
 	}
@@ -347,8 +347,8 @@
 
 // kept is what a disk holds of epochs and of the state.
 type kept struct {
-	witness  witness.Memory
-	record   protocol.Record
+	witness  witness.State
+	record   protocol.EpochRecord
 	position protocol.Position
 }
 
@@ -362,7 +362,7 @@
 		}
 	}
 	read(witness.Key, &k.witness)
-	var remembered struct{ Record protocol.Record }
+	var remembered struct{ Record protocol.EpochRecord }
 	read("record", &remembered)
 	if remembered.Record.Epoch > 0 {
 		k.record = remembered.Record
@@ -370,8 +370,8 @@
 	read("state/position", &k.position)
 }
 
-func (m *member) seat() protocol.Seat {
-	return protocol.Seat{Name: m.place.Name, Incarnation: m.place.Incarnation}
+func (m *member) seat() protocol.MemberID {
+	return protocol.MemberID{Name: m.place.Name, Incarnation: m.place.Incarnation}
 }
 
 func (m *member) sum() uint64 {
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -102,7 +102,7 @@
 	c := qt.New(t)
 	scope := Scope{
 		Deviations: 1, Depth: 100, ProbeDeviations: -1, Scenario: scenarioNamed(c, "busy"),
-		Faults: []FaultKind{DropMessage}, Messages: []string{"Follow", "Followed"},
+		Faults: []FaultKind{DropMessage}, Messages: []string{"Append", "AppendReply"},
 	}
 	report := Explore(scope)
 	assertNone(c, scope, report)
--- a/internal/simulation/modelcheck/scenario.go
+++ b/internal/simulation/modelcheck/scenario.go
@@ -181,7 +181,7 @@
 	if primary < 0 || role == Primary {
 		return primary
 	}
-	var remembered struct{ Record protocol.Record }
+	var remembered struct{ Record protocol.EpochRecord }
 	if json.Unmarshal([]byte(c.members[primary].keys["record"]), &remembered) != nil {
 		return -1
 	}
--- a/internal/simulation/modelcheck/trace.go
+++ b/internal/simulation/modelcheck/trace.go
@@ -19,7 +19,7 @@
 		c.note("%s: write %d complete %v", c.members[e.member].place.Name, e.save.Number, e.save.Write.Sets)
 	case messageEvent:
 		switch e.envelope.Body.(type) {
-		case protocol.Heartbeat, protocol.Sightings, protocol.Hello:
+		case protocol.Heartbeat, protocol.HeartbeatReports, protocol.PeersRequest:
 			return
 		}
 		c.note("%s -> %s: %s %+v", e.envelope.From.Name, c.members[e.member].place.Name, e.messageType(), e.envelope.Body)
--- a/internal/simulation/nativesim/calls.go
+++ b/internal/simulation/nativesim/calls.go
@@ -6,7 +6,7 @@
 
 // call carries a call of a daemon outward. As in the shell, what has not come
 // back in time counts as lost, and its answer is not heard any more.
-func (w *World) call(n *node, life int, call protocol.Call) {
+func (w *World) call(n *node, life int, call protocol.OutboundCall) {
 	ended := false
 	back := func(input any) {
 		if !ended {
@@ -18,7 +18,7 @@
 	nothing := func() {}
 	switch body := call.Body.(type) {
 	case protocol.PlatformCall:
-		giveUp(protocol.Listing{})
+		giveUp(protocol.RunnerListResult{})
 		w.pass(n.name, "platform", func() {
 			list := w.platform.List()
 			w.pass("platform", n.name, func() {
@@ -28,11 +28,11 @@
 						w.Book.Learned(w.events.NowMs(), listed.Name, listed.Incarnation)
 					}
 				}
-				back(protocol.Listing{Ok: true, Runners: list})
+				back(protocol.RunnerListResult{Ok: true, Runners: list})
 			}, nothing)
 		}, nothing)
 	case protocol.ReportCall:
-		said := protocol.Reported{Runner: body.Runner, Address: call.Address, Number: body.Number}
+		said := protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address, Number: body.Number}
 		giveUp(said)
 		w.reach(n.name, body.Runner, func(r *runner) {
 			if !w.Breaks.NoFence {
@@ -48,7 +48,7 @@
 			w.pass(body.Runner, n.name, func() { back(said) }, nothing)
 		}, nothing)
 	case protocol.OrderCall:
-		said := protocol.Reported{Runner: body.Runner, Address: call.Address}
+		said := protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address}
 		// The shell checks the hold again right at the socket.
 		w.atSocket(n, life, func() bool { return n.clock(w.events.NowMs()) < body.UntilMs }, func() {
 			giveUp(said)
--- a/internal/simulation/nativesim/disk.go
+++ b/internal/simulation/nativesim/disk.go
@@ -14,7 +14,7 @@
 	stalled, full bool
 	wipes         int
 	// pending was asked for and is not synced yet.
-	pending []protocol.Save
+	pending []protocol.DiskWrite
 }
 
 // Wipe empties a disk; the daemon must be down.
@@ -27,7 +27,7 @@
 	w.note("%s loses its disk", name)
 }
 
-func (w *World) saveTo(n *node, life int, save protocol.Save) {
+func (w *World) saveTo(n *node, life int, save protocol.DiskWrite) {
 	n.disk.pending = append(n.disk.pending, save)
 	if len(n.disk.pending) == 1 {
 		w.saveNext(n, life)
@@ -55,6 +55,6 @@
 		if len(d.pending) > 0 {
 			w.saveNext(n, life)
 		}
-		w.put(n, life, protocol.Saved{Number: save.Number, Ok: !d.full})
+		w.put(n, life, protocol.DiskWriteDone{Number: save.Number, Ok: !d.full})
 	})
 }
--- a/internal/simulation/nativesim/founding_test.go
+++ b/internal/simulation/nativesim/founding_test.go
@@ -45,7 +45,7 @@
 			w.operator.founding = nil
 			w.foundWith(names[2])
 			w.Run(3000)
-			said, ok := w.operator.founding.(protocol.Dropped)
+			said, ok := w.operator.founding.(protocol.Rejection)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.founding))
 			qt.Assert(t, said.Kind, qt.Equals, errkind.AlreadyFounded, qt.Commentf("seed %d", seed))
 			refused++
--- a/internal/simulation/nativesim/network.go
+++ b/internal/simulation/nativesim/network.go
@@ -83,7 +83,7 @@
 		w.Net.Lost++
 		return
 	}
-	if ask, isAsk := send.Body.(protocol.Ask); isAsk && w.Breaks.NoGiven {
+	if ask, isAsk := send.Body.(protocol.RouterPoll); isAsk && w.Breaks.NoGiven {
 		ask.GivenMs = 0
 		send.Body = ask
 	}
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -68,7 +68,7 @@
 	n.bootMs = w.events.NowMs()
 	n.offset = 3_600_000 + w.Random.Int63n(1_000_000)
 	n.under = map[uint64]*asked{}
-	self := protocol.Place{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part}
+	self := protocol.Node{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part}
 	if n.part == protocol.Controller {
 		self.Incarnation = n.disk.incarnation
 		machine, err := consensus.New(consensus.Settings{Site: w.Site.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Breaks.GapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
@@ -150,10 +150,10 @@
 // perform carries a daemon's effects out.
 func (w *World) perform(n *node, effects protocol.Effects) {
 	life := n.life
-	for _, text := range effects.Notes {
+	for _, text := range effects.LogLines {
 		w.note("%s: %s", n.name, text)
 	}
-	for _, save := range effects.Saves {
+	for _, save := range effects.DiskWrites {
 		w.saveTo(n, life, save)
 	}
 	for _, send := range effects.Sends {
@@ -173,8 +173,8 @@
 	}
 }
 
-func (w *World) place(n *node) protocol.Place {
-	return protocol.Place{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part, Incarnation: n.incarnation()}
+func (w *World) place(n *node) protocol.Node {
+	return protocol.Node{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part, Incarnation: n.incarnation()}
 }
 
 // incarnation is that of the disk, or of the process where there is none.
--- a/internal/simulation/nativesim/operators.go
+++ b/internal/simulation/nativesim/operators.go
@@ -122,7 +122,7 @@
 				w.operator.accepted[said.Revision] = text
 			}
 			w.operator.lastNumber = max(w.operator.lastNumber, said.Revision)
-		case protocol.Dropped:
+		case protocol.Rejection:
 			w.note("operator: %s, %s", said.Kind, mark)
 			w.operator.outcomes[string(said.Kind)]++
 			if said.Kind.Reply().Drop {
@@ -150,8 +150,8 @@
 func (w *World) opposite(body any) any {
 	switch body.(type) {
 	case consensus.Accepted:
-		return protocol.Dropped{Kind: errkind.NotTaken}
-	case protocol.Dropped:
+		return protocol.Rejection{Kind: errkind.NotTaken}
+	case protocol.Rejection:
 		return consensus.Accepted{Revision: 2}
 	}
 	return body
--- a/internal/simulation/nativesim/recovery_test.go
+++ b/internal/simulation/nativesim/recovery_test.go
@@ -52,7 +52,7 @@
 					return consensus.Founding{ID: id, Witnesses: witnesses, Backup: lost[0], Recover: true, Change: 1}
 				}, func(body any) { w.operator.founding = body })
 				w.Run(1000)
-				qt.Assert(t, w.operator.founding.(protocol.Dropped).Kind, qt.Equals, errkind.StaleBase)
+				qt.Assert(t, w.operator.founding.(protocol.Rejection).Kind, qt.Equals, errkind.StaleBase)
 				w.Recover(left[0], witnesses, lost[0])
 				w.Run(9000)
 				qt.Assert(t, w.Primary(), qt.Equals, left[0], qt.Commentf("seed %d\n%s", seed, w.Trace()))
@@ -82,7 +82,7 @@
 			w.Run(500)
 			w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			w.Run(2000)
-			qt.Assert(t, w.operator.founding.(protocol.Dropped).Kind, qt.Equals, errkind.NotTaken, qt.Commentf("%+v", w.operator.founding))
+			qt.Assert(t, w.operator.founding.(protocol.Rejection).Kind, qt.Equals, errkind.NotTaken, qt.Commentf("%+v", w.operator.founding))
 			w.Kill(lost[1])
 			// A third machine comes blank in the place of one that is lost.
 			w.Wipe(lost[1])
@@ -91,7 +91,7 @@
 			w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			w.Run(2000)
 			// The copy that reaches further is named, and is the one to go on from.
-			if said, refused := w.operator.founding.(protocol.Dropped); refused {
+			if said, refused := w.operator.founding.(protocol.Rejection); refused {
 				qt.Assert(t, said.Detail, qt.Contains, left[1]+" has a later copy")
 				left[0], left[1] = left[1], left[0]
 				w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -38,7 +38,7 @@
 // told is what the router's machine answers: a refusal, or a go.
 func (a *asked) told(body any) {
 	switch said := body.(type) {
-	case protocol.Dropped:
+	case protocol.Rejection:
 		a.retryMs = said.RetryMs
 		a.w.pass(a.n.name, "senders", func() { a.end(string(said.Kind), said.Kind.Reply().Drop) }, func() { a.end("stream broke", false) })
 		delete(a.n.under, a.id)
--- a/internal/simulation/nativesim/runner.go
+++ b/internal/simulation/nativesim/runner.go
@@ -31,7 +31,7 @@
 	}
 	r.stand = testbackend.NewRunner(name, fmt.Sprintf("%s-%d", name, r.life), r.room, r.loadMs, w.Book)
 	r.stand.Careless = w.careless
-	w.platform.Put(protocol.Listed{Name: name, Address: "run:" + name, Incarnation: r.stand.Incarnation})
+	w.platform.Put(protocol.ListedRunner{Name: name, Address: "run:" + name, Incarnation: r.stand.Incarnation})
 	w.note("%s starts as %s", name, r.stand.Incarnation)
 }
 
--- a/internal/simulation/scalesim/hollow_test.go
+++ b/internal/simulation/scalesim/hollow_test.go
@@ -37,7 +37,7 @@
 	qt.Assert(t, r.Router.OutBytes > 0 && r.Router.HeapKb > 0, qt.IsTrue)
 	var text strings.Builder
 	Table(&text, []Result{r}, true)
-	qt.Assert(t, strings.Contains(text.String(), "protocol.MapLookUp"), qt.IsTrue)
+	qt.Assert(t, strings.Contains(text.String(), "protocol.IndexLookUp"), qt.IsTrue)
 }
 
 func TestSizesOutOfBounds(t *testing.T) {
--- a/internal/simulation/scalesim/measure.go
+++ b/internal/simulation/scalesim/measure.go
@@ -129,10 +129,10 @@
 	offered := map[string]bool{}
 	for i := range s.size.Models {
 		for _, router := range s.routers {
-			e := protocol.Envelope{Site: siteName, From: router.place, Body: protocol.MapLookUp{Service: service, Model: modelName(i)}}
+			e := protocol.Envelope{Site: siteName, From: router.place, Body: protocol.IndexLookUp{Service: service, Model: modelName(i)}}
 			long := false
 			for _, send := range leader.machine.Step(s.events.NowMs(), e).Sends {
-				index, is := send.Body.(protocol.MapIndex)
+				index, is := send.Body.(protocol.IndexReply)
 				if !is {
 					continue
 				}
--- a/internal/simulation/scalesim/runner.go
+++ b/internal/simulation/scalesim/runner.go
@@ -34,19 +34,19 @@
 }
 
 // command is the runner's side of an order.
-func (r *runner) command(s *Site, c protocol.CommandCall) protocol.CommandOutcome {
+func (r *runner) command(s *Site, c protocol.RunnerOrder) protocol.OrderOutcome {
 	if r.busy || c.Expected != r.calls {
-		return protocol.CommandBusy
+		return protocol.OutcomeBusy
 	}
 	of, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return protocol.CommandRefused
+			return protocol.OutcomeRefused
 		}
 		there = of[c.Adapter]
 	}
 	if c.Load == there {
-		return protocol.CommandInEffect
+		return protocol.OutcomeAlreadyInEffect
 	}
 	r.calls++
 	r.busy = true
@@ -73,5 +73,5 @@
 			delete(r.held[c.Model], c.Adapter)
 		}
 	})
-	return protocol.CommandTaken
+	return protocol.OutcomeAccepted
 }
--- a/internal/simulation/scalesim/runtime.go
+++ b/internal/simulation/scalesim/runtime.go
@@ -48,8 +48,8 @@
 	if s.counting {
 		n.stepNs = max(n.stepNs, tookNs)
 	}
-	for _, save := range out.Saves {
-		s.events.After(wayMs, func() { s.step(n, protocol.Saved{Number: save.Number, Ok: true}) })
+	for _, save := range out.DiskWrites {
+		s.events.After(wayMs, func() { s.step(n, protocol.DiskWriteDone{Number: save.Number, Ok: true}) })
 	}
 	for _, send := range out.Sends {
 		s.send(n, send)
@@ -97,34 +97,34 @@
 }
 
 // call carries a call of a controller outward.
-func (s *Site) call(n *node, call protocol.Call) {
+func (s *Site) call(n *node, call protocol.OutboundCall) {
 	count := func(to *int64) {
 		if s.counting {
 			*to++
 		}
 	}
 	switch body := call.Body.(type) {
-	case protocol.FleetCall:
+	case protocol.ListRunners:
 		count(&n.load.Lists)
-		s.events.After(listLagMs, func() { s.step(n, protocol.Fleet{Ok: true, Runners: s.list()}) })
-	case protocol.StateCall:
+		s.events.After(listLagMs, func() { s.step(n, protocol.RunnerList{Ok: true, Runners: s.list()}) })
+	case protocol.GetRunnerState:
 		count(&n.load.States)
 		s.events.After(2*wayMs, func() {
-			said := protocol.StateSaid{Runner: body.Runner, Number: body.Number}
+			said := protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number}
 			if r := s.byAddress[call.Address]; r != nil && r.entry.ID == body.Runner {
 				said.Ok, said.State, r.toldMs = true, r.state(), s.events.NowMs()
 			}
 			s.step(n, said)
 		})
-	case protocol.CommandCall:
+	case protocol.RunnerOrder:
 		count(&n.load.Orders)
 		s.events.After(wayMs, func() {
-			outcome := protocol.CommandRefused
+			outcome := protocol.OutcomeRefused
 			if r := s.byAddress[call.Address]; r != nil {
 				outcome = r.command(s, body)
 			}
 			s.events.After(wayMs, func() {
-				s.step(n, protocol.CommandSaid{Runner: body.Runner, Number: body.Number, Outcome: outcome})
+				s.step(n, protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: outcome})
 			})
 		})
 	}
@@ -161,7 +161,7 @@
 			r.active--
 			s.step(n, proxy.Ended{ID: answer.ID, Outcome: proxy.Answered, Passed: true})
 		})
-	case protocol.Dropped:
+	case protocol.Rejection:
 		if n.place.Part == protocol.Router && s.counting {
 			s.dropped++
 		}
--- a/internal/simulation/scalesim/site.go
+++ b/internal/simulation/scalesim/site.go
@@ -38,7 +38,7 @@
 
 // node is one daemon.
 type node struct {
-	place   protocol.Place
+	place   protocol.Node
 	machine interface {
 		Step(nowMs int64, input any) protocol.Effects
 	}
@@ -145,7 +145,7 @@
 
 func (s *Site) add(name string, i int, part string) *node {
 	n := &node{lines: map[string]bool{}}
-	n.place = protocol.Place{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7660", map[string]int{protocol.Router: 1, protocol.Controller: 2}[part], i/250, i%250), Zone: s.zone(i), Part: part, Incarnation: fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15)}
+	n.place = protocol.Node{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7660", map[string]int{protocol.Router: 1, protocol.Controller: 2}[part], i/250, i%250), Zone: s.zone(i), Part: part, Incarnation: fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15)}
 	s.nodes[n.place.Address] = n
 	return n
 }
--- a/internal/simulation/testbackend/platform.go
+++ b/internal/simulation/testbackend/platform.go
@@ -13,17 +13,17 @@
 // Platform lists the runners and marks those about to leave.
 type Platform struct {
 	mu      sync.Mutex
-	runners map[string]protocol.Listed
+	runners map[string]protocol.ListedRunner
 }
 
 // NewPlatform makes an empty platform.
-func NewPlatform() *Platform { return &Platform{runners: map[string]protocol.Listed{}} }
+func NewPlatform() *Platform { return &Platform{runners: map[string]protocol.ListedRunner{}} }
 
 // List gives the runners in order of name.
-func (p *Platform) List() []protocol.Listed {
+func (p *Platform) List() []protocol.ListedRunner {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := make([]protocol.Listed, 0, len(p.runners))
+	list := make([]protocol.ListedRunner, 0, len(p.runners))
 	for _, listed := range p.runners {
 		list = append(list, listed)
 	}
@@ -32,14 +32,14 @@
 }
 
 // Put lists a runner, or replaces it.
-func (p *Platform) Put(listed protocol.Listed) {
+func (p *Platform) Put(listed protocol.ListedRunner) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.runners[listed.Name] = listed
 }
 
 // Mark marks the present incarnation of a runner as leaving.
-func (p *Platform) Mark(name string) (protocol.Listed, bool) {
+func (p *Platform) Mark(name string) (protocol.ListedRunner, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed, ok := p.runners[name]
@@ -64,7 +64,7 @@
 	case r.URL.Path == "/runners" && r.Method == http.MethodGet:
 		writeJSON(w, http.StatusOK, p.List())
 	case one && r.Method == http.MethodPut:
-		var listed protocol.Listed
+		var listed protocol.ListedRunner
 		if readJSON(w, r, &listed) {
 			listed.Name = name
 			p.Put(listed)
--- a/internal/simulation/testbackend/runner.go
+++ b/internal/simulation/testbackend/runner.go
@@ -28,7 +28,7 @@
 	lastState string
 	order     protocol.Order
 	endsMs    int64
-	held      map[string]protocol.Held
+	held      map[string]protocol.HeldItem
 	revision  uint64
 	seen      map[string]bool
 	running   int64
@@ -38,7 +38,7 @@
 func NewRunner(name, incarnation string, room, loadMs int64, book *invariants.Book) *Runner {
 	return &Runner{
 		Name: name, Incarnation: incarnation, Room: room, LoadMs: loadMs, Book: book,
-		held: map[string]protocol.Held{}, seen: map[string]bool{},
+		held: map[string]protocol.HeldItem{}, seen: map[string]bool{},
 	}
 }
 
@@ -50,18 +50,18 @@
 	r.lastState = protocol.OrderDone
 	item := ledger.Item{Model: r.order.Model, Adapter: r.order.Adapter}.String()
 	if r.order.Action == protocol.Load {
-		r.held[item] = protocol.Held{Model: r.order.Model, Adapter: r.order.Adapter, Size: r.order.Size}
+		r.held[item] = protocol.HeldItem{Model: r.order.Model, Adapter: r.order.Adapter, Size: r.order.Size}
 		return
 	}
 	delete(r.held, item)
 }
 
 // Report is the runner's word on itself.
-func (r *Runner) Report(nowMs int64) protocol.Report {
+func (r *Runner) Report(nowMs int64) protocol.RunnerReport {
 	r.settle(nowMs)
-	report := protocol.Report{
+	report := protocol.RunnerReport{
 		Runner: r.Name, Incarnation: r.Incarnation, Room: r.Room, Burden: r.running, Epoch: r.epoch,
-		LastOrder: r.lastOrder, LastState: r.lastState, Held: []protocol.Held{},
+		LastOrder: r.lastOrder, LastState: r.lastState, Held: []protocol.HeldItem{},
 	}
 	for _, held := range r.held {
 		report.Held = append(report.Held, held)
@@ -78,13 +78,13 @@
 
 // Order takes an order, or refuses one of a lower epoch, for another
 // incarnation, or while another is under way. A repeat changes nothing.
-func (r *Runner) Order(nowMs int64, o protocol.Order) (protocol.Report, errkind.Kind) {
+func (r *Runner) Order(nowMs int64, o protocol.Order) (protocol.RunnerReport, errkind.Kind) {
 	r.settle(nowMs)
 	switch {
 	case o.Incarnation != r.Incarnation:
-		return protocol.Report{}, errkind.OtherRunner
+		return protocol.RunnerReport{}, errkind.OtherRunner
 	case o.Epoch < r.epoch:
-		return protocol.Report{}, errkind.LowerEpoch
+		return protocol.RunnerReport{}, errkind.LowerEpoch
 	}
 	if r.Book != nil {
 		r.Book.Order(nowMs, r.Name, o.Holder, o.Epoch)
@@ -94,7 +94,7 @@
 		return r.Report(nowMs), ""
 	}
 	if r.lastState == protocol.OrderUnderWay {
-		return protocol.Report{}, errkind.RunnerDropped
+		return protocol.RunnerReport{}, errkind.RunnerDropped
 	}
 	r.order, r.lastOrder, r.lastState = o, o.Number, protocol.OrderUnderWay
 	r.endsMs = nowMs + r.LoadMs/10
@@ -152,7 +152,7 @@
 }
 
 // Forget drops everything that is held, without a new incarnation.
-func (r *Runner) Forget() { r.held = map[string]protocol.Held{} }
+func (r *Runner) Forget() { r.held = map[string]protocol.HeldItem{} }
 
 // Done ends a request that Run started.
 func (r *Runner) Done() { r.running-- }
--- a/internal/simulation/testbackend/sender.go
+++ b/internal/simulation/testbackend/sender.go
@@ -77,7 +77,7 @@
 }
 
 // Join adds a thread for each service to the crew.
-func (s *Sender) Join(c *threads.Crew) {
+func (s *Sender) Join(c *threads.Group) {
 	var once sync.Once
 	places := make(chan struct{}, underMost)
 	for _, mix := range s.Mix {
@@ -110,7 +110,7 @@
 // For asks for a time, or until the process is told to stop, and waits until
 // every answer has come.
 func (s *Sender) For(length time.Duration) {
-	var c threads.Crew
+	var c threads.Group
 	s.Join(&c)
 	c.Signals(nil)
 	timeUp := make(chan struct{})
--- a/internal/storage/disk.go
+++ b/internal/storage/disk.go
@@ -37,8 +37,8 @@
 	logBytesMost = 2 << 20
 )
 
-// Disk is one open data folder.
-type Disk struct {
+// Store is one open data folder.
+type Store struct {
 	folder string
 	lock   *os.File
 	db     *buntdb.DB
@@ -58,17 +58,17 @@
 
 // Spoil makes the disk behave as a full, failing or stalling one does, for
 // trying how the daemon takes it.
-func (d *Disk) Spoil(sync func(*os.File) error) { d.spoil.Store(&sync) }
+func (d *Store) Spoil(sync func(*os.File) error) { d.spoil.Store(&sync) }
 
 // Open takes the folder for this process. An empty folder gets a new random
 // incarnation; one of another site or one that can't be read is refused and
 // left as it was.
-func Open(folder, site string) (*Disk, error) {
+func Open(folder, site string) (*Store, error) {
 	return openWith(folder, site, (*os.File).Sync)
 }
 
 // openWith is Open with another way to bring a file to the platter.
-func openWith(folder, site string, sync func(*os.File) error) (*Disk, error) {
+func openWith(folder, site string, sync func(*os.File) error) (*Store, error) {
 	if err := makeFolder(folder, sync); err != nil {
 		return nil, errors.Wrapf(err, "data folder %s", folder)
 	}
@@ -80,7 +80,7 @@
 		_ = lock.Close()
 		return nil, errors.Newf("data folder %s is in use by another process", folder)
 	}
-	d := &Disk{folder: folder, lock: lock, keys: map[string]string{}, countMost: logCountMost, sync: sync}
+	d := &Store{folder: folder, lock: lock, keys: map[string]string{}, countMost: logCountMost, sync: sync}
 	if err := d.load(site); err != nil {
 		d.Close()
 		return nil, err
@@ -108,7 +108,7 @@
 // Reopen opens a folder whose disk failed before. After a sync that failed the
 // system may hold as clean what never reached the platter, so all of it is
 // written anew before anything of it is trusted.
-func Reopen(folder, site string) (*Disk, error) {
+func Reopen(folder, site string) (*Store, error) {
 	d, err := Open(folder, site)
 	if err != nil {
 		return nil, err
@@ -120,9 +120,9 @@
 	return d, nil
 }
 
-func (d *Disk) path(name string) string { return filepath.Join(d.folder, name) }
+func (d *Store) path(name string) string { return filepath.Join(d.folder, name) }
 
-func (d *Disk) load(site string) error {
+func (d *Store) load(site string) error {
 	blank, err := d.settleNames()
 	if err != nil {
 		return err
@@ -157,7 +157,7 @@
 // synced whole before its rename was tried, so where a loss of power left no
 // file under the name proper, it is the state; otherwise it holds nothing that
 // counts.
-func (d *Disk) settleNames() (blank bool, err error) {
+func (d *Store) settleNames() (blank bool, err error) {
 	blank, err = isAbsent(d.path(fileName))
 	if err != nil {
 		return false, errors.Wrapf(err, "data folder %s", d.folder)
@@ -187,7 +187,7 @@
 }
 
 // open opens a file that a process or a loss of power may have left torn.
-func (d *Disk) open() error {
+func (d *Store) open() error {
 	if err := trim(d.path(fileName), d.sync); err != nil {
 		return errors.Wrapf(err, "data folder %s", d.folder)
 	}
@@ -195,7 +195,7 @@
 }
 
 // attach opens a file that is whole.
-func (d *Disk) attach() error {
+func (d *Store) attach() error {
 	db, err := buntdb.Open(d.path(fileName))
 	if err != nil {
 		return errors.Wrapf(err, "data folder %s holds a torn %s; it is left as it is", d.folder, fileName)
@@ -211,7 +211,7 @@
 	return nil
 }
 
-func (d *Disk) replay() error {
+func (d *Store) replay() error {
 	var fault error
 	err := d.db.View(func(tx *buntdb.Tx) error {
 		text, err := tx.Get(imageKey)
@@ -243,13 +243,13 @@
 }
 
 // Keys gives a copy of what the disk holds.
-func (d *Disk) Keys() map[string]string { return maps.Clone(d.keys) }
+func (d *Store) Keys() map[string]string { return maps.Clone(d.keys) }
 
 // Save brings changes to the platter before it returns, in their order; those
 // that belong together take one sync for all. After a defect the disk takes
 // nothing more: what was written then is unknown until the folder is opened
 // anew.
-func (d *Disk) Save(writes ...Write) (err error) {
+func (d *Store) Save(writes ...Write) (err error) {
 	if d.defect != nil {
 		return d.defect
 	}
@@ -272,7 +272,7 @@
 	return nil
 }
 
-func (d *Disk) saveOne(w Write) error {
+func (d *Store) saveOne(w Write) error {
 	text, err := seal(w)
 	if err != nil {
 		return err
@@ -291,12 +291,12 @@
 
 // logFull says whether a change of so many bytes is too much for the log. A
 // large snapshot is not written for less than twice its own length of changes.
-func (d *Disk) logFull(more int) bool {
+func (d *Store) logFull(more int) bool {
 	return d.count >= d.countMost || d.logBytes+more > max(logBytesMost, 2*d.snapshotBytes)
 }
 
 // append adds a change to the log and syncs it.
-func (d *Disk) append(text string) error {
+func (d *Store) append(text string) error {
 	if err := d.db.Update(func(tx *buntdb.Tx) error {
 		_, _, err := tx.Set(changeName(d.count), text, nil)
 		return err
@@ -313,7 +313,7 @@
 
 // rewrite puts a fresh file with only a snapshot of these keys in place:
 // written, synced, renamed, and the folder synced.
-func (d *Disk) rewrite(keys map[string]string) error {
+func (d *Store) rewrite(keys map[string]string) error {
 	text, err := seal(keys)
 	if err != nil {
 		return err
@@ -346,7 +346,7 @@
 	return d.attach()
 }
 
-func (d *Disk) syncPath(path string) error {
+func (d *Store) syncPath(path string) error {
 	file, err := os.Open(path)
 	if err != nil {
 		return errors.Wrapf(err, "data folder %s", d.folder)
@@ -355,7 +355,7 @@
 	return errors.Wrapf(d.sync(file), "data folder %s: sync", d.folder)
 }
 
-func (d *Disk) closeFile() {
+func (d *Store) closeFile() {
 	if d.db != nil {
 		_ = d.db.Close()
 		_ = d.file.Close()
@@ -365,7 +365,7 @@
 
 // Probe says whether the folder takes and syncs writes, apart from the state's
 // own file. It may be called after a defect, on any thread.
-func (d *Disk) Probe() error {
+func (d *Store) Probe() error {
 	file, err := os.OpenFile(d.path(probeName), os.O_CREATE|os.O_RDWR|os.O_TRUNC, 0o644)
 	if err != nil {
 		return errors.Wrapf(err, "data folder %s", d.folder)
@@ -381,7 +381,7 @@
 }
 
 // syncer is how a file is brought to the platter now.
-func (d *Disk) syncer() func(*os.File) error {
+func (d *Store) syncer() func(*os.File) error {
 	if spoilt := d.spoil.Load(); spoilt != nil {
 		return *spoilt
 	}
@@ -389,7 +389,7 @@
 }
 
 // Close lets the folder go.
-func (d *Disk) Close() {
+func (d *Store) Close() {
 	d.closeFile()
 	_ = d.lock.Close()
 }
--- a/internal/storage/disk_test.go
+++ b/internal/storage/disk_test.go
@@ -15,7 +15,7 @@
 func set(key, value string) Write { return Write{Sets: map[string]string{key: value}} }
 
 // openNew opens the state of a new folder.
-func openNew(c *qt.C) (*Disk, string) {
+func openNew(c *qt.C) (*Store, string) {
 	folder := c.TempDir()
 	d, err := Open(folder, "zagreb")
 	c.Assert(err, qt.IsNil)
--- a/internal/threads/crew.go
+++ b/internal/threads/crew.go
@@ -12,17 +12,17 @@
 	"github.com/oklog/run"
 )
 
-// Crew gathers the duties of one process.
-type Crew struct{ group run.Group }
+// Group gathers the duties of one process.
+type Group struct{ group run.Group }
 
 // Duty adds a thread that works until stop is called.
-func (c *Crew) Duty(work func() error, stop func()) {
+func (c *Group) Duty(work func() error, stop func()) {
 	var once sync.Once
 	c.group.Add(work, func(error) { once.Do(stop) })
 }
 
 // Beat adds a thread that calls beat at each interval.
-func (c *Crew) Beat(everyMs int64, beat func()) {
+func (c *Group) Beat(everyMs int64, beat func()) {
 	done := make(chan struct{})
 	c.Duty(func() error {
 		ticker := time.NewTicker(time.Duration(everyMs) * time.Millisecond)
@@ -40,7 +40,7 @@
 
 // Signals adds the thread that ends the crew on SIGTERM or SIGINT. Leave is
 // called first, so that a planned stop can hand work back.
-func (c *Crew) Signals(leave func()) {
+func (c *Group) Signals(leave func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c.Duty(func() error {
 		noted, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
@@ -54,7 +54,7 @@
 }
 
 // Until adds a thread that ends the crew when done is closed.
-func (c *Crew) Until(done <-chan struct{}) {
+func (c *Group) Until(done <-chan struct{}) {
 	stop := make(chan struct{})
 	c.Duty(func() error {
 		select {
@@ -66,7 +66,7 @@
 }
 
 // Run starts all duties and waits until all have ended.
-func (c *Crew) Run() error { return c.group.Run() }
+func (c *Group) Run() error { return c.group.Run() }
 
 // Side starts one short errand beside the duties, such as a call outward.
 // The caller bounds how many run at once.
