--- a/cmd/faultsim/main.go
+++ b/cmd/faultsim/main.go
@@ -74,12 +74,12 @@
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case len(r.Breaches) > 0:
+			case len(r.Violations) > 0:
 				broken++
 				fmt.Println(r.Report())
 			case trace:
-				fmt.Println(r.World.Trace())
-				fmt.Println(r.Sum())
+				fmt.Println(r.Simulation.Trace())
+				fmt.Println(r.Summary())
 			}
 		})
 	}
--- a/internal/simulation/faultsim/tenant.go
+++ b/internal/simulation/faultsim/buggy_application.go
@@ -10,24 +10,24 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// brokenTenant is a controller's tenant with deliberate faults.
-type brokenTenant struct {
+// buggyApplication is a controller's tenant with deliberate faults.
+type buggyApplication struct {
 	consensus.Tenant
-	breaks Breaks
+	bugs InjectedBugs
 }
 
-// broken gives a tenant the faults that the world has.
-func (w *World) broken(tenant consensus.Tenant) consensus.Tenant {
-	b := w.Breaks
-	if b.ForgetOrders || b.IgnoreBase || b.StaleRead || b.StaleRefusal {
-		return brokenTenant{tenant, b}
+// withBugs gives a tenant the faults that the world has.
+func (sim *Simulation) withBugs(tenant consensus.Tenant) consensus.Tenant {
+	b := sim.Bugs
+	if b.ForgetAccepted || b.IgnoreBase || b.StaleRead || b.StaleRejection {
+		return buggyApplication{tenant, b}
 	}
 	return tenant
 }
 
-// copiedMap reads the map off a daemon's own copy of the state, whether that
+// localConfig reads the map off a daemon's own copy of the state, whether that
 // is safe or not.
-func copiedMap(h consensus.Host) (version uint64, text string) {
+func localConfig(h consensus.Host) (version uint64, text string) {
 	var kept struct {
 		Version uint64 `json:"version"`
 		Packed  []byte `json:"packed"`
@@ -43,35 +43,35 @@
 }
 
 // Input answers operators as a broken system would.
-func (t brokenTenant) Input(h consensus.Host, input any) bool {
-	version, text := copiedMap(h)
+func (t buggyApplication) Input(h consensus.Host, input any) bool {
+	version, text := localConfig(h)
 	switch in := input.(type) {
 	case controller.Read:
-		if t.breaks.StaleRead && version > 0 {
+		if t.bugs.StaleRead && version > 0 {
 			h.Answer(in.ID, controller.Text{Version: version, Text: text})
 			return true
 		}
 	case controller.HandOver:
-		if t.breaks.StaleRefusal && version > in.BuiltOn {
+		if t.bugs.StaleRejection && version > in.BuiltOn {
 			h.Answer(in.ID, protocol.Rejection{Kind: errkind.StaleBase, Revision: version})
 			return true
 		}
-		if t.breaks.IgnoreBase {
+		if t.bugs.IgnoreBase {
 			in.BuiltOn = version
 		}
-		return t.Tenant.Input(t.host(h), in)
+		return t.Tenant.Input(t.wrapHost(h), in)
 	}
-	return t.Tenant.Input(t.host(h), input)
+	return t.Tenant.Input(t.wrapHost(h), input)
 }
 
 // Began hands the faults on to the start of a primacy.
-func (t brokenTenant) Began(h consensus.Host) { t.Tenant.Began(t.host(h)) }
+func (t buggyApplication) Began(h consensus.Host) { t.Tenant.Began(t.wrapHost(h)) }
 
 // Tick hands the faults on to what waits.
-func (t brokenTenant) Tick(h consensus.Host) { t.Tenant.Tick(t.host(h)) }
+func (t buggyApplication) Tick(h consensus.Host) { t.Tenant.Tick(t.wrapHost(h)) }
 
-func (t brokenTenant) host(h consensus.Host) consensus.Host {
-	if t.breaks.ForgetOrders {
+func (t buggyApplication) wrapHost(h consensus.Host) consensus.Host {
+	if t.bugs.ForgetAccepted {
 		return forgetfulHost{h}
 	}
 	return h
--- a/internal/simulation/faultsim/campaign.go
+++ b/internal/simulation/faultsim/campaign.go
@@ -8,77 +8,77 @@
 
 // Result is what a run showed.
 type Result struct {
-	World    *World
-	Breaches []Breach
+	Simulation *Simulation
+	Violations []Violation
 }
 
 // Report says what broke, and how to see it again.
 func (r Result) Report() string {
 	var lines []string
-	for _, breach := range r.Breaches {
+	for _, breach := range r.Violations {
 		lines = append(lines, breach.String())
 	}
-	return fmt.Sprintf("seed %d, faults %q\n%s\n%s", r.World.Seed, r.World.faults, strings.Join(lines, "\n"), r.World.Trace())
+	return fmt.Sprintf("seed %d, faults %q\n%s\n%s", r.Simulation.Seed, r.Simulation.injected, strings.Join(lines, "\n"), r.Simulation.Trace())
 }
 
-// Sum tells in a line what a run saw.
-func (r Result) Sum() string {
-	w := r.World
-	return fmt.Sprintf("seed %d: %d runs, endings %v, versions %v", w.Seed, w.Book.Ran, w.clients.endings, w.operators.outcomes)
+// Summary tells in a line what a run saw.
+func (r Result) Summary() string {
+	sim := r.Simulation
+	return fmt.Sprintf("seed %d: %d runs, endings %v, versions %v", sim.Seed, sim.Checker.Runs, sim.clients.outcomes, sim.operators.outcomes)
 }
 
 // Begin has the seeds found the site, hands the first map over, and lets
 // clients send.
-func (w *World) Begin() {
-	w.Run(1500)
-	w.replaceMap(w.nodes["core-1"])
-	w.Run(3000)
-	w.clients.begin(w)
-	w.Run(4500)
-	w.serves("at the start")
+func (sim *Simulation) Begin() {
+	sim.Run(1500)
+	sim.submitConfig(sim.nodes["core-1"])
+	sim.Run(3000)
+	sim.clients.start(sim)
+	sim.Run(4500)
+	sim.checkServing("at the start")
 }
 
-func (w *World) bring(f fault) {
-	w.note("fault: %s", f.name)
-	w.faults = append(w.faults, f.name)
-	f.do(w)
+func (sim *Simulation) inject(f fault) {
+	sim.logf("fault: %s", f.name)
+	sim.injected = append(sim.injected, f.name)
+	f.inject(sim)
 }
 
 // End gives all that was begun its time to end, looks whether the site serves
 // as before, and reads the map back.
-func (w *World) End() Result {
-	w.Run(9000)
-	w.serves("at the end")
-	return w.Close()
+func (sim *Simulation) End() Result {
+	sim.Run(9000)
+	sim.checkServing("at the end")
+	return sim.Close()
 }
 
 // Close ends the sending and checks what only the whole shows.
-func (w *World) Close() Result {
-	w.clients.on = false
-	w.Run(6000)
-	w.CheckMaps()
-	w.CheckHistory()
-	for _, r := range w.clients.log {
-		if r.ended == "" {
-			w.Book.breach("ANSWER", w.NowMs(), "%s never ended", r.try)
+func (sim *Simulation) Close() Result {
+	sim.clients.running = false
+	sim.Run(6000)
+	sim.CheckConfig()
+	sim.CheckHistory()
+	for _, r := range sim.clients.requests {
+		if r.outcome == "" {
+			sim.Checker.report("ANSWER", sim.NowMs(), "%s never ended", r.id)
 		}
 	}
-	return Result{w, w.Book.Breaches()}
+	return Result{sim, sim.Checker.Violations()}
 }
 
-// serves looks whether a quarter or more of what is sent now is served.
-func (w *World) serves(when string) {
-	fromMs := w.NowMs()
-	w.Run(2000)
-	toMs := w.NowMs()
-	w.Run(3000)
+// checkServing looks whether a quarter or more of what is sent now is served.
+func (sim *Simulation) checkServing(when string) {
+	fromMs := sim.NowMs()
+	sim.Run(2000)
+	toMs := sim.NowMs()
+	sim.Run(3000)
 	sent, served := map[string]int{}, map[string]int{}
-	for _, r := range w.clients.log {
+	for _, r := range sim.clients.requests {
 		if r.sentMs < fromMs || r.sentMs >= toMs {
 			continue
 		}
 		kind := "plain"
-		if r.streams() {
+		if r.isStream() {
 			kind = "streams"
 		}
 		sent[kind]++
@@ -88,50 +88,50 @@
 	}
 	for _, kind := range []string{"plain", "streams"} {
 		if 4*served[kind] < sent[kind] || sent[kind] == 0 {
-			w.Book.breach("RECOVER", w.NowMs(), "%s: %d of %d %s are served", when, served[kind], sent[kind], kind)
+			sim.Checker.report("RECOVER", sim.NowMs(), "%s: %d of %d %s are served", when, served[kind], sent[kind], kind)
 		}
 	}
 }
 
-// disaster strikes right after a map was taken; the site must serve again
+// injectDisaster strikes right after a map was taken; the site must serve again
 // within its time.
-func (w *World) disaster(f fault) {
-	h := w.changeMap(w.someCore())
+func (sim *Simulation) injectDisaster(f fault) {
+	h := sim.submitChange(sim.randomController())
 	for range 200 {
-		if w.Run(20); h.done {
+		if sim.Run(20); h.done {
 			break
 		}
 	}
-	w.bring(f)
-	if w.Breaks.NoMend {
-		w.cut(w.names("controller"), w.names("router"), false)
+	sim.inject(f)
+	if sim.Bugs.NeverHeal {
+		sim.cut(sim.nodeNames("controller"), sim.nodeNames("router"), false)
 	}
-	w.Run(1300 + w.Bounds.RecoverMs)
-	w.serves("after a disaster")
+	sim.Run(1300 + sim.Bounds.RecoverMs)
+	sim.checkServing("after a disaster")
 }
 
 // Campaign is a run of random faults, alone and together, with a disaster
 // near its end in half of the runs.
 func Campaign(seed int64, count int) Result {
-	return campaign(New(seed, Breaks{}), count)
+	return campaign(New(seed, InjectedBugs{}), count)
 }
 
-func campaign(w *World, count int) Result {
-	w.Begin()
+func campaign(sim *Simulation, count int) Result {
+	sim.Begin()
 	for range count {
-		w.bring(faults[w.random.Intn(len(faults))])
-		if w.random.Intn(3) == 0 {
-			w.Run(w.random.Int63n(400))
-			w.bring(faults[w.random.Intn(len(faults))])
+		sim.inject(faults[sim.random.Intn(len(faults))])
+		if sim.random.Intn(3) == 0 {
+			sim.Run(sim.random.Int63n(400))
+			sim.inject(faults[sim.random.Intn(len(faults))])
 		}
-		w.Run(500 + w.random.Int63n(4500))
+		sim.Run(500 + sim.random.Int63n(4500))
 	}
-	if w.random.Intn(2) == 0 {
-		w.Run(9000)
-		w.disaster(disasters[w.random.Intn(len(disasters))])
-		return w.Close()
+	if sim.random.Intn(2) == 0 {
+		sim.Run(9000)
+		sim.injectDisaster(disasters[sim.random.Intn(len(disasters))])
+		return sim.Close()
 	}
-	return w.End()
+	return sim.End()
 }
 
 // Names lists the faults that Play knows, disasters last, and the workload.
@@ -156,7 +156,7 @@
 	return pairs
 }
 
-func named(name string) (f fault, last, ok bool) {
+func findFault(name string) (f fault, last, ok bool) {
 	for _, f := range faults {
 		if f.name == name {
 			return f, false, true
@@ -176,27 +176,27 @@
 	if slices.Equal(names, []string{workloadName}) {
 		return Workload(seed, workloadSteps), true
 	}
-	return play(seed, Breaks{}, names...)
+	return play(seed, InjectedBugs{}, names...)
 }
 
-func play(seed int64, breaks Breaks, names ...string) (Result, bool) {
-	w := New(seed, breaks)
+func play(seed int64, breaks InjectedBugs, names ...string) (Result, bool) {
+	sim := New(seed, breaks)
 	for _, name := range names {
-		if _, _, ok := named(name); !ok {
+		if _, _, ok := findFault(name); !ok {
 			return Result{}, false
 		}
 	}
-	w.Begin()
+	sim.Begin()
 	for i, name := range names {
 		if i > 0 {
-			w.Run(w.random.Int63n(1500))
+			sim.Run(sim.random.Int63n(1500))
 		}
-		f, last, _ := named(name)
+		f, last, _ := findFault(name)
 		if last {
-			w.disaster(f)
-			return w.Close(), true
+			sim.injectDisaster(f)
+			return sim.Close(), true
 		}
-		w.bring(f)
+		sim.inject(f)
 	}
-	return w.End(), true
+	return sim.End(), true
 }
--- a/internal/simulation/faultsim/book_test.go
+++ b/internal/simulation/faultsim/checker_test.go
@@ -27,14 +27,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			// An odd seed has runners that check no fence.
-			w := New(1, Breaks{})
+			sim := New(1, InjectedBugs{})
 			// Only the clock moves: the daemons send no orders of their own.
-			w.events.Clear()
+			sim.events.Clear()
 			for _, s := range test.steps {
-				w.Run(s.afterMs)
-				w.thawedMs["thawed"] = w.NowMs() - 100
-				w.Book.order(s.sender, "i-1", s.holder, s.fence)
-				qt.Assert(t, w.Book.breaches, qt.HasLen, s.breaches)
+				sim.Run(s.afterMs)
+				sim.thawedAtMs["thawed"] = sim.NowMs() - 100
+				sim.Checker.recordOrder(s.sender, "i-1", s.holder, s.fence)
+				qt.Assert(t, sim.Checker.violations, qt.HasLen, s.breaches)
 			}
 		})
 	}
--- a/internal/simulation/faultsim/faults.go
+++ b/internal/simulation/faultsim/faults.go
@@ -13,18 +13,18 @@
 
 // fault is something that a drill brings about. What it begins, it ends.
 type fault struct {
-	name string
-	do   func(w *World)
+	name   string
+	inject func(sim *Simulation)
 }
 
 // primary names the daemon that speaks for the site, if one does.
-func (w *World) primary() *node {
-	for _, name := range w.names(protocol.Controller) {
-		n := w.nodes[name]
+func (sim *Simulation) primary() *node {
+	for _, name := range sim.nodeNames(protocol.Controller) {
+		n := sim.nodes[name]
 		if !n.up || n.frozen {
 			continue
 		}
-		out := n.machine.Step(n.clock(w.NowMs()), controller.Look{})
+		out := n.machine.Step(n.clock(sim.NowMs()), controller.Look{})
 		active := false
 		for _, answer := range out.Answers {
 			if said, is := answer.Body.(controller.Status); is {
@@ -32,7 +32,7 @@
 			}
 		}
 		out.Answers = slices.DeleteFunc(out.Answers, func(a protocol.Answer) bool { _, is := a.Body.(controller.Status); return is })
-		w.perform(n, out)
+		sim.apply(n, out)
 		if active {
 			return n
 		}
@@ -40,34 +40,34 @@
 	return nil
 }
 
-func (w *World) primaryOrSome() *node {
-	if p := w.primary(); p != nil {
+func (sim *Simulation) primaryOrRandom() *node {
+	if p := sim.primary(); p != nil {
 		return p
 	}
-	return w.someCore()
+	return sim.randomController()
 }
 
-// backup is another core machine than the primary.
-func (w *World) backup() *node {
-	p := w.primaryOrSome()
+// randomBackup is another core machine than the primary.
+func (sim *Simulation) randomBackup() *node {
+	p := sim.primaryOrRandom()
 	for {
-		if n := w.someCore(); n != p {
+		if n := sim.randomController(); n != p {
 			return n
 		}
 	}
 }
 
-// maybe gives a core machine that the site must be able to lose now: a lost one
+// losable gives a core machine that the site must be able to lose now: a lost one
 // counts until it has caught up.
-func (w *World) maybe(n *node) *node {
+func (sim *Simulation) losable(n *node) *node {
 	lost := 0
-	for _, name := range w.names(protocol.Controller) {
-		lastMs, ever := w.touch.nodes[name]
-		if w.nodes[name] != n && (!w.nodes[name].well() || ever && w.NowMs()-lastMs < w.Bounds.CatchUpMs) {
+	for _, name := range sim.nodeNames(protocol.Controller) {
+		lastMs, ever := sim.connectivity.disturbedMs[name]
+		if sim.nodes[name] != n && (!sim.nodes[name].isHealthy() || ever && sim.NowMs()-lastMs < sim.Bounds.CatchUpMs) {
 			lost++
 		}
 	}
-	if lost >= w.losses {
+	if lost >= sim.allowedLosses {
 		return nil
 	}
 	if !n.up || n.frozen || n.removed {
@@ -76,293 +76,333 @@
 	return n
 }
 
-// lose does something to a core machine, unless another one is lost.
-func (w *World) lose(n *node, do func(n *node)) {
-	if n = w.maybe(n); n == nil {
-		w.note("no core machine may be lost now")
+// ifLosable does something to a core machine, unless another one is lost.
+func (sim *Simulation) ifLosable(n *node, do func(n *node)) {
+	if n = sim.losable(n); n == nil {
+		sim.logf("no core machine may be lost now")
 		return
 	}
 	do(n)
 }
 
-func (w *World) someRouter() *node {
-	names := w.names(protocol.Router)
-	return w.nodes[names[w.random.Intn(len(names))]]
+func (sim *Simulation) randomRouter() *node {
+	names := sim.nodeNames(protocol.Router)
+	return sim.nodes[names[sim.random.Intn(len(names))]]
 }
 
-// soon is a time within a few seconds, for a fault's end.
-func (w *World) soon() int64 { return 300 + w.random.Int63n(4000) }
+// randomDelayMs is a time within a few seconds, for a fault's end.
+func (sim *Simulation) randomDelayMs() int64 { return 300 + sim.random.Int63n(4000) }
 
-func (w *World) killFor(n *node, ms int64) {
-	w.kill(n)
-	w.after(ms, func() { w.start(n, false) })
+func (sim *Simulation) killAndRestart(n *node, ms int64) {
+	sim.kill(n)
+	sim.after(ms, func() { sim.startNode(n, false) })
 }
 
 // disasters take everything at once; the site has its time to be back.
 var disasters = []fault{
-	{"all killed", func(w *World) { w.killAll(nil) }},
-	{"core killed", func(w *World) {
-		for _, name := range w.names(protocol.Controller) {
-			w.killFor(w.nodes[name], 700+w.random.Int63n(300))
+	{"all killed", func(sim *Simulation) { sim.killAll(nil) }},
+	{"core killed", func(sim *Simulation) {
+		for _, name := range sim.nodeNames(protocol.Controller) {
+			sim.killAndRestart(sim.nodes[name], 700+sim.random.Int63n(300))
 		}
 	}},
-	{"all killed, one disk lost", func(w *World) {
-		n := w.someCore()
-		if w.maybe(n) == nil {
+	{"all killed, one disk lost", func(sim *Simulation) {
+		n := sim.randomController()
+		if sim.losable(n) == nil {
 			n = nil
 		}
-		w.killAll(n)
+		sim.killAll(n)
 	}},
 }
 
-func (w *World) killAll(wiped *node) {
-	for _, name := range w.names() {
-		n := w.nodes[name]
-		w.kill(n)
+func (sim *Simulation) killAll(wiped *node) {
+	for _, name := range sim.nodeNames() {
+		n := sim.nodes[name]
+		sim.kill(n)
 		if n == wiped {
-			w.wipe(n)
+			sim.wipeDisk(n)
 		}
-		w.after(700+w.random.Int63n(600), func() { w.start(n, false) })
+		sim.after(700+sim.random.Int63n(600), func() { sim.startNode(n, false) })
 	}
 }
 
-// others lists all names but one, those outside among them.
-func (w *World) others(but string) []string {
-	names := append(w.names(), "list", "operator")
+// allExcept lists all names but one, those outside among them.
+func (sim *Simulation) allExcept(but string) []string {
+	names := append(sim.nodeNames(), "list", "operator")
 	return slices.DeleteFunc(names, func(name string) bool { return name == but })
 }
 
-func (w *World) healAfter(ms int64) { w.after(ms, w.heal) }
+func (sim *Simulation) healAfter(ms int64) { sim.after(ms, sim.heal) }
 
 var faults = []fault{
-	{"primary killed", func(w *World) { w.lose(w.primaryOrSome(), func(n *node) { w.killFor(n, w.soon()) }) }},
-	{"backup killed", func(w *World) { w.lose(w.backup(), func(n *node) { w.killFor(n, w.soon()) }) }},
-	{"primary loses its disk", func(w *World) {
-		w.lose(w.primaryOrSome(), func(n *node) { w.kill(n); w.wipe(n); w.after(w.soon(), func() { w.start(n, false) }) })
+	{"primary killed", func(sim *Simulation) {
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) { sim.killAndRestart(n, sim.randomDelayMs()) })
 	}},
-	{"backup loses its disk", func(w *World) {
-		w.lose(w.backup(), func(n *node) { w.kill(n); w.wipe(n); w.after(w.soon(), func() { w.start(n, false) }) })
+	{"backup killed", func(sim *Simulation) {
+		sim.ifLosable(sim.randomBackup(), func(n *node) { sim.killAndRestart(n, sim.randomDelayMs()) })
 	}},
-	{"primary loses its disk after an acknowledgement", func(w *World) {
-		h := w.replaceMap(w.primaryOrSome())
+	{"primary loses its disk", func(sim *Simulation) {
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) {
+			sim.kill(n)
+			sim.wipeDisk(n)
+			sim.after(sim.randomDelayMs(), func() { sim.startNode(n, false) })
+		})
+	}},
+	{"backup loses its disk", func(sim *Simulation) {
+		sim.ifLosable(sim.randomBackup(), func(n *node) {
+			sim.kill(n)
+			sim.wipeDisk(n)
+			sim.after(sim.randomDelayMs(), func() { sim.startNode(n, false) })
+		})
+	}},
+	{"primary loses its disk after an acknowledgement", func(sim *Simulation) {
+		h := sim.submitConfig(sim.primaryOrRandom())
 		for range 40 {
-			if w.Run(25); h.done {
+			if sim.Run(25); h.done {
 				break
 			}
 		}
-		w.lose(w.primaryOrSome(), func(n *node) { w.kill(n); w.wipe(n); w.after(w.soon(), func() { w.start(n, false) }) })
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) {
+			sim.kill(n)
+			sim.wipeDisk(n)
+			sim.after(sim.randomDelayMs(), func() { sim.startNode(n, false) })
+		})
 	}},
-	{"core machine replaced", func(w *World) { w.lose(w.someCore(), w.replaceCore) }},
-	{"primary replaced", func(w *World) { w.lose(w.primaryOrSome(), w.replaceCore) }},
-	{"primary frozen", func(w *World) {
-		w.lose(w.primaryOrSome(), func(n *node) { w.freeze(n); w.after(w.soon()+w.soon(), func() { w.thaw(n) }) })
+	{"core machine replaced", func(sim *Simulation) { sim.ifLosable(sim.randomController(), sim.replaceController) }},
+	{"primary replaced", func(sim *Simulation) { sim.ifLosable(sim.primaryOrRandom(), sim.replaceController) }},
+	{"primary frozen", func(sim *Simulation) {
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) {
+			sim.freeze(n)
+			sim.after(sim.randomDelayMs()+sim.randomDelayMs(), func() { sim.thaw(n) })
+		})
 	}},
-	{"backup frozen", func(w *World) {
-		w.lose(w.backup(), func(n *node) { w.freeze(n); w.after(w.soon(), func() { w.thaw(n) }) })
+	{"backup frozen", func(sim *Simulation) {
+		sim.ifLosable(sim.randomBackup(), func(n *node) { sim.freeze(n); sim.after(sim.randomDelayMs(), func() { sim.thaw(n) }) })
 	}},
-	{"core stopped in turn", func(w *World) {
+	{"core stopped in turn", func(sim *Simulation) {
 		atMs := int64(0)
-		for _, name := range w.names(protocol.Controller) {
-			n := w.nodes[name]
-			w.after(atMs, func() { w.lose(n, w.leave) })
-			atMs += w.Bounds.CatchUpMs + 1500
+		for _, name := range sim.nodeNames(protocol.Controller) {
+			n := sim.nodes[name]
+			sim.after(atMs, func() { sim.ifLosable(n, sim.stopGracefully) })
+			atMs += sim.Bounds.CatchUpMs + 1500
 		}
 	}},
-	{"disk stalls", func(w *World) {
-		w.lose(w.primaryOrSome(), func(n *node) { w.disk(n, func(d *simDisk) { d.stalled = true }) })
+	{"disk stalls", func(sim *Simulation) {
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) { sim.degradeDisk(n, func(d *disk) { d.stalled = true }) })
 	}},
-	{"disk slow", func(w *World) {
-		w.lose(w.someCore(), func(n *node) { w.disk(n, func(d *simDisk) { d.slowMs = 50 + w.random.Int63n(400) }) })
+	{"disk slow", func(sim *Simulation) {
+		sim.ifLosable(sim.randomController(), func(n *node) { sim.degradeDisk(n, func(d *disk) { d.slowMs = 50 + sim.random.Int63n(400) }) })
 	}},
-	{"disk full", func(w *World) {
-		w.lose(w.someCore(), func(n *node) { w.disk(n, func(d *simDisk) { d.full = true }) })
+	{"disk full", func(sim *Simulation) {
+		sim.ifLosable(sim.randomController(), func(n *node) { sim.degradeDisk(n, func(d *disk) { d.full = true }) })
 	}},
-	{"disk full, then another lost", func(w *World) {
-		w.lose(w.backup(), func(n *node) {
-			w.disk(n, func(d *simDisk) { d.full = true })
-			w.replaceMap(w.someCore())
+	{"disk full, then another lost", func(sim *Simulation) {
+		sim.ifLosable(sim.randomBackup(), func(n *node) {
+			sim.degradeDisk(n, func(d *disk) { d.full = true })
+			sim.submitConfig(sim.randomController())
 			// The disk is well again and long enough so, then another goes.
-			w.after(4500+w.Bounds.CatchUpMs+500, func() {
-				w.lose(w.primaryOrSome(), func(n *node) { w.killFor(n, 12_000) })
+			sim.after(4500+sim.Bounds.CatchUpMs+500, func() {
+				sim.ifLosable(sim.primaryOrRandom(), func(n *node) { sim.killAndRestart(n, 12_000) })
 			})
-			w.after(4500+w.Bounds.CatchUpMs+5000, func() { w.replaceMap(w.someCore()) })
+			sim.after(4500+sim.Bounds.CatchUpMs+5000, func() { sim.submitConfig(sim.randomController()) })
 		})
 	}},
-	{"disk full, then another loses its disk", func(w *World) {
-		w.lose(w.backup(), func(n *node) {
-			w.disk(n, func(d *simDisk) { d.full = true })
-			w.replaceMap(w.someCore())
-			w.after(4500+w.Bounds.CatchUpMs+500, func() {
-				w.lose(w.primaryOrSome(), func(n *node) { w.kill(n); w.wipe(n); w.after(700, func() { w.start(n, false) }) })
+	{"disk full, then another loses its disk", func(sim *Simulation) {
+		sim.ifLosable(sim.randomBackup(), func(n *node) {
+			sim.degradeDisk(n, func(d *disk) { d.full = true })
+			sim.submitConfig(sim.randomController())
+			sim.after(4500+sim.Bounds.CatchUpMs+500, func() {
+				sim.ifLosable(sim.primaryOrRandom(), func(n *node) { sim.kill(n); sim.wipeDisk(n); sim.after(700, func() { sim.startNode(n, false) }) })
 			})
-			w.after(4500+w.Bounds.CatchUpMs+6000, func() { w.replaceMap(w.someCore()) })
+			sim.after(4500+sim.Bounds.CatchUpMs+6000, func() { sim.submitConfig(sim.randomController()) })
 		})
 	}},
-	{"new core machine dies as it is taken in, then another is replaced", func(w *World) {
-		w.lose(w.backup(), func(gone *node) {
-			w.replaceCore(gone)
-			name := fmt.Sprintf("core-%d", w.machines)
+	{"new core machine dies as it is taken in, then another is replaced", func(sim *Simulation) {
+		sim.ifLosable(sim.randomBackup(), func(gone *node) {
+			sim.replaceController(gone)
+			name := fmt.Sprintf("core-%d", sim.controllersMade)
 			for range 4000 {
-				w.Run(1)
-				if n := len(w.trace); strings.Contains(w.trace[n-1], name+" takes the place of witness") {
+				sim.Run(1)
+				if n := len(sim.trace); strings.Contains(sim.trace[n-1], name+" takes the place of witness") {
 					break
 				}
 			}
-			w.killFor(w.nodes[name], 300)
-			w.after(w.Bounds.CatchUpMs+1500, func() { w.lose(w.primaryOrSome(), w.replaceCore) })
-			w.after(w.Bounds.CatchUpMs+7000, func() { w.replaceMap(w.someCore()) })
+			sim.killAndRestart(sim.nodes[name], 300)
+			sim.after(sim.Bounds.CatchUpMs+1500, func() { sim.ifLosable(sim.primaryOrRandom(), sim.replaceController) })
+			sim.after(sim.Bounds.CatchUpMs+7000, func() { sim.submitConfig(sim.randomController()) })
 		})
 	}},
-	{"router killed", func(w *World) { w.killFor(w.someRouter(), w.soon()) }},
-	{"all routers killed", func(w *World) {
-		for _, name := range w.names(protocol.Router) {
-			w.killFor(w.nodes[name], 500+w.random.Int63n(700))
+	{"router killed", func(sim *Simulation) { sim.killAndRestart(sim.randomRouter(), sim.randomDelayMs()) }},
+	{"all routers killed", func(sim *Simulation) {
+		for _, name := range sim.nodeNames(protocol.Router) {
+			sim.killAndRestart(sim.nodes[name], 500+sim.random.Int63n(700))
 		}
 	}},
-	{"router frozen", func(w *World) {
-		n := w.someRouter()
-		w.freeze(n)
-		w.after(w.soon(), func() { w.thaw(n) })
+	{"router frozen", func(sim *Simulation) {
+		n := sim.randomRouter()
+		sim.freeze(n)
+		sim.after(sim.randomDelayMs(), func() { sim.thaw(n) })
 	}},
-	{"routers stopped in turn", func(w *World) {
-		for i, name := range w.names(protocol.Router) {
-			w.after(int64(i)*9000, func() { w.leave(w.nodes[name]) })
+	{"routers stopped in turn", func(sim *Simulation) {
+		for i, name := range sim.nodeNames(protocol.Router) {
+			sim.after(int64(i)*9000, func() { sim.stopGracefully(sim.nodes[name]) })
 		}
 	}},
-	{"primary cut off", func(w *World) {
-		w.lose(w.primaryOrSome(), func(n *node) { w.cut([]string{n.name}, w.others(n.name), false); w.healAfter(w.soon()) })
+	{"primary cut off", func(sim *Simulation) {
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) {
+			sim.cut([]string{n.name}, sim.allExcept(n.name), false)
+			sim.healAfter(sim.randomDelayMs())
+		})
 	}},
-	{"primary heard by nobody", func(w *World) {
-		w.lose(w.primaryOrSome(), func(n *node) { w.cut([]string{n.name}, w.others(n.name), true); w.healAfter(w.soon()) })
+	{"primary heard by nobody", func(sim *Simulation) {
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) {
+			sim.cut([]string{n.name}, sim.allExcept(n.name), true)
+			sim.healAfter(sim.randomDelayMs())
+		})
 	}},
-	{"primary hears nobody", func(w *World) {
-		w.lose(w.primaryOrSome(), func(n *node) { w.cut(w.others(n.name), []string{n.name}, true); w.healAfter(w.soon()) })
+	{"primary hears nobody", func(sim *Simulation) {
+		sim.ifLosable(sim.primaryOrRandom(), func(n *node) {
+			sim.cut(sim.allExcept(n.name), []string{n.name}, true)
+			sim.healAfter(sim.randomDelayMs())
+		})
 	}},
-	{"core in pieces", func(w *World) {
-		w.cut(w.names(protocol.Controller), w.names(protocol.Controller), false)
-		w.healAfter(w.soon())
+	{"core in pieces", func(sim *Simulation) {
+		sim.cut(sim.nodeNames(protocol.Controller), sim.nodeNames(protocol.Controller), false)
+		sim.healAfter(sim.randomDelayMs())
 	}},
-	{"core cut off from routers", func(w *World) {
-		w.cut(w.names(protocol.Controller), w.names(protocol.Router), w.random.Intn(2) == 0)
-		w.healAfter(w.soon() + w.soon())
+	{"core cut off from routers", func(sim *Simulation) {
+		sim.cut(sim.nodeNames(protocol.Controller), sim.nodeNames(protocol.Router), sim.random.Intn(2) == 0)
+		sim.healAfter(sim.randomDelayMs() + sim.randomDelayMs())
 	}},
-	{"router cut off", func(w *World) {
-		w.cut([]string{w.someRouter().name}, w.names(protocol.Controller), w.random.Intn(2) == 0)
-		w.healAfter(w.soon() + w.soon())
+	{"router cut off", func(sim *Simulation) {
+		sim.cut([]string{sim.randomRouter().name}, sim.nodeNames(protocol.Controller), sim.random.Intn(2) == 0)
+		sim.healAfter(sim.randomDelayMs() + sim.randomDelayMs())
 	}},
-	{"router cut off from runners", func(w *World) {
+	{"router cut off from runners", func(sim *Simulation) {
 		var addresses []string
-		for _, r := range w.fleet.living("") {
-			if w.random.Intn(2) == 0 {
+		for _, r := range sim.fleet.activeRunners("") {
+			if sim.random.Intn(2) == 0 {
 				addresses = append(addresses, r.entry.Address)
 			}
 		}
-		w.cut([]string{w.someRouter().name}, addresses, false)
-		w.healAfter(w.soon())
-	}},
-	{"messages lost", func(w *World) { w.lossPart = 0.1 + 0.2*w.random.Float64(); w.healAfter(w.soon()) }},
-	{"messages doubled", func(w *World) { w.twicePart = 0.3; w.healAfter(w.soon()) }},
-	{"messages late", func(w *World) { w.latePart, w.lateMs = 0.3, 1500; w.healAfter(w.soon()) }},
-	{"list away", func(w *World) {
-		w.listDown = true
-		w.after(w.soon(), func() { w.listDown = false })
-	}},
-	{"map replaced", func(w *World) { w.replaceMap(w.someCore()) }},
-	{"map changed", func(w *World) { w.changeMap(w.someCore()) }},
-	{"maps in quick succession", func(w *World) {
+		sim.cut([]string{sim.randomRouter().name}, addresses, false)
+		sim.healAfter(sim.randomDelayMs())
+	}},
+	{"messages lost", func(sim *Simulation) {
+		sim.lossShare = 0.1 + 0.2*sim.random.Float64()
+		sim.healAfter(sim.randomDelayMs())
+	}},
+	{"messages doubled", func(sim *Simulation) { sim.duplicateShare = 0.3; sim.healAfter(sim.randomDelayMs()) }},
+	{"messages late", func(sim *Simulation) { sim.delayShare, sim.maxDelayMs = 0.3, 1500; sim.healAfter(sim.randomDelayMs()) }},
+	{"list away", func(sim *Simulation) {
+		sim.listDown = true
+		sim.after(sim.randomDelayMs(), func() { sim.listDown = false })
+	}},
+	{"map replaced", func(sim *Simulation) { sim.submitConfig(sim.randomController()) }},
+	{"map changed", func(sim *Simulation) { sim.submitChange(sim.randomController()) }},
+	{"maps in quick succession", func(sim *Simulation) {
 		for i := range 12 {
-			w.after(int64(i)*300, func() { w.changeMap(w.someCore()) })
+			sim.after(int64(i)*300, func() { sim.submitChange(sim.randomController()) })
 		}
 	}},
-	{"two operators at once", func(w *World) {
-		w.replaceMap(w.someCore())
-		w.after(w.random.Int63n(30), func() { w.changeMap(w.someCore()) })
+	{"two operators at once", func(sim *Simulation) {
+		sim.submitConfig(sim.randomController())
+		sim.after(sim.random.Int63n(30), func() { sim.submitChange(sim.randomController()) })
 	}},
-	{"map with faults", func(w *World) { w.faultyMap(w.someCore()) }},
-	{"map sent again", func(w *World) {
-		h := w.changeMap(w.someCore())
+	{"map with faults", func(sim *Simulation) { sim.submitInvalidConfig(sim.randomController()) }},
+	{"map sent again", func(sim *Simulation) {
+		h := sim.submitChange(sim.randomController())
 		for i := range 4 {
-			w.after(int64(i)*700+w.random.Int63n(600), func() {
-				if h.done && w.Book.accepted[h.version] > 0 {
+			sim.after(int64(i)*700+sim.random.Int63n(600), func() {
+				if h.done && sim.Checker.acceptedMs[h.version] > 0 {
 					again := *h
-					again.done, again.proper, again.sentMs = false, false, w.NowMs()
-					w.callCore(w.someCore(), &again)
+					again.done, again.mustBeAccepted, again.sentMs = false, false, sim.NowMs()
+					sim.callController(sim.randomController(), &again)
 				}
 			})
 		}
 	}},
-	{"runner leaves", func(w *World) { w.replace(w.someRunner(""), false) }},
-	{"runner taken away", func(w *World) { w.replace(w.someRunner(""), true) }},
-	{"runners leave for good", func(w *World) {
-		for _, service := range []string{llm, plain} {
-			if len(w.fleet.living(service)) > 3 {
-				w.leaveRunner(w.someRunner(service), false)
+	{"runner leaves", func(sim *Simulation) { sim.replaceRunner(sim.randomRunner(""), false) }},
+	{"runner taken away", func(sim *Simulation) { sim.replaceRunner(sim.randomRunner(""), true) }},
+	{"runners leave for good", func(sim *Simulation) {
+		for _, service := range []string{modelService, plainService} {
+			if len(sim.fleet.activeRunners(service)) > 3 {
+				sim.drainRunner(sim.randomRunner(service), false)
 			}
 		}
 	}},
-	{"runner crashes", func(w *World) { w.crash(w.someRunner(""), true) }},
-	{"runner loses power", func(w *World) { w.crash(w.someRunner(""), false) }},
-	{"runner goes dark", func(w *World) {
-		if r := w.someRunner(""); r != nil {
+	{"runner crashes", func(sim *Simulation) { sim.crashRunner(sim.randomRunner(""), true) }},
+	{"runner loses power", func(sim *Simulation) { sim.crashRunner(sim.randomRunner(""), false) }},
+	{"runner goes dark", func(sim *Simulation) {
+		if r := sim.randomRunner(""); r != nil {
 			r.silent = true
-			w.after(w.soon(), func() { w.crash(r, false) })
+			sim.after(sim.randomDelayMs(), func() { sim.crashRunner(r, false) })
 		}
 	}},
-	{"release", func(w *World) {
-		service := []string{plain, other, llm}[w.random.Intn(3)]
-		for i, r := range w.fleet.living(service) {
-			w.after(int64(i)*1500, func() { w.replace(r, false) })
+	{"release", func(sim *Simulation) {
+		service := []string{plainService, otherService, modelService}[sim.random.Intn(3)]
+		for i, r := range sim.fleet.activeRunners(service) {
+			sim.after(int64(i)*1500, func() { sim.replaceRunner(r, false) })
 		}
 	}},
-	{"answers lost", func(w *World) { w.fleet.deafPart = 0.1; w.after(w.soon(), func() { w.fleet.deafPart = 0 }) }},
-	{"runners fail", func(w *World) { w.fleet.failPart = 0.3; w.after(w.soon(), func() { w.fleet.failPart = 0 }) }},
-	{"runners reset", func(w *World) { w.fleet.resetPart = 0.4; w.after(w.soon(), func() { w.fleet.resetPart = 0 }) }},
-	{"demand moves", func(w *World) { w.clients.favour = w.random.Intn(models) }},
-	{"crowd for rare models", func(w *World) {
-		w.clients.rare, w.clients.eachMs = true, 10
-		w.after(w.soon(), func() { w.clients.rare, w.clients.eachMs = false, 25 })
+	{"answers lost", func(sim *Simulation) {
+		sim.fleet.lostAnswerShare = 0.1
+		sim.after(sim.randomDelayMs(), func() { sim.fleet.lostAnswerShare = 0 })
+	}},
+	{"runners fail", func(sim *Simulation) {
+		sim.fleet.errorShare = 0.3
+		sim.after(sim.randomDelayMs(), func() { sim.fleet.errorShare = 0 })
+	}},
+	{"runners reset", func(sim *Simulation) {
+		sim.fleet.resetShare = 0.4
+		sim.after(sim.randomDelayMs(), func() { sim.fleet.resetShare = 0 })
+	}},
+	{"demand moves", func(sim *Simulation) { sim.clients.popularModel = sim.random.Intn(modelCount) }},
+	{"crowd for rare models", func(sim *Simulation) {
+		sim.clients.wantRareModels, sim.clients.intervalMs = true, 10
+		sim.after(sim.randomDelayMs(), func() { sim.clients.wantRareModels, sim.clients.intervalMs = false, 25 })
 	}},
 }
 
-// disk spoils a disk for some seconds. A process whose write failed begins anew
+// degradeDisk spoils a disk for some seconds. A process whose write failed begins anew
 // from it by itself.
-func (w *World) disk(n *node, spoil func(d *simDisk)) {
-	w.note("the disk of %s is in trouble", n.name)
+func (sim *Simulation) degradeDisk(n *node, spoil func(d *disk)) {
+	sim.logf("the disk of %s is in trouble", n.name)
 	spoil(n.disk)
-	w.touch.upset(n)
-	w.after(w.soon(), func() {
-		w.note("the disk of %s is well again", n.name)
-		w.touch.upset(n)
+	sim.connectivity.disturb(n)
+	sim.after(sim.randomDelayMs(), func() {
+		sim.logf("the disk of %s is well again", n.name)
+		sim.connectivity.disturb(n)
 		n.disk.full, n.disk.stalled, n.disk.slowMs = false, false, 0
 	})
 }
 
-// replaceCore brings an empty machine at a new address in place of another,
+// replaceController brings an empty machine at a new address in place of another,
 // and tells all of the new seeds.
-func (w *World) replaceCore(gone *node) {
-	w.kill(gone)
+func (sim *Simulation) replaceController(gone *node) {
+	sim.kill(gone)
 	gone.removed = true
-	w.machines++
-	n := w.addNode(fmt.Sprintf("core-%d", w.machines), fmt.Sprintf("10.0.0.%d", w.machines), gone.zone, protocol.Controller)
-	w.note("%s takes the place of %s", n.name, gone.name)
-	w.after(w.random.Int63n(1500), func() {
+	sim.controllersMade++
+	n := sim.addNode(fmt.Sprintf("core-%d", sim.controllersMade), fmt.Sprintf("10.0.0.%d", sim.controllersMade), gone.zone, protocol.Controller)
+	sim.logf("%s takes the place of %s", n.name, gone.name)
+	sim.after(sim.random.Int63n(1500), func() {
 		// The seeds are exchanged for the newest machines.
-		w.seeds = nil
-		names := w.names(protocol.Controller)
+		sim.seeds = nil
+		names := sim.nodeNames(protocol.Controller)
 		slices.SortFunc(names, func(a, b string) int { return len(b)*1000 + int(b[len(b)-1]) - len(a)*1000 - int(a[len(a)-1]) })
 		for _, name := range names[:3] {
-			w.seeds = append(w.seeds, w.nodes[name].address+":7")
+			sim.seeds = append(sim.seeds, sim.nodes[name].address+":7")
 		}
-		w.start(n, false)
-		for _, name := range w.names() {
-			to := w.nodes[name]
+		sim.startNode(n, false)
+		for _, name := range sim.nodeNames() {
+			to := sim.nodes[name]
 			if to == n {
 				continue
 			}
-			if to.core() {
-				w.put(to, to.life, consensus.Reseed{Seeds: slices.Clone(w.seeds)})
+			if to.isController() {
+				sim.deliver(to, to.incarnation, consensus.Reseed{Seeds: slices.Clone(sim.seeds)})
 			} else {
-				w.put(to, to.life, proxy.Reseed{Seeds: slices.Clone(w.seeds)})
+				sim.deliver(to, to.incarnation, proxy.Reseed{Seeds: slices.Clone(sim.seeds)})
 			}
 		}
 	})
--- a/internal/simulation/faultsim/drill_test.go
+++ b/internal/simulation/faultsim/faultsim_test.go
@@ -7,8 +7,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func sound(t *testing.T, r Result) {
-	if len(r.Breaches) > 0 {
+func assertNoViolation(t *testing.T, r Result) {
+	if len(r.Violations) > 0 {
 		t.Errorf("%s", r.Report())
 	}
 }
@@ -22,7 +22,7 @@
 			for seed := int64(1); seed <= 2; seed++ {
 				r, ok := Play(seed, name)
 				qt.Assert(t, ok, qt.IsTrue)
-				sound(t, r)
+				assertNoViolation(t, r)
 			}
 		})
 	}
@@ -35,7 +35,7 @@
 		t.Run(fmt.Sprint(pairs[i]), func(t *testing.T) {
 			t.Parallel()
 			r, _ := Play(int64(i), pairs[i]...)
-			sound(t, r)
+			assertNoViolation(t, r)
 		})
 	}
 }
@@ -44,7 +44,7 @@
 	for seed := int64(1); seed <= 12; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			sound(t, Campaign(seed, 8))
+			assertNoViolation(t, Campaign(seed, 8))
 		})
 	}
 }
@@ -52,16 +52,16 @@
 // The same seed gives the same run, so that what was seen can be seen again.
 func TestSeedsRepeat(t *testing.T) {
 	first, again := Campaign(3, 6), Campaign(3, 6)
-	qt.Assert(t, first.Sum(), qt.Equals, again.Sum())
-	qt.Assert(t, first.World.Trace(), qt.Equals, again.World.Trace())
+	qt.Assert(t, first.Summary(), qt.Equals, again.Summary())
+	qt.Assert(t, first.Simulation.Trace(), qt.Equals, again.Simulation.Trace())
 }
 
 // Clients are served while nothing fails, and nobody is turned down.
 func TestQuiet(t *testing.T) {
 	r, _ := Play(2)
-	qt.Assert(t, r.Breaches, qt.HasLen, 0)
-	qt.Assert(t, r.World.clients.endings["answered"] > 500, qt.IsTrue)
-	qt.Assert(t, len(r.World.clients.endings) <= 3, qt.IsTrue, qt.Commentf("%v", r.World.clients.endings))
+	qt.Assert(t, r.Violations, qt.HasLen, 0)
+	qt.Assert(t, r.Simulation.clients.outcomes["answered"] > 500, qt.IsTrue)
+	qt.Assert(t, len(r.Simulation.clients.outcomes) <= 3, qt.IsTrue, qt.Commentf("%v", r.Simulation.clients.outcomes))
 }
 
 func TestUnknownFault(t *testing.T) {
--- a/internal/simulation/faultsim/fleet.go
+++ b/internal/simulation/faultsim/fleet.go
@@ -19,16 +19,16 @@
 
 // fleet is the platform's side: the runners and the list of them.
 type fleet struct {
-	// all holds every life, the living and the listed ones.
-	all    []*runner
-	disks  map[string]map[string]bool
-	past   []listing
-	calls  []int64
-	number int
-	places int
-	// deafPart of the answers of runners are lost, failPart of their runs fail,
-	// and resetPart of them end with a reset.
-	deafPart, failPart, resetPart float64
+	// runners holds every life, the living and the listed ones.
+	runners       []*runner
+	weightsOnDisk map[string]map[string]bool
+	listings      []listing
+	listCallsMs   []int64
+	lastRunner    int
+	lastAddress   int
+	// lostAnswerShare of the answers of runners are lost, errorShare of their runs fail,
+	// and resetShare of them end with a reset.
+	lostAnswerShare, errorShare, resetShare float64
 }
 
 type listing struct {
@@ -36,114 +36,114 @@
 	runners []protocol.RunnerEntry
 }
 
-func newFleet(w *World) fleet {
-	f := fleet{disks: map[string]map[string]bool{}}
+func newFleet(sim *Simulation) fleet {
+	f := fleet{weightsOnDisk: map[string]map[string]bool{}}
 	for i := range 4 {
-		r := f.begin(w, llm, f.address())
+		r := f.startRunner(sim, modelService, f.newAddress())
 		for _, at := range []int{2 * i, 2*i + 1} {
-			r.held[modelName(at%models)] = map[string]bool{}
-			r.disk[modelName(at%models)] = true
+			r.loaded[modelName(at%modelCount)] = map[string]bool{}
+			r.weightsOnDisk[modelName(at%modelCount)] = true
 		}
 	}
 	for range 3 {
-		f.begin(w, plain, f.address())
+		f.startRunner(sim, plainService, f.newAddress())
 	}
 	for range 2 {
-		f.begin(w, other, f.address())
+		f.startRunner(sim, otherService, f.newAddress())
 	}
 	return f
 }
 
-func (f *fleet) address() string {
-	f.places++
-	return fmt.Sprintf("10.1.0.%d:80", f.places)
+func (f *fleet) newAddress() string {
+	f.lastAddress++
+	return fmt.Sprintf("10.1.0.%d:80", f.lastAddress)
 }
 
-// begin starts a new life of a runner at an address. What its machine loaded
+// startRunner starts a new life of a runner at an address. What its machine loaded
 // before lies on its disk.
-func (f *fleet) begin(w *World, service, address string) *runner {
-	f.number++
-	id := fmt.Sprintf("i-%03d", f.number)
+func (f *fleet) startRunner(sim *Simulation, service, address string) *runner {
+	f.lastRunner++
+	id := fmt.Sprintf("i-%03d", f.lastRunner)
 	key := service + " " + address
-	if f.disks[key] == nil {
-		f.disks[key] = map[string]bool{}
+	if f.weightsOnDisk[key] == nil {
+		f.weightsOnDisk[key] = map[string]bool{}
 	}
 	r := &runner{
-		w: w, held: map[string]map[string]bool{}, disk: f.disks[key], loading: map[string]bool{},
-		entry: protocol.RunnerEntry{ID: id, Service: service, Address: address, Zone: fmt.Sprintf("zone-%d", f.number%3), Slots: slots, LeftMs: -1},
+		sim: sim, loaded: map[string]map[string]bool{}, weightsOnDisk: f.weightsOnDisk[key], loading: map[string]bool{},
+		entry: protocol.RunnerEntry{ID: id, Service: service, Address: address, Zone: fmt.Sprintf("zone-%d", f.lastRunner%3), Slots: slots, LeftMs: -1},
 	}
-	f.all = append(f.all, r)
+	f.runners = append(f.runners, r)
 	return r
 }
 
-// at gives the runner that lives at an address, if one does.
-func (f *fleet) at(address string) *runner {
-	for _, r := range f.all {
-		if !r.gone && r.entry.Address == address {
+// runnerAt gives the runner that lives at an address, if one does.
+func (f *fleet) runnerAt(address string) *runner {
+	for _, r := range f.runners {
+		if !r.ended && r.entry.Address == address {
 			return r
 		}
 	}
 	return nil
 }
 
-// living lists the runners of a service that live and are not leaving.
-func (f *fleet) living(service string) []*runner {
-	return slices.DeleteFunc(slices.Clone(f.all), func(r *runner) bool {
-		return r.gone || r.silent || r.entry.Leaving || service != "" && r.entry.Service != service
+// activeRunners lists the runners of a service that live and are not leaving.
+func (f *fleet) activeRunners(service string) []*runner {
+	return slices.DeleteFunc(slices.Clone(f.runners), func(r *runner) bool {
+		return r.ended || r.silent || r.entry.Leaving || service != "" && r.entry.Service != service
 	})
 }
 
 // some gives one of the living.
-func (w *World) someRunner(service string) *runner {
-	living := w.fleet.living(service)
+func (sim *Simulation) randomRunner(service string) *runner {
+	living := sim.fleet.activeRunners(service)
 	if len(living) == 0 {
 		return nil
 	}
-	return living[w.random.Intn(len(living))]
+	return living[sim.random.Intn(len(living))]
 }
 
-// note takes down what the list will show later, and what runners will say.
-func (f *fleet) note(w *World) {
-	f.all = slices.DeleteFunc(f.all, func(r *runner) bool { return r.gone && w.NowMs() >= r.listedToMs })
+// recordListing takes down what the list will show later, and what runners will say.
+func (f *fleet) recordListing(sim *Simulation) {
+	f.runners = slices.DeleteFunc(f.runners, func(r *runner) bool { return r.ended && sim.NowMs() >= r.listedToMs })
 	var list []protocol.RunnerEntry
-	for _, r := range f.all {
-		if !r.gone {
-			r.note(w.NowMs())
+	for _, r := range f.runners {
+		if !r.ended {
+			r.recordState(sim.NowMs())
 		}
 		e := r.entry
 		if e.Leaving && e.LeftMs >= 0 {
-			e.LeftMs = max(0, r.endMs-w.NowMs())
+			e.LeftMs = max(0, r.endMs-sim.NowMs())
 		}
-		e.Models = r.models()
+		e.Models = r.loadedModels()
 		list = append(list, e)
 	}
-	f.past = append(f.past, listing{w.NowMs(), list})
-	if len(f.past) > 40 {
-		f.past = f.past[1:]
+	f.listings = append(f.listings, listing{sim.NowMs(), list})
+	if len(f.listings) > 40 {
+		f.listings = f.listings[1:]
 	}
 }
 
 // list is what a call to the platform is answered with.
-func (f *fleet) list(w *World) (protocol.RunnerList, bool) {
-	if w.listDown {
+func (f *fleet) list(sim *Simulation) (protocol.RunnerList, bool) {
+	if sim.listDown {
 		return protocol.RunnerList{}, false
 	}
-	f.calls = slices.DeleteFunc(f.calls, func(atMs int64) bool { return w.NowMs()-atMs >= 1000 })
-	f.calls = append(f.calls, w.NowMs())
-	if float64(len(f.calls)) > listPerSec {
+	f.listCallsMs = slices.DeleteFunc(f.listCallsMs, func(atMs int64) bool { return sim.NowMs()-atMs >= 1000 })
+	f.listCallsMs = append(f.listCallsMs, sim.NowMs())
+	if float64(len(f.listCallsMs)) > listPerSec {
 		return protocol.RunnerList{Limited: true}, true
 	}
-	shown := f.past[0].runners
-	for _, l := range f.past {
-		if l.atMs <= w.NowMs()-listLagMs {
+	shown := f.listings[0].runners
+	for _, l := range f.listings {
+		if l.atMs <= sim.NowMs()-listLagMs {
 			shown = l.runners
 		}
 	}
 	shown = slices.Clone(shown)
 	for i := range shown {
 		if shown[i].Leaving {
-			w.Book.listedLeaving(shown[i].ID)
-			if w.Breaks.KeepLeaving {
+			sim.Checker.recordListedDraining(shown[i].ID)
+			if sim.Bugs.HideDraining {
 				shown[i].Leaving, shown[i].LeftMs = false, -1
 			}
 		}
@@ -153,70 +153,70 @@
 
 // leave marks a runner as leaving; it ends some time after the drain, or when
 // the notice is over, whatever it runs.
-func (w *World) leaveRunner(r *runner, spot bool) {
-	if r == nil || r.gone || r.entry.Leaving {
+func (sim *Simulation) drainRunner(r *runner, spot bool) {
+	if r == nil || r.ended || r.entry.Leaving {
 		return
 	}
 	r.entry.Leaving = true
-	endMs := listLagMs + w.Bounds.DrainMs + 1500
+	endMs := listLagMs + sim.Bounds.DrainMs + 1500
 	if spot {
-		endMs = listLagMs + 1200 + w.random.Int63n(1500)
+		endMs = listLagMs + 1200 + sim.random.Int63n(1500)
 		r.entry.LeftMs = endMs
 	}
-	r.endMs = w.NowMs() + endMs
-	w.note("%s of %s is leaving, spot: %v", r.entry.ID, r.entry.Service, spot)
-	w.after(endMs, func() { w.endRunner(r, true, 0) })
+	r.endMs = sim.NowMs() + endMs
+	sim.logf("%s of %s is leaving, spot: %v", r.entry.ID, r.entry.Service, spot)
+	sim.after(endMs, func() { sim.endRunner(r, true, 0) })
 }
 
 // endRunner ends a life. With resets those who wait hear of it.
-func (w *World) endRunner(r *runner, resets bool, listedMs int64) {
-	if r.gone {
+func (sim *Simulation) endRunner(r *runner, resets bool, listedMs int64) {
+	if r.ended {
 		return
 	}
-	w.note("%s of %s ends, resets: %v", r.entry.ID, r.entry.Service, resets)
-	r.gone, r.listedToMs = true, w.NowMs()+listedMs
-	jobs := r.jobs
-	r.jobs, r.queue = nil, nil
+	sim.logf("%s of %s ends, resets: %v", r.entry.ID, r.entry.Service, resets)
+	r.ended, r.listedToMs = true, sim.NowMs()+listedMs
+	jobs := r.running
+	r.running, r.queue = nil, nil
 	if resets {
 		for _, j := range jobs {
-			j.broken()
+			j.connectionBroken()
 		}
 	}
 }
 
-// crash ends a runner without a word and brings another life later.
-func (w *World) crash(r *runner, resets bool) {
-	if r == nil || r.gone {
+// crashRunner ends a runner without a word and brings another life later.
+func (sim *Simulation) crashRunner(r *runner, resets bool) {
+	if r == nil || r.ended {
 		return
 	}
-	w.endRunner(r, resets, crashListedMs)
-	w.after(2000+w.random.Int63n(3000), func() {
-		if w.fleet.at(r.entry.Address) == nil {
-			w.note("%s begins another life", r.entry.Address)
-			w.fleet.begin(w, r.entry.Service, r.entry.Address)
+	sim.endRunner(r, resets, crashListedMs)
+	sim.after(2000+sim.random.Int63n(3000), func() {
+		if sim.fleet.runnerAt(r.entry.Address) == nil {
+			sim.logf("%s begins another life", r.entry.Address)
+			sim.fleet.startRunner(sim, r.entry.Service, r.entry.Address)
 		}
 	})
 }
 
-// replace brings a fresh runner elsewhere, has the old one leave, and gives
+// replaceRunner brings a fresh runner elsewhere, has the old one leave, and gives
 // its address to another service once that may be.
-func (w *World) replace(r *runner, spot bool) {
-	if r == nil || r.gone || r.entry.Leaving {
+func (sim *Simulation) replaceRunner(r *runner, spot bool) {
+	if r == nil || r.ended || r.entry.Leaving {
 		return
 	}
-	w.fleet.begin(w, r.entry.Service, w.fleet.address())
-	w.leaveRunner(r, spot)
-	if r.entry.Service == llm {
+	sim.fleet.startRunner(sim, r.entry.Service, sim.fleet.newAddress())
+	sim.drainRunner(r, spot)
+	if r.entry.Service == modelService {
 		return
 	}
-	w.after(r.endMs-w.NowMs()+w.Bounds.ReuseAfterMs, func() {
-		service := other
-		if r.entry.Service == other {
-			service = plain
+	sim.after(r.endMs-sim.NowMs()+sim.Bounds.ReuseAfterMs, func() {
+		service := otherService
+		if r.entry.Service == otherService {
+			service = plainService
 		}
-		if w.fleet.at(r.entry.Address) == nil && len(w.fleet.living(service)) < 4 {
-			w.note("%s passes to a runner of %s", r.entry.Address, service)
-			w.fleet.begin(w, service, r.entry.Address)
+		if sim.fleet.runnerAt(r.entry.Address) == nil && len(sim.fleet.activeRunners(service)) < 4 {
+			sim.logf("%s passes to a runner of %s", r.entry.Address, service)
+			sim.fleet.startRunner(sim, service, r.entry.Address)
 		}
 	})
 }
--- a/internal/simulation/faultsim/format.go
+++ b/internal/simulation/faultsim/format.go
@@ -10,8 +10,8 @@
 // format is the drill's own writing of service maps, plain JSON.
 type format struct{}
 
-// change is a change of named items in that writing.
-type change struct {
+// configChange is a change of named items in that writing.
+type configChange struct {
 	Version uint64
 	Put     []config.Route
 	Remove  []string
@@ -33,7 +33,7 @@
 // Change brings a change into a whole text.
 func (format) Change(text, part []byte) ([]byte, []string) {
 	var m config.Map
-	var c change
+	var c configChange
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{"there is no map to change"}
 	}
@@ -46,11 +46,11 @@
 		m.Routes = append(m.Routes, put)
 	}
 	m.Routes = slices.DeleteFunc(m.Routes, func(r config.Route) bool { return slices.Contains(c.Remove, r.Name) })
-	return written(m), nil
+	return encodeConfig(m), nil
 }
 
-// written writes a map.
-func written(m config.Map) []byte {
+// encodeConfig writes a map.
+func encodeConfig(m config.Map) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
 		panic("drill: a map can't be written: " + err.Error())
--- a/internal/simulation/faultsim/history.go
+++ b/internal/simulation/faultsim/history.go
@@ -19,39 +19,39 @@
 	outcomeAccepted outcome = iota
 	// outcomeStale: another version is current.
 	outcomeStale
-	outcomeFaulty
+	outcomeInvalid
 )
 
 var outcomeNames = []string{"accepted", "stale", "faulty"}
 
 func (o outcome) String() string { return outcomeNames[o] }
 
-// orderKey tells orders apart as the system must: one that is sent again is the
+// submissionKey tells orders apart as the system must: one that is sent again is the
 // same order, whoever sends it.
-type orderKey struct {
-	builtOn uint64
-	part    bool
-	text    string
+type submissionKey struct {
+	builtOn  uint64
+	isChange bool
+	text     string
 }
 
-// orderRecord is an order over all times that it was sent.
-type orderRecord struct {
-	orderKey
+// submissionRecord is an order over all times that it was sent.
+type submissionRecord struct {
+	submissionKey
 	number  int
 	version uint64
 	sentMs  int64
-	answers []clearAnswer
+	answers []answerRecord
 }
 
-// clearAnswer is what one call brought: current is the version that a refusal
+// answerRecord is what one call brought: current is the version that a refusal
 // named as the current one.
-type clearAnswer struct {
+type answerRecord struct {
 	sentMs, atMs int64
 	outcome      outcome
 	current      uint64
 }
 
-func (r *orderRecord) String() string {
+func (r *submissionRecord) String() string {
 	return fmt.Sprintf("order %d (version %d on top of %d, first sent at %d ms)", r.number, r.version, r.builtOn, r.sentMs)
 }
 
@@ -64,33 +64,33 @@
 
 // history records what operators sent and were told.
 type history struct {
-	byKey  map[orderKey]*orderRecord
-	orders []*orderRecord
-	reads  []readRecord
+	byKey       map[submissionKey]*submissionRecord
+	submissions []*submissionRecord
+	reads       []readRecord
 }
 
-func newHistory() history { return history{byKey: map[orderKey]*orderRecord{}} }
+func newHistory() history { return history{byKey: map[submissionKey]*submissionRecord{}} }
 
-// sent notes a call with an order.
-func (h *history) sent(nowMs int64, key orderKey, version uint64) *orderRecord {
+// recordSubmission notes a call with an order.
+func (h *history) recordSubmission(nowMs int64, key submissionKey, version uint64) *submissionRecord {
 	if known := h.byKey[key]; known != nil {
 		return known
 	}
-	r := &orderRecord{orderKey: key, number: len(h.orders) + 1, version: version, sentMs: nowMs}
+	r := &submissionRecord{submissionKey: key, number: len(h.submissions) + 1, version: version, sentMs: nowMs}
 	h.byKey[key] = r
-	h.orders = append(h.orders, r)
+	h.submissions = append(h.submissions, r)
 	return r
 }
 
-func (h *history) read(sentMs, atMs int64, version uint64, text string) {
+func (h *history) recordRead(sentMs, atMs int64, version uint64, text string) {
 	h.reads = append(h.reads, readRecord{sentMs, atMs, version, protocol.Sum(text)})
 }
 
 // check lists what does not fit one register with compare-and-set.
 func (h *history) check() []string {
 	var wrong []string
-	for _, r := range h.orders {
-		for _, holds := range []func() (string, bool){r.differs, r.isFaultlessRefused} {
+	for _, r := range h.submissions {
+		for _, holds := range []func() (string, bool){r.hasConflictingAnswers, r.isWronglyInvalid} {
 			if what, isWrong := holds(); isWrong {
 				wrong = append(wrong, what)
 			}
@@ -102,8 +102,8 @@
 	return wrong
 }
 
-// differs says whether an order was accepted and refused.
-func (r *orderRecord) differs() (string, bool) {
+// hasConflictingAnswers says whether an order was accepted and refused.
+func (r *submissionRecord) hasConflictingAnswers() (string, bool) {
 	for _, a := range r.answers {
 		first := r.answers[0]
 		if (a.outcome == outcomeAccepted) != (first.outcome == outcomeAccepted) {
@@ -113,17 +113,17 @@
 	return "", false
 }
 
-// isFaultlessRefused says whether a whole configuration was called faulty that
+// isWronglyInvalid says whether a whole configuration was called faulty that
 // has no fault.
-func (r *orderRecord) isFaultlessRefused() (string, bool) {
-	if len(r.answers) == 0 || r.answers[0].outcome != outcomeFaulty || r.part || r.isUnreadable() || r.version <= r.builtOn {
+func (r *submissionRecord) isWronglyInvalid() (string, bool) {
+	if len(r.answers) == 0 || r.answers[0].outcome != outcomeInvalid || r.isChange || r.isUnreadable() || r.version <= r.builtOn {
 		return "", false
 	}
 	return fmt.Sprintf("%s: faulty at %d ms, although it can be read and its version is above its base", r, r.answers[0].atMs), true
 }
 
 // isUnreadable says whether a whole configuration has faults of its own.
-func (r *orderRecord) isUnreadable() bool {
+func (r *submissionRecord) isUnreadable() bool {
 	_, faults := format{}.Read([]byte(r.text))
 	return len(faults) > 0
 }
@@ -145,20 +145,20 @@
 		}
 	}
 	return fmt.Sprintf("the history of %d operations fits no register (%s); %d can be put in order, and not then: %s",
-		len(operations), result, len(longest), strings.Join(leftOut(operations, longest), "; ")), false
+		len(operations), result, len(longest), strings.Join(unordered(operations, longest), "; ")), false
 }
 
-// leftMost bounds the operations that a report lists.
-const leftMost = 6
+// maxUnordered bounds the operations that a report lists.
+const maxUnordered = 6
 
-// leftOut lists the first operations that a partial order lacks.
-func leftOut(all, ordered []porcupine.Operation) []string {
+// unordered lists the first operations that a partial order lacks.
+func unordered(all, ordered []porcupine.Operation) []string {
 	var left []string
 	slices.SortStableFunc(all, func(a, b porcupine.Operation) int { return int(a.Return>>1 - b.Return>>1) })
 	for _, operation := range all {
 		in := operation.Input.(registerOperation)
 		isOrdered := slices.ContainsFunc(ordered, func(o porcupine.Operation) bool { return o.Input.(registerOperation) == in })
-		if !isOrdered && len(left) < leftMost {
+		if !isOrdered && len(left) < maxUnordered {
 			left = append(left, in.String())
 		}
 	}
@@ -172,42 +172,42 @@
 	add := func(in registerOperation) {
 		out = append(out, porcupine.Operation{ClientId: len(out), Input: in, Call: in.fromMs, Return: in.toMs})
 	}
-	for _, r := range h.orders {
+	for _, r := range h.submissions {
 		if len(r.answers) == 0 {
 			continue
 		}
 		first := r.answers[0]
 		switch {
 		case first.outcome == outcomeAccepted:
-			add(registerOperation{kind: operationAccepted, order: r, fromMs: r.sentMs, toMs: first.atMs})
+			add(registerOperation{kind: operationAccepted, submission: r, fromMs: r.sentMs, toMs: first.atMs})
 		case first.outcome == outcomeStale && first.current == r.builtOn:
 			// Another version was current when some copy of the order was judged.
-			add(registerOperation{kind: operationStale, order: r, fromMs: r.sentMs, toMs: first.atMs})
-		case first.outcome == outcomeFaulty && r.part:
-			add(registerOperation{kind: operationFaulty, order: r, fromMs: first.sentMs, toMs: first.atMs})
+			add(registerOperation{kind: operationStale, submission: r, fromMs: r.sentMs, toMs: first.atMs})
+		case first.outcome == outcomeInvalid && r.isChange:
+			add(registerOperation{kind: operationInvalid, submission: r, fromMs: first.sentMs, toMs: first.atMs})
 		}
 	}
-	for _, look := range binding(h.looks()) {
+	for _, look := range bindingObservations(h.observations()) {
 		add(look)
 	}
-	for _, possible := range h.possible() {
+	for _, possible := range h.possibleSubmissions() {
 		add(possible)
 	}
 	return out
 }
 
-// looks are all looks at the current version: read-backs, and refusals, each of
+// observations are all looks at the current version: read-backs, and refusals, each of
 // which says what is current.
-func (h *history) looks() []registerOperation {
+func (h *history) observations() []registerOperation {
 	var out []registerOperation
-	for _, r := range h.orders {
+	for _, r := range h.submissions {
 		for i, a := range r.answers {
-			look := registerOperation{kind: operationLook, fromMs: a.sentMs, toMs: a.atMs}
+			look := registerOperation{kind: operationObserve, fromMs: a.sentMs, toMs: a.atMs}
 			switch {
 			case a.outcome == outcomeStale:
 				look.version = a.current
 				out = append(out, look)
-			case a.outcome == outcomeFaulty && i == 0 && !r.part && !r.isUnreadable():
+			case a.outcome == outcomeInvalid && i == 0 && !r.isChange && !r.isUnreadable():
 				// Its number is not above that of the version it builds on.
 				look.version = r.builtOn
 				out = append(out, look)
@@ -220,14 +220,14 @@
 	return out
 }
 
-// binding leaves out looks that the others imply. A configuration is in force
+// bindingObservations leaves out looks that the others imply. A configuration is in force
 // for one span of time, as its version never comes back. All looks at it fit
 // where the one that ended first and the one that began last do.
-func binding(looks []registerOperation) []registerOperation {
-	endedFirst, beganLast := map[lookKey]registerOperation{}, map[lookKey]registerOperation{}
-	var order []lookKey
+func bindingObservations(looks []registerOperation) []registerOperation {
+	endedFirst, beganLast := map[observationKey]registerOperation{}, map[observationKey]registerOperation{}
+	var order []observationKey
 	for _, look := range looks {
-		key := look.lookKey()
+		key := look.observationKey()
 		known, found := endedFirst[key]
 		if !found {
 			order = append(order, key)
@@ -249,39 +249,39 @@
 	return out
 }
 
-// possible lists the orders without a clear answer that somebody may have seen
+// possibleSubmissions lists the orders without a clear answer that somebody may have seen
 // the effect of. One whose version nobody saw is left out: it took effect after
 // all that anybody saw, or never.
-func (h *history) possible() []registerOperation {
-	open := h.openOrders()
-	isOnly := func(r *orderRecord) bool { return len(open[r.version]) == 1 }
+func (h *history) possibleSubmissions() []registerOperation {
+	open := h.unansweredSubmissions()
+	isOnly := func(r *submissionRecord) bool { return len(open[r.version]) == 1 }
 	// What was seen for certain comes from the only order that can have brought
 	// it; so the base of that order was in force too.
-	certain := h.seenVersions()
+	certain := h.observedVersions()
 	h.addBases(certain, open, isOnly)
 	maybe := maps.Clone(certain)
-	h.addBases(maybe, open, func(*orderRecord) bool { return true })
+	h.addBases(maybe, open, func(*submissionRecord) bool { return true })
 	var out []registerOperation
-	for _, r := range h.orders {
+	for _, r := range h.submissions {
 		if maybe[r.version] && slices.Contains(open[r.version], r) {
 			out = append(out, registerOperation{
-				kind: operationPossible, order: r, mayLapse: !certain[r.version] || !isOnly(r), fromMs: r.sentMs, toMs: math.MaxInt64,
+				kind: operationPossible, submission: r, mayHaveNoEffect: !certain[r.version] || !isOnly(r), fromMs: r.sentMs, toMs: math.MaxInt64,
 			})
 		}
 	}
 	return out
 }
 
-// openOrders are, by version, the orders that may have taken effect and got no
+// unansweredSubmissions are, by version, the orders that may have taken effect and got no
 // clear answer. A version that an accepted order has is no other's.
-func (h *history) openOrders() map[uint64][]*orderRecord {
-	open, accepted := map[uint64][]*orderRecord{}, map[uint64]bool{}
-	for _, r := range h.orders {
+func (h *history) unansweredSubmissions() map[uint64][]*submissionRecord {
+	open, accepted := map[uint64][]*submissionRecord{}, map[uint64]bool{}
+	for _, r := range h.submissions {
 		if len(r.answers) > 0 && r.answers[0].outcome == outcomeAccepted {
 			accepted[r.version] = true
 		}
 	}
-	for _, r := range h.orders {
+	for _, r := range h.submissions {
 		if len(r.answers) == 0 && r.version > r.builtOn && !accepted[r.version] {
 			open[r.version] = append(open[r.version], r)
 		}
@@ -290,7 +290,7 @@
 }
 
 // addBases adds the bases of open orders whose version is in the set.
-func (h *history) addBases(seen map[uint64]bool, open map[uint64][]*orderRecord, counts func(r *orderRecord) bool) {
+func (h *history) addBases(seen map[uint64]bool, open map[uint64][]*submissionRecord, counts func(r *submissionRecord) bool) {
 	for grown := true; grown; {
 		grown = false
 		for version, orders := range open {
@@ -303,19 +303,19 @@
 	}
 }
 
-// seenVersions are the versions that somebody saw: in a read-back, in a refusal,
+// observedVersions are the versions that somebody saw: in a read-back, in a refusal,
 // or as the base of an order that took effect.
-func (h *history) seenVersions() map[uint64]bool {
+func (h *history) observedVersions() map[uint64]bool {
 	seen := map[uint64]bool{}
 	for _, r := range h.reads {
 		seen[r.version] = true
 	}
-	for _, r := range h.orders {
+	for _, r := range h.submissions {
 		for _, a := range r.answers {
 			switch {
 			case a.outcome == outcomeStale:
 				seen[a.current] = true
-			case a.outcome == outcomeAccepted, r.part, !r.isUnreadable():
+			case a.outcome == outcomeAccepted, r.isChange, !r.isUnreadable():
 				seen[r.builtOn] = true
 			}
 		}
--- a/internal/simulation/faultsim/history_test.go
+++ b/internal/simulation/faultsim/history_test.go
@@ -9,12 +9,12 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// wholeText is the text of a whole map; the variant tells two of one version
+// configText is the text of a whole map; the variant tells two of one version
 // apart.
-func wholeText(version uint64, variant int64) string {
-	m := New(1, Breaks{}).newMap(version)
+func configText(version uint64, variant int64) string {
+	m := New(1, InjectedBugs{}).newConfig(version)
 	m.Routes[0].AimMs += variant
-	return string(written(m))
+	return string(encodeConfig(m))
 }
 
 // What fits one register with compare-and-set, and what does not.
@@ -56,21 +56,21 @@
 		{"in force before it was sent", []orderStep{{0, 10, 0, 1, 0, outcomeAccepted, 0}, {50, 0, 1, 2, 0, none, 0}}, []readStep{{30, 40, 2, 0}}, false},
 		{"two of one version without an answer, one in force", []orderStep{{0, 10, 0, 1, 0, outcomeAccepted, 0}, {20, 0, 1, 2, 0, none, 0}, {20, 0, 1, 2, 7, none, 0}}, []readStep{{50, 60, 2, 7}}, true},
 		{"two of one version without an answer, both in force", []orderStep{{0, 10, 0, 1, 0, outcomeAccepted, 0}, {20, 0, 1, 2, 0, none, 0}, {20, 0, 1, 2, 7, none, 0}}, []readStep{{50, 60, 2, 0}, {70, 80, 2, 7}}, false},
-		{"a number not above", []orderStep{{0, 10, 0, 3, 0, outcomeAccepted, 0}, {20, 30, 3, 2, 0, outcomeFaulty, 0}}, nil, true},
+		{"a number not above", []orderStep{{0, 10, 0, 3, 0, outcomeAccepted, 0}, {20, 30, 3, 2, 0, outcomeInvalid, 0}}, nil, true},
 		{"a number not above, accepted", []orderStep{{0, 10, 0, 3, 0, outcomeAccepted, 0}, {20, 30, 3, 2, 0, outcomeAccepted, 0}}, nil, false},
-		{"a proper one called faulty", []orderStep{{0, 10, 0, 3, 0, outcomeFaulty, 0}}, nil, false},
+		{"a proper one called faulty", []orderStep{{0, 10, 0, 3, 0, outcomeInvalid, 0}}, nil, false},
 		{"in force that nobody sent", nil, []readStep{{0, 10, 2, 0}}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			h := newHistory()
 			for _, o := range test.orders {
-				r := h.sent(o.sentMs, orderKey{builtOn: o.builtOn, text: wholeText(o.version, o.variant)}, o.version)
+				r := h.recordSubmission(o.sentMs, submissionKey{builtOn: o.builtOn, text: configText(o.version, o.variant)}, o.version)
 				if o.outcome != none {
-					r.answers = append(r.answers, clearAnswer{o.sentMs, o.endMs, o.outcome, o.current})
+					r.answers = append(r.answers, answerRecord{o.sentMs, o.endMs, o.outcome, o.current})
 				}
 			}
 			for _, r := range test.reads {
-				h.read(r.sentMs, r.endMs, r.version, wholeText(r.version, r.variant))
+				h.recordRead(r.sentMs, r.endMs, r.version, configText(r.version, r.variant))
 			}
 			wrong := h.check()
 			qt.Assert(t, len(wrong) == 0, qt.Equals, test.fits, qt.Commentf("%v", wrong))
@@ -87,13 +87,13 @@
 		{[]outcome{outcomeAccepted, outcomeAccepted}, true},
 		{[]outcome{outcomeAccepted, outcomeStale}, false},
 		{[]outcome{outcomeStale, outcomeAccepted}, false},
-		{[]outcome{outcomeAccepted, outcomeFaulty}, false},
+		{[]outcome{outcomeAccepted, outcomeInvalid}, false},
 	} {
 		t.Run(fmt.Sprint(test.answers), func(t *testing.T) {
 			h := newHistory()
 			for i, answer := range test.answers {
-				r := h.sent(0, orderKey{text: wholeText(1, 0)}, 1)
-				r.answers = append(r.answers, clearAnswer{int64(100 * i), int64(100*i + 10), answer, 1})
+				r := h.recordSubmission(0, submissionKey{text: configText(1, 0)}, 1)
+				r.answers = append(r.answers, answerRecord{int64(100 * i), int64(100*i + 10), answer, 1})
 			}
 			qt.Assert(t, len(h.check()) == 0, qt.Equals, test.fits)
 		})
@@ -103,13 +103,13 @@
 // A change of named items is applied to the text that it builds on.
 func TestHistoryOfAChange(t *testing.T) {
 	h := newHistory()
-	whole, part := wholeText(1, 0), string(newChange(1, 2))
+	whole, part := configText(1, 0), string(newChange(1, 2))
 	after, faults := format{}.Change([]byte(whole), []byte(part))
 	qt.Assert(t, faults, qt.HasLen, 0)
-	first := h.sent(0, orderKey{text: whole}, 1)
-	first.answers = append(first.answers, clearAnswer{0, 10, outcomeAccepted, 0})
-	second := h.sent(20, orderKey{builtOn: 1, part: true, text: part}, 2)
-	second.answers = append(second.answers, clearAnswer{20, 30, outcomeAccepted, 0})
+	first := h.recordSubmission(0, submissionKey{text: whole}, 1)
+	first.answers = append(first.answers, answerRecord{0, 10, outcomeAccepted, 0})
+	second := h.recordSubmission(20, submissionKey{builtOn: 1, isChange: true, text: part}, 2)
+	second.answers = append(second.answers, answerRecord{20, 30, outcomeAccepted, 0})
 	h.reads = append(h.reads, readRecord{40, 50, 2, protocol.Sum(string(after))})
 	qt.Assert(t, h.check(), qt.HasLen, 0)
 	h.reads = append(h.reads, readRecord{60, 70, 2, protocol.Sum(whole)})
--- a/internal/simulation/faultsim/operators.go
+++ b/internal/simulation/faultsim/operators.go
@@ -11,93 +11,93 @@
 )
 
 const (
-	// callerMs is how long an operator waits for an answer, callerEnd how long
+	// callTimeoutMs is how long an operator waits for an answer, submissionTimeoutMs how long
 	// it goes on with one order.
-	callerMs  = 1000
-	callerEnd = 20_000
-	// redirectsMost is how many redirects a call follows.
-	redirectsMost = 2
+	callTimeoutMs       = 1000
+	submissionTimeoutMs = 20_000
+	// maxRedirects is how many redirects a call follows.
+	maxRedirects = 2
 )
 
 // operators hand maps over and read them back.
 type operators struct {
-	ids   uint64
-	calls map[uint64]*attempt
-	// version counts what was given out; newest is the newest accepted, handed
+	lastCallID uint64
+	calls      map[uint64]*operatorCall
+	// lastVersion counts what was given out; newest is the newest accepted, handed
 	// the newest that was handed over, and base what operators think in force.
-	version, newest, handed, base uint64
-	texts                         map[uint64]string
-	under                         []*handing
-	// doubt says that some order got no clear answer.
-	doubt    bool
-	outcomes []string
-	history  history
-	// lostPart of the answers get lost; heldPart of the calls are held up on
+	lastVersion, acceptedVersion, submittedVersion, baseVersion uint64
+	texts                                                       map[uint64]string
+	pending                                                     []*submission
+	// uncertain says that some order got no clear answer.
+	uncertain bool
+	outcomes  []string
+	history   history
+	// lostAnswerShare of the answers get lost; delayedCallShare of the calls are held up on
 	// their way and arrive long after the operator has gone on.
-	lostPart, heldPart float64
+	lostAnswerShare, delayedCallShare float64
 }
 
 func newOperators() operators {
-	return operators{calls: map[uint64]*attempt{}, texts: map[uint64]string{}, history: newHistory()}
+	return operators{calls: map[uint64]*operatorCall{}, texts: map[uint64]string{}, history: newHistory()}
 }
 
-// handing is one order of an operator until its end.
-type handing struct {
-	builtOn, version uint64
-	text             string
-	part, proper     bool
-	sentMs           int64
-	pauseMs          int64
-	done             bool
-	// read says that it only reads the map in force, which got then holds.
-	read bool
-	got  *controller.Text
+// submission is one order of an operator until its end.
+type submission struct {
+	builtOn, version         uint64
+	text                     string
+	isChange, mustBeAccepted bool
+	sentMs                   int64
+	pauseMs                  int64
+	done                     bool
+	// isRead says that it only reads the map in force, which got then holds.
+	isRead     bool
+	readResult *controller.Text
 	// isRival says that another order may have the same version, so that the
 	// rules by version don't hold for it.
 	isRival bool
-	// isOnce says that the operator makes one call and gives up.
-	isOnce bool
+	// noRetry says that the operator makes one call and gives up.
+	noRetry bool
 }
 
-// attempt is one call of it.
-type attempt struct {
-	h         *handing
-	n         *node
-	over      bool
-	sentMs    int64
-	redirects int
+// operatorCall is one call of it.
+type operatorCall struct {
+	submission *submission
+	node       *node
+	finished   bool
+	sentMs     int64
+	redirects  int
 	// record is that of the order, and nil for a read-back.
-	record *orderRecord
+	record *submissionRecord
 }
 
-// next takes the number of the next map; they rise by uneven steps.
-func (o *operators) next(w *World) uint64 {
-	o.version += 1 + uint64(w.random.Intn(3))
-	return o.version
+// nextVersion takes the number of the next map; they rise by uneven steps.
+func (o *operators) nextVersion(sim *Simulation) uint64 {
+	o.lastVersion += 1 + uint64(sim.random.Intn(3))
+	return o.lastVersion
 }
 
 // replace hands a whole map over, change one of named items.
-func (w *World) replaceMap(at *node) *handing {
-	o := &w.operators
-	version := o.next(w)
-	return w.hand(at, &handing{builtOn: o.base, version: version, text: string(written(w.newMap(version))), proper: o.base == o.newest})
+func (sim *Simulation) submitConfig(at *node) *submission {
+	o := &sim.operators
+	version := o.nextVersion(sim)
+	return sim.submit(at, &submission{builtOn: o.baseVersion, version: version, text: string(encodeConfig(sim.newConfig(version))), mustBeAccepted: o.baseVersion == o.acceptedVersion})
 }
 
-func (w *World) changeMap(at *node) *handing {
-	o := &w.operators
-	if o.base == 0 {
-		return w.replaceMap(at)
+func (sim *Simulation) submitChange(at *node) *submission {
+	o := &sim.operators
+	if o.baseVersion == 0 {
+		return sim.submitConfig(at)
 	}
-	version := o.next(w)
-	return w.hand(at, &handing{builtOn: o.base, version: version, text: string(newChange(o.base, version)), part: true, proper: o.base == o.newest})
+	version := o.nextVersion(sim)
+	return sim.submit(at, &submission{builtOn: o.baseVersion, version: version, text: string(newChange(o.baseVersion, version)), isChange: true, mustBeAccepted: o.baseVersion == o.acceptedVersion})
 }
 
-// faultyMap hands over a map that can't be.
-func (w *World) faultyMap(at *node) {
-	o := &w.operators
-	version := o.next(w)
-	text := string(written(w.newMap(version)))
-	switch w.random.Intn(3) {
+// submitInvalidConfig hands over a map that can't be.
+func (sim *Simulation) submitInvalidConfig(at *node) {
+	o := &sim.operators
+	version := o.nextVersion(sim)
+	text := string(encodeConfig(sim.newConfig(version)))
+	switch sim.random.Intn(3) {
 	case 0:
 		text = strings.Replace(text, `"Service":"plain"`, `"Service":"nowhere"`, 1)
 	case 1:
@@ -105,151 +105,151 @@
 	default:
 		text = text[:len(text)/2]
 	}
-	w.hand(at, &handing{builtOn: o.base, version: version, text: text})
+	sim.submit(at, &submission{builtOn: o.baseVersion, version: version, text: text})
 }
 
-func (w *World) someCore() *node {
-	names := w.names(protocol.Controller)
-	return w.nodes[names[w.random.Intn(len(names))]]
+func (sim *Simulation) randomController() *node {
+	names := sim.nodeNames(protocol.Controller)
+	return sim.nodes[names[sim.random.Intn(len(names))]]
 }
 
-func (w *World) hand(at *node, h *handing) *handing {
-	o := &w.operators
-	h.sentMs, h.pauseMs = w.NowMs(), 100
+func (sim *Simulation) submit(at *node, h *submission) *submission {
+	o := &sim.operators
+	h.sentMs, h.pauseMs = sim.NowMs(), 100
 	// Of several at once one wins, and nobody knows which.
-	o.under = slices.DeleteFunc(append(o.under, h), func(h *handing) bool { return h.done })
-	if len(o.under) > 1 {
-		for _, h := range o.under {
-			h.proper = false
+	o.pending = slices.DeleteFunc(append(o.pending, h), func(h *submission) bool { return h.done })
+	if len(o.pending) > 1 {
+		for _, h := range o.pending {
+			h.mustBeAccepted = false
 		}
 	}
-	o.handed = max(o.handed, h.version)
+	o.submittedVersion = max(o.submittedVersion, h.version)
 	o.texts[h.version] = h.text
 	// The text that a change leads to, and which of two texts of one version was
 	// taken, is for the check of the history to say.
-	if h.part || h.isRival {
+	if h.isChange || h.isRival {
 		o.texts[h.version] = ""
 	}
-	w.note("operator hands version %d on top of %d to %s, part: %v", h.version, h.builtOn, at.name, h.part)
-	w.callCore(at, h)
-	if h.proper && !o.doubt {
-		w.after(w.Bounds.AckMs, func() {
-			h.proper = h.proper && !o.doubt
-			calm := w.touch.settled(h.sentMs) && w.NowMs()-w.touch.linksMs >= w.Bounds.AckMs+w.Bounds.InTouchMs
-			if h.proper && !h.done && calm {
-				w.Book.breach("ACK", w.NowMs(), "version %d is not acknowledged in time", h.version)
+	sim.logf("operator hands version %d on top of %d to %s, part: %v", h.version, h.builtOn, at.name, h.isChange)
+	sim.callController(at, h)
+	if h.mustBeAccepted && !o.uncertain {
+		sim.after(sim.Bounds.AckMs, func() {
+			h.mustBeAccepted = h.mustBeAccepted && !o.uncertain
+			calm := sim.connectivity.isCoreStableSince(h.sentMs) && sim.NowMs()-sim.connectivity.linkFaultMs >= sim.Bounds.AckMs+sim.Bounds.InTouchMs
+			if h.mustBeAccepted && !h.done && calm {
+				sim.Checker.report("ACK", sim.NowMs(), "version %d is not acknowledged in time", h.version)
 			}
 		})
 	}
 	return h
 }
 
-// callCore makes one call, and another elsewhere where it brings nothing.
-func (w *World) callCore(at *node, h *handing) { w.callAfter(at, h, 0) }
+// callController makes one call, and another elsewhere where it brings nothing.
+func (sim *Simulation) callController(at *node, h *submission) { sim.callAfterRedirects(at, h, 0) }
 
-// callAfter makes one call that follows some redirects.
-func (w *World) callAfter(at *node, h *handing, redirects int) {
-	o := &w.operators
+// callAfterRedirects makes one call that follows some redirects.
+func (sim *Simulation) callAfterRedirects(at *node, h *submission, redirects int) {
+	o := &sim.operators
 	if h.done {
 		return
 	}
-	if w.NowMs()-h.sentMs > callerEnd {
-		o.end(w, h, "no clear answer")
+	if sim.NowMs()-h.sentMs > submissionTimeoutMs {
+		o.complete(sim, h, "no clear answer")
 		return
 	}
 	if at == nil || at.removed {
-		at = w.someCore()
+		at = sim.randomController()
 	}
-	o.ids++
-	a := &attempt{h: h, n: at, sentMs: w.NowMs(), redirects: redirects}
-	if !h.read {
-		a.record = o.history.sent(w.NowMs(), orderKey{h.builtOn, h.part, h.text}, h.version)
+	o.lastCallID++
+	a := &operatorCall{submission: h, node: at, sentMs: sim.NowMs(), redirects: redirects}
+	if !h.isRead {
+		a.record = o.history.recordSubmission(sim.NowMs(), submissionKey{h.builtOn, h.isChange, h.text}, h.version)
 	}
-	o.calls[o.ids] = a
-	id := o.ids
-	if w.Breaks.EagerAnswer && !h.read {
-		o.record(w, a, controller.Taken{Version: h.version})
-		o.take(w, h)
+	o.calls[o.lastCallID] = a
+	id := o.lastCallID
+	if sim.Bugs.AcknowledgeEarly && !h.isRead {
+		o.recordAnswer(sim, a, controller.Taken{Version: h.version})
+		o.accept(sim, h)
 	}
 	arrive := func() {
 		if at.up {
-			if h.read {
-				w.put(at, at.life, controller.Read{ID: id})
+			if h.isRead {
+				sim.deliver(at, at.incarnation, controller.Read{ID: id})
 			} else {
-				w.put(at, at.life, controller.HandOver{ID: id, BuiltOn: h.builtOn, Text: h.text, Part: h.part})
+				sim.deliver(at, at.incarnation, controller.HandOver{ID: id, BuiltOn: h.builtOn, Text: h.text, Part: h.isChange})
 			}
 		} else {
-			w.after(5, func() { o.again(w, a, nil) })
+			sim.after(5, func() { o.retry(sim, a, nil) })
 		}
 	}
-	w.pass("operator", at.name, func() { w.after(o.heldMs(w), arrive) }, nil)
-	w.after(callerMs, func() { o.again(w, a, nil) })
+	sim.transmit("operator", at.name, func() { sim.after(o.callDelayMs(sim), arrive) }, nil)
+	sim.after(callTimeoutMs, func() { o.retry(sim, a, nil) })
 }
 
-// heldMost bounds how long a call is held up on its way.
-const heldMost = 8000
+// maxCallDelayMs bounds how long a call is held up on its way.
+const maxCallDelayMs = 8000
 
-// heldMs is how long a call is held up on its way.
-func (o *operators) heldMs(w *World) int64 {
-	if o.heldPart == 0 || w.random.Float64() >= o.heldPart {
+// callDelayMs is how long a call is held up on its way.
+func (o *operators) callDelayMs(sim *Simulation) int64 {
+	if o.delayedCallShare == 0 || sim.random.Float64() >= o.delayedCallShare {
 		return 0
 	}
-	return w.random.Int63n(heldMost)
+	return sim.random.Int63n(maxCallDelayMs)
 }
 
-// again goes to another daemon after a pause that grows.
-func (o *operators) again(w *World, a *attempt, to *node) {
-	if a.over || a.h.done {
+// retry goes to another daemon after a pause that grows.
+func (o *operators) retry(sim *Simulation, a *operatorCall, to *node) {
+	if a.finished || a.submission.done {
 		return
 	}
-	a.over = true
-	if a.h.isOnce {
-		o.end(w, a.h, "no clear answer")
+	a.finished = true
+	if a.submission.noRetry {
+		o.complete(sim, a.submission, "no clear answer")
 		return
 	}
-	if to != nil && a.redirects < redirectsMost {
-		w.after(1, func() { w.callAfter(to, a.h, a.redirects+1) })
+	if to != nil && a.redirects < maxRedirects {
+		sim.after(1, func() { sim.callAfterRedirects(to, a.submission, a.redirects+1) })
 		return
 	}
-	pauseMs := a.h.pauseMs
-	a.h.pauseMs = min(1000, 2*pauseMs)
-	w.after(pauseMs, func() { w.callCore(nil, a.h) })
+	pauseMs := a.submission.pauseMs
+	a.submission.pauseMs = min(1000, 2*pauseMs)
+	sim.after(pauseMs, func() { sim.callController(nil, a.submission) })
 }
 
-// broke ends the calls at a daemon that died.
-func (o *operators) broke(w *World, n *node) {
+// nodeCrashed ends the calls at a daemon that died.
+func (o *operators) nodeCrashed(sim *Simulation, n *node) {
 	for id, a := range o.calls {
-		if a.n == n {
+		if a.node == n {
 			delete(o.calls, id)
 		}
 	}
 }
 
-// answered takes the answer of a controller; it may get lost on its way.
-func (o *operators) answered(w *World, n *node, answer protocol.Answer) {
+// receiveAnswer takes the answer of a controller; it may get lost on its way.
+func (o *operators) receiveAnswer(sim *Simulation, n *node, answer protocol.Answer) {
 	a := o.calls[answer.ID]
 	if a == nil {
 		return
 	}
 	delete(o.calls, answer.ID)
-	if o.lostPart > 0 && w.random.Float64() < o.lostPart {
+	if o.lostAnswerShare > 0 && sim.random.Float64() < o.lostAnswerShare {
 		return
 	}
-	w.pass(n.name, "operator", func() {
+	sim.transmit(n.name, "operator", func() {
 		// What is told too late for the operator must be right all the same.
-		o.record(w, a, answer.Body)
-		if !a.h.done {
-			o.hear(w, a, answer.Body)
+		o.recordAnswer(sim, a, answer.Body)
+		if !a.submission.done {
+			o.handleAnswer(sim, a, answer.Body)
 		}
 	}, nil)
 }
 
-// record notes a clear answer in the history.
-func (o *operators) record(w *World, a *attempt, body any) {
-	answer := clearAnswer{sentMs: a.sentMs, atMs: w.NowMs()}
+// recordAnswer notes a clear answer in the history.
+func (o *operators) recordAnswer(sim *Simulation, a *operatorCall, body any) {
+	answer := answerRecord{sentMs: a.sentMs, atMs: sim.NowMs()}
 	switch said := body.(type) {
 	case controller.Text:
-		o.history.read(a.sentMs, w.NowMs(), said.Version, said.Text)
+		o.history.recordRead(a.sentMs, sim.NowMs(), said.Version, said.Text)
 		return
 	case controller.Taken:
 		answer.outcome = outcomeAccepted
@@ -258,7 +258,7 @@
 		case errkind.StaleBase:
 			answer.outcome, answer.current = outcomeStale, said.Revision
 		case errkind.FaultyDescription:
-			answer.outcome = outcomeFaulty
+			answer.outcome = outcomeInvalid
 		default:
 			return
 		}
@@ -268,108 +268,108 @@
 	a.record.answers = append(a.record.answers, answer)
 }
 
-func (o *operators) hear(w *World, a *attempt, body any) {
-	h := a.h
+func (o *operators) handleAnswer(sim *Simulation, a *operatorCall, body any) {
+	h := a.submission
 	switch said := body.(type) {
 	case controller.Taken:
 		if said.Version != h.version {
-			w.Book.breach("CONFIG", w.NowMs(), "version %d is acknowledged as %d", h.version, said.Version)
+			sim.Checker.report("CONFIG", sim.NowMs(), "version %d is acknowledged as %d", h.version, said.Version)
 		}
-		o.take(w, h)
+		o.accept(sim, h)
 	case controller.Text:
 		h.done = true
-		h.got = &said
+		h.readResult = &said
 	case protocol.Rejection:
 		switch said.Kind {
 		case errkind.NotPrimary:
 			var to *node
-			for _, name := range w.names(protocol.Controller) {
-				if w.nodes[name].address+":80" == said.Primary && w.nodes[name] != a.n {
-					to = w.nodes[name]
+			for _, name := range sim.nodeNames(protocol.Controller) {
+				if sim.nodes[name].address+":80" == said.Primary && sim.nodes[name] != a.node {
+					to = sim.nodes[name]
 				}
 			}
-			o.again(w, a, to)
+			o.retry(sim, a, to)
 		case errkind.StaleBase, errkind.FaultyDescription:
-			if h.proper && !o.doubt && h.builtOn == o.newest {
-				w.Book.breach("CONFIG", w.NowMs(), "version %d, proper, is refused: %s %v", h.version, said.Kind, said.Faults)
+			if h.mustBeAccepted && !o.uncertain && h.builtOn == o.acceptedVersion {
+				sim.Checker.report("CONFIG", sim.NowMs(), "version %d, proper, is refused: %s %v", h.version, said.Kind, said.Faults)
 			}
 			if said.Kind == errkind.StaleBase {
-				o.base = max(o.base, said.Revision)
+				o.baseVersion = max(o.baseVersion, said.Revision)
 			}
 			if !h.isRival {
-				w.Book.notTaken(h.version, string(said.Kind))
+				sim.Checker.recordRefused(h.version, string(said.Kind))
 			}
-			o.end(w, h, string(said.Kind))
+			o.complete(sim, h, string(said.Kind))
 		default:
-			o.again(w, a, nil)
+			o.retry(sim, a, nil)
 		}
 	}
 }
 
-func (o *operators) take(w *World, h *handing) {
+func (o *operators) accept(sim *Simulation, h *submission) {
 	if h.done {
 		return
 	}
 	if !h.isRival {
-		w.Book.taken(h.version, h.builtOn)
+		sim.Checker.recordAccepted(h.version, h.builtOn)
 	}
-	o.newest = max(o.newest, h.version)
-	o.base = max(o.base, h.version)
-	o.end(w, h, "taken")
+	o.acceptedVersion = max(o.acceptedVersion, h.version)
+	o.baseVersion = max(o.baseVersion, h.version)
+	o.complete(sim, h, "taken")
 }
 
-func (o *operators) end(w *World, h *handing, how string) {
+func (o *operators) complete(sim *Simulation, h *submission, how string) {
 	if h.done {
 		return
 	}
 	h.done = true
-	if h.read {
+	if h.isRead {
 		return
 	}
-	o.doubt = o.doubt || how == "no clear answer"
+	o.uncertain = o.uncertain || how == "no clear answer"
 	o.outcomes = append(o.outcomes, fmt.Sprintf("%d: %s", h.version, how))
-	w.note("operator: version %d: %s", h.version, how)
+	sim.logf("operator: version %d: %s", h.version, how)
 }
 
 // readBack reads the map in force, from a daemon or from any.
-func (w *World) readBack(at *node) *handing {
-	h := &handing{read: true, sentMs: w.NowMs(), pauseMs: 100}
-	w.callCore(at, h)
+func (sim *Simulation) readBack(at *node) *submission {
+	h := &submission{isRead: true, sentMs: sim.NowMs(), pauseMs: 100}
+	sim.callController(at, h)
 	return h
 }
 
-// CheckMaps reads the map back: what was accepted must be there, as it was
+// CheckConfig reads the map back: what was accepted must be there, as it was
 // sent, and what was refused must not.
-func (w *World) CheckMaps() {
-	o := &w.operators
+func (sim *Simulation) CheckConfig() {
+	o := &sim.operators
 	for range 3 {
-		h := w.readBack(nil)
+		h := sim.readBack(nil)
 		for range 60 {
-			if w.Run(100); h.done {
+			if sim.Run(100); h.done {
 				break
 			}
 		}
 		h.done = true
-		if h.got == nil {
-			w.Book.breach("CONFIG", w.NowMs(), "the map can't be read back")
+		if h.readResult == nil {
+			sim.Checker.report("CONFIG", sim.NowMs(), "the map can't be read back")
 			return
 		}
-		if h.got.Version < o.newest {
-			w.Book.breach("CONFIG", w.NowMs(), "version %d is read back and %d was accepted", h.got.Version, o.newest)
+		if h.readResult.Version < o.acceptedVersion {
+			sim.Checker.report("CONFIG", sim.NowMs(), "version %d is read back and %d was accepted", h.readResult.Version, o.acceptedVersion)
 		}
-		if why, not := w.Book.ineffect[h.got.Version]; not {
-			w.Book.breach("CONFIG", w.NowMs(), "version %d is read back and was answered with %q", h.got.Version, why)
+		if why, not := sim.Checker.refusedReason[h.readResult.Version]; not {
+			sim.Checker.report("CONFIG", sim.NowMs(), "version %d is read back and was answered with %q", h.readResult.Version, why)
 		}
-		if text := o.texts[h.got.Version]; text != "" && text != h.got.Text {
-			w.Book.breach("CONFIG", w.NowMs(), "version %d is read back with another text", h.got.Version)
+		if text := o.texts[h.readResult.Version]; text != "" && text != h.readResult.Text {
+			sim.Checker.report("CONFIG", sim.NowMs(), "version %d is read back with another text", h.readResult.Version)
 		}
 	}
 }
 
 // CheckHistory checks all that operators sent and were told as one register
 // with compare-and-set.
-func (w *World) CheckHistory() {
-	for _, what := range w.operators.history.check() {
-		w.Book.breach("REGISTER", w.NowMs(), "%s", what)
+func (sim *Simulation) CheckHistory() {
+	for _, what := range sim.operators.history.check() {
+		sim.Checker.report("REGISTER", sim.NowMs(), "%s", what)
 	}
 }
--- a/internal/simulation/faultsim/register.go
+++ b/internal/simulation/faultsim/register.go
@@ -14,11 +14,11 @@
 const (
 	operationAccepted operationKind = iota
 	operationStale
-	operationFaulty
+	operationInvalid
 	// operationPossible is an order without a clear answer.
 	operationPossible
-	// operationLook saw the current version, operationRead its text too.
-	operationLook
+	// operationObserve saw the current version, operationRead its text too.
+	operationObserve
 	operationRead
 )
 
@@ -27,31 +27,33 @@
 // registerOperation is one operation on the register.
 type registerOperation struct {
 	kind operationKind
-	// order is set for orders, version and sum for what was seen.
-	order   *orderRecord
-	version uint64
-	sum     string
-	// mayLapse: the order may have had no effect, since nothing that was seen
+	// submission is set for orders, version and sum for what was seen.
+	submission *submissionRecord
+	version    uint64
+	sum        string
+	// mayHaveNoEffect: the order may have had no effect, since nothing that was seen
 	// must come from it.
-	mayLapse     bool
-	fromMs, toMs int64
+	mayHaveNoEffect bool
+	fromMs, toMs    int64
 }
 
 func (o registerOperation) String() string {
-	if o.order != nil {
-		return fmt.Sprintf("%s %s, until %d ms", o.order, operationNames[o.kind], o.toMs)
+	if o.submission != nil {
+		return fmt.Sprintf("%s %s, until %d ms", o.submission, operationNames[o.kind], o.toMs)
 	}
 	return fmt.Sprintf("%s %d from %d to %d ms", operationNames[o.kind], o.version, o.fromMs, o.toMs)
 }
 
-// lookKey tells looks at different configurations apart.
-type lookKey struct {
+// observationKey tells looks at different configurations apart.
+type observationKey struct {
 	kind    operationKind
 	version uint64
 	sum     string
 }
 
-func (o registerOperation) lookKey() lookKey { return lookKey{o.kind, o.version, o.sum} }
+func (o registerOperation) observationKey() observationKey {
+	return observationKey{o.kind, o.version, o.sum}
+}
 
 // configuration is what the register holds; sum names its text.
 type configuration struct {
@@ -63,23 +65,23 @@
 // been put in order.
 type registerState struct {
 	configuration
-	looks int
+	observations int
 }
 
 // register applies orders as the system should, and remembers what came of them.
 type register struct {
 	texts   map[string]string
-	applied map[appliedKey]appliedOrder
-	// looks counts the looks at each configuration.
-	looks map[lookKey]int
+	applied map[appliedKey]appliedSubmission
+	// observations counts the looks at each configuration.
+	observations map[observationKey]int
 }
 
 type appliedKey struct {
-	on    configuration
-	order *orderRecord
+	on         configuration
+	submission *submissionRecord
 }
 
-type appliedOrder struct {
+type appliedSubmission struct {
 	configuration
 	valid bool
 }
@@ -88,10 +90,10 @@
 // comes back, it may be replaced only once all looks at it are in order: this
 // keeps the search short and rules nothing out.
 func registerModel(operations []porcupine.Operation) porcupine.Model {
-	r := &register{texts: map[string]string{}, applied: map[appliedKey]appliedOrder{}, looks: map[lookKey]int{}}
+	r := &register{texts: map[string]string{}, applied: map[appliedKey]appliedSubmission{}, observations: map[observationKey]int{}}
 	for _, operation := range operations {
-		if in := operation.Input.(registerOperation); in.order == nil {
-			r.looks[in.lookKey()]++
+		if in := operation.Input.(registerOperation); in.submission == nil {
+			r.observations[in.observationKey()]++
 		}
 	}
 	return porcupine.Model{
@@ -105,37 +107,39 @@
 func (r *register) step(state registerState, in registerOperation) (bool, any) {
 	switch in.kind {
 	case operationAccepted:
-		next, valid := r.apply(state, in.order)
+		next, valid := r.apply(state, in.submission)
 		return valid, next
 	case operationStale:
-		return state.version != in.order.builtOn, state
-	case operationFaulty:
-		return r.isFaulty(state, in.order), state
+		return state.version != in.submission.builtOn, state
+	case operationInvalid:
+		return r.isInvalid(state, in.submission), state
 	case operationPossible:
-		if next, valid := r.apply(state, in.order); valid {
+		if next, valid := r.apply(state, in.submission); valid {
 			return true, next
 		}
-		return in.mayLapse, state
-	case operationLook:
-		return state.version == in.version, state.seen()
+		return in.mayHaveNoEffect, state
+	case operationObserve:
+		return state.version == in.version, state.observed()
 	case operationRead:
-		return state.configuration == configuration{in.version, in.sum}, state.seen()
+		return state.configuration == configuration{in.version, in.sum}, state.observed()
 	}
 	panic(fmt.Sprintf("drill: unknown operation %d", in.kind))
 }
 
-// seen is the state after one more look.
-func (s registerState) seen() registerState { return registerState{s.configuration, s.looks + 1} }
+// observed is the state after one more look.
+func (s registerState) observed() registerState {
+	return registerState{s.configuration, s.observations + 1}
+}
 
-// looksAt is how many looks at a configuration there are.
-func (r *register) looksAt(c configuration) int {
-	return r.looks[lookKey{kind: operationLook, version: c.version}] + r.looks[lookKey{operationRead, c.version, c.sum}]
+// observationsOf is how many looks at a configuration there are.
+func (r *register) observationsOf(c configuration) int {
+	return r.observations[observationKey{kind: operationObserve, version: c.version}] + r.observations[observationKey{operationRead, c.version, c.sum}]
 }
 
 // apply gives the configuration that an order leads to; false says that it has
 // no effect yet.
-func (r *register) apply(state registerState, order *orderRecord) (registerState, bool) {
-	if state.version != order.builtOn || state.looks < r.looksAt(state.configuration) {
+func (r *register) apply(state registerState, order *submissionRecord) (registerState, bool) {
+	if state.version != order.builtOn || state.observations < r.observationsOf(state.configuration) {
 		return state, false
 	}
 	next := r.result(state.configuration, order)
@@ -143,7 +147,7 @@
 }
 
 // result is what an order makes of the configuration that it builds on.
-func (r *register) result(on configuration, order *orderRecord) appliedOrder {
+func (r *register) result(on configuration, order *submissionRecord) appliedSubmission {
 	key := appliedKey{on, order}
 	known, found := r.applied[key]
 	if !found {
@@ -153,26 +157,26 @@
 	return known
 }
 
-func (r *register) compute(on configuration, order *orderRecord) appliedOrder {
+func (r *register) compute(on configuration, order *submissionRecord) appliedSubmission {
 	text := []byte(order.text)
-	if order.part {
+	if order.isChange {
 		changed, faults := format{}.Change([]byte(r.texts[on.sum]), text)
 		if len(faults) > 0 {
-			return appliedOrder{on, false}
+			return appliedSubmission{on, false}
 		}
 		text = changed
 	}
 	read, faults := format{}.Read(text)
 	if len(faults) > 0 || read.Version <= on.version {
-		return appliedOrder{on, false}
+		return appliedSubmission{on, false}
 	}
 	next := configuration{read.Version, protocol.Sum(string(text))}
 	r.texts[next.sum] = string(text)
-	return appliedOrder{next, true}
+	return appliedSubmission{next, true}
 }
 
-// isFaulty says whether a change may be called faulty: it can't be applied to
+// isInvalid says whether a change may be called faulty: it can't be applied to
 // what it builds on.
-func (r *register) isFaulty(state registerState, order *orderRecord) bool {
+func (r *register) isInvalid(state registerState, order *submissionRecord) bool {
 	return state.version == order.builtOn && !r.result(state.configuration, order).valid
 }
--- a/internal/simulation/faultsim/register_test.go
+++ b/internal/simulation/faultsim/register_test.go
@@ -15,16 +15,16 @@
 // plainOperation is an operation of the plain model: an order with the answer
 // that it got, a read-back, or the version that a refusal names.
 type plainOperation struct {
-	order  *orderRecord
-	answer *clearAnswer
-	read   *readRecord
-	named  *uint64
+	submission   *submissionRecord
+	answer       *answerRecord
+	read         *readRecord
+	namedVersion *uint64
 }
 
 // plainModel is the register without any of the steps that keep the search
 // short: each order and each read-back is one operation.
 func plainModel() porcupine.Model {
-	r := &register{texts: map[string]string{}, applied: map[appliedKey]appliedOrder{}, looks: map[lookKey]int{}}
+	r := &register{texts: map[string]string{}, applied: map[appliedKey]appliedSubmission{}, observations: map[observationKey]int{}}
 	return porcupine.Model{
 		Init: func() any { return configuration{} },
 		Step: func(state, input, _ any) (bool, any) {
@@ -37,12 +37,12 @@
 	if in.read != nil {
 		return state == configuration{in.read.version, in.read.sum}, state
 	}
-	if in.named != nil {
-		return state.version == *in.named, state
+	if in.namedVersion != nil {
+		return state.version == *in.namedVersion, state
 	}
 	applies, next := false, state
-	if state.version == in.order.builtOn {
-		result := r.result(state, in.order)
+	if state.version == in.submission.builtOn {
+		result := r.result(state, in.submission)
 		applies, next = result.valid, result.configuration
 	}
 	switch {
@@ -51,9 +51,9 @@
 	case in.answer.outcome == outcomeAccepted:
 		return applies, next
 	case in.answer.outcome == outcomeStale:
-		return state.version != in.order.builtOn, state
+		return state.version != in.submission.builtOn, state
 	}
-	return in.order.isUnreadable() || state.version == in.order.builtOn && !applies, state
+	return in.submission.isUnreadable() || state.version == in.submission.builtOn && !applies, state
 }
 
 func (h *history) plainOperations() []porcupine.Operation {
@@ -61,15 +61,15 @@
 	add := func(fromMs, toMs int64, in plainOperation) {
 		out = append(out, porcupine.Operation{ClientId: len(out), Input: in, Call: fromMs, Return: toMs})
 	}
-	for _, r := range h.orders {
+	for _, r := range h.submissions {
 		switch {
 		case len(r.answers) == 0:
-			add(r.sentMs, math.MaxInt64, plainOperation{order: r})
+			add(r.sentMs, math.MaxInt64, plainOperation{submission: r})
 		default:
-			add(r.sentMs, r.answers[0].atMs, plainOperation{order: r, answer: &r.answers[0]})
+			add(r.sentMs, r.answers[0].atMs, plainOperation{submission: r, answer: &r.answers[0]})
 			// A refusal is also a look at the current version.
 			if r.answers[0].outcome == outcomeStale {
-				add(r.answers[0].sentMs, r.answers[0].atMs, plainOperation{named: &r.answers[0].current})
+				add(r.answers[0].sentMs, r.answers[0].atMs, plainOperation{namedVersion: &r.answers[0].current})
 			}
 		}
 	}
@@ -79,8 +79,8 @@
 	return out
 }
 
-// drawnHistory is what a register would show, unless it was spoilt.
-func drawnHistory(t *rapid.T) history {
+// randomHistory is what a register would show, unless it was spoilt.
+func randomHistory(t *rapid.T) history {
 	h := newHistory()
 	current, variants := configuration{}, map[uint64]int64{}
 	for i := range rapid.IntRange(1, 9).Draw(t, "operations") {
@@ -88,7 +88,7 @@
 		fromMs := atMs - rapid.Int64Range(0, 35).Draw(t, "before")
 		toMs := atMs + rapid.Int64Range(0, 35).Draw(t, "after")
 		if rapid.IntRange(0, 2).Draw(t, "read") == 0 && current.version > 0 {
-			h.read(fromMs, toMs, current.version, wholeText(current.version, variants[current.version]))
+			h.recordRead(fromMs, toMs, current.version, configText(current.version, variants[current.version]))
 			continue
 		}
 		base := current.version
@@ -97,19 +97,19 @@
 		}
 		version := rapid.Uint64Range(1, 6).Draw(t, "version")
 		variant := rapid.Int64Range(0, 3).Draw(t, "variant")
-		key := orderKey{builtOn: base, text: wholeText(version, variant)}
+		key := submissionKey{builtOn: base, text: configText(version, variant)}
 		if h.byKey[key] != nil {
 			continue
 		}
-		r := h.sent(fromMs, key, version)
-		answer := clearAnswer{fromMs, toMs, outcomeStale, current.version}
+		r := h.recordSubmission(fromMs, key, version)
+		answer := answerRecord{fromMs, toMs, outcomeStale, current.version}
 		takesEffect := base == current.version && version > base
 		if base == current.version {
-			answer = clearAnswer{fromMs, toMs, outcomeFaulty, 0}
+			answer = answerRecord{fromMs, toMs, outcomeInvalid, 0}
 		}
 		isAnswered := rapid.IntRange(0, 3).Draw(t, "answered") > 0
 		if takesEffect && (isAnswered || rapid.Bool().Draw(t, "in force")) {
-			answer = clearAnswer{fromMs, toMs, outcomeAccepted, 0}
+			answer = answerRecord{fromMs, toMs, outcomeAccepted, 0}
 			current, variants[version] = configuration{version: version}, variant
 		}
 		if isAnswered {
@@ -119,10 +119,10 @@
 	return h
 }
 
-// spoil changes one thing that was seen.
-func spoil(t *rapid.T, h *history) {
-	var answered []*orderRecord
-	for _, r := range h.orders {
+// corrupt changes one thing that was seen.
+func corrupt(t *rapid.T, h *history) {
+	var answered []*submissionRecord
+	for _, r := range h.submissions {
 		if len(r.answers) > 0 {
 			answered = append(answered, r)
 		}
@@ -134,19 +134,19 @@
 	} else if len(h.reads) > 0 {
 		r := &h.reads[rapid.IntRange(0, len(h.reads)-1).Draw(t, "spoilt")]
 		r.version = rapid.Uint64Range(1, 6).Draw(t, "version")
-		r.sum = protocol.Sum(wholeText(r.version, rapid.Int64Range(0, 3).Draw(t, "variant")))
+		r.sum = protocol.Sum(configText(r.version, rapid.Int64Range(0, 3).Draw(t, "variant")))
 	}
 }
 
 // The check, which looks at the binding looks alone and leaves out orders that
 // nobody saw, gives the verdict of the plain register.
 func TestCheckAgreesWithThePlainRegister(t *testing.T) {
-	fixDraws(t, "1000")
+	fixRapidSeed(t, "1000")
 	fits, fitsNot := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
-		h := drawnHistory(t)
+		h := randomHistory(t)
 		if rapid.Bool().Draw(t, "spoil") {
-			spoil(t, &h)
+			corrupt(t, &h)
 		}
 		want := porcupine.CheckOperations(plainModel(), h.plainOperations())
 		wrong := h.check()
@@ -165,7 +165,7 @@
 
 func describe(h history) string {
 	text := ""
-	for _, r := range h.orders {
+	for _, r := range h.submissions {
 		text += fmt.Sprintf("%s %v\n", r, r.answers)
 	}
 	return text + fmt.Sprintf("%v\n", h.reads)
--- a/internal/simulation/faultsim/runner.go
+++ b/internal/simulation/faultsim/runner.go
@@ -9,23 +9,23 @@
 
 // runner is one life of a stand-in runner.
 type runner struct {
-	w     *World
+	sim   *Simulation
 	entry protocol.RunnerEntry
-	// held are models with their adapters, loading what an order brings.
-	held    map[string]map[string]bool
+	// loaded are models with their adapters, loading what an order brings.
+	loaded  map[string]map[string]bool
 	loading map[string]bool
-	// disk is what its machine has loaded before.
-	disk  map[string]bool
-	calls int64
-	fence uint64
-	busy  bool
-	// jobs run, and queue waits for a place.
-	jobs, queue []*job
-	// gone says that this life has ended; silent that it takes everything and
+	// weightsOnDisk is what its machine has loaded before.
+	weightsOnDisk  map[string]bool
+	acceptedOrders int64
+	fence          uint64
+	busy           bool
+	// running run, and queue waits for a place.
+	running, queue []*attempt
+	// ended says that this life has ended; silent that it takes everything and
 	// says nothing.
-	gone, silent      bool
+	ended, silent     bool
 	listedToMs, endMs int64
-	past              []snapshot
+	snapshots         []snapshot
 }
 
 type snapshot struct {
@@ -33,31 +33,31 @@
 	state protocol.RunnerState
 }
 
-func (r *runner) models() []protocol.HeldModel {
+func (r *runner) loadedModels() []protocol.HeldModel {
 	var out []protocol.HeldModel
-	for _, name := range slices.Sorted(maps.Keys(r.held)) {
-		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: slices.Sorted(maps.Keys(r.held[name]))})
+	for _, name := range slices.Sorted(maps.Keys(r.loaded)) {
+		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: slices.Sorted(maps.Keys(r.loaded[name]))})
 	}
 	return out
 }
 
-func (r *runner) note(nowMs int64) {
+func (r *runner) recordState(nowMs int64) {
 	state := protocol.RunnerState{
-		Models: r.models(), Busy: r.busy, Calls: r.calls, Queued: len(r.queue), Active: len(r.jobs), CacheTotal: cacheTokens,
+		Models: r.loadedModels(), Busy: r.busy, Calls: r.acceptedOrders, Queued: len(r.queue), Active: len(r.running), CacheTotal: cacheTokens,
 	}
-	for _, j := range r.jobs {
-		state.CacheUsed += j.p.asked.PromptTokens + j.p.asked.OutTokens
+	for _, j := range r.running {
+		state.CacheUsed += j.request.attributes.PromptTokens + j.request.attributes.OutTokens
 	}
-	r.past = append(r.past, snapshot{nowMs, state})
-	if len(r.past) > 10 {
-		r.past = r.past[1:]
+	r.snapshots = append(r.snapshots, snapshot{nowMs, state})
+	if len(r.snapshots) > 10 {
+		r.snapshots = r.snapshots[1:]
 	}
 }
 
-// told is the runner's own word on itself, a little old.
-func (r *runner) told(nowMs int64) protocol.RunnerState {
+// reportedState is the runner's own word on itself, a little old.
+func (r *runner) reportedState(nowMs int64) protocol.RunnerState {
 	var said protocol.RunnerState
-	for i, s := range r.past {
+	for i, s := range r.snapshots {
 		if i == 0 || s.atMs <= nowMs-stateLagMs {
 			said = s.state
 		}
@@ -65,29 +65,29 @@
 	return said
 }
 
-// taken is the room that is held or being filled.
-func (r *runner) taken() (mb float64, adapters int) {
-	for name, of := range r.held {
+// usedCapacity is the room that is held or being filled.
+func (r *runner) usedCapacity() (mb float64, adapters int) {
+	for name, of := range r.loaded {
 		mb += modelMb(name) + adapterMb*float64(len(of))
 		adapters += len(of)
 	}
 	return mb, adapters
 }
 
-// command is the runner's side of an order.
-func (r *runner) command(w *World, sender string, c protocol.RunnerOrder) protocol.OrderOutcome {
-	if r.entry.ID != c.Runner || r.entry.Service != llm {
+// handleOrder is the runner's side of an order.
+func (r *runner) handleOrder(sim *Simulation, sender string, c protocol.RunnerOrder) protocol.OrderOutcome {
+	if r.entry.ID != c.Runner || r.entry.Service != modelService {
 		return protocol.OutcomeRefused
 	}
-	w.Book.order(sender, r.entry.ID, c.Holder, c.Fence)
-	if w.Bounds.Fenced && c.Fence < r.fence {
+	sim.Checker.recordOrder(sender, r.entry.ID, c.Holder, c.Fence)
+	if sim.Bounds.Fenced && c.Fence < r.fence {
 		return protocol.OutcomeFenced
 	}
 	r.fence = max(r.fence, c.Fence)
-	if r.busy || c.Expected != r.calls && !w.Breaks.NoExpected {
+	if r.busy || c.Expected != r.acceptedOrders && !sim.Bugs.IgnoreExpectedCount {
 		return protocol.OutcomeBusy
 	}
-	of, there := r.held[c.Model]
+	of, there := r.loaded[c.Model]
 	if c.Adapter != "" {
 		if !there {
 			return protocol.OutcomeRefused
@@ -97,9 +97,9 @@
 	if c.Load == there {
 		return protocol.OutcomeAlreadyInEffect
 	}
-	r.calls++
+	r.acceptedOrders++
 	r.busy = true
-	w.note("%s: order %d of %s (fence %d): load %v %s %s", r.entry.ID, r.calls, c.Holder, c.Fence, c.Load, c.Model, c.Adapter)
+	sim.logf("%s: order %d of %s (fence %d): load %v %s %s", r.entry.ID, r.acceptedOrders, c.Holder, c.Fence, c.Load, c.Model, c.Adapter)
 	if c.Load {
 		r.load(c)
 	} else {
@@ -109,73 +109,73 @@
 }
 
 func (r *runner) load(c protocol.RunnerOrder) {
-	mb, adapters := r.taken()
+	mb, adapters := r.usedCapacity()
 	tookMs, what := int64(10), c.Model
 	if c.Adapter != "" {
 		mb, adapters, what = mb+adapterMb, adapters+1, c.Model+"/"+c.Adapter
 	} else {
 		mb += modelMb(c.Model)
-		if tookMs = loadAgainMs; !r.disk[c.Model] {
+		if tookMs = reloadMs; !r.weightsOnDisk[c.Model] {
 			tookMs = loadMs
-			r.w.Book.load(r.entry.ID, c.Model)
+			r.sim.Checker.recordLoad(r.entry.ID, c.Model)
 		}
 	}
-	if r.w.Book.room(r.entry.ID, what, mb, adapters) {
+	if r.sim.Checker.exceedsCapacity(r.entry.ID, what, mb, adapters) {
 		// One that is told to hold too much falls.
-		r.w.after(1, func() { r.w.crash(r, true) })
+		r.sim.after(1, func() { r.sim.crashRunner(r, true) })
 	}
 	r.loading[what] = true
-	r.w.after(tookMs, func() {
+	r.sim.after(tookMs, func() {
 		delete(r.loading, what)
 		r.busy = false
 		if c.Adapter != "" {
-			r.held[c.Model][c.Adapter] = true
+			r.loaded[c.Model][c.Adapter] = true
 			return
 		}
-		r.held[c.Model], r.disk[c.Model] = map[string]bool{}, true
+		r.loaded[c.Model], r.weightsOnDisk[c.Model] = map[string]bool{}, true
 	})
 }
 
 // unload waits until what runs with it has ended.
 func (r *runner) unload(c protocol.RunnerOrder) {
 	r.loading[c.Model] = c.Adapter == ""
-	used := slices.ContainsFunc(r.jobs, func(j *job) bool {
-		return j.p.asked.Model == c.Model && (c.Adapter == "" || j.p.asked.Adapter == c.Adapter)
+	used := slices.ContainsFunc(r.running, func(j *attempt) bool {
+		return j.request.attributes.Model == c.Model && (c.Adapter == "" || j.request.attributes.Adapter == c.Adapter)
 	})
-	if used && !r.gone {
-		r.w.after(20, func() { r.unload(c) })
+	if used && !r.ended {
+		r.sim.after(20, func() { r.unload(c) })
 		return
 	}
 	delete(r.loading, c.Model)
 	r.busy = false
 	if c.Adapter == "" {
-		delete(r.held, c.Model)
+		delete(r.loaded, c.Model)
 	} else {
-		delete(r.held[c.Model], c.Adapter)
+		delete(r.loaded[c.Model], c.Adapter)
 	}
 }
 
-// holds says whether a request can run here; wait that it soon may, or not.
-func (r *runner) holds(model, adapter string) (there, wait bool) {
-	if r.entry.Service != llm {
+// canRun says whether a request can run here; wait that it soon may, or not.
+func (r *runner) canRun(model, adapter string) (there, wait bool) {
+	if r.entry.Service != modelService {
 		return true, false
 	}
-	of, there := r.held[model]
+	of, there := r.loaded[model]
 	if r.loading[model] || adapter != "" && r.loading[model+"/"+adapter] {
 		return false, true
 	}
 	return there && (adapter == "" || of[adapter]), false
 }
 
-// end takes a job off, and lets the next of the queue begin.
-func (r *runner) end(j *job) {
-	r.jobs = slices.DeleteFunc(r.jobs, func(o *job) bool { return o == j })
-	r.queue = slices.DeleteFunc(r.queue, func(o *job) bool { return o == j })
-	for len(r.queue) > 0 && len(r.jobs) < slots && !r.gone {
+// release takes a job off, and lets the next of the queue begin.
+func (r *runner) release(j *attempt) {
+	r.running = slices.DeleteFunc(r.running, func(o *attempt) bool { return o == j })
+	r.queue = slices.DeleteFunc(r.queue, func(o *attempt) bool { return o == j })
+	for len(r.queue) > 0 && len(r.running) < slots && !r.ended {
 		next := r.queue[0]
 		r.queue = r.queue[1:]
-		if !next.dropped {
-			next.begin()
+		if !next.cancelled {
+			next.start()
 		}
 	}
 }
--- a/internal/simulation/faultsim/workload.go
+++ b/internal/simulation/faultsim/workload.go
@@ -10,9 +10,9 @@
 type workloadKind int
 
 const (
-	// workloadOrders sends several orders at once on the version that operators
+	// workloadSubmissions sends several orders at once on the version that operators
 	// take for the current one.
-	workloadOrders workloadKind = iota
+	workloadSubmissions workloadKind = iota
 	// workloadRivals sends two orders with one number on one version, with
 	// different texts.
 	workloadRivals
@@ -20,15 +20,15 @@
 	// one on a version that is only about to come.
 	workloadStale
 	workloadAhead
-	// workloadFaulty sends an order that can't be valid.
-	workloadFaulty
+	// workloadInvalid sends an order that can't be valid.
+	workloadInvalid
 	workloadRead
 	// workloadResend sends an earlier order again, to every controller.
 	workloadResend
 	workloadFault
-	// workloadLose loses answers and workloadHold holds calls up, for a while.
-	workloadLose
-	workloadHold
+	// workloadLoseAnswers loses answers and workloadDelayCalls holds calls up, for a while.
+	workloadLoseAnswers
+	workloadDelayCalls
 	workloadKinds
 )
 
@@ -47,8 +47,8 @@
 	workloadSteps = 150
 )
 
-// underMost is how many orders may be under way at once.
-const underMost = 8
+// maxPending is how many orders may be under way at once.
+const maxPending = 8
 
 // workloadFaults are the faults of the core that a workload brings about.
 var workloadFaults = []string{
@@ -57,146 +57,148 @@
 	"primary heard by nobody", "primary hears nobody", "core in pieces", "messages lost", "messages doubled", "messages late", "core killed", "all killed, one disk lost",
 }
 
-// drawWorkload draws the steps of a workload.
-func (w *World) drawWorkload(count int) []workloadStep {
+// randomWorkload draws the steps of a workload.
+func (sim *Simulation) randomWorkload(count int) []workloadStep {
 	var steps []workloadStep
 	for range count {
-		step := workloadStep{Kind: workloadOrders, Count: 1 + w.random.Intn(underMost), PauseMs: w.random.Int63n(30)}
-		if w.random.Intn(2) == 0 {
-			step.Kind = workloadKind(w.random.Intn(int(workloadKinds)))
+		step := workloadStep{Kind: workloadSubmissions, Count: 1 + sim.random.Intn(maxPending), PauseMs: sim.random.Int63n(30)}
+		if sim.random.Intn(2) == 0 {
+			step.Kind = workloadKind(sim.random.Intn(int(workloadKinds)))
 		}
-		if w.random.Intn(2) == 0 {
-			step.PauseMs = w.random.Int63n(800)
+		if sim.random.Intn(2) == 0 {
+			step.PauseMs = sim.random.Int63n(800)
 		}
-		step.Fault = workloadFaults[w.random.Intn(len(workloadFaults))]
+		step.Fault = workloadFaults[sim.random.Intn(len(workloadFaults))]
 		steps = append(steps, step)
 	}
 	return steps
 }
 
 // runWorkload plays a workload, then has every order sent again and reads back.
-func (w *World) runWorkload(steps []workloadStep) {
+func (sim *Simulation) runWorkload(steps []workloadStep) {
 	for _, step := range steps {
-		w.runStep(step)
-		w.Run(step.PauseMs)
+		sim.runWorkloadStep(step)
+		sim.Run(step.PauseMs)
 	}
-	w.operators.lostPart, w.operators.heldPart = 0, 0
-	w.Run(heldMost + callerEnd)
-	for _, r := range w.operators.history.orders {
-		w.resend(r, w.someCore())
-		w.Run(20)
+	sim.operators.lostAnswerShare, sim.operators.delayedCallShare = 0, 0
+	sim.Run(maxCallDelayMs + submissionTimeoutMs)
+	for _, r := range sim.operators.history.submissions {
+		sim.resend(r, sim.randomController())
+		sim.Run(20)
 	}
-	for _, name := range w.names(protocol.Controller) {
-		w.readBack(w.nodes[name])
+	for _, name := range sim.nodeNames(protocol.Controller) {
+		sim.readBack(sim.nodes[name])
 	}
-	w.Run(callerEnd)
+	sim.Run(submissionTimeoutMs)
 }
 
-func (w *World) runStep(step workloadStep) {
-	o := &w.operators
+func (sim *Simulation) runWorkloadStep(step workloadStep) {
+	o := &sim.operators
 	switch step.Kind {
-	case workloadOrders:
-		for range min(step.Count, o.free()) {
-			w.sendOrder(o.base, o.next(w), w.random.Intn(2) == 0)
+	case workloadSubmissions:
+		for range min(step.Count, o.freeSlots()) {
+			sim.submitUnique(o.baseVersion, o.nextVersion(sim), sim.random.Intn(2) == 0)
 		}
 	case workloadRivals:
-		if o.free() >= 2 {
-			version, part := o.next(w), w.random.Intn(2) == 0
-			w.sendOrder(o.base, version, part)
-			w.sendOrder(o.base, version, part)
+		if o.freeSlots() >= 2 {
+			version, part := o.nextVersion(sim), sim.random.Intn(2) == 0
+			sim.submitUnique(o.baseVersion, version, part)
+			sim.submitUnique(o.baseVersion, version, part)
 		}
 	case workloadStale:
-		orders := o.history.orders
-		old := orders[w.random.Intn(len(orders))].builtOn
-		w.sendOrder(old, o.next(w), false)
+		orders := o.history.submissions
+		old := orders[sim.random.Intn(len(orders))].builtOn
+		sim.submitUnique(old, o.nextVersion(sim), false)
 	case workloadAhead:
-		coming := o.next(w)
-		w.sendOrder(coming, o.next(w), w.random.Intn(2) == 0)
-		w.Run(w.random.Int63n(20))
-		w.sendOrder(o.base, coming, false)
-	case workloadFaulty:
-		w.faultyMap(w.someCore())
+		coming := o.nextVersion(sim)
+		sim.submitUnique(coming, o.nextVersion(sim), sim.random.Intn(2) == 0)
+		sim.Run(sim.random.Int63n(20))
+		sim.submitUnique(o.baseVersion, coming, false)
+	case workloadInvalid:
+		sim.submitInvalidConfig(sim.randomController())
 	case workloadRead:
 		for range step.Count {
-			w.readBack(w.someCore())
+			sim.readBack(sim.randomController())
 		}
 	case workloadResend:
-		r := o.history.orders[w.random.Intn(len(o.history.orders))]
-		for _, name := range w.names(protocol.Controller) {
-			w.resend(r, w.nodes[name])
+		r := o.history.submissions[sim.random.Intn(len(o.history.submissions))]
+		for _, name := range sim.nodeNames(protocol.Controller) {
+			sim.resend(r, sim.nodes[name])
 		}
 	case workloadFault:
-		f, _, _ := named(step.Fault)
-		w.bring(f)
-	case workloadLose:
-		o.lostPart = 0.5
-		w.after(w.soon(), func() { o.lostPart = 0 })
-	case workloadHold:
-		o.heldPart = 0.3
-		w.after(w.soon(), func() { o.heldPart = 0 })
+		f, _, _ := findFault(step.Fault)
+		sim.inject(f)
+	case workloadLoseAnswers:
+		o.lostAnswerShare = 0.5
+		sim.after(sim.randomDelayMs(), func() { o.lostAnswerShare = 0 })
+	case workloadDelayCalls:
+		o.delayedCallShare = 0.3
+		sim.after(sim.randomDelayMs(), func() { o.delayedCallShare = 0 })
 	}
 }
 
-// free is how many more orders may be under way.
-func (o *operators) free() int {
+// freeSlots is how many more orders may be under way.
+func (o *operators) freeSlots() int {
 	under := 0
-	for _, h := range o.under {
+	for _, h := range o.pending {
 		if !h.done {
 			under++
 		}
 	}
-	return max(0, underMost-under)
+	return max(0, maxPending-under)
 }
 
-// sendOrder sends an order whose text differs from that of any other order.
-func (w *World) sendOrder(builtOn, version uint64, part bool) {
-	w.hand(w.someCore(), w.newOrder(builtOn, version, part))
+// submitUnique sends an order whose text differs from that of any other order.
+func (sim *Simulation) submitUnique(builtOn, version uint64, part bool) {
+	sim.submit(sim.randomController(), sim.newUniqueSubmission(builtOn, version, part))
 }
 
-func (w *World) newOrder(builtOn, version uint64, part bool) *handing {
-	o := &w.operators
-	aimMs := int64(400 + len(o.history.orders))
-	m := w.newMap(version)
+func (sim *Simulation) newUniqueSubmission(builtOn, version uint64, part bool) *submission {
+	o := &sim.operators
+	aimMs := int64(400 + len(o.history.submissions))
+	m := sim.newConfig(version)
 	last := &m.Routes[len(m.Routes)-1]
 	last.AimMs = aimMs
-	text := written(m)
+	text := encodeConfig(m)
 	if part {
-		var c change
+		var c configChange
 		_ = json.Unmarshal(newChange(builtOn, version), &c)
 		c.Put[len(c.Put)-1].AimMs = aimMs
 		text, _ = json.Marshal(c)
 	}
-	return &handing{builtOn: builtOn, version: version, text: string(text), part: part, isRival: true}
+	return &submission{builtOn: builtOn, version: version, text: string(text), isChange: part, isRival: true}
 }
 
 // resend sends an order again as it was, whatever became of it.
-func (w *World) resend(r *orderRecord, at *node) {
-	w.callCore(at, &handing{
-		builtOn: r.builtOn, version: r.version, text: r.text, part: r.part, sentMs: w.NowMs(), pauseMs: 100, isRival: true,
+func (sim *Simulation) resend(r *submissionRecord, at *node) {
+	sim.callController(at, &submission{
+		builtOn: r.builtOn, version: r.version, text: r.text, isChange: r.isChange, sentMs: sim.NowMs(), pauseMs: 100, isRival: true,
 	})
 }
 
 // Workload is a run of many operators at once, with faults of the core and
 // without clients, whose history is checked as one register.
-func Workload(seed int64, count int) Result { return workload(newWorkloadSite(seed, Breaks{}), count) }
+func Workload(seed int64, count int) Result {
+	return workload(newWorkloadSite(seed, InjectedBugs{}), count)
+}
 
 // newWorkloadSite makes a site for a workload: of three seeds one has five core
 // machines, of which two may be lost.
-func newWorkloadSite(seed int64, breaks Breaks) *World {
+func newWorkloadSite(seed int64, breaks InjectedBugs) *Simulation {
 	if seed%3 == 0 {
 		return newSized(seed, breaks, 5, 2)
 	}
 	return New(seed, breaks)
 }
 
-func workload(w *World, count int) Result { return playWorkload(w, w.drawWorkload(count)) }
+func workload(sim *Simulation, count int) Result { return playWorkload(sim, sim.randomWorkload(count)) }
 
-func playWorkload(w *World, steps []workloadStep) Result {
-	w.Run(1500)
-	w.replaceMap(w.nodes["core-1"])
-	w.Run(3000)
-	w.runWorkload(steps)
-	w.CheckMaps()
-	w.CheckHistory()
-	return Result{w, w.Book.Breaches()}
+func playWorkload(sim *Simulation, steps []workloadStep) Result {
+	sim.Run(1500)
+	sim.submitConfig(sim.nodes["core-1"])
+	sim.Run(3000)
+	sim.runWorkload(steps)
+	sim.CheckConfig()
+	sim.CheckHistory()
+	return Result{sim, sim.Checker.Violations()}
 }
--- a/internal/simulation/faultsim/workload_test.go
+++ b/internal/simulation/faultsim/workload_test.go
@@ -18,31 +18,31 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			r := Workload(seed, 100)
-			sound(t, r)
-			qt.Check(t, len(r.World.operators.history.orders) > 50, qt.IsTrue)
+			assertNoViolation(t, r)
+			qt.Check(t, len(r.Simulation.operators.history.submissions) > 50, qt.IsTrue)
 		})
 	}
 }
 
 // A day of hundreds of changes, with a few faults, and each order sent again.
 func TestWorkloadOfHundredsOfChanges(t *testing.T) {
-	w := New(1, Breaks{})
+	sim := New(1, InjectedBugs{})
 	var steps []workloadStep
 	for i := range 500 {
-		step := workloadStep{Kind: workloadOrders, Count: 1, PauseMs: 60}
+		step := workloadStep{Kind: workloadSubmissions, Count: 1, PauseMs: 60}
 		if i%100 == 99 {
 			step = workloadStep{Kind: workloadFault, Fault: "primary killed", PauseMs: 5000}
 		}
 		steps = append(steps, step)
 	}
-	r := playWorkload(w, steps)
-	sound(t, r)
-	qt.Assert(t, countOf(w, outcomeAccepted) > 400, qt.IsTrue, qt.Commentf("%d", countOf(w, outcomeAccepted)))
+	r := playWorkload(sim, steps)
+	assertNoViolation(t, r)
+	qt.Assert(t, countAnswers(sim, outcomeAccepted) > 400, qt.IsTrue, qt.Commentf("%d", countAnswers(sim, outcomeAccepted)))
 }
 
-func countOf(w *World, first outcome) int {
+func countAnswers(sim *Simulation, first outcome) int {
 	count := 0
-	for _, r := range w.operators.history.orders {
+	for _, r := range sim.operators.history.submissions {
 		if len(r.answers) > 0 && r.answers[0].outcome == first {
 			count++
 		}
@@ -52,7 +52,7 @@
 
 // The check of the history fires on each broken variant of the system.
 func TestHistoryCheckFires(t *testing.T) {
-	orders := workloadStep{Kind: workloadOrders, Count: 3, PauseMs: 30}
+	orders := workloadStep{Kind: workloadSubmissions, Count: 3, PauseMs: 30}
 	read := workloadStep{Kind: workloadRead, Count: 4, PauseMs: 5}
 	// Reads over the whole time of a cut and of its end.
 	slowRead := workloadStep{Kind: workloadRead, Count: 8, PauseMs: 150}
@@ -61,22 +61,22 @@
 	}
 	for _, test := range []struct {
 		name   string
-		breaks Breaks
+		breaks InjectedBugs
 		steps  []workloadStep
 	}{
-		{"accepted orders are forgotten", Breaks{ForgetOrders: true}, []workloadStep{orders}},
-		{"two orders on one version are accepted", Breaks{IgnoreBase: true}, []workloadStep{orders, orders}},
-		{"yes before any copy has it", Breaks{EagerAnswer: true}, []workloadStep{orders, orders}},
-		{"read back from any copy", Breaks{StaleRead: true}, []workloadStep{fault("primary cut off", 0), orders, slowRead, slowRead, orders, slowRead, slowRead, orders, slowRead, slowRead}},
-		{"refused by any copy", Breaks{StaleRefusal: true}, []workloadStep{orders, fault("primary killed", 0), orders, orders}},
-		{"disks keep saves back", Breaks{CachedDisk: true}, []workloadStep{orders, orders, orders, orders, fault("core killed", 5000), orders, read}},
+		{"accepted orders are forgotten", InjectedBugs{ForgetAccepted: true}, []workloadStep{orders}},
+		{"two orders on one version are accepted", InjectedBugs{IgnoreBase: true}, []workloadStep{orders, orders}},
+		{"yes before any copy has it", InjectedBugs{AcknowledgeEarly: true}, []workloadStep{orders, orders}},
+		{"read back from any copy", InjectedBugs{StaleRead: true}, []workloadStep{fault("primary cut off", 0), orders, slowRead, slowRead, orders, slowRead, slowRead, orders, slowRead, slowRead}},
+		{"refused by any copy", InjectedBugs{StaleRejection: true}, []workloadStep{orders, fault("primary killed", 0), orders, orders}},
+		{"disks keep saves back", InjectedBugs{DeferDiskWrites: true}, []workloadStep{orders, orders, orders, orders, fault("core killed", 5000), orders, read}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			fired := false
 			for seed := int64(1); seed <= 60 && !fired; seed++ {
 				r := playWorkload(newWorkloadSite(seed, test.breaks), test.steps)
-				for _, breach := range r.Breaches {
+				for _, breach := range r.Violations {
 					fired = fired || breach.Rule == "REGISTER"
 				}
 			}
@@ -85,15 +85,15 @@
 	}
 }
 
-// drawnSeed is what CI draws from, the same each time; the flags of rapid draw
+// rapidSeed is what CI draws from, the same each time; the flags of rapid draw
 // from others.
-const drawnSeed = "20261202"
+const rapidSeed = "20261202"
 
-// fixDraws has rapid draw the same each time, unless its flags say otherwise.
-func fixDraws(t *testing.T, checks string) {
+// fixRapidSeed has rapid draw the same each time, unless its flags say otherwise.
+func fixRapidSeed(t *testing.T, checks string) {
 	given := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
-	for name, value := range map[string]string{"rapid.checks": checks, "rapid.seed": drawnSeed, "rapid.nofailfile": "true"} {
+	for name, value := range map[string]string{"rapid.checks": checks, "rapid.seed": rapidSeed, "rapid.nofailfile": "true"} {
 		if !given[name] {
 			qt.Assert(t, flag.Lookup(name).Value.Set(value), qt.IsNil)
 		}
@@ -104,49 +104,49 @@
 // Drawn workloads fit one register. One that does not is shrunk to the fewest
 // steps that show it.
 func TestDrawnWorkloads(t *testing.T) {
-	fixDraws(t, "25")
-	steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 40)
+	fixRapidSeed(t, "25")
+	steps := rapid.SliceOfN(rapid.Custom(randomStep), 1, 40)
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Int64Range(1, 1<<20).Draw(t, "seed")
-		r := playWorkload(newWorkloadSite(seed, Breaks{}), steps.Draw(t, "steps"))
-		if len(r.Breaches) > 0 {
+		r := playWorkload(newWorkloadSite(seed, InjectedBugs{}), steps.Draw(t, "steps"))
+		if len(r.Violations) > 0 {
 			t.Fatalf("%s", r.Report())
 		}
 	})
 }
 
-func drawStep(t *rapid.T) workloadStep {
+func randomStep(t *rapid.T) workloadStep {
 	return workloadStep{
 		Kind:    workloadKind(rapid.IntRange(0, int(workloadKinds)-1).Draw(t, "kind")),
-		Count:   rapid.IntRange(1, underMost).Draw(t, "count"),
+		Count:   rapid.IntRange(1, maxPending).Draw(t, "count"),
 		PauseMs: rapid.Int64Range(0, 800).Draw(t, "pause"),
 		Fault:   rapid.SampledFrom(workloadFaults).Draw(t, "fault"),
 	}
 }
 
-// begun is a site of a map in force.
-func begun(seed int64) *World {
-	w := New(seed, Breaks{})
-	w.Run(1500)
-	w.replaceMap(w.nodes["core-1"])
-	w.Run(3000)
-	return w
+// siteWithConfig is a site of a map in force.
+func siteWithConfig(seed int64) *Simulation {
+	sim := New(seed, InjectedBugs{})
+	sim.Run(1500)
+	sim.submitConfig(sim.nodes["core-1"])
+	sim.Run(3000)
+	return sim
 }
 
-// settleWorkload sends every order again to every controller, and checks.
-func settleWorkload(t *testing.T, w *World) {
-	w.Run(callerEnd)
-	for _, r := range w.operators.history.orders {
-		for _, name := range w.names(protocol.Controller) {
-			w.resend(r, w.nodes[name])
+// resendAndCheck sends every order again to every controller, and checks.
+func resendAndCheck(t *testing.T, sim *Simulation) {
+	sim.Run(submissionTimeoutMs)
+	for _, r := range sim.operators.history.submissions {
+		for _, name := range sim.nodeNames(protocol.Controller) {
+			sim.resend(r, sim.nodes[name])
 		}
-		w.readBack(nil)
-		w.Run(500)
+		sim.readBack(nil)
+		sim.Run(500)
 	}
-	w.Run(callerEnd)
-	w.CheckMaps()
-	w.CheckHistory()
-	sound(t, Result{w, w.Book.Breaches()})
+	sim.Run(submissionTimeoutMs)
+	sim.CheckConfig()
+	sim.CheckHistory()
+	assertNoViolation(t, Result{sim, sim.Checker.Violations()})
 }
 
 // An order reaches the primary alone, which is cut off or killed a moment later
@@ -159,23 +159,23 @@
 				t.Parallel()
 				accepted, alone := 0, 0
 				for afterMs := int64(0); afterMs <= 18; afterMs += 3 {
-					w := begun(2 + afterMs%2)
-					old := w.primary()
-					w.slowOthers(old, 40)
-					order := w.newOrder(w.operators.base, w.operators.next(w), false)
-					order.isOnce = true
-					w.hand(old, order)
-					sent := w.operators.history.orders[1]
-					w.Run(afterMs)
-					w.takeAway(old, how)
-					if w.mapIsAloneAt(old) {
+					sim := siteWithConfig(2 + afterMs%2)
+					old := sim.primary()
+					sim.slowOtherDisks(old, 40)
+					order := sim.newUniqueSubmission(sim.operators.baseVersion, sim.operators.nextVersion(sim), false)
+					order.noRetry = true
+					sim.submit(old, order)
+					sent := sim.operators.history.submissions[1]
+					sim.Run(afterMs)
+					sim.removeNode(old, how)
+					if sim.isConfigOnlyOn(old) {
 						alone++
 					}
-					w.slowOthers(old, 0)
-					w.Run(3000)
-					w.meanwhile(meanwhile, sent)
-					w.bringBack(old, how)
-					settleWorkload(t, w)
+					sim.slowOtherDisks(old, 0)
+					sim.Run(3000)
+					sim.actMeanwhile(meanwhile, sent)
+					sim.restoreNode(old, how)
+					resendAndCheck(t, sim)
 					if len(sent.answers) > 0 && sent.answers[0].outcome == outcomeAccepted {
 						accepted++
 					}
@@ -187,60 +187,60 @@
 	}
 }
 
-// slowOthers makes the disks of all other core machines slower.
-func (w *World) slowOthers(n *node, ms int64) {
-	for _, name := range w.names(protocol.Controller) {
-		if other := w.nodes[name]; other != n {
+// slowOtherDisks makes the disks of all other core machines slower.
+func (sim *Simulation) slowOtherDisks(n *node, ms int64) {
+	for _, name := range sim.nodeNames(protocol.Controller) {
+		if other := sim.nodes[name]; other != n {
 			other.disk.slowMs = ms
 		}
 	}
 }
 
-// mapIsAloneAt says whether a disk holds another map than all other disks.
-func (w *World) mapIsAloneAt(n *node) bool {
+// isConfigOnlyOn says whether a disk holds another map than all other disks.
+func (sim *Simulation) isConfigOnlyOn(n *node) bool {
 	const key = "state/kept/map"
-	for _, name := range w.names(protocol.Controller) {
-		if other := w.nodes[name]; other != n && other.disk.keys[key] == n.disk.keys[key] {
+	for _, name := range sim.nodeNames(protocol.Controller) {
+		if other := sim.nodes[name]; other != n && other.disk.keys[key] == n.disk.keys[key] {
 			return false
 		}
 	}
 	return true
 }
 
-func (w *World) takeAway(n *node, how string) {
+func (sim *Simulation) removeNode(n *node, how string) {
 	switch how {
 	case "cut off":
-		w.cut([]string{n.name}, w.others(n.name), false)
+		sim.cut([]string{n.name}, sim.allExcept(n.name), false)
 	case "killed":
-		w.kill(n)
+		sim.kill(n)
 	case "frozen":
-		w.freeze(n)
+		sim.freeze(n)
 	}
 }
 
-func (w *World) bringBack(n *node, how string) {
+func (sim *Simulation) restoreNode(n *node, how string) {
 	switch how {
 	case "cut off":
-		w.heal()
+		sim.heal()
 	case "killed":
-		w.start(n, false)
+		sim.startNode(n, false)
 	case "frozen":
-		w.thaw(n)
+		sim.thaw(n)
 	}
 }
 
-func (w *World) meanwhile(what string, sent *orderRecord) {
+func (sim *Simulation) actMeanwhile(what string, sent *submissionRecord) {
 	switch what {
 	case "sent again":
-		w.resend(sent, nil)
-		w.Run(2000)
+		sim.resend(sent, nil)
+		sim.Run(2000)
 	case "another in force":
-		w.sendOrder(w.operators.base, w.operators.next(w), false)
-		w.Run(2000)
+		sim.submitUnique(sim.operators.baseVersion, sim.operators.nextVersion(sim), false)
+		sim.Run(2000)
 	case "the next primary lost":
-		if next := w.primary(); next != nil {
-			w.kill(next)
-			w.after(1500, func() { w.start(next, false) })
+		if next := sim.primary(); next != nil {
+			sim.kill(next)
+			sim.after(1500, func() { sim.startNode(next, false) })
 		}
 	}
 }
@@ -253,17 +253,17 @@
 		t.Run(how, func(t *testing.T) {
 			t.Parallel()
 			for afterMs := int64(0); afterMs <= 15; afterMs += 3 {
-				w := begun(2 + afterMs%2)
-				old := w.primary()
-				w.operators.lostPart = 1
-				w.runStep(workloadStep{Kind: workloadRivals})
-				w.Run(afterMs)
-				w.takeAway(old, how)
-				w.Run(4000)
-				w.operators.lostPart = 0
-				w.bringBack(old, how)
-				settleWorkload(t, w)
-				qt.Check(t, countOf(w, outcomeAccepted), qt.Equals, 2, qt.Commentf("after %d ms: the first map and one of the two", afterMs))
+				sim := siteWithConfig(2 + afterMs%2)
+				old := sim.primary()
+				sim.operators.lostAnswerShare = 1
+				sim.runWorkloadStep(workloadStep{Kind: workloadRivals})
+				sim.Run(afterMs)
+				sim.removeNode(old, how)
+				sim.Run(4000)
+				sim.operators.lostAnswerShare = 0
+				sim.restoreNode(old, how)
+				resendAndCheck(t, sim)
+				qt.Check(t, countAnswers(sim, outcomeAccepted), qt.Equals, 2, qt.Commentf("after %d ms: the first map and one of the two", afterMs))
 			}
 		})
 	}
