--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -12,7 +12,7 @@
 	Epoch uint64
 	// Sequence grows with each snapshot of a primary.
 	Sequence uint64
-	Ledger   placement.Soft
+	Ledger   placement.IndexSnapshot
 }
 
 // softOrder is the newest index snapshot that a follower took.
@@ -31,7 +31,7 @@
 }
 
 // Demand tells the primary what look-ups another controller answered.
-type Demand struct{ Counts placement.Counts }
+type Demand struct{ Counts placement.DemandCounts }
 
 // The names under which the messages of this package are known between daemons.
 // They are not derived from the Go package, so that daemons of the release
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -23,10 +23,10 @@
 	s.orders = ordersNone
 	if h.Row(ordererRow) == h.Self().Name {
 		s.orders = ordersTaken
-		s.keeper.Begin(h.NowMs(), h.Epoch(), h.NowMs())
+		s.keeper.BecomePrimary(h.NowMs(), h.Epoch(), h.NowMs())
 		return
 	}
-	s.keeper.Begin(h.NowMs(), h.Epoch(), h.OrdersFromMs())
+	s.keeper.BecomePrimary(h.NowMs(), h.Epoch(), h.OrdersFromMs())
 	s.keeper.ForbidOrders(h.OrdersFromMs())
 }
 
--- a/internal/controller/steward.go
+++ b/internal/controller/steward.go
@@ -36,7 +36,7 @@
 type Steward struct {
 	set    Settings
 	format Format
-	keeper *placement.Keeper
+	keeper *placement.Manager
 	maps   maps
 	// routers says when each router last asked.
 	routers  map[string]int64
@@ -77,7 +77,7 @@
 	s.keeper.SetMap(s.maps.current.document)
 	s.beginOrders(h)
 	s.roll = roll{}
-	s.leaving.take(s.keeper.Leaving())
+	s.leaving.take(s.keeper.LeavingRunners())
 	// Routers hear at once who is primary now.
 	s.tellRouters(h)
 	s.maps.begin(s, h)
@@ -86,7 +86,7 @@
 // Ended is the end of this daemon's primacy.
 func (s *Steward) Ended(h consensus.Host) {
 	s.serving = false
-	s.keeper.End()
+	s.keeper.BecomeFollower()
 	s.maps.end(h, s)
 	s.routers = map[string]int64{}
 }
@@ -112,11 +112,11 @@
 		if s.serving || body.Epoch < h.Epoch() || !s.softOrder.later(body) {
 			h.Count(string(errkind.Overtaken))
 		} else {
-			s.keeper.TakeSoft(h.NowMs(), body.Ledger)
+			s.keeper.ApplySnapshot(h.NowMs(), body.Ledger)
 		}
 	case Demand:
 		if s.serving {
-			s.keeper.TakeDemand(h.NowMs(), body.Counts)
+			s.keeper.AddDemand(h.NowMs(), body.Counts)
 		}
 	default:
 		return false
@@ -140,18 +140,18 @@
 	case Look:
 		h.Answer(in.ID, s.status(h))
 	case protocol.RunnerList:
-		if s.serving && s.keeper.Fleet(h.NowMs(), in) {
-			s.leaving.take(s.keeper.Leaving())
+		if s.serving && s.keeper.HandleRunnerList(h.NowMs(), in) {
+			s.leaving.take(s.keeper.LeavingRunners())
 			s.tellRouters(h)
 		}
 	case protocol.RunnerStateResult:
 		if s.serving {
-			s.keeper.State(h.NowMs(), in)
+			s.keeper.HandleRunnerState(h.NowMs(), in)
 			s.hurry(h)
 		}
 	case protocol.RunnerOrderResult:
 		if s.serving {
-			s.keeper.Commanded(h.NowMs(), in)
+			s.keeper.HandleOrderResult(h.NowMs(), in)
 			s.hurry(h)
 		}
 	default:
@@ -176,7 +176,7 @@
 func (s *Steward) hurry(h consensus.Host) {
 	switch {
 	case !s.serving:
-		if s.keeper.Waits() {
+		if s.keeper.HasWaitingRequests() {
 			s.tellDemand(h)
 		}
 	case h.Active():
@@ -217,13 +217,13 @@
 		return
 	}
 	s.maps.next(s, h)
-	s.keeper.SetFence(h.Epoch())
+	s.keeper.SetEpoch(h.Epoch())
 	s.takeOrders(h)
 	s.goOn(h)
 	if h.NowMs()-s.softMs >= softMs {
 		s.softMs = h.NowMs()
 		s.softSequence++
-		image := Soft{Epoch: h.Epoch(), Sequence: s.softSequence, Ledger: s.keeper.Soft()}
+		image := Soft{Epoch: h.Epoch(), Sequence: s.softSequence, Ledger: s.keeper.Snapshot()}
 		for _, place := range h.Controllers() {
 			h.Send(place, image)
 		}
--- a/internal/placement/index.go
+++ b/internal/placement/index.go
@@ -7,169 +7,169 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Tell is what a router that asked lately is told unasked.
-type Tell struct {
+// IndexUpdate is what a router that asked lately is told unasked.
+type IndexUpdate struct {
 	To    protocol.Node
 	Index protocol.IndexReply
 }
 
 const (
-	// askedMs is for how long a router that asked is told that a holder is gone,
-	// and freshMs for how long that one came: without the first its next request
+	// subscriptionMs is for how long a router that asked is told that a holder is gone,
+	// and gainNotifyMs for how long that one came: without the first its next request
 	// may go astray, without the second it has a little less to choose from, and
 	// its next answer brings it.
-	askedMs = 4_000
-	freshMs = 1_500
-	// asksMost bounds how many pairs of router and key are remembered.
-	asksMost = 20_000
+	subscriptionMs = 4_000
+	gainNotifyMs   = 1_500
+	// maxSubscriptions bounds how many pairs of router and key are remembered.
+	maxSubscriptions = 20_000
 )
 
-// asked are the routers that asked for a key lately, and what held it when it
+// subscribers are the routers that asked for a key lately, and what held it when it
 // was last looked at.
-type asked struct {
-	by map[string]*ask
-	// held names the holders; lost counts the times that one of them went.
-	held []uint64
-	lost uint64
+type subscribers struct {
+	byRouter map[string]*subscription
+	// holderHashes names the holders; lost counts the times that one of them went.
+	holderHashes []uint64
+	losses       uint64
 }
 
-// ask is a router's last look-up of a key; waits says that it had no holder,
+// subscription is a router's last look-up of a key; waits says that it had no holder,
 // sum what it was last told, and lost the count up to which it was told.
-type ask struct {
-	to        *protocol.Node
-	atMs      int64
-	waits     bool
-	sum, lost uint64
+type subscription struct {
+	router               *protocol.Node
+	lookedUpMs           int64
+	noHolder             bool
+	lastHash, lossesSent uint64
 }
 
-// see counts whether a holder went.
-func (a *asked) see(index *protocol.IndexReply) {
+// update counts whether a holder went.
+func (a *subscribers) update(index *protocol.IndexReply) {
 	now := make([]uint64, 0, len(index.Holders))
 	for i := range index.Holders {
-		now = append(now, sumHolder(sumStart, &index.Holders[i]))
+		now = append(now, hashHolder(fnvOffset, &index.Holders[i]))
 	}
-	if slices.ContainsFunc(a.held, func(n uint64) bool { return !slices.Contains(now, n) }) {
-		a.lost++
+	if slices.ContainsFunc(a.holderHashes, func(n uint64) bool { return !slices.Contains(now, n) }) {
+		a.losses++
 	}
-	a.held = now
+	a.holderHashes = now
 }
 
-// due says whether a router is to be told what a key's answer is now.
-func (one *ask) due(nowMs int64, now, lost uint64) bool {
-	agoMs := nowMs - one.atMs
+// updateDue says whether a router is to be told what a key's answer is now.
+func (one *subscription) updateDue(nowMs int64, now, lost uint64) bool {
+	agoMs := nowMs - one.lookedUpMs
 	switch {
-	case agoMs > askedMs:
+	case agoMs > subscriptionMs:
 		return false
-	case one.waits:
+	case one.noHolder:
 		return true
 	// Most changes of a model are of one adapter, of which those who asked for
 	// another need not hear.
-	case one.sum == now:
+	case one.lastHash == now:
 		return false
 	}
-	return one.lost != lost || agoMs <= freshMs
+	return one.lossesSent != lost || agoMs <= gainNotifyMs
 }
 
-// askers are the routers that asked lately.
-type askers struct {
-	places map[string]*protocol.Node
-	models map[*model]bool
-	count  int
+// subscriptionTable are the routers that asked lately.
+type subscriptionTable struct {
+	routers map[string]*protocol.Node
+	models  map[*Model]bool
+	count   int
 }
 
-func newAskers() askers {
-	return askers{places: map[string]*protocol.Node{}, models: map[*model]bool{}}
+func newSubscriptionTable() subscriptionTable {
+	return subscriptionTable{routers: map[string]*protocol.Node{}, models: map[*Model]bool{}}
 }
 
-func (a *askers) note(nowMs int64, m *model, from protocol.Node, told *protocol.IndexReply) {
+func (a *subscriptionTable) record(nowMs int64, m *Model, from protocol.Node, told *protocol.IndexReply) {
 	adapter := told.Adapter
-	place := a.places[from.Name]
+	place := a.routers[from.Name]
 	if place == nil || *place != from {
 		place = &from
-		a.places[from.Name] = place
+		a.routers[from.Name] = place
 	}
-	if m.asks == nil {
-		m.asks = map[string]*asked{}
+	if m.subscribers == nil {
+		m.subscribers = map[string]*subscribers{}
 	}
-	asks := m.asks[adapter]
+	asks := m.subscribers[adapter]
 	if asks == nil {
-		asks = &asked{by: map[string]*ask{}}
-		asks.see(told)
-		m.asks[adapter] = asks
+		asks = &subscribers{byRouter: map[string]*subscription{}}
+		asks.update(told)
+		m.subscribers[adapter] = asks
 	}
-	last := asks.by[from.Name]
+	last := asks.byRouter[from.Name]
 	if last == nil {
-		if a.count >= asksMost {
+		if a.count >= maxSubscriptions {
 			return
 		}
 		a.count++
-		last = &ask{}
-		asks.by[from.Name] = last
+		last = &subscription{}
+		asks.byRouter[from.Name] = last
 	}
-	last.to, last.atMs = place, nowMs
-	last.sum, last.lost, last.waits = sum(told), asks.lost, len(told.Holders) == 0
+	last.router, last.lookedUpMs = place, nowMs
+	last.lastHash, last.lossesSent, last.noHolder = hashReply(told), asks.losses, len(told.Holders) == 0
 	a.models[m] = true
 }
 
-func (a *askers) tidy(nowMs int64) {
+func (a *subscriptionTable) expire(nowMs int64) {
 	for m := range a.models {
-		for adapter, asks := range m.asks {
-			for name, one := range asks.by {
-				if nowMs-one.atMs > askedMs {
-					delete(asks.by, name)
+		for adapter, asks := range m.subscribers {
+			for name, one := range asks.byRouter {
+				if nowMs-one.lookedUpMs > subscriptionMs {
+					delete(asks.byRouter, name)
 					a.count--
 				}
 			}
-			if len(asks.by) == 0 {
-				delete(m.asks, adapter)
+			if len(asks.byRouter) == 0 {
+				delete(m.subscribers, adapter)
 			}
 		}
-		if len(m.asks) == 0 {
+		if len(m.subscribers) == 0 {
 			delete(a.models, m)
 		}
 	}
 }
 
 // LookUp answers a router's look-up, and counts it as demand.
-func (k *Keeper) LookUp(nowMs int64, from protocol.Node, in protocol.IndexLookUp) protocol.IndexReply {
-	m := k.lookedUp(in.Service, in.Model)
+func (k *Manager) LookUp(nowMs int64, from protocol.Node, in protocol.IndexLookUp) protocol.IndexReply {
+	m := k.findModel(in.Service, in.Model)
 	if m != nil {
-		key := demandKey{in.Service, in.Model, in.Adapter}
+		key := DemandKey{in.Service, in.Model, in.Adapter}
 		// A router that only wants to be sure waits for no load.
 		waits := 0
-		if in.Waits && !k.offered(m, in.Adapter) {
+		if in.Waits && !k.hasHolder(m, in.Adapter) {
 			waits = 1
 		}
 		if k.active {
-			m.reading(float64(in.Prompt), in.ReadMs, 1)
-			k.count(nowMs, key, 1, float64(in.Tokens), float64(waits))
+			m.AddPrefill(float64(in.Prompt), in.ReadMs, 1)
+			k.addDemand(nowMs, key, 1, float64(in.Tokens), float64(waits))
 		} else {
-			k.pend(key, in, waits)
+			k.recordFollowerDemand(key, in, waits)
 		}
 	}
-	out := k.indexIn(nil, nowMs, from, in.Service, in.Model, in.Adapter)
+	out := k.replyInto(nil, nowMs, from, in.Service, in.Model, in.Adapter)
 	out.ID = in.ID
 	if m != nil {
-		k.askers.note(nowMs, m, from, &out)
+		k.subscriptions.record(nowMs, m, from, &out)
 	}
 	return out
 }
 
-// offered says whether some runner can be asked for a model and an adapter.
-func (k *Keeper) offered(m *model, adapter string) bool {
-	if m == m.service.plain {
-		return len(m.service.runners) > 0
+// hasHolder says whether some runner can be asked for a model and an adapter.
+func (k *Manager) hasHolder(m *Model, adapter string) bool {
+	if m == m.Service.Plain {
+		return len(m.Service.Runners) > 0
 	}
-	return slices.ContainsFunc(m.holders, func(r *runner) bool { return !r.away() && r.offers(thing{m.name, adapter}) })
+	return slices.ContainsFunc(m.Holders, func(r *Runner) bool { return !r.Unavailable() && r.Offers(Item{m.Name, adapter}) })
 }
 
-// sum names what a router does by an answer: which runners it may choose, or
+// hashReply names what a router does by an answer: which runners it may choose, or
 // whether there is hope of one. Loads and times change all the while; they come
 // with the next answer.
-func sum(index *protocol.IndexReply) uint64 {
-	n := sumStart
+func hashReply(index *protocol.IndexReply) uint64 {
+	n := fnvOffset
 	for i := range index.Holders {
-		n = sumHolder(n, &index.Holders[i])
+		n = hashHolder(n, &index.Holders[i])
 	}
 	if len(index.Holders) == 0 && index.Loading {
 		n++
@@ -178,76 +178,76 @@
 }
 
 const (
-	sumStart uint64 = 14695981039346656037
-	sumPrime uint64 = 1099511628211
+	fnvOffset uint64 = 14695981039346656037
+	fnvPrime  uint64 = 1099511628211
 )
 
-func sumHolder(n uint64, h *protocol.IndexHolder) uint64 {
+func hashHolder(n uint64, h *protocol.IndexHolder) uint64 {
 	for _, text := range [...]string{h.ID, h.Address} {
 		for i := range len(text) {
-			n = (n ^ uint64(text[i])) * sumPrime
+			n = (n ^ uint64(text[i])) * fnvPrime
 		}
-		n = (n ^ 0xff) * sumPrime
+		n = (n ^ 0xff) * fnvPrime
 	}
 	return n
 }
 
-// lookedUp finds what a look-up is about; nil is that no runner nor map knows
+// findModel finds what a look-up is about; nil is that no runner nor map knows
 // the name, so that nothing is kept of it.
-func (k *Keeper) lookedUp(service, name string) *model {
+func (k *Manager) findModel(service, name string) *Model {
 	s := k.services[service]
 	if s == nil {
 		return nil
 	}
-	if s.engine == nil || name == "" {
-		return s.plain
+	if s.Engine == nil || name == "" {
+		return s.Plain
 	}
-	return s.models[name]
+	return s.Models[name]
 }
 
-// index makes the answer for a key as a router without a name gets it.
-func (k *Keeper) index(nowMs int64, service, name, adapter string) protocol.IndexReply {
-	return k.indexIn(nil, nowMs, protocol.Node{}, service, name, adapter)
+// reply makes the answer for a key as a router without a name gets it.
+func (k *Manager) reply(nowMs int64, service, name, adapter string) protocol.IndexReply {
+	return k.replyInto(nil, nowMs, protocol.Node{}, service, name, adapter)
 }
 
-// indexIn makes the answer for a key, with its holders in the given room. Of
+// replyInto makes the answer for a key, with its holders in the given room. Of
 // very many holders a router is offered some.
-func (k *Keeper) indexIn(room []protocol.IndexHolder, nowMs int64, to protocol.Node, service, name, adapter string) protocol.IndexReply {
+func (k *Manager) replyInto(room []protocol.IndexHolder, nowMs int64, to protocol.Node, service, name, adapter string) protocol.IndexReply {
 	out := protocol.IndexReply{
-		Service: service, Model: name, Adapter: adapter, Epoch: k.epoch, Change: k.change, Known: k.known, TurnMs: -1, Holders: room,
+		Service: service, Model: name, Adapter: adapter, Epoch: k.epoch, Change: k.revision, Known: k.indexKnown, TurnMs: -1, Holders: room,
 	}
-	m := k.lookedUp(service, name)
+	m := k.findModel(service, name)
 	if m == nil {
 		return out
 	}
-	runners := m.holders
-	if m == m.service.plain {
-		runners = m.service.runners
+	runners := m.Holders
+	if m == m.Service.Plain {
+		runners = m.Service.Runners
 	}
-	x := thing{name, adapter}
+	x := Item{name, adapter}
 	all := runners
-	if len(all) > offeredMost {
-		if with := m.with[adapter]; len(with) > 0 {
+	if len(all) > maxListedHolders {
+		if with := m.AdapterHolders[adapter]; len(with) > 0 {
 			runners = with
 		}
-		may := func(r *runner) bool { return !r.away() && !r.suspect && (m == m.service.plain || r.offers(x)) }
-		if some := k.sample(runners, to, may); len(some) > 0 {
+		may := func(r *Runner) bool { return !r.Unavailable() && !r.Suspect && (m == m.Service.Plain || r.Offers(x)) }
+		if some := k.sampleRunners(runners, to, may); len(some) > 0 {
 			runners = some
-		} else if some := k.sample(all, to, func(r *runner) bool { return !r.away() && !r.suspect }); len(some) > 0 {
+		} else if some := k.sampleRunners(all, to, func(r *Runner) bool { return !r.Unavailable() && !r.Suspect }); len(some) > 0 {
 			runners = some
 		}
 	}
 	add := func(suspect bool) {
 		for _, r := range runners {
-			if r.away() || r.suspect != suspect || m != m.service.plain && !r.offers(thing{Model: name}) {
+			if r.Unavailable() || r.Suspect != suspect || m != m.Service.Plain && !r.Offers(Item{Model: name}) {
 				continue
 			}
 			out.Holders = append(out.Holders, protocol.IndexHolder{
-				ID: r.entry.ID, Address: r.entry.Address, Zone: r.entry.Zone, Slots: r.entry.Slots,
-				Adapter: adapter == "" || r.offers(x),
-				Active:  r.state.Active, Queued: r.state.Queued,
-				CacheUsed: r.state.CacheUsed, CacheTotal: r.state.CacheTotal,
-				AgeMs: max(0, nowMs-r.stateMs),
+				ID: r.Entry.ID, Address: r.Entry.Address, Zone: r.Entry.Zone, Slots: r.Entry.Slots,
+				Adapter: adapter == "" || r.Offers(x),
+				Active:  r.State.Active, Queued: r.State.Queued,
+				CacheUsed: r.State.CacheUsed, CacheTotal: r.State.CacheTotal,
+				AgeMs: max(0, nowMs-r.StateMs),
 			})
 		}
 	}
@@ -257,40 +257,40 @@
 		runners = all
 		add(true)
 	}
-	if m != m.service.plain {
-		out.TurnMs, out.Loading = k.turn(nowMs, m, adapter, out.Holders)
+	if m != m.Service.Plain {
+		out.TurnMs, out.Loading = k.estimateWait(nowMs, m, adapter, out.Holders)
 	}
 	// No request goes where only the adapter lacks, and there may be many such.
 	out.Holders = slices.DeleteFunc(out.Holders, func(h protocol.IndexHolder) bool { return !h.Adapter })
 	return out
 }
 
-// turn works out when something will be held, and whether it is being loaded.
-func (k *Keeper) turn(nowMs int64, m *model, adapter string, holders []protocol.IndexHolder) (turnMs int64, loading bool) {
+// estimateWait works out when something will be held, and whether it is being loaded.
+func (k *Manager) estimateWait(nowMs int64, m *Model, adapter string, holders []protocol.IndexHolder) (turnMs int64, loading bool) {
 	if slices.ContainsFunc(holders, func(h protocol.IndexHolder) bool { return h.Adapter }) {
 		return 0, false
 	}
 	if !k.active {
-		if soft, ok := k.soft[m.service.name+" "+m.name]; ok && len(holders) == 0 {
-			return max(0, soft.LeftMs-(nowMs-k.agesAt)), true
+		if soft, ok := k.primaryLoads[m.Service.Name+" "+m.Name]; ok && len(holders) == 0 {
+			return max(0, soft.LeftMs-(nowMs-k.priorLoadAgesAtMs)), true
 		}
 	}
 	turnMs = -1
-	for _, r := range m.service.runners {
-		o := r.order
-		if o == nil || o.assumed || r.away() || r.suspect {
+	for _, r := range m.Service.Runners {
+		o := r.Order
+		if o == nil || o.Assumed || r.Unavailable() || r.Suspect {
 			continue
 		}
 		leftMs := int64(-1)
 		switch {
-		case o.load && o.thing == thing{m.name, adapter} && adapter != "":
-			leftMs = max(20, assumeMs-(nowMs-o.firstMs))
-		case o.load && o.thing == thing{m.name, ""}:
-			leftMs = max(100, k.likelyMs(r, m)+150-(nowMs-o.firstMs))
-		case !o.load && r.plan.Model == m.name && r.plan.Adapter == adapter:
+		case o.Load && o.Item == Item{m.Name, adapter} && adapter != "":
+			leftMs = max(20, assumeLoadedMs-(nowMs-o.FirstSentMs))
+		case o.Load && o.Item == Item{m.Name, ""}:
+			leftMs = max(100, k.expectedLoadMs(r, m)+150-(nowMs-o.FirstSentMs))
+		case !o.Load && r.ReservedFor.Model == m.Name && r.ReservedFor.Adapter == adapter:
 			leftMs = 300
 			if adapter == "" {
-				leftMs += k.likelyMs(r, m)
+				leftMs += k.expectedLoadMs(r, m)
 			}
 		}
 		if leftMs >= 0 {
@@ -312,55 +312,55 @@
 	if k.active {
 		waitMs = max(0, k.ordersFromMs-nowMs)
 	}
-	if m.queueMs >= 0 || waitMs > 0 {
-		return max(0, m.queueMs) + waitMs + m.spec.LoadMs + 300, false
+	if m.QueueMs >= 0 || waitMs > 0 {
+		return max(0, m.QueueMs) + waitMs + m.Spec.LoadMs + 300, false
 	}
 	return -1, false
 }
 
-// likelyMs is how long the load of a model should take at a runner.
-func (k *Keeper) likelyMs(r *runner, m *model) int64 {
-	if r.disk[m.name] {
-		return m.warm()
+// expectedLoadMs is how long the load of a model should take at a runner.
+func (k *Manager) expectedLoadMs(r *Runner, m *Model) int64 {
+	if r.OnDisk[m.Name] {
+		return m.WarmLoadMs()
 	}
-	return m.spec.LoadMs
+	return m.Spec.LoadMs
 }
 
-// tells gives, for each model whose holders changed, the routers that asked
+// indexUpdates gives, for each model whose holders changed, the routers that asked
 // for it lately the new answer.
-func (k *Keeper) tells(nowMs int64) []Tell {
-	var out []Tell
-	slices.SortFunc(k.dirty, func(a, b *model) int {
-		return cmp.Or(cmp.Compare(a.service.name, b.service.name), cmp.Compare(a.name, b.name))
+func (k *Manager) indexUpdates(nowMs int64) []IndexUpdate {
+	var out []IndexUpdate
+	slices.SortFunc(k.changedModels, func(a, b *Model) int {
+		return cmp.Or(cmp.Compare(a.Service.Name, b.Service.Name), cmp.Compare(a.Name, b.Name))
 	})
-	for _, m := range k.dirty {
-		m.dirty = false
-		for _, adapter := range sortedKeys(m.asks) {
-			index := k.indexIn(k.room[:0], nowMs, protocol.Node{}, m.service.name, m.name, adapter)
-			k.room = index.Holders[:0]
+	for _, m := range k.changedModels {
+		m.changed = false
+		for _, adapter := range sortedKeys(m.subscribers) {
+			index := k.replyInto(k.holderBuffer[:0], nowMs, protocol.Node{}, m.Service.Name, m.Name, adapter)
+			k.holderBuffer = index.Holders[:0]
 			// Of so many holders each router is offered others. That one of them
 			// comes or goes makes little difference, and so much is looked up all
 			// the while: the next answer brings it.
-			if len(index.Holders) >= offeredMost {
+			if len(index.Holders) >= maxListedHolders {
 				continue
 			}
-			now, kept := sum(&index), false
-			asks := m.asks[adapter]
-			asks.see(&index)
-			for _, name := range sortedKeys(asks.by) {
-				one := asks.by[name]
-				if !one.due(nowMs, now, asks.lost) {
+			now, kept := hashReply(&index), false
+			asks := m.subscribers[adapter]
+			asks.update(&index)
+			for _, name := range sortedKeys(asks.byRouter) {
+				one := asks.byRouter[name]
+				if !one.updateDue(nowMs, now, asks.losses) {
 					continue
 				}
-				one.sum, one.lost, one.waits = now, asks.lost, len(index.Holders) == 0
+				one.lastHash, one.lossesSent, one.noHolder = now, asks.losses, len(index.Holders) == 0
 				if !kept {
 					kept, index.Holders = true, slices.Clone(index.Holders)
 				}
-				out = append(out, Tell{To: *one.to, Index: index})
+				out = append(out, IndexUpdate{To: *one.router, Index: index})
 			}
 		}
 	}
-	k.dirty = k.dirty[:0]
+	k.changedModels = k.changedModels[:0]
 	return out
 }
 
--- a/internal/placement/index_test.go
+++ b/internal/placement/index_test.go
@@ -15,16 +15,16 @@
 // A router that asked lately hears of a holder that comes or goes.
 func TestRoutersAreTold(t *testing.T) {
 	c := qt.New(t)
-	b := ordered(c)
-	b.outcome(protocol.OutcomeAccepted)
+	b := harnessWithOrder(c)
+	b.answerOrder(protocol.OutcomeAccepted)
 	b.tick(500)
-	b.say(4, false, "m001", "m004")
-	_, tells := b.k.Tick(b.nowMs+10, b.nowMs+2000)
+	b.answerPoll(4, false, "m001", "m004")
+	_, tells := b.manager.Tick(b.nowMs+10, b.nowMs+2000)
 	c.Assert(tells, qt.HasLen, 1)
 	c.Assert(tells[0].To.Name, qt.Equals, "router")
 	c.Assert(tells[0].Index.Model, qt.Equals, "m004")
 	c.Assert(tells[0].Index.Holders, qt.HasLen, 1)
-	_, tells = b.k.Tick(b.nowMs+60, b.nowMs+2000)
+	_, tells = b.manager.Tick(b.nowMs+60, b.nowMs+2000)
 	c.Assert(tells, qt.HasLen, 0)
 }
 
@@ -53,11 +53,11 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			s := newStand(t, 1, newMap(4, 8, 4.2), 0)
-			k := s.keeper("one")
-			k.Begin(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
+			s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
+			k := s.manager("one")
+			k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 			e := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: held("a1")}
-			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
+			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
 			for _, adapter := range test.asks {
 				for _, router := range []string{"one", "two"} {
 					index := k.LookUp(s.events.NowMs(), protocol.Node{Name: router}, protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: adapter})
@@ -68,7 +68,7 @@
 			}
 			k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			s.events.RunFor(test.laterMs)
-			k.runners["r1"].adopt(s.events.NowMs(), test.models, k)
+			k.runners["r1"].ApplyModels(s.events.NowMs(), test.models, k)
 			var told []string
 			_, tells := k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			for _, tell := range tells {
@@ -79,7 +79,7 @@
 			c.Assert(told, qt.DeepEquals, test.told)
 			c.Assert(tells, qt.HasLen, 2*len(test.told))
 			// Nothing is told twice but to those who wait.
-			k.touch(k.services[llm].models["m000"])
+			k.HoldersChanged(k.services[llm].Models["m000"])
 			_, tells = k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			for _, tell := range tells {
 				c.Assert(tell.Index.Holders, qt.HasLen, 0)
@@ -93,23 +93,23 @@
 	for _, test := range []struct {
 		laterMs int64
 		told    int
-	}{{0, 1}, {freshMs, 1}, {freshMs + 1, 0}} {
+	}{{0, 1}, {gainNotifyMs, 1}, {gainNotifyMs + 1, 0}} {
 		t.Run(fmt.Sprint(test.laterMs), func(t *testing.T) {
 			c := qt.New(t)
-			s := newStand(t, 1, newMap(4, 8, 4.2), 0)
-			k := s.keeper("one")
-			k.Begin(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
+			s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
+			k := s.manager("one")
+			k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 			one := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m000"}}}
 			two := one
 			two.ID, two.Address = "r2", "10.0.0.2:80"
-			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one}})
+			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one}})
 			k.LookUp(s.events.NowMs(), protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m000"})
 			k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			s.events.RunFor(test.laterMs)
-			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one, two}})
+			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one, two}})
 			_, tells := k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			c.Assert(tells, qt.HasLen, test.told)
-			k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{two}})
+			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{two}})
 			_, tells = k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			c.Assert(tells, qt.HasLen, 1)
 		})
@@ -119,19 +119,19 @@
 // While something is loaded, the answer says so, and when.
 func TestTurnIsTold(t *testing.T) {
 	c := qt.New(t)
-	b := ordered(c)
-	index := b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{ID: 9, Service: llm, Model: "m004"})
+	b := harnessWithOrder(c)
+	index := b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{ID: 9, Service: llm, Model: "m004"})
 	c.Assert(index.ID, qt.Equals, uint64(9))
 	c.Assert(index.Known, qt.IsTrue)
 	c.Assert(index.Loading, qt.IsTrue)
 	c.Assert(index.TurnMs > 1500 && index.TurnMs < 2500, qt.IsTrue)
-	c.Assert(b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "other"}).Holders, qt.HasLen, 0)
+	c.Assert(b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "other"}).Holders, qt.HasLen, 0)
 }
 
 // Before any list was read, nothing is claimed.
 func TestUnknownBeforeTheList(t *testing.T) {
 	c := qt.New(t)
-	k := New(standBounds, "one", "list", 47)
+	k := New(simBounds, "one", "list", 47)
 	c.Assert(k.LookUp(1, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m001"}).Known, qt.IsFalse)
 	c.Assert(k.ListAgeMs(1), qt.Equals, int64(-1))
 }
@@ -139,33 +139,33 @@
 // A service that holds no models is answered with its runners.
 func TestPlainServiceHasItsRunners(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c)
-	b.k.Fleet(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{
+	b := newHarness(c)
+	b.manager.HandleRunnerList(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{
 		{ID: "p1", Service: "plain", Address: "10.0.0.8:80", Slots: 6, LeftMs: -1},
 		{ID: "p2", Service: "plain", Address: "10.0.0.9:80", Slots: 6, LeftMs: 2000, Leaving: true},
 	}})
-	index := b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "plain"})
+	index := b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "plain"})
 	c.Assert(index.Holders, qt.HasLen, 1)
 	c.Assert(index.Holders[0].ID, qt.Equals, "p1")
 	c.Assert(index.Holders[0].Adapter, qt.IsTrue)
-	c.Assert(b.k.Leaving(), qt.DeepEquals, []string{"p2"})
+	c.Assert(b.manager.LeavingRunners(), qt.DeepEquals, []string{"p2"})
 }
 
 // A silent runner is not offered unless it is the only holder.
 func TestSilentRunners(t *testing.T) {
 	c := qt.New(t)
-	b := newBench(c, "m001")
+	b := newHarness(c, "m001")
 	for range 3 {
 		b.tick(1000)
-		b.k.State(b.nowMs, protocol.RunnerStateResult{Runner: b.asked.Runner, Number: b.asked.Number})
+		b.manager.HandleRunnerState(b.nowMs, protocol.RunnerStateResult{Runner: b.lastPoll.Runner, Number: b.lastPoll.Number})
 	}
-	c.Assert(b.k.runners["r1"].suspect, qt.IsTrue)
-	c.Assert(b.holds("m001"), qt.IsTrue)
+	c.Assert(b.manager.runners["r1"].Suspect, qt.IsTrue)
+	c.Assert(b.offers("m001"), qt.IsTrue)
 	e := protocol.RunnerEntry{Service: llm, Slots: 64, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m001"}}}
 	first, second := e, e
 	first.ID, first.Address, second.ID, second.Address = "r1", "10.0.0.1:80", "r2", "10.0.0.2:80"
-	b.k.Fleet(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{first, second}})
-	holders := b.k.index(b.nowMs, llm, "m001", "").Holders
+	b.manager.HandleRunnerList(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{first, second}})
+	holders := b.manager.reply(b.nowMs, llm, "m001", "").Holders
 	c.Assert(holders, qt.HasLen, 1)
 	c.Assert(holders[0].ID, qt.Equals, "r2")
 }
@@ -173,24 +173,24 @@
 // A follower answers as the primary does, counts, and goes on from there.
 func TestFollowerAnswersFromTheSnapshot(t *testing.T) {
 	c := qt.New(t)
-	s := newStand(t, 8, newMap(20, 42, 4.2), 8)
+	s := newPlatformSim(t, 8, newServiceMap(20, 42, 4.2), 8)
 	s.fill(0, 1)
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	play(s, load, 6, func(int64) {
 		if s.poisson(10) {
 			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(9)))
 		}
 	})
 	var wired bytes.Buffer
-	c.Assert(gob.NewEncoder(&wired).Encode(k.Soft()), qt.IsNil)
+	c.Assert(gob.NewEncoder(&wired).Encode(k.Snapshot()), qt.IsNil)
 	t.Logf("%d bytes", wired.Len())
-	var image Soft
+	var image IndexSnapshot
 	c.Assert(gob.NewDecoder(&wired).Decode(&image), qt.IsNil)
 	follower := New(s.bounds, "two", "list", 47)
 	follower.SetMap(s.m)
-	follower.TakeSoft(s.events.NowMs(), image)
+	follower.ApplySnapshot(s.events.NowMs(), image)
 	from := protocol.Node{Name: "router"}
 	ids := func(x protocol.IndexReply) map[string]bool {
 		out := map[string]bool{}
@@ -203,26 +203,26 @@
 		in := protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: fmt.Sprintf("a%d", i+1), Tokens: 5, Waits: i == 0}
 		index := follower.LookUp(s.events.NowMs(), from, in)
 		c.Assert(index.Known, qt.IsTrue)
-		c.Assert(index.Change, qt.Equals, k.Change())
-		c.Assert(ids(index), qt.DeepEquals, ids(k.index(s.events.NowMs(), llm, "m000", in.Adapter)))
+		c.Assert(index.Change, qt.Equals, k.Revision())
+		c.Assert(ids(index), qt.DeepEquals, ids(k.reply(s.events.NowMs(), llm, "m000", in.Adapter)))
 	}
 	// Those who only want to be sure of a holder wait for no load.
-	c.Assert(follower.Waits(), qt.IsFalse)
+	c.Assert(follower.HasWaitingRequests(), qt.IsFalse)
 	follower.LookUp(s.events.NowMs(), from, protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: "a30", Waits: true})
-	c.Assert(follower.Waits(), qt.IsTrue)
+	c.Assert(follower.HasWaitingRequests(), qt.IsTrue)
 	demand := follower.DrainDemand()
 	c.Assert(demand, qt.HasLen, 10)
 	c.Assert(follower.DrainDemand(), qt.HasLen, 0)
-	before := k.services[llm].models["m000"].want.fast
-	k.TakeDemand(s.events.NowMs(), demand)
-	c.Assert(k.services[llm].models["m000"].want.fast > before, qt.IsTrue)
+	before := k.services[llm].Models["m000"].Demand.fast
+	k.AddDemand(s.events.NowMs(), demand)
+	c.Assert(k.services[llm].Models["m000"].Demand.fast > before, qt.IsTrue)
 	// A holder that goes is told to those who asked the follower.
 	follower.Tick(s.events.NowMs(), 0)
 	image.Change += 5
 	for i := range image.Runners {
 		image.Runners[i].Models = nil
 	}
-	follower.TakeSoft(s.events.NowMs(), image)
+	follower.ApplySnapshot(s.events.NowMs(), image)
 	_, tells := follower.Tick(s.events.NowMs(), 0)
 	c.Assert(tells, qt.HasLen, 10)
 	c.Assert(tells[0].Index.Holders, qt.HasLen, 0)
--- a/internal/placement/keeper_test.go
+++ b/internal/placement/manager_test.go
@@ -10,7 +10,7 @@
 )
 
 // play runs a stand with one keeper and demand for so many seconds.
-func play(s *stand, t *traffic, seconds int, each func(ms int64)) {
+func play(s *platformSim, t *routerSim, seconds int, each func(ms int64)) {
 	end := s.events.NowMs() + int64(seconds)*1000
 	for s.events.NowMs() < end {
 		s.step()
@@ -20,9 +20,9 @@
 }
 
 // poisson says how often something of a rate happens within 10 ms.
-func (s *stand) poisson(perSec float64) bool { return s.rnd.Float64() < perSec/100 }
+func (s *platformSim) poisson(perSec float64) bool { return s.rnd.Float64() < perSec/100 }
 
-func (s *stand) copies(name string) int {
+func (s *platformSim) copies(name string) int {
 	n := 0
 	for _, r := range s.runners {
 		if _, ok := r.held[name]; ok && !r.dead {
@@ -39,12 +39,12 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := qt.New(t)
 			// A slow store is the one whose pace binds.
-			s := newStand(t, seed, newMap(39, 42, []float64{4.2, 1.2}[seed%2]), 12)
+			s := newPlatformSim(t, seed, newServiceMap(39, 42, []float64{4.2, 1.2}[seed%2]), 12)
 			s.fill(0, 1)
-			s.lossIn, s.lossOut = 0.15, 0.15
-			k := s.keeper("one")
-			k.Begin(s.events.NowMs(), 1, s.events.NowMs()+500)
-			load := newTraffic(s, k)
+			s.requestLoss, s.replyLoss = 0.15, 0.15
+			k := s.manager("one")
+			k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+500)
+			load := newRouterSim(s, k)
 			hot := 0
 			play(s, load, 40, func(ms int64) {
 				if ms%3000 == 0 {
@@ -70,22 +70,22 @@
 				}
 				if ms == 21_000 {
 					// Another holder takes over while the first still believes.
-					next := s.keeper("two")
-					next.TakeSoft(s.events.NowMs(), k.Soft())
-					next.Begin(s.events.NowMs(), 2, s.events.NowMs()+100)
-					load.k = next
+					next := s.manager("two")
+					next.ApplySnapshot(s.events.NowMs(), k.Snapshot())
+					next.BecomePrimary(s.events.NowMs(), 2, s.events.NowMs()+100)
+					load.manager = next
 				}
 			})
-			c.Assert(s.breaches, qt.HasLen, 0)
-			c.Assert(s.ceiling() <= s.allowed(), qt.IsTrue, qt.Commentf("%d loads, %d allowed", s.ceiling(), s.allowed()))
+			c.Assert(s.violations, qt.HasLen, 0)
+			c.Assert(s.mostStoreLoads() <= s.allowedStoreLoads(), qt.IsTrue, qt.Commentf("%d loads, %d allowed", s.mostStoreLoads(), s.allowedStoreLoads()))
 			c.Assert(s.orders > 30, qt.IsTrue)
-			c.Assert(s.keepers[0].fenced, qt.IsTrue)
+			c.Assert(s.managers[0].fenced, qt.IsTrue)
 		})
 	}
 }
 
 // crash ends one runner's life; another begins at its address.
-func (s *stand) crash(n int) {
+func (s *platformSim) crash(n int) {
 	ids := sortedKeys(s.runners)
 	r := s.runners[ids[n%len(ids)]]
 	r.dead = true
@@ -100,11 +100,11 @@
 // Demand that moves to another model has its copies within a few seconds.
 func TestCopiesFollowDemand(t *testing.T) {
 	c := qt.New(t)
-	s := newStand(t, 3, newMap(39, 42, 4.2), 12)
+	s := newPlatformSim(t, 3, newServiceMap(39, 42, 4.2), 12)
 	s.fill(0, 1)
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	both := func(a, b string) func(ms int64) {
 		return func(int64) {
 			if s.poisson(47) {
@@ -128,19 +128,19 @@
 	c.Assert(s.copies("m004") >= 2, qt.IsTrue, qt.Commentf("%d copies", s.copies("m004")))
 	play(s, load, 5, both("m000", "m001"))
 	c.Assert(s.copies("m000") >= 2, qt.IsTrue)
-	c.Assert(s.breaches, qt.HasLen, 0)
-	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.starts), s.orders, load.denied)
+	c.Assert(s.violations, qt.HasLen, 0)
+	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, load.denied)
 	c.Assert(load.lateShare(3000) < 0.01, qt.IsTrue)
 }
 
 // Many rare models asked for at once come in turn, none is left out for ever.
 func TestCrowdForRareModels(t *testing.T) {
 	c := qt.New(t)
-	s := newStand(t, 4, newMap(39, 0, 4.2), 12)
+	s := newPlatformSim(t, 4, newServiceMap(39, 0, 4.2), 12)
 	s.fill(0, 1)
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	play(s, load, 30, func(ms int64) {
 		if s.poisson(40) {
 			load.ask("m000", "")
@@ -156,26 +156,26 @@
 			load.ask(s.engine.Models[5+s.rnd.IntN(34)].Name, "")
 		}
 	})
-	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.starts), s.orders, load.denied)
+	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, load.denied)
 	c.Assert(load.lateShare(3000) < 0.02, qt.IsTrue)
 	for key, asked := range load.asked {
 		c.Assert(load.late[key]*2 <= asked+1, qt.IsTrue, qt.Commentf("%v", key))
 	}
-	c.Assert(s.breaches, qt.HasLen, 0)
+	c.Assert(s.violations, qt.HasLen, 0)
 }
 
 // The adapters of one model are spread over its runners, each there once
 // before any is there often, and nobody waits for long.
 func TestAdaptersSpread(t *testing.T) {
 	c := qt.New(t)
-	s := newStand(t, 5, newMap(4, 42, 4.2), 5)
+	s := newPlatformSim(t, 5, newServiceMap(4, 42, 4.2), 5)
 	for _, r := range s.runners {
 		r.held["m000"] = map[string]bool{}
 	}
-	s.noteList()
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	s.recordList()
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	play(s, load, 20, func(ms int64) {
 		if s.poisson(12) {
 			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(42)))
@@ -194,17 +194,17 @@
 	t.Logf("held %d; late over 0.2 s: %.3f, 0.4 s: %.3f, over 1 s: %.3f, orders %d, denied %d", len(held), load.lateShare(200), load.lateShare(400), load.lateShare(1000), s.orders, load.denied)
 	c.Assert(len(held) >= 36, qt.IsTrue)
 	c.Assert(load.lateShare(1000) < 0.02, qt.IsTrue)
-	c.Assert(s.breaches, qt.HasLen, 0)
+	c.Assert(s.violations, qt.HasLen, 0)
 }
 
 // What a leaving runner alone holds is loaded elsewhere while it still serves.
 func TestLeavingRunnersThingsMove(t *testing.T) {
 	c := qt.New(t)
-	s := newStand(t, 6, newMap(9, 0, 4.2), 5)
+	s := newPlatformSim(t, 6, newServiceMap(9, 0, 4.2), 5)
 	s.fill()
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	ask := func(ms int64) {
 		if s.poisson(5) {
 			load.ask(s.engine.Models[s.rnd.IntN(9)].Name, "")
@@ -214,7 +214,7 @@
 	leaver := s.runners[sortedKeys(s.runners)[0]]
 	leaver.entry.Leaving = true
 	play(s, load, 6, ask)
-	c.Assert(k.Leaving(), qt.DeepEquals, []string{leaver.entry.ID})
+	c.Assert(k.LeavingRunners(), qt.DeepEquals, []string{leaver.entry.ID})
 	for name := range leaver.held {
 		c.Assert(s.copies(name) >= 2, qt.IsTrue, qt.Commentf("%s", name))
 		for _, h := range k.LookUp(s.events.NowMs(), load.from, protocol.IndexLookUp{Service: llm, Model: name}).Holders {
@@ -224,9 +224,9 @@
 	// Leaving stays, whatever a later list says, and while it is gone.
 	leaver.entry.Leaving = false
 	play(s, load, 2, ask)
-	c.Assert(k.Leaving(), qt.HasLen, 1)
+	c.Assert(k.LeavingRunners(), qt.HasLen, 1)
 	delete(s.runners, leaver.entry.ID)
 	play(s, load, 3, ask)
-	c.Assert(k.Leaving(), qt.HasLen, 1)
-	c.Assert(s.breaches, qt.HasLen, 0)
+	c.Assert(k.LeavingRunners(), qt.HasLen, 1)
+	c.Assert(s.violations, qt.HasLen, 0)
 }
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -3,93 +3,93 @@
 import "myrtlewinch/internal/protocol"
 
 const (
-	// orderMs is the longest an order may wait to be written.
-	orderMs = 600
-	// holdMarginMs is kept clear of the end of the hold.
-	holdMarginMs = 100
+	// orderTimeoutMs is the longest an order may wait to be written.
+	orderTimeoutMs = 600
+	// leaseMarginMs is kept clear of the end of the hold.
+	leaseMarginMs = 100
 )
 
-// Commanded takes what became of the call of an order.
-func (k *Keeper) Commanded(nowMs int64, in protocol.RunnerOrderResult) {
+// HandleOrderResult takes what became of the call of an order.
+func (k *Manager) HandleOrderResult(nowMs int64, in protocol.RunnerOrderResult) {
 	r := k.runners[in.Runner]
 	if !k.active || r == nil {
 		return
 	}
-	o := r.order
-	if o == nil || o.number != in.Number {
-		k.counts.Late++
+	o := r.Order
+	if o == nil || o.Number != in.Number {
+		k.counters.Late++
 		if in.Outcome == protocol.OutcomeFenced {
-			k.lowFence()
+			k.stopOrdering()
 		}
 		return
 	}
 	switch in.Outcome {
 	case protocol.OutcomeAccepted:
-		k.counts.Taken++
+		k.counters.Taken++
 	case protocol.OutcomeBusy, protocol.OutcomeAlreadyInEffect, protocol.OutcomeNotSent:
-		k.counts.Busy++
+		k.counters.Busy++
 	case protocol.OutcomeRefused:
-		k.counts.Refused++
+		k.counters.Refused++
 	case protocol.OutcomeUnknown:
-		k.counts.Unknown++
+		k.counters.Unknown++
 	case protocol.OutcomeFenced:
-		k.lowFence()
+		k.stopOrdering()
 	}
-	if !r.said(nowMs, in.Outcome, k) {
-		k.store.settled(nowMs, in.Number, false)
+	if !r.ApplyOutcome(nowMs, in.Outcome, k) {
+		k.store.Settle(nowMs, in.Number, false)
 	} else if in.Outcome == protocol.OutcomeAccepted {
-		k.store.settled(nowMs, in.Number, true)
+		k.store.Settle(nowMs, in.Number, true)
 	}
-	k.replan = true
+	k.replanNeeded = true
 }
 
-// lowFence stops all orders: another holder has a higher fence.
-func (k *Keeper) lowFence() {
-	k.fenced, k.fencedAt = true, k.epoch
+// stopOrdering stops all orders: another holder has a higher fence.
+func (k *Manager) stopOrdering() {
+	k.fenced, k.fencedEpoch = true, k.epoch
 }
 
 // mayOrder says whether orders may go out now.
-func (k *Keeper) mayOrder(nowMs, holdUntilMs int64) bool {
-	return k.allowed && k.active && !k.fenced && k.m != nil && k.listOkMs > 0 && nowMs >= k.ordersFromMs && nowMs < holdUntilMs-holdMarginMs
+func (k *Manager) mayOrder(nowMs, holdUntilMs int64) bool {
+	return k.ordersAllowed && k.active && !k.fenced && k.serviceMap != nil && k.listReadMs > 0 && nowMs >= k.ordersFromMs && nowMs < holdUntilMs-leaseMarginMs
 }
 
-// order writes an order into the ledger and sends it.
-func (k *Keeper) order(nowMs, holdUntilMs int64, r *runner, mv move) {
-	k.number++
-	o := &command{thing: mv.thing, number: k.number, load: mv.load, fromStore: mv.fromStore}
-	r.intend(nowMs, o, k)
+// sendOrder writes an order into the ledger and sends it.
+func (k *Manager) sendOrder(nowMs, holdUntilMs int64, r *Runner, mv Move) {
+	k.lastNumber++
+	o := &Order{Item: mv.Item, Number: k.lastNumber, Load: mv.Load, FromStore: mv.FromStore}
+	r.BeginOrder(nowMs, o, k)
 	switch {
-	case mv.load && mv.Adapter != "":
-		k.counts.AdapterLoads++
+	case mv.Load && mv.Adapter != "":
+		k.counters.AdapterLoads++
 	case mv.Adapter != "":
-		k.counts.AdapterUnloads++
-	case mv.load:
-		k.counts.Loads++
+		k.counters.AdapterUnloads++
+	case mv.Load:
+		k.counters.Loads++
 	default:
-		k.counts.Unloads++
+		k.counters.Unloads++
 	}
-	if mv.fromStore {
-		k.counts.StoreLoads++
-		k.store.sent(o.number)
+	if mv.FromStore {
+		k.counters.StoreLoads++
+		k.store.Reserve(o.Number)
 	}
-	if mv.load && r.plan == mv.thing {
-		r.plan = thing{}
+	if mv.Load && r.ReservedFor == mv.Item {
+		r.ReservedFor = Item{}
 	}
-	if !mv.load && mv.plan.Model != "" {
-		r.plan, r.planMs = mv.plan, nowMs+planKeptMs
+	if !mv.Load && mv.ReserveFor.Model != "" {
+		r.ReservedFor, r.ReservedUntilMs = mv.ReserveFor, nowMs+reservationMs
 	}
-	k.send(nowMs, holdUntilMs, r)
-	if mv.load && mv.Adapter == "" {
+	k.callRunner(nowMs, holdUntilMs, r)
+	if mv.Load && mv.Adapter == "" {
 		// Those who wait learn that it is under way.
-		k.touch(r.service.model(mv.Model))
+		k.HoldersChanged(r.Service.Model(mv.Model))
 	}
 }
 
-func (k *Keeper) send(nowMs, holdUntilMs int64, r *runner) {
-	o := r.order
-	o.untilMs = min(nowMs+orderMs, holdUntilMs)
-	k.calls = append(k.calls, protocol.OutboundCall{Address: r.entry.Address, Body: protocol.RunnerOrder{
-		Runner: r.entry.ID, Number: o.number, Holder: k.holder, Fence: k.epoch,
-		Load: o.load, Model: o.Model, Adapter: o.Adapter, Expected: o.expected, UntilMs: o.untilMs,
+func (k *Manager) callRunner(nowMs, holdUntilMs int64, r *Runner) {
+	o := r.Order
+	o.DeadlineMs = min(nowMs+orderTimeoutMs, holdUntilMs)
+	k.calls = append(k.calls, protocol.OutboundCall{Address: r.Entry.Address, Body: protocol.RunnerOrder{
+		Runner: r.Entry.ID, Number: o.Number, Holder: k.selfName, Fence: k.epoch,
+		Load: o.Load, Model: o.Model, Adapter: o.Adapter, Expected: o.ExpectedCount, UntilMs: o.DeadlineMs,
 	}})
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -2,72 +2,72 @@
 
 // The figures of the placement.
 const (
-	// planKeptMs is for how long room made at a runner is kept for what it was
+	// reservationMs is for how long room made at a runner is kept for what it was
 	// made for.
-	planKeptMs = 8_000
-	// candidates bounds how much is planned at one time.
-	candidates = 24
+	reservationMs = 8_000
+	// maxCandidates bounds how much is planned at one time.
+	maxCandidates = 24
 )
 
-// move is an order that the planner wants given.
-type move struct {
-	runner *runner
-	thing
-	load, fromStore bool
-	// plan is what an unload makes room for.
-	plan thing
+// Move is an order that the planner wants given.
+type Move struct {
+	Runner *Runner
+	Item
+	Load, FromStore bool
+	// ReserveFor is what an unload makes room for.
+	ReserveFor Item
 }
 
-// budget is what the store allows now.
-type budget struct {
-	// left is how many loads may begin; atOnce how many more may run side by
+// Budget is what the store allows now.
+type Budget struct {
+	// StoreLoads is how many loads may begin; Concurrency how many more may run side by
 	// side; fill that there is time for what nobody asks for.
-	left, atOnce int
-	fill         bool
+	StoreLoads, Concurrent int
+	Prefetch               bool
 }
 
-// planner works out which orders bring a service closer to what is asked of
+// Planner works out which orders bring a service closer to what is asked of
 // it. It changes nothing but the models' scratch figures.
-type planner struct {
-	nowMs   int64
-	service *service
-	budget  budget
-	fit     func(r *runner) bool
-	moves   []move
-	used    map[*runner]bool
-	lacks   []lack
+type Planner struct {
+	nowMs        int64
+	service      *Service
+	budget       Budget
+	acceptsLoads func(r *Runner) bool
+	Moves        []Move
+	used         map[*Runner]bool
+	shortages    []modelShortage
 }
 
-// plan fills the moves for one service.
-func (p *planner) plan(nowMs int64, s *service, b budget, fit func(r *runner) bool) {
-	p.nowMs, p.service, p.budget, p.fit = nowMs, s, b, fit
-	p.moves, p.lacks = p.moves[:0], p.lacks[:0]
+// Plan fills the moves for one service.
+func (p *Planner) Plan(nowMs int64, s *Service, b Budget, fit func(r *Runner) bool) {
+	p.nowMs, p.service, p.budget, p.acceptsLoads = nowMs, s, b, fit
+	p.Moves, p.shortages = p.Moves[:0], p.shortages[:0]
 	if p.used == nil {
-		p.used = map[*runner]bool{}
+		p.used = map[*Runner]bool{}
 	}
 	clear(p.used)
-	p.weigh()
-	p.planned()
-	p.adapters()
-	p.models()
+	p.computeTargets()
+	p.loadReserved()
+	p.placeAdapters()
+	p.placeModels()
 }
 
-// planned orders the loads that room was made for.
-func (p *planner) planned() {
-	for _, r := range p.service.runners {
-		x := r.plan
+// loadReserved orders the loads that room was made for.
+func (p *Planner) loadReserved() {
+	for _, r := range p.service.Runners {
+		x := r.ReservedFor
 		if x.Model == "" {
 			continue
 		}
-		if p.nowMs >= r.planMs || !p.fit(r) || r.offers(x) {
-			r.plan = thing{}
+		if p.nowMs >= r.ReservedUntilMs || !p.acceptsLoads(r) || r.Offers(x) {
+			r.ReservedFor = Item{}
 			continue
 		}
-		if !r.idle(p.nowMs, true) || !p.roomFor(r, x) {
+		if !r.CanTakeLoad(p.nowMs, true) || !p.fits(r, x) {
 			continue
 		}
-		if x.Adapter != "" && !r.offers(thing{Model: x.Model}) {
-			r.plan = thing{}
+		if x.Adapter != "" && !r.Offers(Item{Model: x.Model}) {
+			r.ReservedFor = Item{}
 			continue
 		}
 		p.load(r, x)
@@ -75,62 +75,62 @@
 }
 
 // load orders a load if the store permits it.
-func (p *planner) load(r *runner, x thing) bool {
-	mv := move{runner: r, thing: x, load: true}
-	if x.Adapter == "" && !r.disk[x.Model] {
-		if p.budget.left <= 0 || p.budget.atOnce <= 0 {
+func (p *Planner) load(r *Runner, x Item) bool {
+	mv := Move{Runner: r, Item: x, Load: true}
+	if x.Adapter == "" && !r.OnDisk[x.Model] {
+		if p.budget.StoreLoads <= 0 || p.budget.Concurrent <= 0 {
 			return false
 		}
-		p.budget.left--
-		p.budget.atOnce--
-		mv.fromStore = true
+		p.budget.StoreLoads--
+		p.budget.Concurrent--
+		mv.FromStore = true
 	}
-	p.moves = append(p.moves, mv)
+	p.Moves = append(p.Moves, mv)
 	p.used[r] = true
-	if r.plan != x || p.nowMs >= r.planMs {
-		p.comes(x)
+	if r.ReservedFor != x || p.nowMs >= r.ReservedUntilMs {
+		p.countComing(x)
 	}
 	return true
 }
 
-func (p *planner) unload(r *runner, x, why thing) {
-	p.moves = append(p.moves, move{runner: r, thing: x, plan: why})
+func (p *Planner) unload(r *Runner, x, why Item) {
+	p.Moves = append(p.Moves, Move{Runner: r, Item: x, ReserveFor: why})
 	p.used[r] = true
-	if m := p.service.models[x.Model]; m != nil {
+	if m := p.service.Models[x.Model]; m != nil {
 		if x.Adapter == "" {
-			m.copies--
-		} else if a := m.adapters[x.Adapter]; a != nil {
-			a.copies--
+			m.Copies--
+		} else if a := m.Adapters[x.Adapter]; a != nil {
+			a.Copies--
 		}
 	}
-	if why.Model != "" && r.plan != why {
-		p.comes(why)
+	if why.Model != "" && r.ReservedFor != why {
+		p.countComing(why)
 	}
 }
 
-// roomFor says whether a thing fits beside all that a runner holds.
-func (p *planner) roomFor(r *runner, x thing) bool {
-	m := p.service.models[x.Model]
-	if m == nil || !m.mapped || r.has(x) {
+// fits says whether a thing fits beside all that a runner holds.
+func (p *Planner) fits(r *Runner, x Item) bool {
+	m := p.service.Models[x.Model]
+	if m == nil || !m.Configured || r.Has(x) {
 		return false
 	}
-	free := p.service.engine.RoomMb - r.takenMb()
+	free := p.service.Engine.RoomMb - r.UsedMb()
 	if x.Adapter == "" {
-		return m.spec.Mb <= free
+		return m.Spec.Mb <= free
 	}
-	return m.spec.AdapterMb <= free && r.takenAdapters() < p.service.engine.AdapterRoom
+	return m.Spec.AdapterMb <= free && r.UsedAdapterSlots() < p.service.Engine.AdapterRoom
 }
 
-// kept says whether the room of a runner is kept for something else.
-func (p *planner) kept(r *runner, x thing) bool {
-	return r.plan.Model != "" && r.plan != x && p.nowMs < r.planMs
+// reservedForOther says whether the room of a runner is kept for something else.
+func (p *Planner) reservedForOther(r *Runner, x Item) bool {
+	return r.ReservedFor.Model != "" && r.ReservedFor != x && p.nowMs < r.ReservedUntilMs
 }
 
-// pressed is how full a runner is with work.
-func (p *planner) pressed(r *runner) float64 {
-	out := float64(r.state.Active+r.state.Queued) / float64(max(1, p.service.engine.Slots))
-	if r.state.CacheTotal > 0 {
-		out = max(out, float64(r.state.CacheUsed)/float64(r.state.CacheTotal))
+// utilization is how full a runner is with work.
+func (p *Planner) utilization(r *Runner) float64 {
+	out := float64(r.State.Active+r.State.Queued) / float64(max(1, p.service.Engine.Slots))
+	if r.State.CacheTotal > 0 {
+		out = max(out, float64(r.State.CacheUsed)/float64(r.State.CacheTotal))
 	}
 	return out
 }
--- a/internal/placement/planner_bench_test.go
+++ b/internal/placement/planner_bench_test.go
@@ -7,13 +7,13 @@
 
 // The cost of a second of the keeper's life at a large site.
 func BenchmarkLargeSite(b *testing.B) {
-	m := newMap(747, 42, 46)
+	m := newServiceMap(747, 42, 46)
 	m.Services[0].Engine.Slots = 12
-	s := newStand(b, 1, m, 140)
+	s := newPlatformSim(b, 1, m, 140)
 	s.fill(0, 1)
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	ask := func(int64) {
 		for range 4 {
 			if s.poisson(40) {
@@ -25,8 +25,8 @@
 		}
 	}
 	play(s, load, 20, ask)
-	b.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d), orders %d, m000 %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.starts), s.orders, s.copies("m000"))
-	s.keepers = nil
+	b.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d), orders %d, m000 %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, s.copies("m000"))
+	s.managers = nil
 	b.ReportAllocs()
 	for b.Loop() {
 		// A tick of 50 ms with the look-ups of it.
@@ -36,7 +36,7 @@
 		for range 3 {
 			load.ask(fmt.Sprintf("m%03d", s.rnd.IntN(747)), "")
 		}
-		k.replan = true
+		k.replanNeeded = true
 		k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 		s.events.Clear()
 		s.events.RunFor(50)
--- a/internal/placement/planner_models.go
+++ b/internal/placement/planner_models.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// stayMs is how long what was loaded stays at least; silentStayMs how long
+	// minStayMs is how long what was loaded stays at least; minStayUnrequestedMs how long
 	// it must not have been asked for to go sooner.
-	stayMs       = 4_000
-	silentStayMs = 2_000
-	// coldCost and waitCost are what a load from the store counts against one
+	minStayMs            = 4_000
+	minStayUnrequestedMs = 2_000
+	// storeLoadCost and waitingLoadCost are what a load from the store counts against one
 	// from the runner's own disk, and more where someone waits for it.
-	coldCost, waitCost = 0.8, 0.8
-	// thrash is by how much what comes must be worth more than what goes.
-	thrash      = 1.5
-	thrashFloor = 0.1
+	storeLoadCost, waitingLoadCost = 0.8, 0.8
+	// evictionFactor is by how much what comes must be worth more than what goes.
+	evictionFactor = 1.5
+	evictionMargin = 0.1
 )
 
-// lack is a model that should be held more often than it is.
-type lack struct {
-	model   *model
+// modelShortage is a model that should be held more often than it is.
+type modelShortage struct {
+	model   *Model
 	value   float64
 	waiting bool
-	// fill says that nobody asks for it: it only takes room that is free.
-	fill bool
+	// prefetch says that nobody asks for it: it only takes room that is free.
+	prefetch bool
 }
 
-// models gives each model that lacks a copy its best runner, dearest first.
-func (p *planner) models() {
-	free := p.roomToFill()
-	for _, m := range p.service.names {
-		have := m.copies + m.coming
-		m.queueMs = -1
+// placeModels gives each model that lacks a copy its best runner, dearest first.
+func (p *Planner) placeModels() {
+	free := p.roomToPrefetch()
+	for _, m := range p.service.Configured {
+		have := m.Copies + m.Coming
+		m.QueueMs = -1
 		switch {
-		case have < m.wanted:
-			p.lacks = append(p.lacks, lack{model: m, value: p.value(m, have+1), waiting: have == 0 && m.want.waiting(p.nowMs)})
-		case have == 0 && free && p.budget.fill:
-			p.lacks = append(p.lacks, lack{model: m, value: p.value(m, 1), fill: true})
+		case have < m.Wanted:
+			p.shortages = append(p.shortages, modelShortage{model: m, value: p.modelValue(m, have+1), waiting: have == 0 && m.Demand.HasWaiting(p.nowMs)})
+		case have == 0 && free && p.budget.Prefetch:
+			p.shortages = append(p.shortages, modelShortage{model: m, value: p.modelValue(m, 1), prefetch: true})
 		}
 	}
-	slices.SortStableFunc(p.lacks, func(a, b lack) int {
+	slices.SortStableFunc(p.shortages, func(a, b modelShortage) int {
 		// What someone waits for is worth more, but a crowd on one copy of a
 		// busy model still goes before the first copy of a rare one.
-		if a.fill != b.fill {
-			if b.fill {
+		if a.prefetch != b.prefetch {
+			if b.prefetch {
 				return -1
 			}
 			return 1
@@ -53,74 +53,74 @@
 		return cmp.Compare(b.value, a.value)
 	})
 	filled := false
-	for i, l := range p.lacks {
-		if i >= candidates {
+	for i, l := range p.shortages {
+		if i >= maxCandidates {
 			break
 		}
-		if l.fill && filled {
+		if l.prefetch && filled {
 			break
 		}
-		if p.placeModel(l, !l.fill) && l.fill {
+		if p.placeModel(l, !l.prefetch) && l.prefetch {
 			filled = true
 		}
 	}
-	if p.service.engine.LoadsPerSec <= 0 {
+	if p.service.Engine.LoadsPerSec <= 0 {
 		return
 	}
-	for i, l := range p.lacks {
-		if l.model.copies+l.model.coming == 0 {
-			l.model.queueMs = int64(float64(i+1) * 1000 / p.service.engine.LoadsPerSec)
+	for i, l := range p.shortages {
+		if l.model.Copies+l.model.Coming == 0 {
+			l.model.QueueMs = int64(float64(i+1) * 1000 / p.service.Engine.LoadsPerSec)
 		}
 	}
 }
 
-// roomToFill says whether what nobody asks for may take free room: one of the
+// roomToPrefetch says whether what nobody asks for may take free room: one of the
 // runners must have room for it, and one for the largest model, or it will once
 // what it unloads is gone.
-func (p *planner) roomToFill() bool {
+func (p *Planner) roomToPrefetch() bool {
 	smallestMb, largestMb := math.Inf(1), 0.0
-	for _, m := range p.service.names {
-		largestMb = max(largestMb, m.spec.Mb)
-		if m.copies+m.coming == 0 {
-			smallestMb = min(smallestMb, m.spec.Mb)
+	for _, m := range p.service.Configured {
+		largestMb = max(largestMb, m.Spec.Mb)
+		if m.Copies+m.Coming == 0 {
+			smallestMb = min(smallestMb, m.Spec.Mb)
 		}
 	}
 	small, large := false, false
-	for _, r := range p.service.runners {
-		if !p.fit(r) || p.kept(r, thing{}) {
+	for _, r := range p.service.Runners {
+		if !p.acceptsLoads(r) || p.reservedForOther(r, Item{}) {
 			continue
 		}
-		freeMb := p.service.engine.RoomMb - r.takenMb()
+		freeMb := p.service.Engine.RoomMb - r.UsedMb()
 		small = small || freeMb >= smallestMb
-		large = large || freeMb >= largestMb || r.order != nil && !r.order.load && r.order.Adapter == ""
+		large = large || freeMb >= largestMb || r.Order != nil && !r.Order.Load && r.Order.Adapter == ""
 	}
 	return small && large
 }
 
 // placeModel loads a model where it fits, or makes room for it where least is
 // lost by that.
-func (p *planner) placeModel(l lack, evict bool) bool {
+func (p *Planner) placeModel(l modelShortage, evict bool) bool {
 	m := l.model
-	x := thing{Model: m.name}
-	cold := p.budget.left > 0 && p.budget.atOnce > 0
+	x := Item{Model: m.Name}
+	cold := p.budget.StoreLoads > 0 && p.budget.Concurrent > 0
 	zones := map[string]int{}
-	for _, r := range m.holders {
-		if !r.away() {
-			zones[r.entry.Zone]++
+	for _, r := range m.Holders {
+		if !r.Unavailable() {
+			zones[r.Entry.Zone]++
 		}
 	}
-	var best *runner
-	var victim thing
+	var best *Runner
+	var victim Item
 	lowest := math.Inf(1)
-	for _, r := range p.service.runners {
-		if p.used[r] || !p.fit(r) || !r.idle(p.nowMs, true) || r.has(x) || p.kept(r, x) {
+	for _, r := range p.service.Runners {
+		if p.used[r] || !p.acceptsLoads(r) || !r.CanTakeLoad(p.nowMs, true) || r.Has(x) || p.reservedForOther(r, x) {
 			continue
 		}
-		warm, hint := r.disk[m.name]
+		warm, hint := r.OnDisk[m.Name]
 		if !warm && !cold {
 			continue
 		}
-		score := 0.5*p.pressed(r) + 0.1*float64(zones[r.entry.Zone])
+		score := 0.5*p.utilization(r) + 0.1*float64(zones[r.Entry.Zone])
 		switch {
 		case warm:
 		case hint:
@@ -128,28 +128,28 @@
 		default:
 			// A load from the store takes longer, and counts; most for those who
 			// wait for it.
-			score += coldCost
+			score += storeLoadCost
 			if l.waiting {
-				score += waitCost
+				score += waitingLoadCost
 			}
 		}
-		if r.entry.SlowMs > 0 {
+		if r.Entry.SlowMs > 0 {
 			score += 0.3
 		}
-		first := thing{}
-		left := p.service.engine.RoomMb - r.takenMb() - m.spec.Mb
+		first := Item{}
+		left := p.service.Engine.RoomMb - r.UsedMb() - m.Spec.Mb
 		if left < 0 {
-			if !evict || r.order != nil {
+			if !evict || r.Order != nil {
 				continue
 			}
-			cost, running, out, ok := p.evict(r, -left, m, l)
-			if !ok || l.value <= thrash*cost+thrashFloor {
+			cost, running, out, ok := p.chooseModelEviction(r, -left, m, l)
+			if !ok || l.value <= evictionFactor*cost+evictionMargin {
 				continue
 			}
 			first = out
 			// An unload waits until its runs have finished.
 			score += cost + running + 0.05
-		} else if left < m.spec.AdapterMb*float64(p.service.engine.AdapterRoom) && m.spec.Adapters > 0 {
+		} else if left < m.Spec.AdapterMb*float64(p.service.Engine.AdapterRoom) && m.Spec.Adapters > 0 {
 			score += 0.05
 		}
 		if score < lowest {
@@ -166,46 +166,46 @@
 	return true
 }
 
-// evict finds the models of least value that would have to go for so much
+// chooseModelEviction finds the models of least value that would have to go for so much
 // room: what that costs, how likely they have requests running, and the first.
-func (p *planner) evict(r *runner, needMb float64, by *model, l lack) (cost, running float64, first thing, ok bool) {
+func (p *Planner) chooseModelEviction(r *Runner, needMb float64, by *Model, l modelShortage) (cost, running float64, first Item, ok bool) {
 	type group struct {
-		h     *heldModel
+		h     *HeldModel
 		value float64
 	}
 	var groups []group
-	for _, h := range r.held {
-		if h.going || h.model == by {
+	for _, h := range r.Held {
+		if h.Unloading || h.Model == by {
 			continue
 		}
-		if !h.model.mapped {
+		if !h.Model.Configured {
 			groups = append(groups, group{h, 0})
 			continue
 		}
-		ago := h.model.want.askedAgoMs(p.nowMs)
-		surplus := h.model.copies > h.model.wanted
+		ago := h.Model.Demand.SinceRequestMs(p.nowMs)
+		surplus := h.Model.Copies > h.Model.Wanted
 		// What came lately stays, unless nobody asks for it or many wait.
-		if p.nowMs-h.sinceMs < stayMs && ago < silentStayMs && !surplus && !(l.waiting && l.value > 8) {
+		if p.nowMs-h.SinceMs < minStayMs && ago < minStayUnrequestedMs && !surplus && !(l.waiting && l.value > 8) {
 			continue
 		}
-		groups = append(groups, group{h, p.value(h.model, h.model.copies)})
+		groups = append(groups, group{h, p.modelValue(h.Model, h.Model.Copies)})
 	}
 	slices.SortFunc(groups, func(a, b group) int {
-		return cmp.Or(cmp.Compare(a.value, b.value), cmp.Compare(a.h.model.name, b.h.model.name))
+		return cmp.Or(cmp.Compare(a.value, b.value), cmp.Compare(a.h.Model.Name, b.h.Model.Name))
 	})
 	for _, g := range groups {
 		if first.Model == "" {
-			first = thing{Model: g.h.model.name}
+			first = Item{Model: g.h.Model.Name}
 		}
 		cost += g.value
-		w := &g.h.model.want
-		if w.askedAgoMs(p.nowMs) < 3_000 {
-			running = max(running, 1-math.Exp(-w.fast*1.5/float64(max(1, g.h.model.copies))))
+		w := &g.h.Model.Demand
+		if w.SinceRequestMs(p.nowMs) < 3_000 {
+			running = max(running, 1-math.Exp(-w.fast*1.5/float64(max(1, g.h.Model.Copies))))
 		}
-		needMb -= g.h.model.spec.Mb + float64(len(g.h.adapters))*g.h.model.spec.AdapterMb
+		needMb -= g.h.Model.Spec.Mb + float64(len(g.h.Adapters))*g.h.Model.Spec.AdapterMb
 		if needMb <= 0 {
 			return cost, running, first, true
 		}
 	}
-	return 0, 0, thing{}, false
+	return 0, 0, Item{}, false
 }
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -10,150 +10,150 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// scene is a service whose runners are told, and what is asked of it.
-func scene(models int, held ...[]string) *service {
-	s := newService(llm)
-	m := newMap(models, 42, 4.2)
-	s.set(m.Services[0].Engine)
-	s.engine = m.Services[0].Engine
+// newScene is a service whose runners are told, and what is asked of it.
+func newScene(models int, held ...[]string) *Service {
+	s := NewService(llm)
+	m := newServiceMap(models, 42, 4.2)
+	s.SetEngine(m.Services[0].Engine)
+	s.Engine = m.Services[0].Engine
 	for i, names := range held {
-		r := newRunner(protocol.RunnerEntry{ID: fmt.Sprintf("r%d", i+1), Address: fmt.Sprint(i), Zone: string(rune('a' + i%3)), Slots: 64}, s)
-		r.clean = true
+		r := NewRunner(protocol.RunnerEntry{ID: fmt.Sprintf("r%d", i+1), Address: fmt.Sprint(i), Zone: string(rune('a' + i%3)), Slots: 64}, s)
+		r.Confirmed = true
 		var said []protocol.HeldModel
 		for _, name := range names {
 			said = append(said, protocol.HeldModel{Name: name})
 		}
-		r.adopt(0, said, silence{})
-		s.runners = append(s.runners, r)
+		r.ApplyModels(0, said, noObserver{})
+		s.Runners = append(s.Runners, r)
 	}
 	return s
 }
 
-type silence struct{}
+type noObserver struct{}
 
-func (silence) touch(*model) {}
+func (noObserver) HoldersChanged(*Model) {}
 
-// asks adds so many requests a second for ten seconds before nowMs.
-func (s *service) asks(nowMs int64, name string, perSec int) {
+// requestSteadily adds so many requests a second for ten seconds before nowMs.
+func (s *Service) requestSteadily(nowMs int64, name string, perSec int) {
 	for atMs := nowMs - 10_000; atMs < nowMs; atMs += 1000 / int64(perSec) {
-		s.models[name].want.add(atMs, 1, 1000, 0)
+		s.Models[name].Demand.Add(atMs, 1, 1000, 0)
 	}
 }
 
-const sceneMs = 100_000
+const sceneNowMs = 100_000
 
 func TestPlannerChooses(t *testing.T) {
-	full, one := budget{left: 10, atOnce: 8}, budget{left: 1, atOnce: 1}
+	full, one := Budget{StoreLoads: 10, Concurrent: 8}, Budget{StoreLoads: 1, Concurrent: 1}
 	for _, test := range []struct {
 		name   string
 		held   [][]string
-		demand func(s *service)
-		budget budget
+		demand func(s *Service)
+		budget Budget
 		want   []string
 	}{
-		{"nothing is asked: nothing moves", [][]string{{"m001"}, {"m002"}}, func(*service) {}, full, nil},
-		{"a fill takes free room, slowly", [][]string{{"m001"}, {"m000"}}, func(*service) {}, budget{left: 10, atOnce: 8, fill: true}, []string{"load m002"}},
-		{"a fill leaves the last room that a larger one would need", [][]string{{"m001", "m003"}}, func(s *service) {
-			s.engine.RoomMb = 215_000
-		}, budget{left: 10, atOnce: 8, fill: true}, nil},
-		{"what someone waits for is loaded into free room", [][]string{{"m001", "m002", "m000"}, {"m003"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
+		{"nothing is asked: nothing moves", [][]string{{"m001"}, {"m002"}}, func(*Service) {}, full, nil},
+		{"a fill takes free room, slowly", [][]string{{"m001"}, {"m000"}}, func(*Service) {}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, []string{"load m002"}},
+		{"a fill leaves the last room that a larger one would need", [][]string{{"m001", "m003"}}, func(s *Service) {
+			s.Engine.RoomMb = 215_000
+		}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, nil},
+		{"what someone waits for is loaded into free room", [][]string{{"m001", "m002", "m000"}, {"m003"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
 		}, full, []string{"r2 load m004"}},
-		{"the store's pace holds it back", [][]string{{"m001"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
-		}, budget{}, nil},
-		{"what the runner held before needs no store", [][]string{{"m001"}, {"m002"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
-			s.runners[1].disk["m004"] = true
-		}, budget{}, []string{"r2 load m004"}},
-		{"the silent one goes, not the asked one", [][]string{{"m001", "m002", "m003"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
-			s.asks(sceneMs, "m001", 5)
-			s.asks(sceneMs-20_000, "m002", 5)
-			s.asks(sceneMs, "m003", 5)
+		{"the store's pace holds it back", [][]string{{"m001"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
+		}, Budget{}, nil},
+		{"what the runner held before needs no store", [][]string{{"m001"}, {"m002"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
+			s.Runners[1].OnDisk["m004"] = true
+		}, Budget{}, []string{"r2 load m004"}},
+		{"the silent one goes, not the asked one", [][]string{{"m001", "m002", "m003"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
+			s.requestSteadily(sceneNowMs, "m001", 5)
+			s.requestSteadily(sceneNowMs-20_000, "m002", 5)
+			s.requestSteadily(sceneNowMs, "m003", 5)
 		}, full, []string{"r1 unload m002"}},
-		{"a surplus copy goes before a last one", [][]string{{"m001", "m002", "m003"}, {"m001", "m005", "m000"}, {"m001", "m006", "m007"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
-			s.asks(sceneMs, "m001", 1)
+		{"a surplus copy goes before a last one", [][]string{{"m001", "m002", "m003"}, {"m001", "m005", "m000"}, {"m001", "m006", "m007"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
+			s.requestSteadily(sceneNowMs, "m001", 1)
 			for _, name := range []string{"m002", "m003", "m005", "m000", "m006", "m007"} {
-				s.asks(sceneMs, name, 1)
+				s.requestSteadily(sceneNowMs, name, 1)
 			}
 		}, full, []string{"unload m001"}},
-		{"what is asked for as much does not go", [][]string{{"m001", "m002", "m003"}}, func(s *service) {
+		{"what is asked for as much does not go", [][]string{{"m001", "m002", "m003"}}, func(s *Service) {
 			for _, name := range []string{"m001", "m002", "m003", "m004"} {
-				s.asks(sceneMs, name, 1)
+				s.requestSteadily(sceneNowMs, name, 1)
 			}
 		}, full, nil},
-		{"a busy model has a second copy in another zone", [][]string{{"m001"}, {"m000"}, {"m002"}}, func(s *service) {
-			s.asks(sceneMs, "m001", 10)
-			s.runners[1].entry.Zone = "a"
+		{"a busy model has a second copy in another zone", [][]string{{"m001"}, {"m000"}, {"m002"}}, func(s *Service) {
+			s.requestSteadily(sceneNowMs, "m001", 10)
+			s.Runners[1].Entry.Zone = "a"
 		}, full, []string{"r3 load m001"}},
-		{"an adapter goes where fewest are", [][]string{{"m000"}, {"m000"}}, func(s *service) {
-			s.models["m000"].want.add(sceneMs, 1, 1, 0)
-			s.models["m000"].adapter("a5").want.add(sceneMs, 1, 1, 1)
-			s.runners[0].held["m000"].adapters["a1"] = &heldAdapter{}
+		{"an adapter goes where fewest are", [][]string{{"m000"}, {"m000"}}, func(s *Service) {
+			s.Models["m000"].Demand.Add(sceneNowMs, 1, 1, 0)
+			s.Models["m000"].Adapter("a5").Demand.Add(sceneNowMs, 1, 1, 1)
+			s.Runners[0].Held["m000"].Adapters["a1"] = &HeldAdapter{}
 		}, full, []string{"r2 load m000 a5"}},
-		{"a full runner drops the adapter asked for longest ago", [][]string{{"m000"}}, func(s *service) {
-			s.models["m000"].want.add(sceneMs, 1, 1, 0)
+		{"a full runner drops the adapter asked for longest ago", [][]string{{"m000"}}, func(s *Service) {
+			s.Models["m000"].Demand.Add(sceneNowMs, 1, 1, 0)
 			for i := range 8 {
 				name := fmt.Sprintf("a%d", i+1)
-				s.runners[0].held["m000"].adapters[name] = &heldAdapter{}
-				s.models["m000"].adapter(name).want.add(sceneMs-int64(i)*3000-10_000, 1, 1, 0)
+				s.Runners[0].Held["m000"].Adapters[name] = &HeldAdapter{}
+				s.Models["m000"].Adapter(name).Demand.Add(sceneNowMs-int64(i)*3000-10_000, 1, 1, 0)
 			}
-			s.models["m000"].adapter("a9").want.add(sceneMs, 1, 1, 1)
+			s.Models["m000"].Adapter("a9").Demand.Add(sceneNowMs, 1, 1, 1)
 		}, full, []string{"r1 unload m000 a8"}},
-		{"a runner that leaves counts no more", [][]string{{"m001", "m002", "m003"}, {"m000"}}, func(s *service) {
-			s.asks(sceneMs, "m002", 1)
-			s.runners[0].leaving = true
+		{"a runner that leaves counts no more", [][]string{{"m001", "m002", "m003"}, {"m000"}}, func(s *Service) {
+			s.requestSteadily(sceneNowMs, "m002", 1)
+			s.Runners[0].Leaving = true
 		}, full, []string{"r2 load m002"}},
-		{"a crowd on one copy goes before the first copy of a rare one that someone waits for", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
-			s.asks(sceneMs, "m001", 40)
+		{"a crowd on one copy goes before the first copy of a rare one that someone waits for", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
+			s.requestSteadily(sceneNowMs, "m001", 40)
 		}, one, []string{"r2 load m001"}},
-		{"those who wait for a load go before a crowd, which is only slowed", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 5, 1, 5)
-			s.asks(sceneMs, "m001", 45)
+		{"those who wait for a load go before a crowd, which is only slowed", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 5, 1, 5)
+			s.requestSteadily(sceneNowMs, "m001", 45)
 		}, one, []string{"r2 load m004"}},
-		{"the second copy of a rising model goes before the fifth of a busy one", [][]string{{"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m003"}, {"m000"}}, func(s *service) {
-			for atMs := int64(sceneMs - 30_000); atMs < sceneMs; atMs += 10 {
-				s.models["m001"].want.add(atMs, 1, 1000, 0)
+		{"the second copy of a rising model goes before the fifth of a busy one", [][]string{{"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m003"}, {"m000"}}, func(s *Service) {
+			for atMs := int64(sceneNowMs - 30_000); atMs < sceneNowMs; atMs += 10 {
+				s.Models["m001"].Demand.Add(atMs, 1, 1000, 0)
 			}
-			s.asks(sceneMs, "m003", 50)
+			s.requestSteadily(sceneNowMs, "m003", 50)
 		}, one, []string{"r6 load m003"}},
-		{"a busy runner's own disk goes before the store", [][]string{{}, {}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 0)
-			s.runners[1].disk["m004"] = true
-			s.runners[1].state.Active = 64
+		{"a busy runner's own disk goes before the store", [][]string{{}, {}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 0)
+			s.Runners[1].OnDisk["m004"] = true
+			s.Runners[1].State.Active = 64
 		}, full, []string{"r2 load m004"}},
-		{"most of all where someone waits", [][]string{{}, {}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
-			s.runners[1].disk["m004"] = true
-			s.runners[1].state.Active, s.runners[1].state.Queued = 64, 115
+		{"most of all where someone waits", [][]string{{}, {}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
+			s.Runners[1].OnDisk["m004"] = true
+			s.Runners[1].State.Active, s.Runners[1].State.Queued = 64, 115
 		}, full, []string{"r2 load m004"}},
-		{"a last copy that is silent goes before a spare one that has runs to finish", [][]string{{"m001", "m002", "m003"}, {"m005", "m006", "m007"}, {"m001"}}, func(s *service) {
-			s.models["m004"].want.add(sceneMs, 1, 1, 1)
-			s.models["m005"].want.add(sceneMs-20_000, 1, 1, 0)
-			s.asks(sceneMs, "m001", 1)
+		{"a last copy that is silent goes before a spare one that has runs to finish", [][]string{{"m001", "m002", "m003"}, {"m005", "m006", "m007"}, {"m001"}}, func(s *Service) {
+			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
+			s.Models["m005"].Demand.Add(sceneNowMs-20_000, 1, 1, 0)
+			s.requestSteadily(sceneNowMs, "m001", 1)
 			for _, name := range []string{"m002", "m003", "m006", "m007"} {
-				s.asks(sceneMs, name, 2)
+				s.requestSteadily(sceneNowMs, name, 2)
 			}
 			// It takes no order now.
-			s.runners[2].clean = false
+			s.Runners[2].Confirmed = false
 		}, full, []string{"r2 unload m005"}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := scene(8, test.held...)
+			s := newScene(8, test.held...)
 			test.demand(s)
-			var p planner
-			p.plan(sceneMs, s, test.budget, func(r *runner) bool { return !r.away() })
+			var p Planner
+			p.Plan(sceneNowMs, s, test.budget, func(r *Runner) bool { return !r.Unavailable() })
 			var got []string
-			for _, mv := range p.moves {
+			for _, mv := range p.Moves {
 				verb := " unload "
-				if mv.load {
+				if mv.Load {
 					verb = " load "
 				}
-				text := mv.runner.entry.ID + verb + mv.Model
+				text := mv.Runner.Entry.ID + verb + mv.Model
 				if mv.Adapter != "" {
 					text += " " + mv.Adapter
 				}
@@ -170,11 +170,11 @@
 // Where all fits and demand is steady, nothing moves after the start.
 func TestSteadyDemandMovesNothing(t *testing.T) {
 	c := qt.New(t)
-	s := newStand(t, 9, newMap(12, 8, 4.2), 8)
+	s := newPlatformSim(t, 9, newServiceMap(12, 8, 4.2), 8)
 	s.fill(0, 1)
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	ask := func(int64) {
 		if s.poisson(30) {
 			load.ask("m000", "")
--- a/internal/placement/runner_test.go
+++ b/internal/placement/runner_test.go
@@ -8,82 +8,82 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// bench is a keeper with one runner whose calls the test answers itself.
-type bench struct {
-	c     *qt.C
-	k     *Keeper
-	nowMs int64
-	asked protocol.GetRunnerState
-	order protocol.RunnerOrder
-	sent  int
+// harness is a keeper with one runner whose calls the test answers itself.
+type harness struct {
+	c          *qt.C
+	manager    *Manager
+	nowMs      int64
+	lastPoll   protocol.GetRunnerState
+	lastOrder  protocol.RunnerOrder
+	ordersSent int
 }
 
-func newBench(c *qt.C, held ...string) *bench {
-	b := &bench{c: c, nowMs: 1000, k: New(standBounds, "one", "list", 47)}
-	b.k.SetMap(newMap(6, 42, 4.2))
-	b.k.Begin(b.nowMs, 7, b.nowMs)
+func newHarness(c *qt.C, held ...string) *harness {
+	b := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
+	b.manager.SetMap(newServiceMap(6, 42, 4.2))
+	b.manager.BecomePrimary(b.nowMs, 7, b.nowMs)
 	b.list("r1", held...)
 	return b
 }
 
-func (b *bench) list(id string, held ...string) {
+func (b *harness) list(id string, held ...string) {
 	e := protocol.RunnerEntry{ID: id, Service: llm, Address: "10.0.0.1:80", Zone: "a", Slots: 64, LeftMs: -1}
 	for _, name := range held {
 		e.Models = append(e.Models, protocol.HeldModel{Name: name})
 	}
-	b.k.Fleet(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
+	b.manager.HandleRunnerList(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
 }
 
 // tick goes on by so many ms, and takes up what is asked and ordered.
-func (b *bench) tick(ms int64) {
+func (b *harness) tick(ms int64) {
 	for end := b.nowMs + ms; b.nowMs < end; {
 		b.nowMs += 50
-		calls, _ := b.k.Tick(b.nowMs, b.nowMs+2000)
+		calls, _ := b.manager.Tick(b.nowMs, b.nowMs+2000)
 		for _, call := range calls {
 			switch body := call.Body.(type) {
 			case protocol.GetRunnerState:
-				b.asked = body
+				b.lastPoll = body
 			case protocol.RunnerOrder:
-				b.order = body
-				b.sent++
+				b.lastOrder = body
+				b.ordersSent++
 			}
 		}
 	}
 }
 
-func (b *bench) say(calls int64, busy bool, held ...string) {
+func (b *harness) answerPoll(calls int64, busy bool, held ...string) {
 	state := protocol.RunnerState{Calls: calls, Busy: busy}
 	for _, name := range held {
 		state.Models = append(state.Models, protocol.HeldModel{Name: name})
 	}
-	b.k.State(b.nowMs, protocol.RunnerStateResult{Runner: b.asked.Runner, Number: b.asked.Number, Ok: true, State: state})
+	b.manager.HandleRunnerState(b.nowMs, protocol.RunnerStateResult{Runner: b.lastPoll.Runner, Number: b.lastPoll.Number, Ok: true, State: state})
 }
 
-func (b *bench) outcome(o protocol.OrderOutcome) {
-	b.k.Commanded(b.nowMs, protocol.RunnerOrderResult{Runner: b.order.Runner, Number: b.order.Number, Outcome: o})
+func (b *harness) answerOrder(o protocol.OrderOutcome) {
+	b.manager.HandleOrderResult(b.nowMs, protocol.RunnerOrderResult{Runner: b.lastOrder.Runner, Number: b.lastOrder.Number, Outcome: o})
 }
 
-func (b *bench) want(model string) {
-	b.k.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: model, Waits: true})
+func (b *harness) lookUpWaiting(model string) {
+	b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: model, Waits: true})
 }
 
-func (b *bench) holds(model string) bool {
-	return len(b.k.index(b.nowMs, llm, model, "").Holders) > 0
+func (b *harness) offers(model string) bool {
+	return len(b.manager.reply(b.nowMs, llm, model, "").Holders) > 0
 }
 
-// ordered brings the bench to a first order sent: a load of m004 at count 3.
-func ordered(c *qt.C) *bench {
-	b := newBench(c, "m001")
+// harnessWithOrder brings the bench to a first order sent: a load of m004 at count 3.
+func harnessWithOrder(c *qt.C) *harness {
+	b := newHarness(c, "m001")
 	b.tick(50)
-	b.want("m004")
-	c.Assert(b.sent, qt.Equals, 0)
-	b.say(3, false, "m001")
+	b.lookUpWaiting("m004")
+	c.Assert(b.ordersSent, qt.Equals, 0)
+	b.answerPoll(3, false, "m001")
 	b.tick(50)
-	c.Assert(b.sent, qt.Equals, 1)
-	c.Assert(b.order.Model, qt.Equals, "m004")
-	c.Assert(b.order.Expected, qt.Equals, int64(3))
-	c.Assert(b.order.Fence, qt.Equals, uint64(7))
-	c.Assert(b.order.Holder, qt.Equals, "one")
+	c.Assert(b.ordersSent, qt.Equals, 1)
+	c.Assert(b.lastOrder.Model, qt.Equals, "m004")
+	c.Assert(b.lastOrder.Expected, qt.Equals, int64(3))
+	c.Assert(b.lastOrder.Fence, qt.Equals, uint64(7))
+	c.Assert(b.lastOrder.Holder, qt.Equals, "one")
 	return b
 }
 
@@ -128,24 +128,24 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := ordered(c)
+			b := harnessWithOrder(c)
 			for _, w := range test.words {
 				if w.state {
 					b.tick(300)
-					b.say(w.calls, w.busy, w.held...)
+					b.answerPoll(w.calls, w.busy, w.held...)
 				} else {
-					b.outcome(w.outcome)
+					b.answerOrder(w.outcome)
 				}
 				b.tick(100)
 			}
 			b.tick(250)
-			r := b.k.runners["r1"]
-			open := r.order != nil && r.order.Model == "m004"
+			r := b.manager.runners["r1"]
+			open := r.Order != nil && r.Order.Model == "m004"
 			c.Assert(open, qt.Equals, test.open)
-			c.Assert(b.holds("m004"), qt.Equals, test.holds)
-			if b.order.Model == "m004" {
-				c.Assert(b.sent, qt.Equals, test.sent)
-				c.Assert(b.order.Expected, qt.Equals, int64(3))
+			c.Assert(b.offers("m004"), qt.Equals, test.holds)
+			if b.lastOrder.Model == "m004" {
+				c.Assert(b.ordersSent, qt.Equals, test.sent)
+				c.Assert(b.lastOrder.Expected, qt.Equals, int64(3))
 			}
 		})
 	}
@@ -154,40 +154,40 @@
 // A restart is a new life: empty, with its own counts, under its new id.
 func TestRestartIsANewLife(t *testing.T) {
 	c := qt.New(t)
-	b := ordered(c)
-	b.outcome(protocol.OutcomeAccepted)
+	b := harnessWithOrder(c)
+	b.answerOrder(protocol.OutcomeAccepted)
 	b.tick(300)
 	b.list("r2")
-	c.Assert(b.holds("m001"), qt.IsFalse)
+	c.Assert(b.offers("m001"), qt.IsFalse)
 	b.list("r2")
-	c.Assert(b.k.runners["r1"], qt.IsNil)
-	c.Assert(b.k.Leaving(), qt.DeepEquals, []string{"r1"})
+	c.Assert(b.manager.runners["r1"], qt.IsNil)
+	c.Assert(b.manager.LeavingRunners(), qt.DeepEquals, []string{"r1"})
 	b.tick(500)
-	c.Assert(b.asked.Runner, qt.Equals, "r2")
-	b.say(0, false)
+	c.Assert(b.lastPoll.Runner, qt.Equals, "r2")
+	b.answerPoll(0, false)
 	b.tick(100)
-	c.Assert(b.order.Runner, qt.Equals, "r2")
-	c.Assert(b.order.Expected, qt.Equals, int64(0))
+	c.Assert(b.lastOrder.Runner, qt.Equals, "r2")
+	c.Assert(b.lastOrder.Expected, qt.Equals, int64(0))
 	// A late word on the old life's order changes nothing.
-	b.k.Commanded(b.nowMs, protocol.RunnerOrderResult{Runner: "r1", Number: 1, Outcome: protocol.OutcomeAccepted})
-	c.Assert(b.k.runners["r2"].order.phase, qt.Equals, sent)
+	b.manager.HandleOrderResult(b.nowMs, protocol.RunnerOrderResult{Runner: "r1", Number: 1, Outcome: protocol.OutcomeAccepted})
+	c.Assert(b.manager.runners["r2"].Order.Phase, qt.Equals, OrderSent)
 }
 
 // After a lower fence was refused, orders go on only under a higher one.
 func TestHigherFenceGoesOn(t *testing.T) {
 	c := qt.New(t)
-	b := ordered(c)
-	b.outcome(protocol.OutcomeFenced)
-	b.k.SetFence(7)
+	b := harnessWithOrder(c)
+	b.answerOrder(protocol.OutcomeFenced)
+	b.manager.SetEpoch(7)
 	b.tick(300)
-	b.say(3, false, "m001")
+	b.answerPoll(3, false, "m001")
 	b.tick(300)
-	c.Assert(b.sent, qt.Equals, 1)
-	b.k.SetFence(8)
-	b.want("m004")
+	c.Assert(b.ordersSent, qt.Equals, 1)
+	b.manager.SetEpoch(8)
+	b.lookUpWaiting("m004")
 	b.tick(300)
-	c.Assert(b.sent, qt.Equals, 2)
-	c.Assert(b.order.Fence, qt.Equals, uint64(8))
+	c.Assert(b.ordersSent, qt.Equals, 2)
+	c.Assert(b.lastOrder.Fence, qt.Equals, uint64(8))
 }
 
 // No order goes out before its time, nor close to the end of the hold.
@@ -203,19 +203,19 @@
 		{1000, 1300, true, 1300},
 	} {
 		c := qt.New(t)
-		b := &bench{c: c, nowMs: 1000, k: New(standBounds, "one", "list", 47)}
-		b.k.SetMap(newMap(6, 0, 4.2))
-		b.k.Begin(b.nowMs, 7, test.fromMs)
+		b := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
+		b.manager.SetMap(newServiceMap(6, 0, 4.2))
+		b.manager.BecomePrimary(b.nowMs, 7, test.fromMs)
 		b.list("r1", "m001")
-		calls, _ := b.k.Tick(1000, test.holdMs)
+		calls, _ := b.manager.Tick(1000, test.holdMs)
 		for _, call := range calls {
 			if asked, ok := call.Body.(protocol.GetRunnerState); ok {
-				b.asked = asked
+				b.lastPoll = asked
 			}
 		}
-		b.say(0, false, "m001")
-		b.want("m004")
-		calls, _ = b.k.Tick(1100, test.holdMs)
+		b.answerPoll(0, false, "m001")
+		b.lookUpWaiting("m004")
+		calls, _ = b.manager.Tick(1100, test.holdMs)
 		found := false
 		for _, call := range calls {
 			if order, ok := call.Body.(protocol.RunnerOrder); ok {
--- a/internal/placement/offer_test.go
+++ b/internal/placement/sample_test.go
@@ -10,12 +10,12 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// manyHolders is a keeper of so many runners, in four zones, of which each holds m001
+// managerWithHolders is a keeper of so many runners, in four zones, of which each holds m001
 // and every fourth the adapter a1 of m000 too.
-func manyHolders(t testing.TB, count int) *Keeper {
-	s := newStand(t, 1, newMap(4, 8, 4.2), 0)
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
+func managerWithHolders(t testing.TB, count int) *Manager {
+	s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 	var list []protocol.RunnerEntry
 	for i := range count {
 		e := protocol.RunnerEntry{
@@ -27,11 +27,11 @@
 		}
 		list = append(list, e)
 	}
-	k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: list})
+	k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: list})
 	return k
 }
 
-func offeredTo(k *Keeper, router, zone, model, adapter string) []string {
+func listedFor(k *Manager, router, zone, model, adapter string) []string {
 	var out []string
 	in := protocol.IndexLookUp{Service: llm, Model: model, Adapter: adapter}
 	for _, h := range k.LookUp(1000, protocol.Node{Name: router, Zone: zone}, in).Holders {
@@ -51,37 +51,37 @@
 		ownLeast, size int
 	}{
 		{10, "", 10, 10, "zone-0", 3, 10},
-		{offeredMost, "", offeredMost, offeredMost, "zone-0", 16, offeredMost},
-		{offeredMost + 1, "", offeredMost, offeredMost, "zone-0", 16, offeredMost},
-		{1000, "", offeredMost, offeredMost, "zone-0", 25, offeredMost},
+		{maxListedHolders, "", maxListedHolders, maxListedHolders, "zone-0", 16, maxListedHolders},
+		{maxListedHolders + 1, "", maxListedHolders, maxListedHolders, "zone-0", 16, maxListedHolders},
+		{1000, "", maxListedHolders, maxListedHolders, "zone-0", 25, maxListedHolders},
 		{100, "a1", 25, 25, "zone-3", 25, 25},
-		{1000, "a1", offeredMost, offeredMost, "zone-3", offeredMost, offeredMost},
+		{1000, "a1", maxListedHolders, maxListedHolders, "zone-3", maxListedHolders, maxListedHolders},
 	}
 	for _, test := range cases {
 		t.Run(fmt.Sprint(test.holders, test.adapter), func(t *testing.T) {
-			k := manyHolders(t, test.holders)
-			ids := offeredTo(k, "router-1", test.own, "m000", test.adapter)
+			k := managerWithHolders(t, test.holders)
+			ids := listedFor(k, "router-1", test.own, "m000", test.adapter)
 			qt.Assert(t, len(ids) >= test.least && len(ids) <= test.most, qt.IsTrue, qt.Commentf("%d", len(ids)))
 			own := 0
 			for _, id := range ids {
-				if k.runners[id].entry.Zone == test.own {
+				if k.runners[id].Entry.Zone == test.own {
 					own++
 				}
-				qt.Assert(t, test.adapter == "" || k.runners[id].offers(thing{"m000", test.adapter}), qt.IsTrue)
+				qt.Assert(t, test.adapter == "" || k.runners[id].Offers(Item{"m000", test.adapter}), qt.IsTrue)
 			}
 			qt.Assert(t, own >= test.ownLeast, qt.IsTrue, qt.Commentf("%d of the own zone", own))
 			// It stays the same while they may be offered.
-			qt.Assert(t, offeredTo(k, "router-1", test.own, "m000", test.adapter), qt.DeepEquals, ids)
+			qt.Assert(t, listedFor(k, "router-1", test.own, "m000", test.adapter), qt.DeepEquals, ids)
 		})
 	}
 }
 
 // Many routers use all holders; what may not be offered makes room for others.
 func TestAllHoldersAreUsed(t *testing.T) {
-	k := manyHolders(t, 1000)
+	k := managerWithHolders(t, 1000)
 	used := map[string]int{}
 	for i := range 100 {
-		for _, id := range offeredTo(k, fmt.Sprintf("router-%d", i), fmt.Sprintf("zone-%d", i%4), "m001", "") {
+		for _, id := range listedFor(k, fmt.Sprintf("router-%d", i), fmt.Sprintf("zone-%d", i%4), "m001", "") {
 			used[id]++
 		}
 	}
@@ -89,21 +89,21 @@
 	for id, count := range used {
 		qt.Assert(t, count <= 25, qt.IsTrue, qt.Commentf("%s: %d", id, count))
 	}
-	before := offeredTo(k, "router-1", "zone-0", "m001", "")
-	k.runners[before[0]].leaving = true
-	after := offeredTo(k, "router-1", "zone-0", "m001", "")
-	qt.Assert(t, after, qt.HasLen, offeredMost)
+	before := listedFor(k, "router-1", "zone-0", "m001", "")
+	k.runners[before[0]].Leaving = true
+	after := listedFor(k, "router-1", "zone-0", "m001", "")
+	qt.Assert(t, after, qt.HasLen, maxListedHolders)
 	for _, id := range before[1:] {
 		qt.Assert(t, slices.Contains(after, id), qt.IsTrue)
 	}
 	// Where all but few are gone, those few are offered; silent ones only where
 	// there is no other.
-	for i, r := range k.sorted {
-		r.leaving, r.suspect = i >= 5, i < 3
+	for i, r := range k.sortedRunners {
+		r.Leaving, r.Suspect = i >= 5, i < 3
 	}
-	qt.Assert(t, offeredTo(k, "router-1", "zone-0", "m001", ""), qt.DeepEquals, []string{"r00003", "r00004"})
-	k.sorted[3].suspect, k.sorted[4].suspect = true, true
-	qt.Assert(t, offeredTo(k, "router-1", "zone-0", "m001", ""), qt.HasLen, 5)
+	qt.Assert(t, listedFor(k, "router-1", "zone-0", "m001", ""), qt.DeepEquals, []string{"r00003", "r00004"})
+	k.sortedRunners[3].Suspect, k.sortedRunners[4].Suspect = true, true
+	qt.Assert(t, listedFor(k, "router-1", "zone-0", "m001", ""), qt.HasLen, 5)
 }
 
 // The questions and the times that go with them fit together at any size: no
@@ -111,9 +111,9 @@
 func TestPaceOfALargeFleet(t *testing.T) {
 	for _, count := range []int{10, 450, 1000, 3000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			k := manyHolders(t, count)
+			k := managerWithHolders(t, count)
 			nowMs, asked := int64(1000), 0
-			endMs := nowMs + 2000 + 4*k.usualMs()
+			endMs := nowMs + 2000 + 4*k.usualPollMs()
 			for nowMs < endMs {
 				nowMs += 50
 				calls, _ := k.Tick(nowMs, nowMs+2000)
@@ -122,21 +122,21 @@
 					if !is {
 						continue
 					}
-					if nowMs > endMs-2*k.usualMs() {
+					if nowMs > endMs-2*k.usualPollMs() {
 						asked++
 					}
 					r := k.runners[body.Runner]
 					var models []protocol.HeldModel
-					for _, name := range sortedKeys(r.held) {
-						models = append(models, protocol.HeldModel{Name: name, Adapters: sortedKeys(r.held[name].adapters)})
+					for _, name := range sortedKeys(r.Held) {
+						models = append(models, protocol.HeldModel{Name: name, Adapters: sortedKeys(r.Held[name].Adapters)})
 					}
-					k.State(nowMs, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{Models: models}})
+					k.HandleRunnerState(nowMs, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{Models: models}})
 				}
 			}
-			qt.Assert(t, int64(asked)*1000/(2*k.usualMs()) <= 510, qt.IsTrue, qt.Commentf("%d in %d ms", asked, 2*k.usualMs()))
-			for _, r := range k.sorted {
-				qt.Assert(t, r.suspect, qt.IsFalse, qt.Commentf("%s", r.entry.ID))
-				qt.Assert(t, k.fit(nowMs, r), qt.IsTrue, qt.Commentf("%s, silent for %d ms", r.entry.ID, nowMs-r.okMs))
+			qt.Assert(t, int64(asked)*1000/(2*k.usualPollMs()) <= 510, qt.IsTrue, qt.Commentf("%d in %d ms", asked, 2*k.usualPollMs()))
+			for _, r := range k.sortedRunners {
+				qt.Assert(t, r.Suspect, qt.IsFalse, qt.Commentf("%s", r.Entry.ID))
+				qt.Assert(t, k.acceptsLoads(nowMs, r), qt.IsTrue, qt.Commentf("%s, silent for %d ms", r.Entry.ID, nowMs-r.LastReplyMs))
 			}
 		})
 	}
@@ -147,9 +147,9 @@
 	for _, count := range []int{60, 1000, 4000} {
 		for _, adapter := range []string{"", "a1"} {
 			b.Run(fmt.Sprint(count, adapter), func(b *testing.B) {
-				k := manyHolders(b, count)
+				k := managerWithHolders(b, count)
 				for b.Loop() {
-					k.index(1000, llm, "m000", adapter)
+					k.reply(1000, llm, "m000", adapter)
 				}
 			})
 		}
@@ -159,12 +159,12 @@
 // The lists of the holders of adapters agree with what the runners hold,
 // whatever came and went.
 func TestHoldersOfAdapters(t *testing.T) {
-	s := newStand(t, 3, newMap(8, 16, 4.2), 6)
+	s := newPlatformSim(t, 3, newServiceMap(8, 16, 4.2), 6)
 	s.fill(0)
-	s.lossIn, s.lossOut = 0.1, 0.1
-	k := s.keeper("one")
-	k.Begin(s.events.NowMs(), 1, s.events.NowMs())
-	load := newTraffic(s, k)
+	s.requestLoss, s.replyLoss = 0.1, 0.1
+	k := s.manager("one")
+	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, k)
 	seen := 0
 	play(s, load, 20, func(ms int64) {
 		if s.poisson(30) {
@@ -177,22 +177,22 @@
 			// One ends, and its place is taken anew.
 			delete(s.runners, sortedKeys(s.runners)[0])
 			s.start(fmt.Sprintf("10.0.9.%d:80", ms/1000), "a")
-			s.noteList()
+			s.recordList()
 		}
-		for _, m := range k.services[llm].models {
+		for _, m := range k.services[llm].Models {
 			want := map[string][]string{}
-			for _, r := range k.sorted {
-				if h := r.held[m.name]; h != nil {
-					for a := range h.adapters {
-						want[a] = append(want[a], r.entry.ID)
+			for _, r := range k.sortedRunners {
+				if h := r.Held[m.Name]; h != nil {
+					for a := range h.Adapters {
+						want[a] = append(want[a], r.Entry.ID)
 					}
 				}
 			}
 			got := map[string][]string{}
-			for a, with := range m.with {
+			for a, with := range m.AdapterHolders {
 				seen++
 				for _, r := range with {
-					got[a] = append(got[a], r.entry.ID)
+					got[a] = append(got[a], r.Entry.ID)
 				}
 				slices.Sort(got[a])
 			}
--- a/internal/placement/stand_test.go
+++ b/internal/placement/simulator_test.go
@@ -17,25 +17,25 @@
 
 const llm = "llm"
 
-type standRunner struct {
-	entry  protocol.RunnerEntry
-	held   map[string]map[string]bool
-	disk   map[string]bool
-	calls  int64
-	fence  uint64
-	busyMs int64
-	finish func()
-	dead   bool
-	active map[string]int
-	past   []snapshot
+type simRunner struct {
+	entry       protocol.RunnerEntry
+	held        map[string]map[string]bool
+	disk        map[string]bool
+	orderCount  int64
+	fence       uint64
+	busyUntilMs int64
+	finish      func()
+	dead        bool
+	active      map[string]int
+	history     []pastState
 }
 
-type snapshot struct {
+type pastState struct {
 	atMs  int64
 	state protocol.RunnerState
 }
 
-func (r *standRunner) models() []protocol.HeldModel {
+func (r *simRunner) models() []protocol.HeldModel {
 	var out []protocol.HeldModel
 	for _, name := range sortedKeys(r.held) {
 		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: sortedKeys(r.held[name])})
@@ -43,38 +43,38 @@
 	return out
 }
 
-func (r *standRunner) state() protocol.RunnerState {
+func (r *simRunner) state() protocol.RunnerState {
 	active := 0
 	for _, n := range r.active {
 		active += n
 	}
-	return protocol.RunnerState{Models: r.models(), Busy: r.finish != nil, Calls: r.calls, Active: active, CacheTotal: 100_000, CacheUsed: int64(active) * 1000}
+	return protocol.RunnerState{Models: r.models(), Busy: r.finish != nil, Calls: r.orderCount, Active: active, CacheTotal: 100_000, CacheUsed: int64(active) * 1000}
 }
 
-type stand struct {
+type platformSim struct {
 	t       testing.TB
 	rnd     *rand.Rand
 	m       *config.Map
 	engine  *config.Engine
 	bounds  bounds.Bounds
 	events  *eventqueue.Queue
-	runners map[string]*standRunner
+	runners map[string]*simRunner
 	lists   []struct {
 		atMs int64
 		list []protocol.RunnerEntry
 	}
-	keepers  []*Keeper
-	holdMs   map[*Keeper]int64
-	lossIn   float64
-	lossOut  float64
-	starts   []int64
-	breaches []string
-	orders   int
-	loads    int
-	next     int
+	managers      []*Manager
+	leaseUntilMs  map[*Manager]int64
+	requestLoss   float64
+	replyLoss     float64
+	storeStartsMs []int64
+	violations    []string
+	orders        int
+	loads         int
+	next          int
 }
 
-func newMap(models, adapters int, perSec float64) *config.Map {
+func newServiceMap(models, adapters int, perSec float64) *config.Map {
 	e := &config.Engine{Slots: 64, CacheTokens: 150_000, Stride: 6, RoomMb: 220_000, AdapterRoom: 8, LoadsPerSec: perSec}
 	for i := range models {
 		m := config.Model{Name: fmt.Sprintf("m%03d", i), Mb: 65_100, LoadMs: 1900, AdapterMb: 12}
@@ -94,36 +94,36 @@
 	return m
 }
 
-var standBounds = bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1, Fenced: true}
+var simBounds = bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1, Fenced: true}
 
-func newStand(t testing.TB, seed uint64, m *config.Map, runners int) *stand {
-	s := &stand{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), m: m, engine: m.Services[0].Engine, bounds: standBounds, events: eventqueue.New(1000), runners: map[string]*standRunner{}, holdMs: map[*Keeper]int64{}}
+func newPlatformSim(t testing.TB, seed uint64, m *config.Map, runners int) *platformSim {
+	s := &platformSim{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), m: m, engine: m.Services[0].Engine, bounds: simBounds, events: eventqueue.New(1000), runners: map[string]*simRunner{}, leaseUntilMs: map[*Manager]int64{}}
 	zones := []string{"a", "b", "c", "d"}
 	for i := range runners {
 		s.start(fmt.Sprintf("10.0.0.%d:80", i), zones[i%len(zones)])
 	}
-	s.noteList()
+	s.recordList()
 	return s
 }
 
-func (s *stand) start(address, zone string) *standRunner {
+func (s *platformSim) start(address, zone string) *simRunner {
 	s.next++
 	id := fmt.Sprintf("r%04d", s.next)
-	r := &standRunner{held: map[string]map[string]bool{}, disk: map[string]bool{}, active: map[string]int{}}
+	r := &simRunner{held: map[string]map[string]bool{}, disk: map[string]bool{}, active: map[string]int{}}
 	r.entry = protocol.RunnerEntry{ID: id, Service: llm, Address: address, Zone: zone, Slots: s.engine.Slots, LeftMs: -1}
 	s.runners[id] = r
 	return r
 }
 
 // fill gives the runners models at the start: the busy ones many times.
-func (s *stand) fill(busy ...int) {
+func (s *platformSim) fill(busy ...int) {
 	ids := sortedKeys(s.runners)
 	at := 0
 	put := func(name string) bool {
 		for range ids {
 			r := s.runners[ids[at%len(ids)]]
 			at++
-			if r.held[name] == nil && s.takenMb(r)+s.model(name).Mb <= s.engine.RoomMb {
+			if r.held[name] == nil && s.usedMb(r)+s.model(name).Mb <= s.engine.RoomMb {
 				r.held[name] = map[string]bool{}
 				r.disk[name] = true
 				return true
@@ -140,15 +140,15 @@
 			more = put(s.engine.Models[i].Name) || more
 		}
 	}
-	s.noteList()
+	s.recordList()
 }
 
-func (s *stand) model(name string) *config.Model {
+func (s *platformSim) model(name string) *config.Model {
 	m, _ := s.engine.Model(name)
 	return m
 }
 
-func (s *stand) takenMb(r *standRunner) float64 {
+func (s *platformSim) usedMb(r *simRunner) float64 {
 	sum := 0.0
 	for name, adapters := range r.held {
 		sum += s.model(name).Mb + float64(len(adapters))*s.model(name).AdapterMb
@@ -156,14 +156,14 @@
 	return sum
 }
 
-func (s *stand) keeper(name string) *Keeper {
+func (s *platformSim) manager(name string) *Manager {
 	k := New(s.bounds, name, "list", 47)
 	k.SetMap(s.m)
-	s.keepers = append(s.keepers, k)
+	s.managers = append(s.managers, k)
 	return k
 }
 
-func (s *stand) noteList() {
+func (s *platformSim) recordList() {
 	var list []protocol.RunnerEntry
 	for _, id := range sortedKeys(s.runners) {
 		r := s.runners[id]
@@ -181,7 +181,7 @@
 }
 
 // list is what the platform showed some time ago.
-func (s *stand) list(lagMs int64) []protocol.RunnerEntry {
+func (s *platformSim) list(lagMs int64) []protocol.RunnerEntry {
 	out := s.lists[0].list
 	for _, l := range s.lists {
 		if l.atMs <= s.events.NowMs()-lagMs {
@@ -192,34 +192,34 @@
 }
 
 // step goes on by some ms: 10 at a time.
-func (s *stand) step() {
+func (s *platformSim) step() {
 	s.events.RunFor(10)
 	if s.events.NowMs()%100 == 0 {
-		s.noteList()
+		s.recordList()
 	}
 	for _, r := range s.runners {
-		if r.finish != nil && s.events.NowMs() >= r.busyMs {
+		if r.finish != nil && s.events.NowMs() >= r.busyUntilMs {
 			finish := r.finish
 			r.finish = nil
 			finish()
 		}
 		if s.events.NowMs()%20 == 0 {
-			r.past = append(r.past, snapshot{s.events.NowMs(), r.state()})
-			if len(r.past) > 20 {
-				r.past = r.past[1:]
+			r.history = append(r.history, pastState{s.events.NowMs(), r.state()})
+			if len(r.history) > 20 {
+				r.history = r.history[1:]
 			}
 		}
 	}
 	if s.events.NowMs()%50 == 0 {
-		for _, k := range s.keepers {
+		for _, k := range s.managers {
 			s.tick(k)
 		}
 	}
 }
 
-func (s *stand) tick(k *Keeper) []Tell {
+func (s *platformSim) tick(k *Manager) []IndexUpdate {
 	holdMs := s.events.NowMs() + 2000
-	if until, ok := s.holdMs[k]; ok {
+	if until, ok := s.leaseUntilMs[k]; ok {
 		holdMs = until
 	}
 	calls, tells := k.Tick(s.events.NowMs(), holdMs)
@@ -229,53 +229,53 @@
 	return tells
 }
 
-func (s *stand) call(k *Keeper, call protocol.OutboundCall) {
+func (s *platformSim) call(k *Manager, call protocol.OutboundCall) {
 	way := int64(1 + s.rnd.IntN(4))
 	switch body := call.Body.(type) {
 	case protocol.ListRunners:
-		s.events.After(2*way, func() { k.Fleet(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: s.list(800)}) })
+		s.events.After(2*way, func() { k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: s.list(800)}) })
 	case protocol.GetRunnerState:
 		s.events.After(2*way, func() {
-			r := s.at(call.Address)
+			r := s.runnerAt(call.Address)
 			said := protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number}
-			if r != nil && !r.dead && r.entry.ID == body.Runner && s.rnd.Float64() >= s.lossOut && len(r.past) > 0 {
+			if r != nil && !r.dead && r.entry.ID == body.Runner && s.rnd.Float64() >= s.replyLoss && len(r.history) > 0 {
 				said.Ok = true
 				lagMs := int64(100 + s.rnd.IntN(100))
-				said.State = r.past[0].state
-				for _, p := range r.past {
+				said.State = r.history[0].state
+				for _, p := range r.history {
 					if p.atMs <= s.events.NowMs()-lagMs {
 						said.State = p.state
 					}
 				}
 			}
-			k.State(s.events.NowMs(), said)
+			k.HandleRunnerState(s.events.NowMs(), said)
 		})
 	case protocol.RunnerOrder:
 		s.orders++
-		if s.rnd.Float64() < s.lossIn/2 {
+		if s.rnd.Float64() < s.requestLoss/2 {
 			s.events.After(300, func() {
-				k.Commanded(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number})
+				k.HandleOrderResult(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number})
 			})
 			return
 		}
-		if s.rnd.Float64() < s.lossIn {
+		if s.rnd.Float64() < s.requestLoss {
 			// It comes late, long after its sender gave it up.
 			way = int64(s.rnd.IntN(900))
 		}
 		s.events.After(way, func() {
-			outcome := s.command(call.Address, body)
-			lost := s.rnd.Float64() < s.lossOut || way > 300
+			outcome := s.applyOrder(call.Address, body)
+			lost := s.rnd.Float64() < s.replyLoss || way > 300
 			s.events.After(way, func() {
 				if lost {
 					outcome = protocol.OutcomeUnknown
 				}
-				k.Commanded(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: outcome})
+				k.HandleOrderResult(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: outcome})
 			})
 		})
 	}
 }
 
-func (s *stand) at(address string) *standRunner {
+func (s *platformSim) runnerAt(address string) *simRunner {
 	for _, r := range s.runners {
 		if r.entry.Address == address && !r.dead {
 			return r
@@ -284,9 +284,9 @@
 	return nil
 }
 
-// command is the runner's side of an order.
-func (s *stand) command(address string, c protocol.RunnerOrder) protocol.OrderOutcome {
-	r := s.at(address)
+// applyOrder is the runner's side of an order.
+func (s *platformSim) applyOrder(address string, c protocol.RunnerOrder) protocol.OrderOutcome {
+	r := s.runnerAt(address)
 	if r == nil {
 		return protocol.OutcomeNotSent
 	}
@@ -297,7 +297,7 @@
 		return protocol.OutcomeFenced
 	}
 	r.fence = c.Fence
-	if r.finish != nil || c.Expected != r.calls {
+	if r.finish != nil || c.Expected != r.orderCount {
 		return protocol.OutcomeBusy
 	}
 	_, there := r.held[c.Model]
@@ -310,20 +310,20 @@
 	if c.Load == there {
 		return protocol.OutcomeAlreadyInEffect
 	}
-	r.calls++
+	r.orderCount++
 	m := s.model(c.Model)
 	took := int64(10)
 	switch {
 	case c.Load && c.Adapter == "":
 		s.loads++
-		if s.takenMb(r)+m.Mb > s.engine.RoomMb {
-			s.breaches = append(s.breaches, fmt.Sprintf("%d ms: %s overfilled with %s", s.events.NowMs(), r.entry.ID, c.Model))
+		if s.usedMb(r)+m.Mb > s.engine.RoomMb {
+			s.violations = append(s.violations, fmt.Sprintf("%d ms: %s overfilled with %s", s.events.NowMs(), r.entry.ID, c.Model))
 		}
 		took = m.LoadMs
 		if r.disk[c.Model] {
 			took = 380
 		} else {
-			s.starts = append(s.starts, s.events.NowMs())
+			s.storeStartsMs = append(s.storeStartsMs, s.events.NowMs())
 		}
 		r.finish = func() { r.held[c.Model] = map[string]bool{}; r.disk[c.Model] = true }
 	case c.Load:
@@ -331,8 +331,8 @@
 		for _, held := range r.held {
 			adapters += len(held)
 		}
-		if adapters >= s.engine.AdapterRoom || s.takenMb(r)+m.AdapterMb > s.engine.RoomMb {
-			s.breaches = append(s.breaches, fmt.Sprintf("%d ms: %s overfilled with %s %s", s.events.NowMs(), r.entry.ID, c.Model, c.Adapter))
+		if adapters >= s.engine.AdapterRoom || s.usedMb(r)+m.AdapterMb > s.engine.RoomMb {
+			s.violations = append(s.violations, fmt.Sprintf("%d ms: %s overfilled with %s %s", s.events.NowMs(), r.entry.ID, c.Model, c.Adapter))
 		}
 		r.finish = func() { r.held[c.Model][c.Adapter] = true }
 	case c.Adapter == "":
@@ -342,17 +342,17 @@
 		took = int64(5 + s.rnd.IntN(30))
 		r.finish = func() { delete(r.held[c.Model], c.Adapter) }
 	}
-	r.busyMs = s.events.NowMs() + took
+	r.busyUntilMs = s.events.NowMs() + took
 	return protocol.OutcomeAccepted
 }
 
-// ceiling gives the most loads that began in any window.
-func (s *stand) ceiling() int {
+// mostStoreLoads gives the most loads that began in any window.
+func (s *platformSim) mostStoreLoads() int {
 	most := 0
-	for i := range s.starts {
+	for i := range s.storeStartsMs {
 		n := 0
-		for _, at := range s.starts[i:] {
-			if at-s.starts[i] <= s.bounds.OriginWindowMs {
+		for _, at := range s.storeStartsMs[i:] {
+			if at-s.storeStartsMs[i] <= s.bounds.OriginWindowMs {
 				n++
 			}
 		}
@@ -361,44 +361,44 @@
 	return most
 }
 
-func (s *stand) allowed() int {
+func (s *platformSim) allowedStoreLoads() int {
 	return int(s.engine.LoadsPerSec*float64(s.bounds.OriginWindowMs)/1000*s.bounds.OriginOver + 3)
 }
 
-// traffic plays clients behind one router.
-type traffic struct {
-	s       *stand
-	k       *Keeper
+// routerSim plays clients behind one router.
+type routerSim struct {
+	s       *platformSim
+	manager *Manager
 	from    protocol.Node
-	waiting map[demandKey][]int64
-	asked   map[demandKey]int
-	late    map[demandKey]int
+	waiting map[DemandKey][]int64
+	asked   map[DemandKey]int
+	late    map[DemandKey]int
 	waitsMs []int64
 	denied  int
 	runMs   int64
 }
 
-func newTraffic(s *stand, k *Keeper) *traffic {
-	return &traffic{s: s, k: k, from: protocol.Node{Name: "router-1", Address: "x"}, waiting: map[demandKey][]int64{}, asked: map[demandKey]int{}, late: map[demandKey]int{}, runMs: 600}
+func newRouterSim(s *platformSim, k *Manager) *routerSim {
+	return &routerSim{s: s, manager: k, from: protocol.Node{Name: "router-1", Address: "x"}, waiting: map[DemandKey][]int64{}, asked: map[DemandKey]int{}, late: map[DemandKey]int{}, runMs: 600}
 }
 
 // ask sends one request. Holders are checked against the runners themselves.
-func (t *traffic) ask(model, adapter string) {
-	key := demandKey{llm, model, adapter}
+func (t *routerSim) ask(model, adapter string) {
+	key := DemandKey{llm, model, adapter}
 	t.asked[key]++
-	index := t.k.LookUp(t.s.events.NowMs(), t.from, protocol.IndexLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.try(key)})
+	index := t.manager.LookUp(t.s.events.NowMs(), t.from, protocol.IndexLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.hasHolder(key)})
 	_ = index
-	if !t.try(key) {
+	if !t.hasHolder(key) {
 		t.waiting[key] = append(t.waiting[key], t.s.events.NowMs())
 	} else {
 		t.waitsMs = append(t.waitsMs, 0)
-		t.run(key)
+		t.start(key)
 	}
 }
 
-// try says whether a holder is offered.
-func (t *traffic) try(key demandKey) bool {
-	for _, h := range t.k.index(t.s.events.NowMs(), key.Service, key.Model, key.Adapter).Holders {
+// hasHolder says whether a holder is offered.
+func (t *routerSim) hasHolder(key DemandKey) bool {
+	for _, h := range t.manager.reply(t.s.events.NowMs(), key.Service, key.Model, key.Adapter).Holders {
 		if h.Adapter {
 			return true
 		}
@@ -406,9 +406,9 @@
 	return false
 }
 
-func (t *traffic) run(key demandKey) {
-	var best *standRunner
-	for _, h := range t.k.index(t.s.events.NowMs(), key.Service, key.Model, key.Adapter).Holders {
+func (t *routerSim) start(key DemandKey) {
+	var best *simRunner
+	for _, h := range t.manager.reply(t.s.events.NowMs(), key.Service, key.Model, key.Adapter).Holders {
 		if !h.Adapter {
 			continue
 		}
@@ -432,15 +432,15 @@
 }
 
 // step serves those who wait.
-func (t *traffic) step() {
+func (t *routerSim) step() {
 	for key, since := range t.waiting {
-		if t.try(key) {
+		if t.hasHolder(key) {
 			for _, atMs := range since {
 				t.waitsMs = append(t.waitsMs, t.s.events.NowMs()-atMs)
 				if t.s.events.NowMs()-atMs > 3000 {
 					t.late[key]++
 				}
-				t.run(key)
+				t.start(key)
 			}
 			delete(t.waiting, key)
 		}
@@ -448,7 +448,7 @@
 }
 
 // lateShare is the part of the requests that waited for longer.
-func (t *traffic) lateShare(ms int64) float64 {
+func (t *routerSim) lateShare(ms int64) float64 {
 	late := 0
 	for _, waitMs := range t.waitsMs {
 		if waitMs > ms {
--- a/internal/placement/status.go
+++ b/internal/placement/status.go
@@ -2,17 +2,17 @@
 
 import "fmt"
 
-// page is what operators see of the holdings.
-type page struct {
-	Epoch   uint64       `json:"epoch"`
-	Change  uint64       `json:"change"`
-	Fenced  bool         `json:"fenced"`
-	Counts  figures      `json:"counts"`
-	Runners []runnerPage `json:"runners"`
-	Models  []modelPage  `json:"models"`
+// statusPage is what operators see of the holdings.
+type statusPage struct {
+	Epoch   uint64         `json:"epoch"`
+	Change  uint64         `json:"change"`
+	Fenced  bool           `json:"fenced"`
+	Counts  counters       `json:"counts"`
+	Runners []runnerStatus `json:"runners"`
+	Models  []modelStatus  `json:"models"`
 }
 
-type runnerPage struct {
+type runnerStatus struct {
 	ID      string              `json:"id"`
 	Service string              `json:"service"`
 	Zone    string              `json:"zone"`
@@ -25,7 +25,7 @@
 	Queued  int                 `json:"queued"`
 }
 
-type modelPage struct {
+type modelStatus struct {
 	Service string  `json:"service"`
 	Name    string  `json:"name"`
 	Copies  int     `json:"copies"`
@@ -37,33 +37,33 @@
 
 // Status is the page of the holdings, fit for JSON. Models that nobody asked
 // for stay out.
-func (k *Keeper) Status() any {
-	p := page{Epoch: k.epoch, Change: k.change, Fenced: k.fenced, Counts: k.counts, Runners: []runnerPage{}, Models: []modelPage{}}
-	for _, r := range k.sorted {
-		rp := runnerPage{
-			ID: r.entry.ID, Service: r.service.name, Zone: r.entry.Zone, Leaving: r.leaving, Suspect: r.suspect,
-			Active: r.state.Active, Queued: r.state.Queued, Held: map[string][]string{},
+func (k *Manager) Status() any {
+	p := statusPage{Epoch: k.epoch, Change: k.revision, Fenced: k.fenced, Counts: k.counters, Runners: []runnerStatus{}, Models: []modelStatus{}}
+	for _, r := range k.sortedRunners {
+		rp := runnerStatus{
+			ID: r.Entry.ID, Service: r.Service.Name, Zone: r.Entry.Zone, Leaving: r.Leaving, Suspect: r.Suspect,
+			Active: r.State.Active, Queued: r.State.Queued, Held: map[string][]string{},
 		}
-		for name, h := range r.held {
-			rp.Held[name] = sortedKeys(h.adapters)
+		for name, h := range r.Held {
+			rp.Held[name] = sortedKeys(h.Adapters)
 		}
-		if o := r.order; o != nil {
+		if o := r.Order; o != nil {
 			verb := "unload"
-			if o.load {
+			if o.Load {
 				verb = "load"
 			}
-			rp.Order = fmt.Sprintf("%s %s %s (%s)", verb, o.Model, o.Adapter, [...]string{"sent", "taken", "unknown"}[o.phase])
+			rp.Order = fmt.Sprintf("%s %s %s (%s)", verb, o.Model, o.Adapter, [...]string{"sent", "taken", "unknown"}[o.Phase])
 		}
-		if r.plan.Model != "" {
-			rp.Plan = r.plan.Model + " " + r.plan.Adapter
+		if r.ReservedFor.Model != "" {
+			rp.Plan = r.ReservedFor.Model + " " + r.ReservedFor.Adapter
 		}
 		p.Runners = append(p.Runners, rp)
 	}
 	for _, name := range sortedKeys(k.services) {
 		s := k.services[name]
-		for _, m := range s.names {
-			if m.want.askedMs != 0 {
-				p.Models = append(p.Models, modelPage{name, m.name, m.copies, m.coming, m.wanted, m.rate, m.want.waits})
+		for _, m := range s.Configured {
+			if m.Demand.requestedMs != 0 {
+				p.Models = append(p.Models, modelStatus{name, m.Name, m.Copies, m.Coming, m.Wanted, m.Rate, m.Demand.waiting})
 			}
 		}
 	}
