--- a/internal/simulation/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -21,7 +21,7 @@
 	// messageMs and writeMs are the default durations.
 	messageMs = 1
 	writeMs   = 2
-	seeds     = 3
+	seedCount = 3
 )
 
 type eventKind uint8
@@ -40,42 +40,42 @@
 	kind     eventKind
 	// member is where it happens; life is the process that it is for, except
 	// that a message is for whoever lives at the address.
-	member   int
-	life     int
-	from     int
-	envelope protocol.Envelope
-	save     protocol.DiskWrite
-	action   func()
-	about    string
+	member      int
+	incarnation int
+	from        int
+	envelope    protocol.Envelope
+	write       protocol.DiskWrite
+	action      func()
+	description string
 	// optional actions are not waited for.
 	optional bool
 	// cause is the message that a write was caused by.
 	cause *event
-	// memo is the hash of the content, or nought as long as none was asked for.
-	memo uint64
+	// cachedHash is the hash of the content, or nought as long as none was asked for.
+	cachedHash uint64
 }
 
 // member is one controller: a machine, its disk and its links.
 type member struct {
-	place   protocol.Node
-	machine Stepper
-	tenant  *rowTenant
-	keys    map[string]string
-	// keysMemo and memo are the hashes of the disk and the machine, or nought
+	node        protocol.Node
+	machine     Stepper
+	application *rowApplication
+	disk        map[string]string
+	// cachedDiskHash and memo are the hashes of the disk and the machine, or nought
 	// after a change.
-	keysMemo uint64
-	memo     uint64
-	life     int
-	wipes    int
-	down     bool
-	// leaving says that a planned stop is under way, and leave how it ends.
-	leaving  bool
-	leave    Fault
-	frozenMs int64
-	// cutToMs and cutFromMs are until when messages to and from it are lost.
-	cutToMs, cutFromMs int64
-	// lostMs is until when it counts as lost.
-	lostMs int64
+	cachedDiskHash uint64
+	cachedHash     uint64
+	incarnation    int
+	wipes          int
+	down           bool
+	// stopping says that a planned stop is under way, and leave how it ends.
+	stopping      bool
+	stopFault     Fault
+	frozenUntilMs int64
+	// cutToUntilMs and cutFromUntilMs are until when messages to and from it are lost.
+	cutToUntilMs, cutFromUntilMs int64
+	// lostUntilMs is until when it counts as lost.
+	lostUntilMs int64
 	// writeFreeMs is when the last write that was asked for is complete.
 	writeFreeMs int64
 }
@@ -88,25 +88,25 @@
 	sequence uint64
 	members  []*member
 	seeds    []string
-	checks   checks
-	// events counts the events so far.
-	events int
-	// healedMs is when the last fault so far has ended.
-	healedMs int64
-	writes   int
-	recovery recovery
-	log      func(format string, args ...any)
+	checks   invariants
+	// processed counts the events so far.
+	processed int
+	// faultsEndMs is when the last fault so far has ended.
+	faultsEndMs int64
+	writes      int
+	recovery    recovery
+	log         func(format string, args ...any)
 }
 
 func newCluster(scope Scope, disks []map[string]string, founds bool) *cluster {
-	c := &cluster{scope: scope, nowMs: startMs, healedMs: startMs, checks: newChecks()}
+	c := &cluster{scope: scope, nowMs: startMs, faultsEndMs: startMs, checks: newInvariants()}
 	for i := range scope.Members {
 		place := protocol.Node{
 			Name: fmt.Sprintf("member-%d", i+1), Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3),
 			Part: protocol.Controller, Incarnation: fmt.Sprintf("member-%d-disk", i+1),
 		}
-		c.members = append(c.members, &member{place: place})
-		if i < seeds {
+		c.members = append(c.members, &member{node: place})
+		if i < seedCount {
 			c.seeds = append(c.seeds, place.Address)
 		}
 	}
@@ -115,37 +115,37 @@
 		if disks != nil {
 			keys = maps.Clone(disks[i])
 		}
-		c.start(i, keys, founds)
+		c.startMember(i, keys, founds)
 		c.push(&event{atMs: c.nowMs + tickMs, kind: tickEvent, member: i})
 	}
 	return c
 }
 
-func (c *cluster) note(format string, args ...any) {
+func (c *cluster) logf(format string, args ...any) {
 	if c.log != nil {
 		c.log(format, args...)
 	}
 }
 
-// start makes a member's process from its disk.
-func (c *cluster) start(i int, keys map[string]string, founds bool) {
+// startMember makes a member's process from its disk.
+func (c *cluster) startMember(i int, keys map[string]string, founds bool) {
 	m := c.members[i]
-	m.tenant = &rowTenant{}
+	m.application = &rowApplication{}
 	machine, err := consensus.New(consensus.Settings{
-		Site: site, Self: m.place, Seeds: c.seeds, Tenant: m.tenant, Losses: c.scope.Losses, Founds: founds, LeaveMs: c.scope.LeaveMs,
+		Site: site, Self: m.node, Seeds: c.seeds, Tenant: m.application, Losses: c.scope.Losses, Founds: founds, LeaveMs: c.scope.LeaveMs,
 		Timing: consensus.TimingFor(c.scope.CatchUpMs), AwayMs: consensus.AwayMsFor(c.scope.CatchUpMs), ShowMs: consensus.ShowMsFor(c.scope.CatchUpMs),
 	}, keys, c.nowMs)
 	if err != nil {
 		panic(fmt.Sprintf("modelcheck: a member can't read its own disk: %v", err))
 	}
-	m.life++
-	m.machine, m.down, m.leaving, m.keys = machine, false, false, keys
+	m.incarnation++
+	m.machine, m.down, m.stopping, m.disk = machine, false, false, keys
 	m.writeFreeMs = 0
 	if c.scope.Wrap != nil {
-		m.machine = c.scope.Wrap(m.place.Name, machine)
+		m.machine = c.scope.Wrap(m.node.Name, machine)
 	}
-	m.memo, m.keysMemo = 0, 0
-	c.checks.started(m)
+	m.cachedHash, m.cachedDiskHash = 0, 0
+	c.checks.recordStart(m)
 }
 
 func (c *cluster) push(e *event) {
@@ -165,9 +165,9 @@
 	c.queue = slices.Insert(c.queue, at, e)
 }
 
-// later puts an event that was taken off back into the queue, behind those
+// reschedule puts an event that was taken off back into the queue, behind those
 // that are there for that time.
-func (c *cluster) later(e *event, atMs int64) {
+func (c *cluster) reschedule(e *event, atMs int64) {
 	e.atMs = atMs
 	c.push(e)
 }
@@ -185,85 +185,85 @@
 		switch {
 		case e.kind == tickEvent && m.down:
 			return e
-		case m.down || e.kind == writeEvent && e.life != m.life || c.cut(e):
-		case c.nowMs < m.frozenMs:
-			c.defrost(e, m)
+		case m.down || e.kind == writeEvent && e.incarnation != m.incarnation || c.isCut(e):
+		case c.nowMs < m.frozenUntilMs:
+			c.deferUntilThaw(e, m)
 		default:
 			return e
 		}
 	}
 }
 
-// defrost keeps an event for the end of a freeze, in the order of events.
-func (c *cluster) defrost(e *event, m *member) {
-	e.atMs = m.frozenMs
+// deferUntilThaw keeps an event for the end of a freeze, in the order of events.
+func (c *cluster) deferUntilThaw(e *event, m *member) {
+	e.atMs = m.frozenUntilMs
 	c.insert(e)
 }
 
-// cut says whether a link between two members is cut.
-func (c *cluster) cut(e *event) bool {
-	return e.kind == messageEvent && (c.nowMs < c.members[e.member].cutToMs || c.nowMs < c.members[e.from].cutFromMs)
+// isCut says whether a link between two members is cut.
+func (c *cluster) isCut(e *event) bool {
+	return e.kind == messageEvent && (c.nowMs < c.members[e.member].cutToUntilMs || c.nowMs < c.members[e.from].cutFromUntilMs)
 }
 
 // process lets an event happen.
 func (c *cluster) process(e *event) {
 	switch e.kind {
 	case tickEvent:
-		c.later(e, c.nowMs+tickMs)
+		c.reschedule(e, c.nowMs+tickMs)
 		if !c.members[e.member].down {
 			c.step(e.member, protocol.Tick{}, nil)
 		}
-		c.recovery.tick(c)
+		c.recovery.check(c)
 	case messageEvent:
 		c.step(e.member, e.envelope, e)
 	case writeEvent:
-		c.complete(e)
-		c.step(e.member, protocol.DiskWriteDone{Number: e.save.Number, Ok: true}, nil)
+		c.completeWrite(e)
+		c.step(e.member, protocol.DiskWriteDone{Number: e.write.Number, Ok: true}, nil)
 	case actionEvent:
 		e.action()
 	}
 }
 
-// complete makes a write durable.
-func (c *cluster) complete(e *event) {
+// completeWrite makes a write durable.
+func (c *cluster) completeWrite(e *event) {
 	m := c.members[e.member]
-	m.keys = maps.Clone(m.keys)
-	e.save.Write.Apply(m.keys)
-	m.keysMemo = 0
-	c.checks.durable(m, e.save.Write, c.nowMs)
+	m.disk = maps.Clone(m.disk)
+	e.write.Write.Apply(m.disk)
+	m.cachedDiskHash = 0
+	c.checks.checkDurable(m, e.write.Write, c.nowMs)
 }
 
 // step gives a machine one input and brings its effects into the queue.
 func (c *cluster) step(i int, input any, cause *event) {
 	m := c.members[i]
-	out := m.machine.Step(c.nowMs, input)
-	m.memo = 0
-	for _, text := range out.LogLines {
-		c.note("%s: %s", m.place.Name, text)
+	effects := m.machine.Step(c.nowMs, input)
+	m.cachedHash = 0
+	for _, text := range effects.LogLines {
+		c.logf("%s: %s", m.node.Name, text)
 	}
-	for _, save := range out.DiskWrites {
+	for _, save := range effects.DiskWrites {
 		m.writeFreeMs = max(m.writeFreeMs, c.nowMs+writeMs)
-		c.push(&event{atMs: m.writeFreeMs, kind: writeEvent, member: i, life: m.life, save: save, cause: cause})
+		c.push(&event{atMs: m.writeFreeMs, kind: writeEvent, member: i, incarnation: m.incarnation, write: save, cause: cause})
 	}
-	for _, send := range out.Sends {
-		to := slices.IndexFunc(c.members, func(other *member) bool { return other.place.Address == send.Address })
-		if to < 0 || c.nowMs < m.cutFromMs {
+	for _, send := range effects.Sends {
+		to := slices.IndexFunc(c.members, func(other *member) bool { return other.node.Address == send.Address })
+		if to < 0 || c.nowMs < m.cutFromUntilMs {
 			continue
 		}
-		envelope := protocol.Envelope{Site: site, From: m.place, To: send.To, Body: send.Body}
+		envelope := protocol.Envelope{Site: site, From: m.node, To: send.To, Body: send.Body}
 		c.push(&event{atMs: c.nowMs + messageMs, kind: messageEvent, member: to, from: i, envelope: envelope})
 	}
-	for _, answer := range out.Answers {
-		if _, departs := answer.Body.(consensus.Departed); departs && m.leaving {
-			c.departed(i)
+	for _, answer := range effects.Answers {
+		if _, departs := answer.Body.(consensus.Departed); departs && m.stopping {
+			c.scheduleExit(i)
 		}
 	}
-	c.checks.observe(c)
+	c.checks.checkPrimaries(c)
 }
 
 // active says whether a member may speak for the site at this moment.
 func (c *cluster) active(m *member) bool {
-	host := m.tenant.host
+	host := m.application.host
 	return !m.down && host != nil && host.Active() && c.nowMs < host.LeaseUntilMs()
 }
 
@@ -272,19 +272,19 @@
 	return slices.IndexFunc(c.members, c.active)
 }
 
-// write submits a row at the primary; nought is returned while there is none.
-func (c *cluster) write() int {
+// submitWrite submits a row at the primary; nought is returned while there is none.
+func (c *cluster) submitWrite() int {
 	i := c.primary()
-	if i < 0 || c.nowMs < c.members[i].frozenMs {
+	if i < 0 || c.nowMs < c.members[i].frozenUntilMs {
 		return 0
 	}
 	c.writes++
 	number := c.writes
-	c.note("write %d at %s", number, c.members[i].place.Name)
+	c.logf("write %d at %s", number, c.members[i].node.Name)
 	c.step(i, Write{Key: rowKey(number), Then: func(ok bool) {
 		if ok {
-			c.note("write %d is acknowledged", number)
-			c.checks.acknowledged(number)
+			c.logf("write %d is acknowledged", number)
+			c.checks.recordAcknowledged(number)
 		}
 	}}, nil)
 	return number
@@ -292,46 +292,46 @@
 
 func rowKey(number int) string { return fmt.Sprintf("write-%d", number) }
 
-// lost counts the members that are lost now.
-func (c *cluster) lost() int { return c.lostWith(0) }
+// lostCount counts the members that are lost now.
+func (c *cluster) lostCount() int { return c.lostCountWith(0) }
 
-// lose counts a member as lost until it has caught up after a time.
-func (c *cluster) lose(m *member, endMs int64) {
-	m.lostMs = max(m.lostMs, endMs+c.scope.CatchUpMs)
-	c.heal(endMs)
+// markLost counts a member as lost until it has caught up after a time.
+func (c *cluster) markLost(m *member, endMs int64) {
+	m.lostUntilMs = max(m.lostUntilMs, endMs+c.scope.CatchUpMs)
+	c.noteFaultUntil(endMs)
 }
 
-// after plans a step of the cluster's own.
-func (c *cluster) after(ms int64, about string, action func()) {
-	c.push(&event{atMs: c.nowMs + ms, kind: actionEvent, about: about, action: action})
+// scheduleAction plans a step of the cluster's own.
+func (c *cluster) scheduleAction(ms int64, about string, action func()) {
+	c.push(&event{atMs: c.nowMs + ms, kind: actionEvent, description: about, action: action})
 }
 
 // fingerprint names the state of the whole cluster.
 func (c *cluster) fingerprint() uint64 {
 	var h hasher
-	h.number(uint64(c.nowMs))
+	h.writeNumber(uint64(c.nowMs))
 	for _, m := range c.members {
 		// Of a process that ended only its disk has a meaning.
 		if !m.down {
-			h.number(m.sum())
+			h.writeNumber(m.hash())
 		}
-		h.number(m.keysSum())
-		h.number(flags(m.down, m.leaving))
-		for _, ms := range []int64{m.frozenMs, m.cutToMs, m.cutFromMs, m.lostMs, m.writeFreeMs} {
-			h.number(uint64(max(ms-c.nowMs, 0)))
+		h.writeNumber(m.diskHash())
+		h.writeNumber(flags(m.down, m.stopping))
+		for _, ms := range []int64{m.frozenUntilMs, m.cutToUntilMs, m.cutFromUntilMs, m.lostUntilMs, m.writeFreeMs} {
+			h.writeNumber(uint64(max(ms-c.nowMs, 0)))
 		}
 	}
 	for _, e := range c.queue {
-		h.number(uint64(e.atMs))
-		h.number(uint64(e.kind))
-		h.number(uint64(e.member))
-		h.number(uint64(e.from))
-		h.number(e.sum())
+		h.writeNumber(uint64(e.atMs))
+		h.writeNumber(uint64(e.kind))
+		h.writeNumber(uint64(e.member))
+		h.writeNumber(uint64(e.from))
+		h.writeNumber(e.hash())
 	}
-	h.number(uint64(c.writes))
-	h.number(uint64(c.healedMs))
-	h.value(reflect.ValueOf(c.recovery))
-	h.number(c.checks.sum())
+	h.writeNumber(uint64(c.writes))
+	h.writeNumber(uint64(c.faultsEndMs))
+	h.writeValue(reflect.ValueOf(c.recovery))
+	h.writeNumber(c.checks.hash())
 	return h.sum()
 }
 
@@ -345,15 +345,15 @@
 	return bits
 }
 
-// kept is what a disk holds of epochs and of the state.
-type kept struct {
+// diskState is what a disk holds of epochs and of the state.
+type diskState struct {
 	witness  witness.State
 	record   protocol.EpochRecord
 	position protocol.Position
 }
 
-// read takes over the keys that a write sets; others stay as they were.
-func (k *kept) read(w storage.Write) {
+// apply takes over the keys that a write sets; others stay as they were.
+func (k *diskState) apply(w storage.Write) {
 	read := func(key string, into any) {
 		if text := w.Sets[key]; text != "" {
 			if err := json.Unmarshal([]byte(text), into); err != nil {
@@ -370,44 +370,44 @@
 	read("state/position", &k.position)
 }
 
-func (m *member) seat() protocol.MemberID {
-	return protocol.MemberID{Name: m.place.Name, Incarnation: m.place.Incarnation}
+func (m *member) id() protocol.MemberID {
+	return protocol.MemberID{Name: m.node.Name, Incarnation: m.node.Incarnation}
 }
 
-func (m *member) sum() uint64 {
-	if m.memo == 0 {
-		m.memo = hashOf(m.machine)
+func (m *member) hash() uint64 {
+	if m.cachedHash == 0 {
+		m.cachedHash = hashOf(m.machine)
 	}
-	return m.memo
+	return m.cachedHash
 }
 
-func (m *member) keysSum() uint64 {
-	if m.keysMemo == 0 {
-		m.keysMemo = hashOf(m.keys)
+func (m *member) diskHash() uint64 {
+	if m.cachedDiskHash == 0 {
+		m.cachedDiskHash = hashOf(m.disk)
 	}
-	return m.keysMemo
+	return m.cachedDiskHash
 }
 
-// sum names the content of an event, without its time.
-func (e *event) sum() uint64 {
-	if e.memo != 0 {
-		return e.memo
+// hash names the content of an event, without its time.
+func (e *event) hash() uint64 {
+	if e.cachedHash != 0 {
+		return e.cachedHash
 	}
 	switch e.kind {
 	case messageEvent:
-		e.memo = hashOf(e.envelope)
+		e.cachedHash = hashOf(e.envelope)
 	case writeEvent:
-		e.memo = hashOf(e.save.Write, e.cause.causeSum())
+		e.cachedHash = hashOf(e.write.Write, e.cause.causeHash())
 	default:
-		e.memo = hashOf(e.about)
+		e.cachedHash = hashOf(e.description)
 	}
-	return e.memo
+	return e.cachedHash
 }
 
-// causeSum names what caused a write; its completion may answer that.
-func (e *event) causeSum() uint64 {
+// causeHash names what caused a write; its completion may answer that.
+func (e *event) causeHash() uint64 {
 	if e == nil {
 		return 0
 	}
-	return e.sum()
+	return e.hash()
 }
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -14,8 +14,8 @@
 	return scenario
 }
 
-// assertNone fails with the shortest trace where an invariant was violated.
-func assertNone(c *qt.C, scope Scope, report Report) {
+// assertNoViolation fails with the shortest trace where an invariant was violated.
+func assertNoViolation(c *qt.C, scope Scope, report Report) {
 	for _, found := range report.Found {
 		lines := Trace(scope, found.Schedule)
 		text := ""
@@ -51,7 +51,7 @@
 			scope := Scope{Deviations: 1, Depth: test.depth, ProbeDeviations: -1, Workers: 2, Scenario: scenarioNamed(c, test.scenario)}
 			scope.Scenario.WindowMs = test.windowMs
 			report := Explore(scope)
-			assertNone(c, scope, report)
+			assertNoViolation(c, scope, report)
 			c.Check(report.Complete, qt.IsTrue)
 			c.Check(report.Level, qt.Equals, 1)
 			t.Logf("depth %d: %s", test.depth, report)
@@ -75,7 +75,7 @@
 				c := qt.New(t)
 				scope := Scope{Members: test.members, Losses: test.losses, Depth: 1, Workers: 2, Scenario: scenarioNamed(c, name)}
 				report := Explore(scope)
-				assertNone(c, scope, report)
+				assertNoViolation(c, scope, report)
 				c.Check(report.Complete, qt.IsTrue)
 				c.Check(report.Runs > 1, qt.IsTrue, qt.Commentf("no members were lost: %s", report))
 			})
@@ -92,7 +92,7 @@
 		Faults: []FaultKind{DelayMessage, DuplicateMessage}, Messages: []string{"Snapshot"},
 	}
 	report := Explore(scope)
-	assertNone(c, scope, report)
+	assertNoViolation(c, scope, report)
 	c.Check(report.Complete, qt.IsTrue)
 	c.Check(report.Runs > 1, qt.IsTrue)
 }
@@ -105,7 +105,7 @@
 		Faults: []FaultKind{DropMessage}, Messages: []string{"Append", "AppendReply"},
 	}
 	report := Explore(scope)
-	assertNone(c, scope, report)
+	assertNoViolation(c, scope, report)
 	c.Check(report.Complete, qt.IsTrue)
 }
 
@@ -122,24 +122,24 @@
 		t.Run(test.fault.String(), func(t *testing.T) {
 			c := qt.New(t)
 			scope := Scope{
-				Deviations: 1, Depth: test.depth, Workers: 2, ProbeDeviations: -1, CatchUpMs: foundsWithinMs,
+				Deviations: 1, Depth: test.depth, Workers: 2, ProbeDeviations: -1, CatchUpMs: bootstrapWithinMs,
 				Scenario: scenarioNamed(c, "founding"), Faults: []FaultKind{test.fault},
 			}
 			scope.Scenario.WindowMs = test.windowMs
 			report := Explore(scope)
-			assertNone(c, scope, report)
+			assertNoViolation(c, scope, report)
 			c.Check(report.Complete, qt.IsTrue)
 			c.Check(report.Runs > 1, qt.IsTrue)
 		})
 	}
 }
 
-// foundsWithinMs is within which a site is founded that lacks a seed: the seeds
+// bootstrapWithinMs is within which a site is founded that lacks a seed: the seeds
 // wait for all of them first.
-const foundsWithinMs = 10_000
+const bootstrapWithinMs = 10_000
 
-// handedOverMs is after a planned stop, when the member has just exited.
-const handedOverMs = 300
+// exitedMs is after a planned stop, when the member has just exited.
+const exitedMs = 300
 
 // A member that stops as planned beside a successor counts no longer once it
 // is gone: then another may crash at any moment.
@@ -148,12 +148,12 @@
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
 			scenario := scenarioNamed(c, name)
-			scenario.WindowMs = settledMs + handedOverMs
+			scenario.WindowMs = settledMs + exitedMs
 			scope := Scope{
 				Members: 4, Deviations: 1, Depth: 12, Workers: 2, ProbeDeviations: -1, Scenario: scenario, Faults: []FaultKind{Crash},
 			}
 			report := Explore(scope)
-			assertNone(c, scope, report)
+			assertNoViolation(c, scope, report)
 			c.Check(report.Complete, qt.IsTrue)
 			c.Check(report.Runs > 1, qt.IsTrue)
 		})
@@ -175,7 +175,7 @@
 		Deviations: 1, Depth: 1, States: 500, ProbeDeviations: -1, Scenario: scenarioNamed(c, "primary crashes, writes"), Faults: []FaultKind{Crash},
 	}
 	report := Explore(scope)
-	assertNone(c, scope, report)
+	assertNoViolation(c, scope, report)
 	c.Assert(report.Complete, qt.IsTrue)
 }
 
--- a/internal/simulation/modelcheck/fault.go
+++ b/internal/simulation/modelcheck/fault.go
@@ -40,15 +40,15 @@
 	// PowerLoss ends all members at once; they return, a set of them with empty
 	// disks.
 	PowerLoss
-	// loseSet ends a set of members for good: the probe at a schedule's end.
-	loseSet
+	// loseMembers ends a set of members for good: the probe at a schedule's end.
+	loseMembers
 )
 
 var faultNames = map[FaultKind]string{
 	DropMessage: "drop", DelayMessage: "delay", DuplicateMessage: "duplicate",
 	DelayWrite: "slow-write", FailWrite: "fail-write",
 	Crash: "crash", CrashAfterWrite: "crash-after-write", CrashMidSend: "crash-mid-send",
-	Freeze: "freeze", CutOff: "cut-off", CutSending: "cut-sending", Leave: "leave", PowerLoss: "power-loss", loseSet: "lose-set",
+	Freeze: "freeze", CutOff: "cut-off", CutSending: "cut-sending", Leave: "leave", PowerLoss: "power-loss", loseMembers: "lose-set",
 }
 
 func (k FaultKind) String() string { return faultNames[k] }
@@ -121,7 +121,7 @@
 			return f.Kind.String()
 		}
 		return fmt.Sprintf("%s, %s %s", f.Kind, memberNames(f.Set), returnNames[WithoutDisk])
-	case loseSet:
+	case loseMembers:
 		return "lose for good " + memberNames(f.Set)
 	case DropMessage, FailWrite:
 		return f.Kind.String()
--- a/internal/simulation/modelcheck/fault_test.go
+++ b/internal/simulation/modelcheck/fault_test.go
@@ -39,9 +39,9 @@
 		t.Run(test.about, func(t *testing.T) {
 			c := newCluster(Scope{Losses: test.losses, Messages: test.messages}.withDefaults(), nil, true)
 			for i, lostMs := range test.lostMs {
-				c.members[i].lostMs = lostMs
+				c.members[i].lostUntilMs = lostMs
 			}
-			qt.Assert(t, c.lawful(message(0), test.fault), qt.Equals, test.lawful)
+			qt.Assert(t, c.isAllowed(message(0), test.fault), qt.Equals, test.lawful)
 		})
 	}
 }
--- a/internal/simulation/modelcheck/fingerprint.go
+++ b/internal/simulation/modelcheck/fingerprint.go
@@ -19,89 +19,89 @@
 // differ, so nothing else belongs here.
 var skippedFields = map[string]bool{"out": true, "local": true, "saved": true, "sorted": true, "sum": true, "table": true}
 
-// countedFields are tables of callbacks by number of write: the cluster's own
+// lengthOnlyFields are tables of callbacks by number of write: the cluster's own
 // list of writes under way stands for them.
-var countedFields = map[string]bool{"saves": true}
+var lengthOnlyFields = map[string]bool{"saves": true}
 
 // hasher writes values in a canonical form.
-type hasher struct{ bytes []byte }
+type hasher struct{ data []byte }
 
 // hashOf names a value by all that it holds, unexported fields too.
 func hashOf(values ...any) uint64 {
 	var h hasher
 	for _, value := range values {
-		h.value(reflect.ValueOf(value))
+		h.writeValue(reflect.ValueOf(value))
 	}
 	return h.sum()
 }
 
-func (h *hasher) sum() uint64 { return maphash.Bytes(seed, h.bytes) }
+func (h *hasher) sum() uint64 { return maphash.Bytes(seed, h.data) }
 
-func (h *hasher) number(n uint64) { h.bytes = binary.LittleEndian.AppendUint64(h.bytes, n) }
+func (h *hasher) writeNumber(n uint64) { h.data = binary.LittleEndian.AppendUint64(h.data, n) }
 
-func (h *hasher) text(s string) {
-	h.number(uint64(len(s)))
-	h.bytes = append(h.bytes, s...)
+func (h *hasher) writeString(s string) {
+	h.writeNumber(uint64(len(s)))
+	h.data = append(h.data, s...)
 }
 
-func (h *hasher) value(v reflect.Value) {
+func (h *hasher) writeValue(v reflect.Value) {
 	switch v.Kind() {
 	case reflect.Invalid:
-		h.number(0)
+		h.writeNumber(0)
 	case reflect.Bool:
 		if v.Bool() {
-			h.number(1)
+			h.writeNumber(1)
 		} else {
-			h.number(2)
+			h.writeNumber(2)
 		}
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		h.number(uint64(v.Int()))
+		h.writeNumber(uint64(v.Int()))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		h.number(v.Uint())
+		h.writeNumber(v.Uint())
 	case reflect.Float32, reflect.Float64:
-		h.number(uint64(v.Float() * (1 << 20)))
+		h.writeNumber(uint64(v.Float() * (1 << 20)))
 	case reflect.String:
-		h.text(v.String())
+		h.writeString(v.String())
 	case reflect.Func, reflect.Chan:
-		h.number(uint64(v.Pointer()))
+		h.writeNumber(uint64(v.Pointer()))
 	case reflect.Pointer, reflect.Interface:
 		if v.IsNil() {
-			h.number(0)
+			h.writeNumber(0)
 			return
 		}
 		if v.Kind() == reflect.Interface {
-			h.text(v.Elem().Type().String())
+			h.writeString(v.Elem().Type().String())
 		}
-		h.value(v.Elem())
+		h.writeValue(v.Elem())
 	case reflect.Slice, reflect.Array:
-		h.number(uint64(v.Len()))
+		h.writeNumber(uint64(v.Len()))
 		for i := range v.Len() {
-			h.value(v.Index(i))
+			h.writeValue(v.Index(i))
 		}
 	case reflect.Map:
-		h.table(v)
+		h.writeMap(v)
 	case reflect.Struct:
-		h.fields(v)
+		h.writeStruct(v)
 	default:
 		panic("modelcheck: a field of kind " + v.Kind().String() + " can't be compared")
 	}
 }
 
-// table adds the hashes of the entries, whose order then doesn't matter.
-func (h *hasher) table(v reflect.Value) {
+// writeMap adds the hashes of the entries, whose order then doesn't matter.
+func (h *hasher) writeMap(v reflect.Value) {
 	var sum uint64
 	entries := v.MapRange()
 	for entries.Next() {
 		var entry hasher
-		entry.value(entries.Key())
-		entry.value(entries.Value())
+		entry.writeValue(entries.Key())
+		entry.writeValue(entries.Value())
 		sum += entry.sum()
 	}
-	h.number(uint64(v.Len()))
-	h.number(sum)
+	h.writeNumber(uint64(v.Len()))
+	h.writeNumber(sum)
 }
 
-func (h *hasher) fields(v reflect.Value) {
+func (h *hasher) writeStruct(v reflect.Value) {
 	kind := v.Type()
 	if skippedTypes[kind] {
 		return
@@ -110,10 +110,10 @@
 		name := kind.Field(i).Name
 		switch {
 		case skippedFields[name]:
-		case countedFields[name]:
-			h.number(uint64(v.Field(i).Len()))
+		case lengthOnlyFields[name]:
+			h.writeNumber(uint64(v.Field(i).Len()))
 		default:
-			h.value(v.Field(i))
+			h.writeValue(v.Field(i))
 		}
 	}
 }
--- a/internal/simulation/modelcheck/broken_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -15,40 +15,40 @@
 	"myrtlewinch/internal/storage"
 )
 
-// broken stands between a cluster and a machine and changes what passes.
-type broken struct {
+// interceptor stands between a cluster and a machine and changes what passes.
+type interceptor struct {
 	machine Stepper
 	// input changes an input; nil is swallowed.
 	input func(input any) any
 	// send changes the body of a message.
 	send func(body any) any
-	// save changes a write.
-	save func(write storage.Write) storage.Write
+	// write changes a write.
+	write func(write storage.Write) storage.Write
 }
 
-func (b *broken) Step(nowMs int64, input any) protocol.Effects {
+func (b *interceptor) Step(nowMs int64, input any) protocol.Effects {
 	if b.input != nil {
 		if input = b.input(input); input == nil {
 			return protocol.Effects{}
 		}
 	}
-	out := b.machine.Step(nowMs, input)
-	for i := range out.Sends {
+	effects := b.machine.Step(nowMs, input)
+	for i := range effects.Sends {
 		if b.send != nil {
-			out.Sends[i].Body = b.send(out.Sends[i].Body)
+			effects.Sends[i].Body = b.send(effects.Sends[i].Body)
 		}
 	}
-	for i := range out.DiskWrites {
-		if b.save != nil {
-			out.DiskWrites[i].Write = b.save(out.DiskWrites[i].Write)
+	for i := range effects.DiskWrites {
+		if b.write != nil {
+			effects.DiskWrites[i].Write = b.write(effects.DiskWrites[i].Write)
 		}
 	}
-	return out
+	return effects
 }
 
 // losingWrites says that writes of the state are durable, and forgets them.
 func losingWrites(member string, machine Stepper) Stepper {
-	return &broken{machine: machine, save: func(write storage.Write) storage.Write {
+	return &interceptor{machine: machine, write: func(write storage.Write) storage.Write {
 		if write.Sets["state/position"] != "" {
 			return storage.Write{}
 		}
@@ -61,7 +61,7 @@
 	return func(member string, machine Stepper) Stepper {
 		var early *storage.Write
 		written := 0
-		return &broken{machine: machine, save: func(write storage.Write) storage.Write {
+		return &interceptor{machine: machine, write: func(write storage.Write) storage.Write {
 			if write.Sets[key] == "" {
 				return write
 			}
@@ -78,7 +78,7 @@
 
 // acknowledgingEarly acknowledges a write before any disk has it.
 func acknowledgingEarly(member string, machine Stepper) Stepper {
-	return &broken{machine: machine, input: func(input any) any {
+	return &interceptor{machine: machine, input: func(input any) any {
 		if write, ok := input.(Write); ok {
 			write.Then(true)
 		}
@@ -91,7 +91,7 @@
 
 // countingLongLeases counts the lease from later than when its renewal was sent.
 func countingLongLeases(member string, machine Stepper) Stepper {
-	return &broken{machine: machine, input: func(input any) any {
+	return &interceptor{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
 			if kept, answers := envelope.Body.(protocol.AcceptReply); answers {
 				kept.EchoMs += longerLeaseMs
@@ -105,7 +105,7 @@
 
 // hidingRecords doesn't tell candidates what record a witness keeps.
 func hidingRecords(member string, machine Stepper) Stepper {
-	return &broken{machine: machine, send: func(body any) any {
+	return &interceptor{machine: machine, send: func(body any) any {
 		if promised, ok := body.(protocol.PrepareReply); ok {
 			promised.Record, promised.Kept = protocol.EpochRecord{}, protocol.Ballot{}
 			return promised
@@ -116,7 +116,7 @@
 
 // deafToPromises never answers a candidate.
 func deafToPromises(member string, machine Stepper) Stepper {
-	return &broken{machine: machine, input: func(input any) any {
+	return &interceptor{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
 			if _, asks := envelope.Body.(protocol.Prepare); asks {
 				return nil
@@ -139,7 +139,7 @@
 	written.WindowMs = settledMs + 100
 	for _, test := range []struct {
 		about string
-		check Check
+		check Invariant
 		wrap  func(string, Stepper) Stepper
 		scope Scope
 	}{
@@ -161,11 +161,11 @@
 			c := qt.New(t)
 			scope := test.scope
 			scope.ProbeDeviations, scope.Workers = -1, 2
-			assertNone(c, scope, Explore(scope))
+			assertNoViolation(c, scope, Explore(scope))
 			scope.Wrap = test.wrap
-			var fired []Check
+			var fired []Invariant
 			for _, found := range Explore(scope).Found {
-				fired = append(fired, found.Violation.Check)
+				fired = append(fired, found.Violation.Invariant)
 			}
 			c.Assert(fired, qt.Contains, test.check)
 		})
@@ -236,7 +236,7 @@
 		case reflect.Struct:
 			for i := range kind.NumField() {
 				field := kind.Field(i)
-				if skippedFields[field.Name] || countedFields[field.Name] {
+				if skippedFields[field.Name] || lengthOnlyFields[field.Name] {
 					left[kind.String()+"."+field.Name] = true
 					continue
 				}
--- a/internal/simulation/modelcheck/recovery.go
+++ b/internal/simulation/modelcheck/recovery.go
@@ -5,9 +5,9 @@
 // again, which a stream of writes must not put off: the scenario "busy" has one.
 const retryWriteMs = 1000
 
-// roundMs rounds the end of a fault up, so that the states after faults that
+// roundingMs rounds the end of a fault up, so that the states after faults that
 // ended at nearly the same time can be equal.
-const roundMs = 250
+const roundingMs = 250
 
 // recovery checks that the cluster serves again after the last fault: within
 // the bound there must be a primary that acknowledges a write.
@@ -19,16 +19,16 @@
 	done    bool
 }
 
-// heal notes that a fault has an effect until a time.
-func (c *cluster) heal(endMs int64) {
-	rounded := (endMs + roundMs - 1) / roundMs * roundMs
-	c.healedMs = max(c.healedMs, rounded)
+// noteFaultUntil notes that a fault has an effect until a time.
+func (c *cluster) noteFaultUntil(endMs int64) {
+	rounded := (endMs + roundingMs - 1) / roundingMs * roundingMs
+	c.faultsEndMs = max(c.faultsEndMs, rounded)
 }
 
-// tick is called at each tick of each member.
-func (r *recovery) tick(c *cluster) {
-	if c.healedMs > r.sinceMs {
-		*r = recovery{sinceMs: c.healedMs}
+// check is called at each tick of each member.
+func (r *recovery) check(c *cluster) {
+	if c.faultsEndMs > r.sinceMs {
+		*r = recovery{sinceMs: c.faultsEndMs}
 	}
 	if r.done || c.nowMs < r.sinceMs {
 		return
@@ -38,10 +38,10 @@
 		return
 	}
 	if c.nowMs-r.sinceMs > c.scope.CatchUpMs {
-		c.checks.violated(Recovers, c.nowMs, "no write is acknowledged %d ms after the last fault", c.scope.CatchUpMs)
+		c.checks.violate(Recovers, c.nowMs, "no write is acknowledged %d ms after the last fault", c.scope.CatchUpMs)
 		return
 	}
 	if r.write == 0 || c.nowMs-r.writeMs >= retryWriteMs {
-		r.write, r.writeMs = c.write(), c.nowMs
+		r.write, r.writeMs = c.submitWrite(), c.nowMs
 	}
 }
--- a/internal/simulation/modelcheck/scenario.go
+++ b/internal/simulation/modelcheck/scenario.go
@@ -39,13 +39,13 @@
 
 // Scenario is what happens in every schedule of a check.
 type Scenario struct {
-	Name  string
-	About string
-	Steps []ScenarioStep
+	Name        string
+	Description string
+	Steps       []ScenarioStep
 	// WindowMs is when the window of deviations begins.
 	WindowMs int64
-	// Founding says that all members start for the first time, with empty disks.
-	Founding bool
+	// Bootstrap says that all members start for the first time, with empty disks.
+	Bootstrap bool
 }
 
 // settledMs is when a cluster that was started from its disks serves and has
@@ -54,53 +54,53 @@
 
 // Scenarios lists what may be asked for.
 var Scenarios = []Scenario{
-	{Name: "steady", About: "a settled cluster takes a write", WindowMs: settledMs, Steps: []ScenarioStep{
+	{Name: "steady", Description: "a settled cluster takes a write", WindowMs: settledMs, Steps: []ScenarioStep{
 		{AtMs: settledMs + 100, Write: true},
 	}},
-	{Name: "start", About: "all members start from their disks", WindowMs: 0, Steps: []ScenarioStep{
+	{Name: "start", Description: "all members start from their disks", WindowMs: 0, Steps: []ScenarioStep{
 		{AtMs: 150, Write: true},
 	}},
-	{Name: "founding", About: "all members start for the first time and found the site", Founding: true},
-	{Name: "primary crashes", About: "the primary crashes and comes back with its disk", WindowMs: settledMs, Steps: []ScenarioStep{
+	{Name: "founding", Description: "all members start for the first time and found the site", Bootstrap: true},
+	{Name: "primary crashes", Description: "the primary crashes and comes back with its disk", WindowMs: settledMs, Steps: []ScenarioStep{
 		{AtMs: settledMs - 50, Write: true},
 		{AtMs: settledMs, Role: Primary, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithDisk}},
 	}},
-	{Name: "primary crashes, writes", About: "the primary crashes in a stream of writes", WindowMs: settledMs, Steps: append([]ScenarioStep{
+	{Name: "primary crashes, writes", Description: "the primary crashes in a stream of writes", WindowMs: settledMs, Steps: append([]ScenarioStep{
 		{AtMs: settledMs + 100, Role: Primary, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithDisk}},
 	}, writesEach(950, settledMs+90, settledMs+8000)...)},
-	{Name: "replica wiped, writes", About: "a replica comes back with an empty disk in a stream of writes", WindowMs: settledMs + returnMs, Steps: append([]ScenarioStep{
+	{Name: "replica wiped, writes", Description: "a replica comes back with an empty disk in a stream of writes", WindowMs: settledMs + returnMs, Steps: append([]ScenarioStep{
 		{AtMs: settledMs, Role: Replica, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 	}, writesEach(950, settledMs+90, settledMs+8000)...)},
-	{Name: "primary wiped", About: "the primary crashes and comes back with an empty disk", WindowMs: settledMs, Steps: []ScenarioStep{
+	{Name: "primary wiped", Description: "the primary crashes and comes back with an empty disk", WindowMs: settledMs, Steps: []ScenarioStep{
 		{AtMs: settledMs - 50, Write: true},
 		{AtMs: settledMs, Role: Primary, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 	}},
-	{Name: "replica wiped", About: "a replica crashes and comes back with an empty disk", WindowMs: settledMs + returnMs, Steps: []ScenarioStep{
+	{Name: "replica wiped", Description: "a replica crashes and comes back with an empty disk", WindowMs: settledMs + returnMs, Steps: []ScenarioStep{
 		{AtMs: settledMs, Role: Replica, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 		{AtMs: settledMs + 400, Write: true},
 		{AtMs: settledMs + 800, Write: true},
 	}},
-	{Name: "outsider wiped", About: "a member without a recorded copy comes back with an empty disk", WindowMs: settledMs + returnMs, Steps: []ScenarioStep{
+	{Name: "outsider wiped", Description: "a member without a recorded copy comes back with an empty disk", WindowMs: settledMs + returnMs, Steps: []ScenarioStep{
 		{AtMs: settledMs, Role: Outsider, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 		{AtMs: settledMs + 400, Write: true},
 		{AtMs: settledMs + 800, Write: true},
 	}},
-	{Name: "replica leaves", About: "a replica stops as planned, for good", WindowMs: settledMs, Steps: []ScenarioStep{
+	{Name: "replica leaves", Description: "a replica stops as planned, for good", WindowMs: settledMs, Steps: []ScenarioStep{
 		{AtMs: settledMs - 50, Write: true},
 		{AtMs: settledMs, Role: Replica, Fault: Fault{Kind: Leave}},
 	}},
-	{Name: "primary leaves", About: "the primary stops as planned, for good", WindowMs: settledMs, Steps: []ScenarioStep{
+	{Name: "primary leaves", Description: "the primary stops as planned, for good", WindowMs: settledMs, Steps: []ScenarioStep{
 		{AtMs: settledMs - 50, Write: true},
 		{AtMs: settledMs, Role: Primary, Fault: Fault{Kind: Leave}},
 	}},
-	{Name: "rotation", About: "primary and replica lose their disks in turn, each as soon as that may be", WindowMs: settledMs, Steps: []ScenarioStep{
+	{Name: "rotation", Description: "primary and replica lose their disks in turn, each as soon as that may be", WindowMs: settledMs, Steps: []ScenarioStep{
 		{AtMs: settledMs - 50, Write: true},
 		{AtMs: settledMs, Role: Primary, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 		{AtMs: settledMs + 50, Role: Replica, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 		{AtMs: settledMs + 100, Role: Primary, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 		{AtMs: settledMs + 150, Role: Replica, Fault: Fault{Kind: Crash, Ms: returnMs, Return: WithoutDisk}},
 	}},
-	{Name: "busy", About: "a replica stops as planned while writes go on", WindowMs: settledMs, Steps: append([]ScenarioStep{
+	{Name: "busy", Description: "a replica stops as planned while writes go on", WindowMs: settledMs, Steps: append([]ScenarioStep{
 		{AtMs: settledMs, Role: Replica, Fault: Fault{Kind: Leave}},
 	}, writesEach(300, settledMs, settledMs+8000)...)},
 }
@@ -115,17 +115,17 @@
 }
 
 const (
-	// waitMs is how long a step waits before it is tried again.
-	waitMs = 50
-	// waitMostMs is how long it waits in all.
-	waitMostMs = 60_000
+	// retryStepMs is how long a step waits before it is tried again.
+	retryStepMs = 50
+	// maxStepWaitMs is how long it waits in all.
+	maxStepWaitMs = 60_000
 )
 
-// gone counts the members that are lost for good.
-func (c *cluster) gone() int {
+// permanentlyLost counts the members that are lost for good.
+func (c *cluster) permanentlyLost() int {
 	count := 0
 	for _, m := range c.members {
-		if m.lostMs >= forGood {
+		if m.lostUntilMs >= forever {
 			count++
 		}
 	}
@@ -141,51 +141,51 @@
 	return Scenarios[i], true
 }
 
-// plan puts a scenario's steps into the queue.
-func (c *cluster) plan(s Scenario) {
+// scheduleScenario puts a scenario's steps into the queue.
+func (c *cluster) scheduleScenario(s Scenario) {
 	for _, step := range s.Steps {
 		if !step.Write {
-			c.heal(startMs + step.AtMs)
+			c.noteFaultUntil(startMs + step.AtMs)
 		}
-		c.push(&event{atMs: c.nowMs + step.AtMs, kind: actionEvent, about: step.String(), optional: step.Optional, action: func() { c.play(step) }})
+		c.push(&event{atMs: c.nowMs + step.AtMs, kind: actionEvent, description: step.String(), optional: step.Optional, action: func() { c.runScenarioStep(step) }})
 	}
 }
 
-// play plays a step. A fault waits until there is a member of that role, and as
+// runScenarioStep plays a step. A fault waits until there is a member of that role, and as
 // long as it would lose more members than may be lost; one that can't happen any
 // more is left out.
-func (c *cluster) play(step ScenarioStep) {
+func (c *cluster) runScenarioStep(step ScenarioStep) {
 	if step.Write {
-		c.write()
+		c.submitWrite()
 		return
 	}
-	if c.gone() >= c.scope.Losses || c.nowMs > startMs+step.AtMs+waitMostMs {
+	if c.permanentlyLost() >= c.scope.Losses || c.nowMs > startMs+step.AtMs+maxStepWaitMs {
 		return
 	}
-	i := c.inRole(step.Role)
-	if i < 0 || c.lost() >= c.scope.Losses {
-		c.after(waitMs, step.String(), func() { c.play(step) })
+	i := c.memberInRole(step.Role)
+	if i < 0 || c.lostCount() >= c.scope.Losses {
+		c.scheduleAction(retryStepMs, step.String(), func() { c.runScenarioStep(step) })
 		return
 	}
-	c.note("SCENARIO %s at %s", step.Fault, c.members[i].place.Name)
+	c.logf("SCENARIO %s at %s", step.Fault, c.members[i].node.Name)
 	if step.Fault.Kind == Leave {
-		c.leave(i, step.Fault)
+		c.beginStop(i, step.Fault)
 		return
 	}
-	c.exit(i, step.Fault)
+	c.exitProcess(i, step.Fault)
 }
 
-// inRole finds a member by its part, or -1.
-func (c *cluster) inRole(role Role) int {
+// memberInRole finds a member by its part, or -1.
+func (c *cluster) memberInRole(role Role) int {
 	primary := c.primary()
 	if primary < 0 || role == Primary {
 		return primary
 	}
 	var remembered struct{ Record protocol.EpochRecord }
-	if json.Unmarshal([]byte(c.members[primary].keys["record"]), &remembered) != nil {
+	if json.Unmarshal([]byte(c.members[primary].disk["record"]), &remembered) != nil {
 		return -1
 	}
 	return slices.IndexFunc(c.members, func(m *member) bool {
-		return m != c.members[primary] && !m.down && remembered.Record.HasReplica(m.seat()) == (role == Replica)
+		return m != c.members[primary] && !m.down && remembered.Record.HasReplica(m.id()) == (role == Replica)
 	})
 }
--- a/internal/simulation/modelcheck/trace.go
+++ b/internal/simulation/modelcheck/trace.go
@@ -14,15 +14,15 @@
 	}
 	switch e.kind {
 	case actionEvent:
-		c.note("%s", e.about)
+		c.logf("%s", e.description)
 	case writeEvent:
-		c.note("%s: write %d complete %v", c.members[e.member].place.Name, e.save.Number, e.save.Write.Sets)
+		c.logf("%s: write %d complete %v", c.members[e.member].node.Name, e.write.Number, e.write.Write.Sets)
 	case messageEvent:
 		switch e.envelope.Body.(type) {
 		case protocol.Heartbeat, protocol.HeartbeatReports, protocol.PeersRequest:
 			return
 		}
-		c.note("%s -> %s: %s %+v", e.envelope.From.Name, c.members[e.member].place.Name, e.messageType(), e.envelope.Body)
+		c.logf("%s -> %s: %s %+v", e.envelope.From.Name, c.members[e.member].node.Name, e.messageType(), e.envelope.Body)
 	}
 }
 
@@ -33,13 +33,13 @@
 
 // Trace replays a schedule and gives what happened in it, a line each.
 func Trace(scope Scope, schedule Schedule) []string {
-	x := &explorer{scope: scope.withDefaults(), visited: map[uint64]budget{}}
+	x := &explorer{scope: scope.withDefaults(), visited: map[uint64]remaining{}}
 	x.scope.States = 1 << 30
-	x.disks = firstDisks(x.scope)
-	c := x.begin()
+	x.disks = initialDisks(x.scope)
+	c := x.newRun()
 	var lines []string
 	c.log = func(format string, args ...any) {
-		lines = append(lines, fmt.Sprintf("%6d ms, event %d: ", c.nowMs-startMs, c.events)+fmt.Sprintf(format, args...))
+		lines = append(lines, fmt.Sprintf("%6d ms, event %d: ", c.nowMs-startMs, c.processed)+fmt.Sprintf(format, args...))
 	}
 	r := &run{explorer: x, cluster: c, schedule: schedule, windowEnd: -1}
 	for !r.step() {
