--- a/internal/consensus/tenant.go
+++ b/internal/consensus/application.go
@@ -7,20 +7,20 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Tenant is what a controller does with the copied state beside keeping it:
+// Application is what a controller does with the copied state beside keeping it:
 // the description or the service map, the runners, the index and the orders.
 // All methods run on the machine's own thread.
-type Tenant interface {
-	// Changed says that rows of the state changed, or all of them.
-	Changed(h Host)
-	// Began says that this daemon has become the primary and may speak.
-	Began(h Host)
-	// Ended says that it is the primary no more.
-	Ended(h Host)
-	// Receive takes a message of a peer or a router; false is unknown.
-	Receive(h Host, e protocol.Envelope) bool
-	// Input takes any other input, such as what a call outward brought.
-	Input(h Host, input any) bool
+type Application interface {
+	// StateChanged says that rows of the state changed, or all of them.
+	StateChanged(h Host)
+	// BecamePrimary says that this daemon has become the primary and may speak.
+	BecamePrimary(h Host)
+	// LostPrimacy says that it is the primary no more.
+	LostPrimacy(h Host)
+	// HandleMessage takes a message of a peer or a router; false is unknown.
+	HandleMessage(h Host, e protocol.Envelope) bool
+	// HandleInput takes any other input, such as what a call outward brought.
+	HandleInput(h Host, input any) bool
 	// Tick is called about each 50 ms, also where this is not the primary.
 	Tick(h Host)
 }
@@ -30,10 +30,10 @@
 	NowMs() int64
 	// Active says whether this daemon may speak for the site now.
 	Active() bool
-	// InContact says whether a majority of the site stood behind what this daemon
+	// QuorumContact says whether a majority of the site stood behind what this daemon
 	// knows within the last lease: the primary by its lease, a follower by the
 	// primary's word. Without it nothing may be handed out.
-	InContact() bool
+	QuorumContact() bool
 	// LeaseUntilMs is until when it may, if nothing more is heard.
 	LeaseUntilMs() int64
 	// OrdersFromMs is from when a new primary may order, since the one before
@@ -55,7 +55,7 @@
 	Send(to protocol.Node, body any)
 	Call(address string, body any)
 	Answer(id uint64, body any)
-	Note(format string, args ...any)
+	Logf(format string, args ...any)
 	Count(name string)
 }
 
@@ -64,19 +64,19 @@
 
 func (h host) NowMs() int64        { return h.m.nowMs }
 func (h host) Active() bool        { return h.m.active() }
-func (h host) InContact() bool     { return h.m.inContact() }
+func (h host) QuorumContact() bool { return h.m.inContact() }
 func (h host) LeaseUntilMs() int64 { return h.m.election.leaseUntilMs }
 func (h host) OrdersFromMs() int64 { return h.m.election.ordersMs }
 func (h host) Self() protocol.Node { return h.m.set.Self }
 func (h host) Epoch() uint64       { return h.m.record.Epoch }
 
 func (h host) Primary() protocol.Node {
-	place, _ := h.m.roster.Place(h.m.record.Primary)
+	place, _ := h.m.roster.Node(h.m.record.Primary)
 	return place
 }
 
 func (h host) live(part string) []protocol.Node {
-	return slices.DeleteFunc(h.m.roster.Part(part), func(p protocol.Node) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
+	return slices.DeleteFunc(h.m.roster.NodesOf(part), func(p protocol.Node) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
 }
 
 func (h host) Controllers() []protocol.Node { return h.live(protocol.Controller) }
@@ -94,5 +94,5 @@
 }
 
 func (h host) Answer(id uint64, body any)      { h.m.answer(id, body) }
-func (h host) Note(format string, args ...any) { h.m.note(format, args...) }
+func (h host) Logf(format string, args ...any) { h.m.note(format, args...) }
 func (h host) Count(name string)               { h.m.out.Counts = append(h.m.out.Counts, name) }
--- a/internal/consensus/founding.go
+++ b/internal/consensus/bootstrap.go
@@ -11,8 +11,8 @@
 // firstEpoch is the epoch of the record that founds a site.
 const firstEpoch = 1
 
-// Founded answers a founding.
-type Founded struct {
+// BootstrapResult answers a founding.
+type BootstrapResult struct {
 	Epoch   uint64 `json:"epoch"`
 	Primary string `json:"primary"`
 	Backup  string `json:"backup"`
@@ -21,7 +21,7 @@
 // found begins a site: every witness must agree, and must be blank or hold
 // just what this very founding would give it, since an earlier go at it was
 // cut short. Nothing else ever takes a blank disk for a beginning.
-func (m *Machine) found(f Founding) {
+func (m *Machine) found(f Bootstrap) {
 	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Rejection{Kind: kind, Detail: detail}) }
 	if m.record.Epoch > 0 || m.state.Position.Number > 0 {
 		drop(errkind.AlreadyFounded, "this controller belongs to a founded site")
@@ -46,24 +46,24 @@
 }
 
 // firstRecord is the record that an operator's act would make, or why it can't.
-func (m *Machine) firstRecord(f Founding) (protocol.EpochRecord, string) {
+func (m *Machine) firstRecord(f Bootstrap) (protocol.EpochRecord, string) {
 	set := map[string]bool{}
 	var witnesses []protocol.MemberID
 	for _, name := range f.Witnesses {
 		set[name] = true
-		place, ok := m.roster.Place(name)
+		place, ok := m.roster.Node(name)
 		if !ok || place.Part != protocol.Controller {
 			return protocol.EpochRecord{}, "witnesses: no controller named " + name + " is known here"
 		}
 		witnesses = append(witnesses, protocol.MemberID{Name: name, Incarnation: place.Incarnation})
 	}
-	if len(f.Witnesses) != 3 && m.set.Tenant == nil || len(set) != len(f.Witnesses) {
+	if len(f.Witnesses) != 3 && m.set.Application == nil || len(set) != len(f.Witnesses) {
 		return protocol.EpochRecord{}, "witnesses: must be three different controllers"
 	}
-	if m.set.Tenant != nil {
+	if m.set.Application != nil {
 		return m.seedsRecord(witnesses), ""
 	}
-	backup, ok := m.roster.Place(f.Backup)
+	backup, ok := m.roster.Node(f.Backup)
 	if !ok || backup.Part != protocol.Controller || f.Backup == m.set.Self.Name {
 		return protocol.EpochRecord{}, "backup: must be another controller that is known here"
 	}
@@ -141,12 +141,12 @@
 
 // mayBootstrap says whether this disk may vote for a first record. The older
 // interface leaves that to the operator's explicit act.
-func (m *Machine) mayBootstrap() bool { return m.set.Tenant == nil || m.firstDisk }
+func (m *Machine) mayBootstrap() bool { return m.set.Application == nil || m.firstDisk }
 
 // markFirstDisk keeps on the disk that it was there at the first start. Saves
 // keep their order, so no vote is on the disk before this.
 func (m *Machine) markFirstDisk() {
-	if !m.set.Founds || m.firstDisk || m.broken {
+	if !m.set.FirstStart || m.firstDisk || m.broken {
 		return
 	}
 	m.firstDisk = true
@@ -171,7 +171,7 @@
 	waited := m.nowMs >= m.startMs+majorityAfterMs+int64(turn)*foundAfterMs
 	var names, marked []string
 	for _, seed := range seeds {
-		place, known := m.roster.At(seed)
+		place, known := m.roster.NodeAt(seed)
 		// One that was heard once may be gone for good.
 		if known && waited && place.Name != m.set.Self.Name && !m.roster.Live(m.nowMs, place.Name) {
 			known = false
@@ -189,7 +189,7 @@
 	if len(names) < len(seeds) && (!waited || 2*len(names) <= len(seeds)) {
 		return
 	}
-	m.found(Founding{Witnesses: names})
+	m.found(Bootstrap{Witnesses: names})
 }
 
 // seedsRecord is the first record of a site that its seeds found: as many of
@@ -197,7 +197,7 @@
 func (m *Machine) seedsRecord(witnesses []protocol.MemberID) protocol.EpochRecord {
 	record := protocol.EpochRecord{Epoch: 1, Primary: m.set.Self.Name, Replicas: []protocol.MemberID{m.ownSeat()}, Witnesses: witnesses, Before: witnesses}
 	for _, seat := range witnesses {
-		if seat != m.ownSeat() && len(record.Replicas) < m.set.Losses+1 {
+		if seat != m.ownSeat() && len(record.Replicas) < m.set.MaxLosses+1 {
 			record.Replicas = append(record.Replicas, seat)
 		}
 	}
--- a/internal/consensus/campaign_test.go
+++ b/internal/consensus/campaign_test.go
@@ -207,7 +207,7 @@
 		r.note("%s is told to stop for good", name)
 		n := r.nodes[name]
 		n.departed = func() { r.remove(name) }
-		r.step(name, StepDown{ID: 1})
+		r.step(name, Leave{ID: 1})
 		life := n.life
 		r.after(campaignLeaveMs+300, func() {
 			if n.life == life {
@@ -248,7 +248,7 @@
 	}
 	r.lost[name] = true
 	n.departed = func() { r.after(20, stop) }
-	r.step(name, StepDown{ID: 1})
+	r.step(name, Leave{ID: 1})
 	r.after(campaignLeaveMs+300, stop)
 }
 
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -12,24 +12,24 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// keepTenant keeps one row and tells what happened to it.
-type keepTenant struct {
+// rowApplication keeps one row and tells what happened to it.
+type rowApplication struct {
 	began, ended int
 	row          string
 }
 
-func (k *keepTenant) Changed(h Host)                       { k.row = h.Row("row") }
-func (k *keepTenant) Began(h Host)                         { k.began++; k.row = h.Row("row") }
-func (k *keepTenant) Ended(Host)                           { k.ended++ }
-func (k *keepTenant) Receive(Host, protocol.Envelope) bool { return false }
-func (k *keepTenant) Tick(Host)                            {}
+func (k *rowApplication) StateChanged(h Host)                        { k.row = h.Row("row") }
+func (k *rowApplication) BecamePrimary(h Host)                       { k.began++; k.row = h.Row("row") }
+func (k *rowApplication) LostPrimacy(Host)                           { k.ended++ }
+func (k *rowApplication) HandleMessage(Host, protocol.Envelope) bool { return false }
+func (k *rowApplication) Tick(Host)                                  {}
 
 type put struct {
 	row  string
 	then func(bool)
 }
 
-func (k *keepTenant) Input(h Host, input any) bool {
+func (k *rowApplication) HandleInput(h Host, input any) bool {
 	p, ok := input.(put)
 	if ok {
 		h.Submit(map[string]string{"row": p.row}, p.then)
@@ -54,7 +54,7 @@
 
 type coreNode struct {
 	machine *Machine
-	tenant  *keepTenant
+	tenant  *rowApplication
 	keys    map[string]string
 	place   protocol.Node
 	down    bool
@@ -107,12 +107,12 @@
 
 func (w *core) start(name string, keys map[string]string, first bool) {
 	n := w.nodes[name]
-	n.down, n.keys, n.tenant = false, keys, &keepTenant{}
+	n.down, n.keys, n.tenant = false, keys, &rowApplication{}
 	n.saveMs, n.departed = 0, nil
 	n.life++
 	n.saves, n.saving = nil, false
 	machine, err := New(Settings{
-		Site: "s", Self: n.place, Seeds: w.seeds, Tenant: n.tenant, Losses: w.losses, Founds: first, AwayMs: 1000, ShowMs: 400,
+		Site: "s", Self: n.place, Seeds: w.seeds, Application: n.tenant, MaxLosses: w.losses, FirstStart: first, WitnessTimeoutMs: 1000, ReplicaGraceMs: 400,
 	}, keys, w.nowMs)
 	w.c.Assert(err, qt.IsNil)
 	n.machine = machine
@@ -144,7 +144,7 @@
 	n.saves = append(n.saves, out.DiskWrites...)
 	w.saveNext(n, life)
 	for _, answer := range out.Answers {
-		if _, is := answer.Body.(Departed); is && n.departed != nil {
+		if _, is := answer.Body.(LeaveResult); is && n.departed != nil {
 			n.departed()
 		}
 	}
--- a/internal/consensus/duty_test.go
+++ b/internal/consensus/duty_test.go
@@ -28,7 +28,7 @@
 	a, b, c := protocol.MemberID{Name: "a", Incarnation: "1"}, protocol.MemberID{Name: "b", Incarnation: "1"}, protocol.MemberID{Name: "c", Incarnation: "1"}
 	set := []protocol.MemberID{a, b, c}
 	for _, name := range []string{"b", "c"} {
-		m.roster.Heard(100_000, protocol.Node{Name: name, Address: name + ":1", Zone: "y", Part: protocol.Controller, Incarnation: "1"})
+		m.roster.Observe(100_000, protocol.Node{Name: name, Address: name + ":1", Zone: "y", Part: protocol.Controller, Incarnation: "1"})
 	}
 	m.state.Do(protocol.Position{Epoch: 1, Number: 1}, []ledger.Command{ledger.Accept{Text: described, Epoch: 1}})
 	qt.Assert(t, m.describe(), qt.IsNil)
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -54,7 +54,7 @@
 	established  bool
 	// quietMs is until when a recovered site says nothing.
 	quietMs  int64
-	founding *Founding
+	founding *Bootstrap
 	// learnMs is when peers were last asked for a newer record.
 	learnMs int64
 	// first is the record that the founding under way would make.
@@ -74,7 +74,7 @@
 // entitled says whether this disk may become primary under the record.
 func (m *Machine) entitled(record protocol.EpochRecord) bool {
 	// The older interface has no one who takes over from a daemon that stops.
-	stops := m.leaving.wanted && m.set.Tenant == nil
+	stops := m.leaving.wanted && m.set.Application == nil
 	return !m.broken && !stops && record.HasReplica(m.ownSeat())
 }
 
@@ -106,7 +106,7 @@
 			m.askPromises(false)
 			return
 		}
-		waitMs := int64(m.waits.MissMs)
+		waitMs := int64(m.waits.ElectionTimeoutMs)
 		if m.leaving.wanted {
 			waitMs += leavingMs
 		}
@@ -114,18 +114,18 @@
 			m.askOpinions()
 		}
 	case asking:
-		if m.nowMs-s.sinceMs >= m.waits.OpinionMs {
+		if m.nowMs-s.sinceMs >= m.waits.PreVoteMs {
 			if s.opposed {
 				// They may miss it a moment later, and each moment counts.
 				m.note("peers still hear the primary; no take-over")
-				m.retreat(m.waits.OpinionMs)
+				m.retreat(m.waits.PreVoteMs)
 				return
 			}
 			m.askPromises(false)
 		}
 	case promising, keeping:
 		m.askAgain()
-		if m.nowMs-s.sinceMs >= m.waits.AttemptMs {
+		if m.nowMs-s.sinceMs >= m.waits.BallotTimeoutMs {
 			m.retreat(200 + int64(len(m.set.Self.Name)*37+int(m.set.Self.Name[len(m.set.Self.Name)-1])*13)%300)
 		}
 	case primary:
@@ -147,7 +147,7 @@
 // just a majority is left, one lost message would cost the whole attempt.
 func (m *Machine) askAgain() {
 	s := &m.election
-	if m.nowMs-s.askedMs < m.waits.RepeatMs {
+	if m.nowMs-s.askedMs < m.waits.RequestRetryMs {
 		return
 	}
 	s.askedMs = m.nowMs
@@ -178,7 +178,7 @@
 	m.election.role = asking
 	m.election.sinceMs = m.nowMs
 	m.election.opposed = false
-	asked := m.roster.Part(protocol.Controller)
+	asked := m.roster.NodesOf(protocol.Controller)
 	for _, place := range m.roster.Watchers(m.record.Primary) {
 		if !slices.Contains(asked, place) && place.Name != m.set.Self.Name {
 			asked = append(asked, place)
@@ -212,7 +212,7 @@
 		}
 		return
 	}
-	if m.election.role == asking && said.Epoch == m.record.Epoch && said.HeardMs < m.waits.MissMs {
+	if m.election.role == asking && said.Epoch == m.record.Epoch && said.HeardMs < m.waits.ElectionTimeoutMs {
 		m.election.opposed = true
 	}
 }
@@ -221,11 +221,11 @@
 // missing: this daemon may be one that it entitles.
 func (m *Machine) tickLearn() {
 	s := &m.election
-	if m.record.Epoch == 0 || m.nowMs-s.heardMs <= m.waits.MissMs || m.nowMs-s.learnMs < m.waits.OpinionMs {
+	if m.record.Epoch == 0 || m.nowMs-s.heardMs <= m.waits.ElectionTimeoutMs || m.nowMs-s.learnMs < m.waits.PreVoteMs {
 		return
 	}
 	s.learnMs = m.nowMs
-	for _, place := range m.roster.Part(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.Controller) {
 		m.send(place, protocol.PrimaryQuery{Epoch: m.record.Epoch})
 	}
 }
@@ -250,7 +250,7 @@
 	// What only this daemon's own witness keeps names whom to ask, too: of a
 	// bootstrap that was cut short there is nothing else.
 	if m.witness.Record.Epoch > s.top.Epoch {
-		s.top, s.topKept = m.witness.Record, m.witness.Kept
+		s.top, s.topKept = m.witness.Record, m.witness.Accepted
 	}
 	if found {
 		s.top, s.topKept = s.first, protocol.Ballot{}
@@ -263,7 +263,7 @@
 	f := m.election.founding
 	// Seeds that have not kept a half-recorded first record are blank still; they
 	// must be able to agree to its end.
-	finishes := m.set.Tenant != nil && f == nil && m.record.Epoch == 0 && m.election.top.Epoch == firstEpoch
+	finishes := m.set.Application != nil && f == nil && m.record.Epoch == 0 && m.election.top.Epoch == firstEpoch
 	return protocol.Prepare{
 		Ballot: m.election.ballot, Found: finishes || f != nil && !f.Recover, Recover: f != nil && f.Recover,
 		AllSeeds: f != nil && len(f.Witnesses) == len(m.set.Seeds),
@@ -332,7 +332,7 @@
 	}
 	s.refused[protocol.MemberID{Name: from.Name, Incarnation: from.Incarnation}] = true
 	// Right after its start this daemon has not heard of the others yet.
-	started := m.nowMs-m.startMs < m.waits.MissMs
+	started := m.nowMs-m.startMs < m.waits.ElectionTimeoutMs
 	mayAgree := func(voter protocol.MemberID) bool {
 		there := started || voter == m.ownSeat() || m.roster.Live(m.nowMs, voter.Name)
 		return agreed[voter] || there && !s.refused[voter]
@@ -346,7 +346,7 @@
 			m.sendName(voter.Name, protocol.ReleaseLease{Epoch: s.proposal.Epoch, Ballot: s.ballot})
 		}
 	}
-	m.retreat(m.waits.AttemptMs)
+	m.retreat(m.waits.BallotTimeoutMs)
 }
 
 // keep asks the witnesses to store a record under the present ballot.
@@ -411,13 +411,13 @@
 		m.countLease()
 		m.advance()
 		// Who is entitled by it should know at the next tick.
-		m.replication.sentMs = m.nowMs - m.waits.FollowMs
+		m.replication.sentMs = m.nowMs - m.waits.AppendIntervalMs
 		return
 	}
 	if s.completes {
 		m.adopt(record, s.ballot)
 		if !m.entitled(record) {
-			m.retreat(m.waits.MissMs)
+			m.retreat(m.waits.ElectionTimeoutMs)
 			return
 		}
 		m.keep(protocol.EpochRecord{
@@ -466,10 +466,10 @@
 			return
 		}
 		m.election.established = true
-		if m.set.Tenant != nil {
+		if m.set.Application != nil {
 			m.election.founding = nil
 			m.note("the copies are whole; epoch %d serves", m.record.Epoch)
-			m.set.Tenant.Began(host{m})
+			m.set.Application.BecamePrimary(host{m})
 			return
 		}
 		// What the lost pair gave must have run out before anyone hears of
@@ -487,7 +487,7 @@
 			if !recovers {
 				m.election.takesMs = m.nowMs
 			}
-			m.answer(f.ID, Founded{Epoch: m.record.Epoch, Primary: m.record.Primary, Backup: f.Backup})
+			m.answer(f.ID, BootstrapResult{Epoch: m.record.Epoch, Primary: m.record.Primary, Backup: f.Backup})
 		}
 	}, m.beginWith()...)
 }
@@ -502,8 +502,8 @@
 	m.election.nextMs = m.nowMs + m.waits.RenewMs
 	m.election.heardMs = m.nowMs
 	m.endReplication()
-	if m.set.Tenant != nil {
-		m.set.Tenant.Ended(host{m})
+	if m.set.Application != nil {
+		m.set.Application.LostPrimacy(host{m})
 	} else {
 		m.endOffer()
 	}
--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -64,22 +64,22 @@
 		heardMs int64
 		takes   bool
 	}{
-		{"the peer heard it lately", usualTiming.MissMs - 1, false},
-		{"the peer misses it too", usualTiming.MissMs + 1, true},
+		{"the peer heard it lately", usualTiming.ElectionTimeoutMs - 1, false},
+		{"the peer misses it too", usualTiming.ElectionTimeoutMs + 1, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			m := serving(t)
 			m.losePrimacy("test")
 			m.record.Primary = "b"
-			nowMs := m.nowMs + usualTiming.MissMs + usualTiming.RenewMs + 50
+			nowMs := m.nowMs + usualTiming.ElectionTimeoutMs + usualTiming.RenewMs + 50
 			m.Step(nowMs, protocol.Tick{})
 			qt.Assert(t, m.election.role, qt.Equals, asking)
 			m.Step(nowMs+10, protocol.Envelope{
 				Site: "s", To: "a", From: protocol.Node{Name: "c", Address: "c:1", Part: protocol.Controller, Incarnation: "1"},
 				Body: protocol.PrimaryReply{Epoch: 1, HeardMs: test.heardMs},
 			})
-			m.Step(nowMs+usualTiming.OpinionMs, protocol.Tick{})
+			m.Step(nowMs+usualTiming.PreVoteMs, protocol.Tick{})
 			qt.Assert(t, m.election.role == promising, qt.Equals, test.takes)
 		})
 	}
@@ -108,7 +108,7 @@
 				if n.down || next.HasReplica(protocol.MemberID{Name: name, Incarnation: n.place.Incarnation}) {
 					continue
 				}
-				n.machine.witness.Record, n.machine.witness.Kept = next, ballot
+				n.machine.witness.Record, n.machine.witness.Accepted = next, ballot
 				if !test.kept {
 					n.machine.record = next
 				}
@@ -146,7 +146,7 @@
 	next.Replicas = append(next.Replicas, protocol.MemberID{Name: spare, Incarnation: w.nodes[spare].place.Incarnation})
 	for name, n := range w.nodes {
 		if name != spare {
-			n.machine.witness.Record, n.machine.witness.Kept = next, m.election.ballot
+			n.machine.witness.Record, n.machine.witness.Accepted = next, m.election.ballot
 		}
 	}
 	w.kill(primary)
--- a/internal/consensus/followers_test.go
+++ b/internal/consensus/followers_test.go
@@ -33,7 +33,7 @@
 				f.counted(nowMs, acked, last)
 			}
 			if test.silent {
-				nowMs += usualTiming.MissMs + 1
+				nowMs += usualTiming.ElectionTimeoutMs + 1
 			}
 			qt.Assert(t, c.keepsUp(nowMs, diskOf("b", "1")), qt.Equals, test.keeps)
 			qt.Assert(t, c.keepsUp(nowMs, diskOf("b", "2")), qt.IsFalse, qt.Commentf("another disk of the name"))
--- a/internal/consensus/departure.go
+++ b/internal/consensus/leave.go
@@ -6,8 +6,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Departed answers a StepDown: nothing in the site waits for this daemon.
-type Departed struct {
+// LeaveResult answers a Leave: nothing in the site waits for this daemon.
+type LeaveResult struct {
 	// HandedOver says that its copy and its vote are with others, as far as
 	// there are any; otherwise the time for it ran out.
 	HandedOver bool
@@ -33,18 +33,18 @@
 const leaveMs = 4000
 
 // beginDeparture begins a planned stop.
-func (m *Machine) beginDeparture(in StepDown) {
+func (m *Machine) beginDeparture(in Leave) {
 	if m.leaving.wanted {
 		return
 	}
-	m.leaving = departure{wanted: true, id: in.ID, untilMs: m.nowMs + m.set.LeaveMs}
+	m.leaving = departure{wanted: true, id: in.ID, untilMs: m.nowMs + m.set.LeaveTimeoutMs}
 	// The older interface lists its members itself; there nobody takes over.
-	if m.set.Tenant == nil {
+	if m.set.Application == nil {
 		m.stepDown("planned stop")
 		m.depart("planned stop")
 		return
 	}
-	if place, ok := m.roster.Place(m.record.Primary); ok && !m.isPrimary() {
+	if place, ok := m.roster.Node(m.record.Primary); ok && !m.isPrimary() {
 		m.tellFollowed(place)
 	}
 	m.tickDeparture()
@@ -67,7 +67,7 @@
 	m.note("the planned stop could not hand everything over in time")
 	m.stepDown("planned stop")
 	m.leaving.done = true
-	m.answer(m.leaving.id, Departed{})
+	m.answer(m.leaving.id, LeaveResult{})
 }
 
 func (m *Machine) depart(why string) {
@@ -76,7 +76,7 @@
 	}
 	m.note("free to stop: %s", why)
 	m.leaving.done = true
-	m.answer(m.leaving.id, Departed{HandedOver: true})
+	m.answer(m.leaving.id, LeaveResult{HandedOver: true})
 }
 
 // mayLeave says, at the primary, whether a member has nothing left that some
@@ -97,7 +97,7 @@
 // copyIsAwaited says whether another daemon is to hold the copy of a member
 // that leaves. The primary's own stays recorded until the next one drops it.
 func (m *Machine) copyIsAwaited(seat protocol.MemberID) bool {
-	enough := m.countCopies(func(other protocol.MemberID) bool { return other != seat && m.provenCopy(other) }) > m.set.Losses
+	enough := m.countCopies(func(other protocol.MemberID) bool { return other != seat && m.provenCopy(other) }) > m.set.MaxLosses
 	if seat == m.ownSeat() {
 		return !enough && m.successor(m.record.Replicas)
 	}
@@ -116,7 +116,7 @@
 // successor says whether a live daemon that is not leaving stands outside the
 // members.
 func (m *Machine) successor(members []protocol.MemberID) bool {
-	for _, place := range m.roster.Part(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.Controller) {
 		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
 		sits := slices.ContainsFunc(members, func(member protocol.MemberID) bool { return member.Name == seat.Name })
 		if !sits && m.replication.live(m.nowMs, seat) && !m.replication.leaves(seat) {
--- a/internal/consensus/departure_test.go
+++ b/internal/consensus/leave_test.go
@@ -15,7 +15,7 @@
 func (w *core) leaveForGood(name string) int64 {
 	n, beganMs := w.nodes[name], w.nowMs
 	n.departed = func() { n.gone = true }
-	w.step(name, StepDown{ID: 1})
+	w.step(name, Leave{ID: 1})
 	for !n.gone && w.nowMs-beganMs < leaveMs {
 		w.run(50)
 	}
@@ -106,7 +106,7 @@
 			n, p := w.nodes[leaver], w.nodes[primary].machine
 			n.departed = func() { n.gone = true }
 			before := p.record.Epoch
-			w.step(leaver, StepDown{ID: 1})
+			w.step(leaver, Leave{ID: 1})
 			for p.record.Epoch == before {
 				w.run(1)
 			}
@@ -145,7 +145,7 @@
 	primary := w.nodes[w.primary()].machine
 	for _, n := range w.nodes {
 		n.machine.record = record
-		n.machine.witness.Record, n.machine.witness.Kept = record, primary.election.ballot
+		n.machine.witness.Record, n.machine.witness.Accepted = record, primary.election.ballot
 		n.machine.witness.Promised = primary.election.ballot
 	}
 }
@@ -187,7 +187,7 @@
 	w := served(qt.New(t), 1, 4)
 	w.write("kept")
 	primary, leaver := w.primary(), w.backup()
-	w.step(leaver, StepDown{ID: 1})
+	w.step(leaver, Leave{ID: 1})
 	w.kill(primary)
 	w.leaveForGood(leaver)
 	w.until(8000, "a take-over", w.serves)
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -28,27 +28,27 @@
 	Platform string
 	// GapMs replaces the usual gap between the orders of two holders.
 	GapMs int64
-	// Tenant, where there is one, takes the place of descriptions, the index,
+	// Application, where there is one, takes the place of descriptions, the index,
 	// the duty and the orders of this project's own interface.
-	Tenant Tenant
-	// Losses is how many disks may be lost at once: so many further copies has
+	Application Application
+	// MaxLosses is how many disks may be lost at once: so many further copies has
 	// the state beside the primary's. Nought counts as one.
-	Losses int
-	// Founds says that this is the first start of the whole site, so that its
+	MaxLosses int
+	// FirstStart says that this is the first start of the whole site, so that its
 	// seeds found it among them.
-	Founds bool
+	FirstStart bool
 	// Timing replaces the usual waits of election and replication. All members
 	// of a site must have the same.
 	Timing Timing
-	// AwayMs replaces the usual time after which a silent witness's seat passes
+	// WitnessTimeoutMs replaces the usual time after which a silent witness's seat passes
 	// to another.
-	AwayMs int64
-	// ShowMs replaces the usual time that a recorded copy has to show itself to
+	WitnessTimeoutMs int64
+	// ReplicaGraceMs replaces the usual time that a recorded copy has to show itself to
 	// a new primary.
-	ShowMs int64
-	// LeaveMs replaces the usual time that a planned stop may take to hand this
+	ReplicaGraceMs int64
+	// LeaveTimeoutMs replaces the usual time that a planned stop may take to hand this
 	// daemon's copy and vote to others.
-	LeaveMs int64
+	LeaveTimeoutMs int64
 }
 
 // Keys of a controller's own rows on the disk.
@@ -75,7 +75,7 @@
 	nowMs   int64
 	out     protocol.Effects
 	local   []protocol.Envelope
-	witness *witness.Witness
+	witness *witness.Acceptor
 	state   *ledger.State
 	// described is the description in force, compiled; nil while none is.
 	described *description.Description
@@ -120,16 +120,16 @@
 	if set.Timing == (Timing{}) {
 		set.Timing = usualTiming
 	}
-	minCopies := set.Losses + 1
-	set.Losses = max(set.Losses, 1)
-	if set.AwayMs == 0 {
-		set.AwayMs = awayMs
+	minCopies := set.MaxLosses + 1
+	set.MaxLosses = max(set.MaxLosses, 1)
+	if set.WitnessTimeoutMs == 0 {
+		set.WitnessTimeoutMs = awayMs
 	}
-	if set.ShowMs == 0 {
-		set.ShowMs = set.Timing.MissMs
+	if set.ReplicaGraceMs == 0 {
+		set.ReplicaGraceMs = set.Timing.ElectionTimeoutMs
 	}
-	if set.LeaveMs == 0 {
-		set.LeaveMs = leaveMs
+	if set.LeaveTimeoutMs == 0 {
+		set.LeaveTimeoutMs = leaveMs
 	}
 	m := &Machine{set: set, waits: set.Timing, minCopies: minCopies, notFirst: map[string]bool{}, nowMs: nowMs, state: ledger.New(), saves: map[uint64]func(bool){}}
 	var err error
@@ -157,7 +157,7 @@
 	if err := m.state.Take(keys); err != nil {
 		return nil, errors.Wrap(err, "the control state on the disk can't be read")
 	}
-	if set.Tenant == nil {
+	if set.Application == nil {
 		if err := m.describe(); err != nil {
 			return nil, err
 		}
@@ -170,8 +170,8 @@
 	m.duty = newDuty()
 	m.startMs, m.peersMs = nowMs, nowMs-rememberMs
 	m.firstDisk = keys[bootstrapKey] != ""
-	if set.Tenant != nil {
-		set.Tenant.Changed(host{m})
+	if set.Application != nil {
+		set.Application.StateChanged(host{m})
 	}
 	return m, nil
 }
@@ -204,8 +204,8 @@
 		Text string
 		Part bool
 	}
-	// Founding is the operator's explicit act that begins a site.
-	Founding struct {
+	// Bootstrap is the operator's explicit act that begins a site.
+	Bootstrap struct {
 		ID        uint64
 		Witnesses []string
 		Backup    string
@@ -214,11 +214,11 @@
 		Recover          bool
 		Change, Revision uint64
 	}
-	// StepDown begins a planned stop. It is answered with Departed once this
-	// daemon's copy and vote are with others, or after Settings.LeaveMs.
-	StepDown struct{ ID uint64 }
-	// Reseed replaces the seeds, since the settings changed.
-	Reseed struct{ Seeds []string }
+	// Leave begins a planned stop. It is answered with Departed once this
+	// daemon's copy and vote are with others, or after Settings.LeaveTimeoutMs.
+	Leave struct{ ID uint64 }
+	// SetSeeds replaces the seeds, since the settings changed.
+	SetSeeds struct{ Seeds []string }
 )
 
 // Step takes one input and returns what to do.
@@ -249,23 +249,23 @@
 		m.listed(in)
 	case HandOver:
 		m.handOver(in)
-	case Founding:
+	case Bootstrap:
 		if in.Recover {
 			m.recoverFrom(in)
 		} else {
 			m.found(in)
 		}
-	case StepDown:
+	case Leave:
 		m.beginDeparture(in)
-	case Reseed:
+	case SetSeeds:
 		m.set.Seeds = in.Seeds
-		m.roster.Reseed(in.Seeds)
+		m.roster.SetSeeds(in.Seeds)
 	case Look:
 		m.look(in)
 	case protocol.Tick:
 		m.tick()
 	default:
-		if m.set.Tenant == nil || !m.set.Tenant.Input(host{m}, input) {
+		if m.set.Application == nil || !m.set.Application.HandleInput(host{m}, input) {
 			panic(fmt.Sprintf("control: unknown input %T", input))
 		}
 	}
@@ -284,9 +284,9 @@
 	m.tickElection()
 	m.tickDeparture()
 	m.tickReplication()
-	if m.set.Tenant != nil {
+	if m.set.Application != nil {
 		m.tickFounding()
-		m.set.Tenant.Tick(host{m})
+		m.set.Application.Tick(host{m})
 	} else {
 		m.tickOffer()
 		m.tickIndex()
@@ -299,11 +299,11 @@
 // swapped while this daemon is down. Routers keep no files: after the loss of
 // everything it is the controllers that find them.
 func (m *Machine) rememberPeers() {
-	if m.broken || m.roster.Sum() == m.peersSum || m.nowMs-m.peersMs < rememberMs {
+	if m.broken || m.roster.Digest() == m.peersSum || m.nowMs-m.peersMs < rememberMs {
 		return
 	}
-	m.peersSum, m.peersMs = m.roster.Sum(), m.nowMs
-	text, _ := json.Marshal(m.roster.Others())
+	m.peersSum, m.peersMs = m.roster.Digest(), m.nowMs
+	text, _ := json.Marshal(m.roster.OtherNodes())
 	if string(text) == m.peers {
 		return
 	}
@@ -324,8 +324,8 @@
 	if e.From.Part == protocol.Controller && !m.heeds(e) {
 		return
 	}
-	m.roster.Heard(m.nowMs, e.From)
-	if m.set.Tenant != nil && m.set.Tenant.Receive(host{m}, e) {
+	m.roster.Observe(m.nowMs, e.From)
+	if m.set.Application != nil && m.set.Application.HandleMessage(host{m}, e) {
 		return
 	}
 	switch body := e.Body.(type) {
@@ -333,7 +333,7 @@
 	case protocol.PeersRequest:
 		m.reply(e, protocol.PeersReply{Peers: m.known(e.From), Record: m.record})
 	case protocol.PeersReply:
-		m.roster.Learn(m.nowMs, body.Peers)
+		m.roster.AddNodes(m.nowMs, body.Peers)
 		// What a core peer holds as its record is complete, so it may be
 		// taken; a router knows only the epoch and who is primary.
 		if len(body.Record.Replicas) > 0 && body.Record.Epoch > m.record.Epoch && !m.isPrimary() {
@@ -343,7 +343,7 @@
 		m.heedRetire(body.Record)
 	case protocol.HeartbeatReports:
 		for _, s := range body.Seen {
-			m.roster.Told(m.nowMs, s)
+			m.roster.ObserveReport(m.nowMs, s)
 		}
 	case protocol.Prepare:
 		if body.Found && !body.AllSeeds && !m.mayBootstrap() {
@@ -393,10 +393,10 @@
 // needs the controllers only, and all routers ask at once while a primary is
 // missing.
 func (m *Machine) known(to protocol.Node) []protocol.Node {
-	if m.set.Tenant == nil || to.Part != protocol.Router {
-		return m.roster.Places()
+	if m.set.Application == nil || to.Part != protocol.Router {
+		return m.roster.Nodes()
 	}
-	return append(m.roster.Part(protocol.Controller), m.set.Self)
+	return append(m.roster.NodesOf(protocol.Controller), m.set.Self)
 }
 
 // saveWitness saves the witness where it changed, and then answers. What a
@@ -465,7 +465,7 @@
 }
 
 func (m *Machine) sendName(name string, body any) {
-	if place, ok := m.roster.Place(name); ok {
+	if place, ok := m.roster.Node(name); ok {
 		m.send(place, body)
 	}
 }
--- a/internal/consensus/machine_witness_test.go
+++ b/internal/consensus/machine_witness_test.go
@@ -28,7 +28,7 @@
 			w := served(qt.New(t), 1, 3)
 			name := w.backup()
 			m := w.nodes[name].machine
-			m.witness.Release(m.record.Primary, protocol.ReleaseLease{Epoch: m.record.Epoch, Ballot: m.witness.Kept})
+			m.witness.Release(m.record.Primary, protocol.ReleaseLease{Epoch: m.record.Epoch, Ballot: m.witness.Accepted})
 			ask := protocol.Envelope{
 				Site: "s", To: name, Body: test.ask(m),
 				From: protocol.Node{Name: "core-9", Address: "10.0.0.9:7", Part: protocol.Controller, Incarnation: "1"},
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -58,7 +58,7 @@
 	// A new primary takes recorded copies for good until their time to answer is
 	// over, so that none is recruited needlessly; but none is given up because of
 	// one that has not answered.
-	want, good, proven := m.set.Losses+1, m.countCopies(m.staysCopy), m.countCopies(m.provenCopy)
+	want, good, proven := m.set.MaxLosses+1, m.countCopies(m.staysCopy), m.countCopies(m.provenCopy)
 	without := func(lost protocol.MemberID) []protocol.MemberID {
 		return slices.DeleteFunc(slices.Clone(m.record.Replicas), func(seat protocol.MemberID) bool { return seat == lost })
 	}
@@ -101,7 +101,7 @@
 func (m *Machine) recruit(lost protocol.MemberID) (protocol.MemberID, bool) {
 	var best protocol.MemberID
 	found, other := false, false
-	for _, place := range m.roster.Part(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.Controller) {
 		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
 		c := m.replication.peers[place.Name]
 		if seat == lost || m.record.HasReplica(seat) || c == nil || c.acked < m.replication.committed {
--- a/internal/consensus/offer.go
+++ b/internal/consensus/offer.go
@@ -129,7 +129,7 @@
 
 // nudge makes the routers ask at once rather than at their next turn.
 func (m *Machine) nudge() {
-	for _, place := range m.roster.Part(protocol.Router) {
+	for _, place := range m.roster.NodesOf(protocol.Router) {
 		m.send(place, protocol.PollRequest{Epoch: m.record.Epoch})
 	}
 }
@@ -286,7 +286,7 @@
 	word := protocol.RouterUpdate{
 		EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch,
 		Revision: o.current.Number, Sum: o.token, Number: number,
-		Leaving: m.duty.marks(m.state), Peers: m.roster.Places(),
+		Leaving: m.duty.marks(m.state), Peers: m.roster.Nodes(),
 	}
 	if ask.Revision != o.current.Number && ask.Held != word.Sum {
 		word.Text = o.current.Text
--- a/internal/consensus/office.go
+++ b/internal/consensus/office.go
@@ -69,7 +69,7 @@
 
 // Leave steps down before a planned stop, so that the next need not wait.
 func (o *Office) Leave() {
-	o.shell.Put(StepDown{})
+	o.shell.Put(Leave{})
 	time.Sleep(leaveWait)
 }
 
@@ -221,7 +221,7 @@
 		return
 	}
 	answer, ok := o.ask(r, answerMs, func(id uint64) any {
-		return Founding{
+		return Bootstrap{
 			ID: id, Witnesses: asked.Witnesses, Backup: asked.Backup,
 			Recover: r.URL.Path == "/recover", Change: asked.Change, Revision: asked.Revision,
 		}
@@ -231,7 +231,7 @@
 		return
 	}
 	switch said := answer.(type) {
-	case Founded:
+	case BootstrapResult:
 		writeJSON(w, said)
 	case protocol.Rejection:
 		dropped(w, said)
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -15,7 +15,7 @@
 // recoverFrom goes on from this daemon's copy after both disks of the pair
 // were lost: an operator's explicit act, which must name what it goes on from.
 // Three live controllers must agree, blank or not; none may have a later copy.
-func (m *Machine) recoverFrom(f Founding) {
+func (m *Machine) recoverFrom(f Bootstrap) {
 	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Rejection{Kind: kind, Detail: detail}) }
 	at := m.state.Position
 	switch {
@@ -33,7 +33,7 @@
 		return
 	}
 	for _, seat := range m.record.Replicas {
-		if place, known := m.roster.Place(seat.Name); known && place.Incarnation == seat.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
+		if place, known := m.roster.Node(seat.Name); known && place.Incarnation == seat.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
 			drop(errkind.NotTaken, "a disk of the pair is there: "+seat.Name+" takes over by itself")
 			return
 		}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -107,7 +107,7 @@
 // live says whether the very disk answered lately.
 func (c *replication) live(nowMs int64, seat protocol.MemberID) bool {
 	f := c.peers[seat.Name]
-	return f != nil && f.incarnation == seat.Incarnation && nowMs-f.heardMs <= c.waits.MissMs
+	return f != nil && f.incarnation == seat.Incarnation && nowMs-f.heardMs <= c.waits.ElectionTimeoutMs
 }
 
 // keepsUp says whether the disk also takes writes: one that stalls lets its
@@ -117,7 +117,7 @@
 		return false
 	}
 	f := c.peers[seat.Name]
-	return f.behindMs == 0 || nowMs-f.behindMs <= c.waits.StallMs
+	return f.behindMs == 0 || nowMs-f.behindMs <= c.waits.DiskStallMs
 }
 
 // counted notes how far the peer is, and since when it lacks something.
@@ -137,11 +137,11 @@
 	c.base, c.recent, c.recentBytes = m.state.Position, nil, 0
 	c.writing = false
 	c.committed = m.state.Position.Number
-	c.sentMs, c.beganMs = m.nowMs-m.waits.FollowMs, m.nowMs
+	c.sentMs, c.beganMs = m.nowMs-m.waits.AppendIntervalMs, m.nowMs
 	c.sequence = 0
 	// A recorded peer has a time to show itself; the one before may be lost.
 	for _, seat := range m.record.Replicas {
-		c.peers[seat.Name] = &followerState{incarnation: seat.Incarnation, heardMs: m.nowMs - m.waits.MissMs + m.set.ShowMs}
+		c.peers[seat.Name] = &followerState{incarnation: seat.Incarnation, heardMs: m.nowMs - m.waits.ElectionTimeoutMs + m.set.ReplicaGraceMs}
 	}
 }
 
@@ -190,7 +190,7 @@
 			m.pump()
 		}
 	})
-	for _, place := range m.roster.Part(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.Controller) {
 		m.sendFollow(place)
 	}
 }
@@ -234,7 +234,7 @@
 		return
 	}
 	// As many disks may be lost at once as there are further copies.
-	if m.set.Tenant != nil && len(m.record.Replicas) < m.minCopies {
+	if m.set.Application != nil && len(m.record.Replicas) < m.minCopies {
 		return
 	}
 	done := c.synced.Number
@@ -264,19 +264,19 @@
 }
 
 func (m *Machine) tickReplication() {
-	if !m.isPrimary() || m.nowMs-m.replication.sentMs < m.waits.FollowMs {
+	if !m.isPrimary() || m.nowMs-m.replication.sentMs < m.waits.AppendIntervalMs {
 		return
 	}
 	// A stalled disk would hold up the whole site; another's will not.
-	if m.replication.writing && m.nowMs-m.replication.writeMs > m.waits.StallMs {
+	if m.replication.writing && m.nowMs-m.replication.writeMs > m.waits.DiskStallMs {
 		m.stepDown("the disk stalls")
 		return
 	}
 	m.replication.sentMs = m.nowMs
-	if m.set.Tenant == nil {
+	if m.set.Application == nil {
 		m.replication.soft = m.duty.soft(m.nowMs)
 	}
-	for _, place := range m.roster.Part(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.Controller) {
 		m.sendFollow(place)
 	}
 }
@@ -289,7 +289,7 @@
 		c.peers[to.Name] = f
 	}
 	// One snapshot is on its way at a time; meanwhile the word goes on.
-	if f.needsSnapshot && m.nowMs-f.sentMs >= m.waits.ResendMs {
+	if f.needsSnapshot && m.nowMs-f.sentMs >= m.waits.AppendRetryMs {
 		f.sentMs, f.sent = m.nowMs, m.state.Position.Number
 		c.sequence++
 		m.send(to, protocol.Snapshot{Sequence: c.sequence, Contact: f.contact, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()})
@@ -297,12 +297,12 @@
 	}
 	// The time runs from the last change that came through, not from the last
 	// that was sent: a storm of changes would put it off for ever.
-	if !f.needsSnapshot && f.acked < f.sent && m.nowMs-f.sentMs >= m.waits.ResendMs {
+	if !f.needsSnapshot && f.acked < f.sent && m.nowMs-f.sentMs >= m.waits.AppendRetryMs {
 		f.sent, f.sentMs = f.acked, m.nowMs
 	}
 	c.sequence++
 	follow := protocol.Append{
-		Record: m.record, Ballot: m.election.ballot, Last: m.state.Position, Soft: c.soft, PeersSum: m.roster.Sum(),
+		Record: m.record, Ballot: m.election.ballot, Last: m.state.Position, Soft: c.soft, PeersSum: m.roster.Digest(),
 		Sequence: c.sequence, MayLeave: f.leaving && m.mayLeave(protocol.MemberID{Name: to.Name, Incarnation: f.incarnation}),
 	}
 	// Without the lease a majority may stand behind another by now.
@@ -310,7 +310,7 @@
 		follow.Contact = f.contact
 	}
 	if f.peersSum != follow.PeersSum {
-		follow.Peers = m.roster.Places()
+		follow.Peers = m.roster.Nodes()
 	}
 	for _, change := range c.recent {
 		if change.At.Number > f.sent && !f.needsSnapshot {
@@ -360,7 +360,7 @@
 		f.counted(m.nowMs, 0, m.state.Position.Number)
 		if !f.needsSnapshot {
 			f.needsSnapshot = true
-			f.sentMs = m.nowMs - m.waits.ResendMs
+			f.sentMs = m.nowMs - m.waits.AppendRetryMs
 		}
 		return
 	}
@@ -398,7 +398,7 @@
 // hearPrimary notes that the primary lives. A message that answers what this
 // daemon said long ago was held up on its way, and tells nothing of now.
 func (m *Machine) hearPrimary(echo protocol.ClockEcho) {
-	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.waits.MissMs {
+	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.waits.ElectionTimeoutMs {
 		m.count(errkind.Overtaken)
 		return
 	}
@@ -455,7 +455,7 @@
 func (m *Machine) heedWord(said protocol.Append) {
 	if len(said.Peers) > 0 {
 		m.replication.peersSum = 0
-		if m.roster.Learn(m.nowMs, said.Peers) {
+		if m.roster.AddNodes(m.nowMs, said.Peers) {
 			m.replication.peersSum = said.PeersSum
 		}
 	}
@@ -528,8 +528,8 @@
 
 // stateChanged brings what is compiled from the state up to it.
 func (m *Machine) stateChanged(rows map[string]string) {
-	if m.set.Tenant != nil {
-		m.set.Tenant.Changed(host{m})
+	if m.set.Application != nil {
+		m.set.Application.StateChanged(host{m})
 		return
 	}
 	m.table.Forget()
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -203,7 +203,7 @@
 			return protocol.ClockEcho{SentMs: m.nowMs - 300, StartMs: m.startMs}
 		}, true},
 		{"held up", func(m *Machine) protocol.ClockEcho {
-			return protocol.ClockEcho{SentMs: m.nowMs - usualTiming.MissMs - 1, StartMs: m.startMs}
+			return protocol.ClockEcho{SentMs: m.nowMs - usualTiming.ElectionTimeoutMs - 1, StartMs: m.startMs}
 		}, false},
 		{"the first, which answers nothing", func(*Machine) protocol.ClockEcho { return protocol.ClockEcho{} }, true},
 	}
--- a/internal/consensus/retired.go
+++ b/internal/consensus/retired.go
@@ -22,7 +22,7 @@
 	if !ok || named == seat {
 		return true
 	}
-	if place, known := m.roster.Place(seat.Name); known && place.Incarnation == named.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
+	if place, known := m.roster.Node(seat.Name); known && place.Incarnation == named.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
 		m.count(errkind.OtherDaemon)
 		return false
 	}
@@ -58,7 +58,7 @@
 		m.look(in)
 	case HandOver:
 		m.drop(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
-	case Founding:
+	case Bootstrap:
 		m.answer(in.ID, protocol.Rejection{Kind: errkind.AlreadyFounded, Detail: "this daemon is retired"})
 	}
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -81,8 +81,8 @@
 	if m.offer.pending != nil {
 		s.Pending = m.offer.pending.number
 	}
-	for _, place := range m.roster.Places() {
-		agoMs, seen := m.roster.Seen(m.nowMs, place.Name)
+	for _, place := range m.roster.Nodes() {
+		agoMs, seen := m.roster.SilentMs(m.nowMs, place.Name)
 		if !seen {
 			agoMs = -1
 		}
--- a/internal/consensus/timing.go
+++ b/internal/consensus/timing.go
@@ -9,21 +9,21 @@
 	// RenewMs passes between two renewals.
 	RenewMs int64
 	// TimeoutMs is how long a primary may be silent before peers are asked.
-	MissMs int64
-	// OpinionMs is how long they have to answer.
-	OpinionMs int64
-	// AttemptMs bounds each half of an election: the promises, the record.
-	AttemptMs int64
-	// RepeatMs passes until an unanswered question of an election is repeated.
-	RepeatMs int64
-	// FollowMs passes between two words of the primary to a follower.
-	FollowMs int64
-	// ResendMs is how long a change or a snapshot may stay unacknowledged before
+	ElectionTimeoutMs int64
+	// PreVoteMs is how long they have to answer.
+	PreVoteMs int64
+	// BallotTimeoutMs bounds each half of an election: the promises, the record.
+	BallotTimeoutMs int64
+	// RequestRetryMs passes until an unanswered question of an election is repeated.
+	RequestRetryMs int64
+	// AppendIntervalMs passes between two words of the primary to a follower.
+	AppendIntervalMs int64
+	// AppendRetryMs is how long a change or a snapshot may stay unacknowledged before
 	// it is sent again.
-	ResendMs int64
-	// StallMs is how long a disk may take for a write before its daemon does not
+	AppendRetryMs int64
+	// DiskStallMs is how long a disk may take for a write before its daemon does not
 	// count as a copy.
-	StallMs int64
+	DiskStallMs int64
 }
 
 // usualCatchUpMs is the catch-up time for which the usual waits were chosen: in
@@ -31,8 +31,8 @@
 const usualCatchUpMs = 4000
 
 var usualTiming = Timing{
-	LeaseMs: 1500, RenewMs: 300, MissMs: 1000, OpinionMs: 300, AttemptMs: 800, RepeatMs: 150,
-	FollowMs: 300, ResendMs: 900, StallMs: 1500,
+	LeaseMs: 1500, RenewMs: 300, ElectionTimeoutMs: 1000, PreVoteMs: 300, BallotTimeoutMs: 800, RequestRetryMs: 150,
+	AppendIntervalMs: 300, AppendRetryMs: 900, DiskStallMs: 1500,
 }
 
 // leastMs is the least of any wait: machines step each 50 ms.
@@ -46,9 +46,9 @@
 	}
 	part := func(usualMs int64) int64 { return max(leastMs, usualMs*catchUpMs/usualCatchUpMs) }
 	return Timing{
-		LeaseMs: part(usualTiming.LeaseMs), RenewMs: part(usualTiming.RenewMs), MissMs: part(usualTiming.MissMs),
-		OpinionMs: part(usualTiming.OpinionMs), AttemptMs: part(usualTiming.AttemptMs), RepeatMs: part(usualTiming.RepeatMs),
-		FollowMs: part(usualTiming.FollowMs), ResendMs: part(usualTiming.ResendMs), StallMs: part(usualTiming.StallMs),
+		LeaseMs: part(usualTiming.LeaseMs), RenewMs: part(usualTiming.RenewMs), ElectionTimeoutMs: part(usualTiming.ElectionTimeoutMs),
+		PreVoteMs: part(usualTiming.PreVoteMs), BallotTimeoutMs: part(usualTiming.BallotTimeoutMs), RequestRetryMs: part(usualTiming.RequestRetryMs),
+		AppendIntervalMs: part(usualTiming.AppendIntervalMs), AppendRetryMs: part(usualTiming.AppendRetryMs), DiskStallMs: part(usualTiming.DiskStallMs),
 	}
 }
 
@@ -56,16 +56,16 @@
 // repair may be late.
 const stepMs = 50
 
-// RepairMs is the longest that the loss of the primary and of losses members in
+// RecoveryMs is the longest that the loss of the primary and of losses members in
 // all takes until their parts are with others, from the moment of the loss: the
 // primary is missed and the lease runs out, one election, then the copies and
 // the votes one after the other. A sync takes syncMs, a message there and back
 // roundTripMs; showMs and awayMs are those of Settings.
-func (t Timing) RepairMs(losses int, syncMs, roundTripMs, showMs, awayMs int64) int64 {
+func (t Timing) RecoveryMs(losses int, syncMs, roundTripMs, showMs, awayMs int64) int64 {
 	// The primary's last renewal may be granted right before it is lost; its last
 	// word may be older. Who asks too early repeats its question.
-	missedMs := t.MissMs + t.OpinionMs + 2*stepMs
-	leaseMs := t.LeaseMs + t.RepeatMs + stepMs
+	missedMs := t.ElectionTimeoutMs + t.PreVoteMs + 2*stepMs
+	leaseMs := t.LeaseMs + t.RequestRetryMs + stepMs
 	// A promise, the last record kept once more, the new one: each is synced by
 	// the witnesses, with the member's own copy of the record before it in turn.
 	electionMs := 3*(roundTripMs+2*syncMs) + stepMs
@@ -76,15 +76,15 @@
 	return max(missedMs, leaseMs) + electionMs + copiesMs + votesMs
 }
 
-// AwayMsFor is after how long a silent witness's vote passes to another, for a
+// WitnessTimeoutFor is after how long a silent witness's vote passes to another, for a
 // catch-up time, in ms. A moment's silence should not move it.
-func AwayMsFor(catchUpMs int64) int64 {
-	return max(TimingFor(catchUpMs).MissMs, catchUpMs/4)
+func WitnessTimeoutFor(catchUpMs int64) int64 {
+	return max(TimingFor(catchUpMs).ElectionTimeoutMs, catchUpMs/4)
 }
 
-// ShowMsFor is how long a recorded copy has to show itself to a new primary, for
+// ReplicaGraceFor is how long a recorded copy has to show itself to a new primary, for
 // a catch-up time, in ms: one that lives answers in a few ms.
-func ShowMsFor(catchUpMs int64) int64 {
+func ReplicaGraceFor(catchUpMs int64) int64 {
 	return max(leastMs, min(usualShowMs, catchUpMs/10))
 }
 
--- a/internal/consensus/timing_test.go
+++ b/internal/consensus/timing_test.go
@@ -24,7 +24,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			repairMs := TimingFor(test.catchUpMs).RepairMs(test.losses, test.syncMs, test.roundTripMs, ShowMsFor(test.catchUpMs), AwayMsFor(test.catchUpMs))
+			repairMs := TimingFor(test.catchUpMs).RecoveryMs(test.losses, test.syncMs, test.roundTripMs, ReplicaGraceFor(test.catchUpMs), WitnessTimeoutFor(test.catchUpMs))
 			t.Logf("%d ms of %d", repairMs, test.catchUpMs)
 			qt.Assert(t, repairMs <= test.catchUpMs, qt.IsTrue)
 		})
@@ -37,8 +37,8 @@
 	for _, catchUpMs := range []int64{0, 1500, 2000, 3000, 4000, 6000, 60_000} {
 		waits := TimingFor(catchUpMs)
 		qt.Check(t, 3*waits.RenewMs <= waits.LeaseMs, qt.IsTrue)
-		qt.Check(t, 3*waits.FollowMs <= waits.MissMs, qt.IsTrue)
-		qt.Check(t, waits.MissMs < waits.LeaseMs, qt.IsTrue)
-		qt.Check(t, waits.RepeatMs < waits.AttemptMs, qt.IsTrue)
+		qt.Check(t, 3*waits.AppendIntervalMs <= waits.ElectionTimeoutMs, qt.IsTrue)
+		qt.Check(t, waits.ElectionTimeoutMs < waits.LeaseMs, qt.IsTrue)
+		qt.Check(t, waits.RequestRetryMs < waits.BallotTimeoutMs, qt.IsTrue)
 	}
 }
--- a/internal/consensus/witnesses.go
+++ b/internal/consensus/witnesses.go
@@ -28,7 +28,7 @@
 // some witness of whatever set it knows.
 func (m *Machine) nextWitness() (int, protocol.MemberID, bool) {
 	for i, seat := range m.record.Witnesses {
-		if c := m.replication.peers[seat.Name]; c != nil && c.incarnation != seat.Incarnation && m.nowMs-c.heardMs <= m.waits.MissMs {
+		if c := m.replication.peers[seat.Name]; c != nil && c.incarnation != seat.Incarnation && m.nowMs-c.heardMs <= m.waits.ElectionTimeoutMs {
 			m.note("taking in the new witness disk of %s", seat.Name)
 			return i, protocol.MemberID{Name: seat.Name, Incarnation: c.incarnation}, true
 		}
@@ -62,7 +62,7 @@
 		return nil
 	}
 	for _, seat := range m.record.Witnesses {
-		if m.silentMs(seat) > m.set.AwayMs {
+		if m.silentMs(seat) > m.set.WitnessTimeoutMs {
 			away = append(away, seat)
 		}
 	}
@@ -81,7 +81,7 @@
 
 // outsider gives a live core peer that holds every change and sits nowhere.
 func (m *Machine) outsider() (protocol.MemberID, bool) {
-	for _, place := range m.roster.Part(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.Controller) {
 		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
 		sits := slices.ContainsFunc(m.record.Witnesses, func(w protocol.MemberID) bool { return w.Name == seat.Name })
 		if !sits && m.replication.keepsUp(m.nowMs, seat) && !m.replication.leaves(seat) && m.replication.peers[seat.Name].acked >= m.replication.committed {
@@ -94,8 +94,8 @@
 // furtherWitness adds a seat where the losses to be borne want more witnesses
 // than a site was founded with.
 func (m *Machine) furtherWitness() (int, protocol.MemberID, bool) {
-	have, want := len(m.record.Witnesses), 2*m.set.Losses+1
-	if m.set.Tenant == nil || have >= want {
+	have, want := len(m.record.Witnesses), 2*m.set.MaxLosses+1
+	if m.set.Application == nil || have >= want {
 		return 0, protocol.MemberID{}, false
 	}
 	seat, ok := m.outsider()
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -17,9 +17,9 @@
 	for _, contact := range []bool{true, false} {
 		s := New(Settings{Self: wordSelf, ControlPort: "80"}, wordFormat{})
 		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []protocol.Node{primary}}, primary: primary}
-		s.Receive(h, protocol.Envelope{From: router, Body: protocol.IndexLookUp{ID: 1, Service: "llm"}})
+		s.HandleMessage(h, protocol.Envelope{From: router, Body: protocol.IndexLookUp{ID: 1, Service: "llm"}})
 		qt.Assert(t, len(h.sent) > 0, qt.Equals, contact)
-		s.Input(h, Read{ID: 2})
+		s.HandleInput(h, Read{ID: 2})
 		said := h.answers[0].(protocol.Rejection)
 		qt.Assert(t, said.Kind, qt.Equals, errkind.NotPrimary)
 		qt.Assert(t, said.Primary != "", qt.Equals, contact)
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -78,7 +78,7 @@
 		return history{OldestBase: current}
 	}
 	if err := json.Unmarshal([]byte(text), &kept); err != nil {
-		h.Note("the history of accepted orders can't be read: %v", err)
+		h.Logf("the history of accepted orders can't be read: %v", err)
 		return history{OldestBase: current}
 	}
 	return kept
@@ -92,7 +92,7 @@
 		return next, false
 	}
 	if err := json.Unmarshal([]byte(text), &next); err != nil {
-		h.Note("the order accepted on top of version %d can't be read: %v", base, err)
+		h.Logf("the order accepted on top of version %d can't be read: %v", base, err)
 		return next, false
 	}
 	return next, true
@@ -153,7 +153,7 @@
 		return nil
 	}
 	if err := json.Unmarshal([]byte(text), &refused); err != nil {
-		h.Note("the refused orders can't be read: %v", err)
+		h.Logf("the refused orders can't be read: %v", err)
 	}
 	return refused
 }
@@ -188,7 +188,7 @@
 	}
 	var orders []legacyOrder
 	if err := json.Unmarshal([]byte(text), &orders); err != nil {
-		h.Note("the accepted orders of an earlier release can't be read: %v", err)
+		h.Logf("the accepted orders of an earlier release can't be read: %v", err)
 	}
 	kept := history{OldestBase: current}
 	rows := map[string]string{legacyRow: ""}
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -22,14 +22,14 @@
 		h.rows[key] = text
 	}
 	s := New(Settings{Self: wordSelf}, wordFormat{})
-	s.Began(h)
+	s.BecamePrimary(h)
 	return h, s
 }
 
 // chain accepts versions 1 to last, each on top of the one before.
 func chain(h *heldHost, s *Steward, last uint64) {
 	for version := s.maps.current.version + 1; version <= last; version++ {
-		s.Input(h, chained(1000+version, version))
+		s.HandleInput(h, chained(1000+version, version))
 		h.end(true)
 	}
 }
@@ -41,7 +41,7 @@
 // lastTold gives the answer to an order that is not written, in words.
 func lastTold(h *heldHost, s *Steward, in HandOver) string {
 	delete(h.told, in.ID)
-	s.Input(h, in)
+	s.HandleInput(h, in)
 	return strings.Join(h.told[in.ID], ", ")
 }
 
@@ -52,7 +52,7 @@
 	h, s := begunHeld(nil)
 	chain(h, s, accepted)
 	next := New(Settings{Self: wordSelf}, wordFormat{})
-	next.Began(h)
+	next.BecamePrimary(h)
 	for version := uint64(1); version <= accepted; version++ {
 		for _, primary := range []*Steward{s, next} {
 			qt.Assert(t, lastTold(h, primary, chained(1, version)), qt.Equals, fmt.Sprintf("taken %d", version))
@@ -105,7 +105,7 @@
 func TestAnOrderWritesFewBytes(t *testing.T) {
 	h, s := begunHeld(nil)
 	chain(h, s, 500)
-	s.Input(h, chained(1, 501))
+	s.HandleInput(h, chained(1, 501))
 	bytes := 0
 	for _, key := range h.writes[0].keys {
 		if key != mapRow {
@@ -131,7 +131,7 @@
 	h, s := begunHeld(map[string]string{legacyRow: string(text), mapRow: encode(keptMap{327, inForce.packed})})
 
 	// Orders wait until the rows are safe.
-	s.Input(h, chained(1, 300))
+	s.HandleInput(h, chained(1, 300))
 	qt.Assert(t, h.told, qt.HasLen, 0)
 	h.end(true)
 	qt.Assert(t, h.told[1], qt.DeepEquals, []string{"taken 300"})
@@ -176,13 +176,13 @@
 	h, s := begunHeld(nil)
 	chain(h, s, 1)
 	early := HandOver{ID: 1, BuiltOn: 2, Text: "version 3 early"}
-	s.Input(h, early)
+	s.HandleInput(h, early)
 	c.Assert(h.told[1], qt.HasLen, 0, qt.Commentf("the refusal is told before it is safe"))
 	h.end(true)
 	c.Assert(h.told[1], qt.DeepEquals, []string{stale + " 1"})
 	chain(h, s, 2)
 	next := New(Settings{Self: wordSelf}, wordFormat{})
-	next.Began(h)
+	next.BecamePrimary(h)
 	for _, primary := range []*Steward{s, next} {
 		c.Assert(lastTold(h, primary, early), qt.Equals, stale+" 2")
 	}
@@ -199,7 +199,7 @@
 	h, s := begunHeld(nil)
 	chain(h, s, 3)
 	for id, base := range []uint64{0, 1, 2} {
-		s.Input(h, HandOver{ID: uint64(id), BuiltOn: base, Text: "version 9"})
+		s.HandleInput(h, HandOver{ID: uint64(id), BuiltOn: base, Text: "version 9"})
 	}
 	qt.Assert(t, h.counts[countStale], qt.Equals, 3)
 }
@@ -216,7 +216,7 @@
 // A refusal whose write has no known end is no clear answer.
 func TestARefusalOfUnknownEnd(t *testing.T) {
 	h, s := begunHeld(nil)
-	s.Input(h, HandOver{ID: 1, BuiltOn: 2, Text: "version 3"})
+	s.HandleInput(h, HandOver{ID: 1, BuiltOn: 2, Text: "version 3"})
 	h.end(false)
 	qt.Assert(t, h.told[1], qt.DeepEquals, []string{string(errkind.AcceptanceUnknown)})
 }
@@ -225,7 +225,7 @@
 func TestRefusalsAreBounded(t *testing.T) {
 	h, s := begunHeld(nil)
 	for i := range uint64(refusedMost) {
-		s.Input(h, HandOver{ID: i, BuiltOn: 7, Text: fmt.Sprintf("version 9 of %d", i)})
+		s.HandleInput(h, HandOver{ID: i, BuiltOn: 7, Text: fmt.Sprintf("version 9 of %d", i)})
 		h.end(true)
 	}
 	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 7, Text: "version 9"}), qt.Equals, string(errkind.NotTaken))
@@ -239,11 +239,11 @@
 	reads := &countingFormat{}
 	follower := New(Settings{Self: wordSelf}, reads)
 	for range 3 {
-		follower.Changed(h)
+		follower.StateChanged(h)
 	}
 	qt.Assert(t, reads.count, qt.Equals, 1)
 	chain(h, s, 2)
-	follower.Changed(h)
+	follower.StateChanged(h)
 	qt.Assert(t, reads.count, qt.Equals, 2)
 }
 
--- a/internal/controller/maps.go
+++ b/internal/controller/maps.go
@@ -99,17 +99,17 @@
 	}
 	var kept keptMap
 	if err := json.Unmarshal([]byte(text), &kept); err != nil {
-		h.Note("the map in force can't be read: %v", err)
+		h.Logf("the map in force can't be read: %v", err)
 		return
 	}
 	whole, err := protocol.Unpack(kept.Packed)
 	if err != nil {
-		h.Note("the map in force can't be read: %v", err)
+		h.Logf("the map in force can't be read: %v", err)
 		return
 	}
 	document, faults := format.Read([]byte(whole))
 	if len(faults) > 0 {
-		h.Note("the map in force can't be read: %s", strings.Join(faults, "; "))
+		h.Logf("the map in force can't be read: %s", strings.Join(faults, "; "))
 		return
 	}
 	m.current, m.row = inForce{kept.Version, protocol.Sum(whole), whole, kept.Packed, document}, text
@@ -245,7 +245,7 @@
 	rows[mapRow] = row
 	m.write(s, h, in, rows, func() {
 		m.current, m.row = next, row
-		h.Note("map version %d is in force", next.version)
+		h.Logf("map version %d is in force", next.version)
 		s.keeper.SetMap(next.document)
 		// Routers are told first: the sooner they hear, the sooner it holds.
 		s.tellRouters(h)
--- a/internal/controller/maps_test.go
+++ b/internal/controller/maps_test.go
@@ -26,7 +26,7 @@
 	}
 	give := func(x scene, orders ...HandOver) {
 		for _, order := range orders {
-			x.s.Input(x.h, order)
+			x.s.HandleInput(x.h, order)
 		}
 	}
 	inForce := func(x scene, text string) {
@@ -62,7 +62,7 @@
 			inForce(x, "version 1")
 			inForce(x, "version 2")
 			next := New(Settings{Self: wordSelf}, wordFormat{})
-			next.Began(x.h)
+			next.BecamePrimary(x.h)
 			give(scene{x.h, next}, put(1, 1, "version 2"))
 		}, told{1: {"taken 2"}}, 2, 0},
 		{"the same text on top of another version is another order", func(x scene) {
@@ -99,18 +99,18 @@
 		{"a write of unknown end, sent again to a later primacy that has it", func(x scene) {
 			give(x, put(1, 0, "version 1"))
 			x.h.end(false)
-			x.s.Ended(x.h)
-			x.s.Began(x.h)
+			x.s.LostPrimacy(x.h)
+			x.s.BecamePrimary(x.h)
 			give(x, put(2, 0, "version 1"), put(3, 0, "version 2"))
 		}, told{1: {unknown}, 2: {"taken 1"}, 3: {stale + " 1"}}, 1, 0},
 		{"a write of unknown end, sent again to a later primacy that lacks it", func(x scene) {
 			give(x, put(1, 0, "version 1"))
 			x.h.end(false)
-			x.s.Ended(x.h)
+			x.s.LostPrimacy(x.h)
 			for _, key := range []string{mapRow, historyRow, successorKey(0)} {
 				delete(x.h.rows, key)
 			}
-			x.s.Began(x.h)
+			x.s.BecamePrimary(x.h)
 			give(x, put(2, 0, "version 2"), put(3, 0, "version 1"))
 			x.h.end(true)
 		}, told{1: {unknown}, 2: {"taken 2"}, 3: {stale + " 2"}}, 2, 0},
@@ -124,20 +124,20 @@
 			give(x, put(1, 0, "version 1"), put(2, 1, "version 2"), put(3, 0, "version 1"))
 			// The machine ends the writes first.
 			x.h.end(false)
-			x.s.Ended(x.h)
+			x.s.LostPrimacy(x.h)
 		}, told{1: {unknown}, 2: {gone}, 3: {gone}}, 0, 0},
 		{"after it none is taken", func(x scene) {
-			x.s.Ended(x.h)
+			x.s.LostPrimacy(x.h)
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone}}, 0, 0},
 		{"elsewhere", func(x scene) {
-			x.s.Ended(x.h)
+			x.s.LostPrimacy(x.h)
 			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
 			x.h.controllers = []protocol.Node{x.h.primary}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone + " 10.0.0.2:80"}}, 0, 0},
 		{"elsewhere, and dead as far as is known", func(x scene) {
-			x.s.Ended(x.h)
+			x.s.LostPrimacy(x.h)
 			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone}}, 0, 0},
@@ -162,7 +162,7 @@
 			// No order to runners is at stake here.
 			h.rows[ordererRow] = wordSelf.Name
 			s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}, ControlPort: "80"}, wordFormat{})
-			s.Began(h)
+			s.BecamePrimary(h)
 			test.do(scene{h, s})
 			c.Check(h.told, qt.DeepEquals, test.want)
 			c.Check(s.maps.current.version, qt.Equals, test.version)
@@ -177,9 +177,9 @@
 	h := newHeldHost()
 	h.rows[ordererRow] = wordSelf.Name
 	s := New(Settings{Self: wordSelf}, wordFormat{})
-	s.Began(h)
+	s.BecamePrimary(h)
 	for id := range uint64(queueMost + 2) {
-		s.Input(h, HandOver{ID: id, Text: "version 1"})
+		s.HandleInput(h, HandOver{ID: id, Text: "version 1"})
 	}
 	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{queueMost + 1: {string(errkind.NotTaken)}})
 	h.end(true)
--- a/internal/controller/office.go
+++ b/internal/controller/office.go
@@ -26,7 +26,7 @@
 // messages, open calls of operators, the end of the process.
 const endMs = 1500
 
-// LeaveMs is how long, in ms, a planned stop may take to hand over: a successor
+// LeaveTimeoutMs is how long, in ms, a planned stop may take to hand over: a successor
 // that has just begun is whole after the catch-up time, and the platform ends
 // the process after its grace.
 func LeaveMs(b bounds.Bounds) int64 {
@@ -103,14 +103,14 @@
 		Self: set.Self, Bounds: set.Bounds, ListAddress: set.ListAddress, ListPerSec: set.ListPerSec, ControlPort: set.ControlPort,
 	}, format)
 	machine, err := consensus.New(consensus.Settings{
-		Site: set.Site, Self: set.Self, Seeds: set.Seeds, Tenant: tenant, Losses: set.Losses, Founds: set.FirstStart,
+		Site: set.Site, Self: set.Self, Seeds: set.Seeds, Application: tenant, MaxLosses: set.Losses, FirstStart: set.FirstStart,
 		// A holder's order may be a moment on its way.
 		GapMs: set.Bounds.LeaseMs + set.Bounds.ThawMs,
 		// The next loss may come once a lost machine is back for this long.
-		AwayMs:  consensus.AwayMsFor(set.Bounds.CatchUpMs),
-		ShowMs:  consensus.ShowMsFor(set.Bounds.CatchUpMs),
-		Timing:  consensus.TimingFor(set.Bounds.CatchUpMs),
-		LeaveMs: LeaveMs(set.Bounds),
+		WitnessTimeoutMs: consensus.WitnessTimeoutFor(set.Bounds.CatchUpMs),
+		ReplicaGraceMs:   consensus.ReplicaGraceFor(set.Bounds.CatchUpMs),
+		Timing:           consensus.TimingFor(set.Bounds.CatchUpMs),
+		LeaveTimeoutMs:   LeaveMs(set.Bounds),
 	}, keys, clock.NowMs())
 	if err != nil {
 		d.Close()
@@ -123,11 +123,11 @@
 func (o *Office) Join(c *threads.Group) { o.shell.Join(c) }
 
 // Leave hands the copy, the vote and the primacy of this daemon to others
-// before a planned stop, as far as there are any and within LeaveMs.
+// before a planned stop, as far as there are any and within LeaveTimeoutMs.
 func (o *Office) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), o.handOver+leaveWait)
 	defer cancel()
-	o.shell.Ask(ctx, func(id uint64) any { return consensus.StepDown{ID: id} })
+	o.shell.Ask(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
 	// The last messages, such as the word to the next primary, are on their way.
 	time.Sleep(leaveWait)
 }
@@ -135,5 +135,5 @@
 // Reseed takes the seeds of changed settings.
 func (o *Office) Reseed(seeds []string) {
 	o.seeds.Store(&seeds)
-	o.shell.Put(consensus.Reseed{Seeds: seeds})
+	o.shell.Put(consensus.SetSeeds{Seeds: seeds})
 }
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -31,12 +31,12 @@
 	for _, call := range calls {
 		switch body := call.Body.(type) {
 		case protocol.ListRunners:
-			s.Input(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
+			s.HandleInput(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
 		case protocol.GetRunnerState:
-			s.Input(h, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{CacheTotal: 100}})
+			s.HandleInput(h, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{CacheTotal: 100}})
 		case protocol.RunnerOrder:
 			orders++
-			s.Input(h, protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: protocol.OutcomeAccepted})
+			s.HandleInput(h, protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: protocol.OutcomeAccepted})
 		}
 	}
 	return orders
@@ -67,8 +67,8 @@
 			c := qt.New(t)
 			h := newHeldHost()
 			before := New(Settings{Self: wordSelf}, engineFormat{})
-			before.Began(h)
-			before.Input(h, HandOver{Text: "version 1"})
+			before.BecamePrimary(h)
+			before.HandleInput(h, HandOver{Text: "version 1"})
 			h.end(true)
 			if test.row != "" {
 				h.rows[ordererRow] = test.row
@@ -76,10 +76,10 @@
 			beganMs := h.nowMs
 			h.ordersMs = beganMs + gapMs
 			s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
-			s.Began(h)
+			s.BecamePrimary(h)
 			writeMs, orderMs, endMs := never, never, never
 			for ; h.nowMs < beganMs+4000; h.nowMs += 50 {
-				s.Receive(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+				s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 				s.Tick(h)
 				if orders := platformOf(h, s); orders > 0 && orderMs == never {
 					orderMs = h.nowMs - beganMs
@@ -111,13 +111,13 @@
 	h := newHeldHost()
 	h.rows[ordererRow] = wordSelf.Name
 	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
-	s.Began(h)
-	s.Input(h, HandOver{Text: "version 1"})
+	s.BecamePrimary(h)
+	s.HandleInput(h, HandOver{Text: "version 1"})
 	h.end(true)
-	s.Ended(h)
+	s.LostPrimacy(h)
 	orders := 0
 	for endMs := h.nowMs + 2000; h.nowMs < endMs; h.nowMs += 50 {
-		s.Receive(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+		s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 		s.Tick(h)
 		orders += platformOf(h, s)
 	}
--- a/internal/controller/steward.go
+++ b/internal/controller/steward.go
@@ -61,17 +61,17 @@
 	}
 }
 
-// Changed reads the map in force anew; it may not be safe on all copies yet, so
+// StateChanged reads the map in force anew; it may not be safe on all copies yet, so
 // only a follower, which answers nobody, goes by it.
-func (s *Steward) Changed(h consensus.Host) {
+func (s *Steward) StateChanged(h consensus.Host) {
 	if !s.serving {
 		s.maps.load(h, s.format)
 		s.keeper.SetMap(s.maps.current.document)
 	}
 }
 
-// Began is the start of this daemon's primacy.
-func (s *Steward) Began(h consensus.Host) {
+// BecamePrimary is the start of this daemon's primacy.
+func (s *Steward) BecamePrimary(h consensus.Host) {
 	s.serving = true
 	s.maps.load(h, s.format)
 	s.keeper.SetMap(s.maps.current.document)
@@ -83,23 +83,23 @@
 	s.maps.begin(s, h)
 }
 
-// Ended is the end of this daemon's primacy.
-func (s *Steward) Ended(h consensus.Host) {
+// LostPrimacy is the end of this daemon's primacy.
+func (s *Steward) LostPrimacy(h consensus.Host) {
 	s.serving = false
 	s.keeper.BecomeFollower()
 	s.maps.end(h, s)
 	s.routers = map[string]int64{}
 }
 
-// Receive takes a message of a router or of a peer.
-func (s *Steward) Receive(h consensus.Host, e protocol.Envelope) bool {
+// HandleMessage takes a message of a router or of a peer.
+func (s *Steward) HandleMessage(h consensus.Host, e protocol.Envelope) bool {
 	switch body := e.Body.(type) {
 	case protocol.ConfigPoll:
 		s.asked(h, e.From, body)
 	case protocol.IndexLookUp:
 		// Cut off, this daemon may know of runners that have long left. A router
 		// that hears nothing asks another controller.
-		if !h.InContact() {
+		if !h.QuorumContact() {
 			h.Count(string(errkind.NoContact))
 			return true
 		}
@@ -124,8 +124,8 @@
 	return true
 }
 
-// Input takes what operators ask and what calls outward brought.
-func (s *Steward) Input(h consensus.Host, input any) bool {
+// HandleInput takes what operators ask and what calls outward brought.
+func (s *Steward) HandleInput(h consensus.Host, input any) bool {
 	switch in := input.(type) {
 	case HandOver:
 		s.maps.handOver(s, h, in)
@@ -189,7 +189,7 @@
 	calls, tells := s.keeper.Tick(h.NowMs(), h.LeaseUntilMs())
 	for _, call := range calls {
 		if order, is := call.Body.(protocol.RunnerOrder); is {
-			h.Note("order %d to %s: %s %s %s", order.Number, order.Runner, action(order.Load), order.Model, order.Adapter)
+			h.Logf("order %d to %s: %s %s %s", order.Number, order.Runner, action(order.Load), order.Model, order.Adapter)
 		}
 		h.Call(call.Address, call.Body)
 	}
@@ -286,7 +286,7 @@
 	said := protocol.Rejection{Kind: errkind.NotPrimary, Detail: "the primary answers this"}
 	primary := h.Primary()
 	alive := slices.ContainsFunc(h.Controllers(), func(p protocol.Node) bool { return p.Name == primary.Name })
-	if host, _, err := net.SplitHostPort(primary.Address); err == nil && alive && h.InContact() {
+	if host, _, err := net.SplitHostPort(primary.Address); err == nil && alive && h.QuorumContact() {
 		said.Primary = net.JoinHostPort(host, s.set.ControlPort)
 	}
 	h.Answer(id, said)
--- a/internal/controller/words_test.go
+++ b/internal/controller/words_test.go
@@ -40,7 +40,7 @@
 
 func (h *wordHost) NowMs() int64           { return h.nowMs }
 func (h *wordHost) Active() bool           { return true }
-func (h *wordHost) InContact() bool        { return !h.outOfContact }
+func (h *wordHost) QuorumContact() bool    { return !h.outOfContact }
 func (h *wordHost) LeaseUntilMs() int64    { return h.nowMs + 2000 }
 func (h *wordHost) OrdersFromMs() int64    { return h.nowMs }
 func (h *wordHost) Self() protocol.Node    { return wordSelf }
@@ -53,7 +53,7 @@
 func (h *wordHost) Row(key string) string     { return h.rows[key] }
 func (h *wordHost) Call(string, any)          {}
 func (h *wordHost) Answer(_ uint64, body any) { h.answers = append(h.answers, body) }
-func (h *wordHost) Note(string, ...any)       {}
+func (h *wordHost) Logf(string, ...any)       {}
 func (h *wordHost) Count(string)              {}
 
 func (h *wordHost) Send(to protocol.Node, body any) {
@@ -90,21 +90,21 @@
 func begun(routers int) (*wordHost, *Steward) {
 	h := &wordHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(protocol.Controller, 4), routers: placed(protocol.Router, routers)}
 	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}}, wordFormat{})
-	s.Began(h)
-	s.Input(h, HandOver{ID: 1, Text: "version 1" + strings.Repeat(" model", 10_000)})
+	s.BecamePrimary(h)
+	s.HandleInput(h, HandOver{ID: 1, Text: "version 1" + strings.Repeat(" model", 10_000)})
 	return h, s
 }
 
 func ask(h *wordHost, s *Steward, in protocol.ConfigPoll) protocol.ConfigUpdate {
 	h.said()
-	s.Receive(h, protocol.Envelope{From: protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router}, Body: in})
+	s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router}, Body: in})
 	return h.said()[0]
 }
 
 // What a router has already is not told again, whatever part of it that is.
 func TestWordsLeaveOutWhatIsThere(t *testing.T) {
 	h, s := begun(2)
-	s.Input(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
+	s.HandleInput(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
 	full := ask(h, s, protocol.ConfigPoll{EchoMs: 9})
 	qt.Assert(t, full.EchoMs, qt.Equals, int64(9))
 	qt.Assert(t, full.Leaving, qt.DeepEquals, []string{"p1"})
@@ -145,7 +145,7 @@
 		qt.Assert(t, len(word.Packed) > 0, qt.IsTrue)
 		qt.Assert(t, word.Version, qt.Equals, uint64(1))
 	}
-	s.Input(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
+	s.HandleInput(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
 	words = h.said()
 	qt.Assert(t, words, qt.HasLen, 3)
 	for _, word := range words {
@@ -175,14 +175,14 @@
 			from := protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router, Incarnation: "1"}
 			sent := func() bool {
 				h.said()
-				s.Receive(h, protocol.Envelope{From: from, Body: protocol.ConfigPoll{EchoMs: h.nowMs}})
+				s.HandleMessage(h, protocol.Envelope{From: from, Body: protocol.ConfigPoll{EchoMs: h.nowMs}})
 				return len(h.said()[0].Packed) > 0
 			}
 			qt.Assert(t, sent(), qt.IsTrue)
 			h.nowMs += test.laterMs
 			from.Incarnation = test.life
 			if test.newer {
-				s.Input(h, HandOver{ID: 2, BuiltOn: 1, Text: "version 2"})
+				s.HandleInput(h, HandOver{ID: 2, BuiltOn: 1, Text: "version 2"})
 			}
 			qt.Assert(t, sent(), qt.Equals, test.want)
 		})
@@ -196,7 +196,7 @@
 	qt.Assert(t, json.Unmarshal([]byte(h.rows[mapRow]), &kept), qt.IsNil)
 	qt.Assert(t, len(h.rows[mapRow]) < 2_000, qt.IsTrue)
 	follower := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}}, wordFormat{})
-	follower.Changed(h)
+	follower.StateChanged(h)
 	qt.Assert(t, follower.maps.current.version, qt.Equals, uint64(1))
 	qt.Assert(t, len(follower.maps.current.text), qt.Equals, len("version 1")+60_000)
 }
@@ -211,7 +211,7 @@
 			for i := range b.N {
 				// As many ask in each ms as the routers there are would.
 				h.nowMs = 10_000 + int64(i)*300/int64(routers)
-				s.Receive(h, protocol.Envelope{From: from, Body: in})
+				s.HandleMessage(h, protocol.Envelope{From: from, Body: in})
 				h.sent = h.sent[:0]
 			}
 		})
--- a/internal/election/witness/witness.go
+++ b/internal/election/witness/witness.go
@@ -12,15 +12,15 @@
 
 // State is the durable record of one witness.
 type State struct {
-	Promised protocol.Ballot      `json:"promised"`
-	Kept     protocol.Ballot      `json:"kept"`
-	Record   protocol.EpochRecord `json:"record"`
-	Founding bool                 `json:"founding,omitempty"`
+	Promised  protocol.Ballot      `json:"promised"`
+	Accepted  protocol.Ballot      `json:"kept"`
+	Record    protocol.EpochRecord `json:"record"`
+	Bootstrap bool                 `json:"founding,omitempty"`
 }
 
-// Witness decides what one disk promises and keeps. Its caller saves the
+// Acceptor decides what one disk promises and keeps. Its caller saves the
 // memory, where it changed, before the answer leaves.
-type Witness struct {
+type Acceptor struct {
 	State
 	self protocol.MemberID
 	// leaseMs is how long no other may become primary after a renewal.
@@ -32,8 +32,8 @@
 
 // New makes a witness from what its disk holds. A lease lasts leaseMs, at all
 // witnesses and the primary alike.
-func New(self protocol.MemberID, saved string, nowMs, leaseMs int64) (*Witness, error) {
-	w := &Witness{self: self, startMs: nowMs, leaseMs: leaseMs}
+func New(self protocol.MemberID, saved string, nowMs, leaseMs int64) (*Acceptor, error) {
+	w := &Acceptor{self: self, startMs: nowMs, leaseMs: leaseMs}
 	if saved == "" {
 		return w, nil
 	}
@@ -44,14 +44,14 @@
 	w.leaseUntilMs = nowMs + w.leaseMs
 	// Where a promise came after the record, to whom a lease was given may be
 	// forgotten: then no one gets a vote until it is out.
-	if w.Kept == w.Promised {
-		w.holder = w.Kept.Name
+	if w.Accepted == w.Promised {
+		w.holder = w.Accepted.Name
 	}
 	return w, err
 }
 
 // Blank says that this disk was never taken into a recorded epoch.
-func (w *Witness) Blank() bool {
+func (w *Acceptor) Blank() bool {
 	for _, seat := range w.Record.Witnesses {
 		if seat == w.self {
 			return false
@@ -61,14 +61,14 @@
 }
 
 // Encode is the memory as it is saved.
-func (w *Witness) Encode() string {
+func (w *Acceptor) Encode() string {
 	text, _ := json.Marshal(w.State)
 	return string(text)
 }
 
 // Prepare answers a candidate. Changed says that the memory must be saved.
-func (w *Witness) Prepare(nowMs int64, from string, ask protocol.Prepare) (answer protocol.PrepareReply, changed bool) {
-	answer = protocol.PrepareReply{Ballot: ask.Ballot, Highest: w.Promised, Record: w.Record, Kept: w.Kept, Blank: w.Blank()}
+func (w *Acceptor) Prepare(nowMs int64, from string, ask protocol.Prepare) (answer protocol.PrepareReply, changed bool) {
+	answer = protocol.PrepareReply{Ballot: ask.Ballot, Highest: w.Promised, Record: w.Record, Kept: w.Accepted, Blank: w.Blank()}
 	// A blank disk votes only in an explicit act of the operator's.
 	if w.Blank() && !(ask.Found && w.Record.Epoch == 0) && !ask.Recover {
 		return answer, false
@@ -89,7 +89,7 @@
 }
 
 // Accept stores a record.
-func (w *Witness) Accept(nowMs int64, ask protocol.Accept) (answer protocol.AcceptReply, changed bool) {
+func (w *Acceptor) Accept(nowMs int64, ask protocol.Accept) (answer protocol.AcceptReply, changed bool) {
 	answer = protocol.AcceptReply{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
 	taken := false
 	for _, seat := range ask.Record.Witnesses {
@@ -107,26 +107,26 @@
 	// A higher record shows that this lower one was complete already.
 	if ask.Record.Epoch >= w.Record.Epoch {
 		w.Record = ask.Record
-		w.Kept = ask.Ballot
+		w.Accepted = ask.Ballot
 	}
 	// The hold is the candidate's own, also while it completes another's record.
 	w.grantLease(nowMs, ask.Ballot.Name)
 	answer.Granted = true
 	answer.Highest = w.Promised
 	answer.Record = w.Record
-	return answer, before.Promised != w.Promised || before.Kept != w.Kept || before.Record.Epoch != w.Record.Epoch
+	return answer, before.Promised != w.Promised || before.Accepted != w.Accepted || before.Record.Epoch != w.Record.Epoch
 }
 
 // Renew prolongs the primary's hold. A witness that missed the record takes
 // it from the renewal, since only a complete record is renewed.
-func (w *Witness) Renew(nowMs int64, ask protocol.RenewLease) (answer protocol.AcceptReply, changed bool) {
+func (w *Acceptor) Renew(nowMs int64, ask protocol.RenewLease) (answer protocol.AcceptReply, changed bool) {
 	answer = protocol.AcceptReply{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
 	if w.Blank() || ask.Ballot.Less(w.Promised) || ask.Record.Epoch < w.Record.Epoch {
 		return answer, false
 	}
 	// A hold is given only under what is on the disk: after a restart it must
 	// be known whose it may be.
-	if ask.Record.Epoch > w.Record.Epoch || ask.Ballot != w.Kept {
+	if ask.Record.Epoch > w.Record.Epoch || ask.Ballot != w.Accepted {
 		return w.Accept(nowMs, protocol.Accept{Ballot: ask.Ballot, Record: ask.Record, EchoMs: ask.EchoMs})
 	}
 	w.grantLease(nowMs, ask.Ballot.Name)
@@ -135,14 +135,14 @@
 }
 
 // Release ends the lease on purpose.
-func (w *Witness) Release(from string, ask protocol.ReleaseLease) {
-	if ask.Epoch == w.Record.Epoch && ask.Ballot == w.Kept && from == w.holder {
+func (w *Acceptor) Release(from string, ask protocol.ReleaseLease) {
+	if ask.Epoch == w.Record.Epoch && ask.Ballot == w.Accepted && from == w.holder {
 		w.leaseUntilMs = 0
 		w.holder = ""
 	}
 }
 
-func (w *Witness) grantLease(nowMs int64, holder string) {
+func (w *Acceptor) grantLease(nowMs int64, holder string) {
 	w.holder = holder
 	w.leaseUntilMs = nowMs + w.leaseMs
 }
--- a/internal/election/witness/witness_test.go
+++ b/internal/election/witness/witness_test.go
@@ -29,47 +29,47 @@
 		ask     any
 		granted bool
 	}
-	founded := func(t *testing.T) *Witness {
+	founded := func(t *testing.T) *Acceptor {
 		w, err := New(seats[0], "", 0, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
 		w.Prepare(0, "a", protocol.Prepare{Ballot: ballot(1, "a"), Found: true})
 		w.Accept(0, protocol.Accept{Ballot: ballot(1, "a"), Record: record(1, "a"), Found: true})
 		return w
 	}
-	blank := func(t *testing.T) *Witness {
+	blank := func(t *testing.T) *Acceptor {
 		w, err := New(seats[0], "", 0, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
 		return w
 	}
-	restarted := func(t *testing.T) *Witness {
+	restarted := func(t *testing.T) *Acceptor {
 		w, err := New(seats[0], founded(t).Encode(), 10_000, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
 		return w
 	}
-	again := func(t *testing.T, w *Witness) *Witness {
+	again := func(t *testing.T, w *Acceptor) *Acceptor {
 		w, err := New(seats[0], w.Encode(), 10_000, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
 		return w
 	}
-	promised := func(t *testing.T) *Witness {
+	promised := func(t *testing.T) *Acceptor {
 		w := founded(t)
 		w.Prepare(5_000, "b", protocol.Prepare{Ballot: ballot(2, "b")})
 		return again(t, w)
 	}
-	lower := func(t *testing.T) *Witness {
+	lower := func(t *testing.T) *Acceptor {
 		w := founded(t)
 		w.Accept(1, protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")})
 		w.Accept(5_000, protocol.Accept{Ballot: ballot(2, "b"), Record: record(1, "a")})
 		return again(t, w)
 	}
-	renewed := func(t *testing.T) *Witness {
+	renewed := func(t *testing.T) *Acceptor {
 		w := founded(t)
 		w.Renew(5_000, protocol.RenewLease{Ballot: ballot(5, "c"), Record: record(1, "a")})
 		return again(t, w)
 	}
 	cases := []struct {
 		about string
-		make  func(*testing.T) *Witness
+		make  func(*testing.T) *Acceptor
 		steps []step
 	}{
 		{"a blank disk votes only in a founding", blank, []step{
--- a/internal/failuredetector/roster.go
+++ b/internal/failuredetector/detector.go
@@ -48,14 +48,14 @@
 // New makes a roster that knows only seeds and what was remembered.
 func New(self protocol.Node, seeds []string, remembered []protocol.Node) *Detector {
 	r := &Detector{self: self, seeds: seeds, peers: map[string]*peer{}, beatMs: -HeartbeatMs, helloMs: -helloMs}
-	r.Learn(0, remembered)
+	r.AddNodes(0, remembered)
 	return r
 }
 
-// Learn takes places told by others. A place that was heard of lately is
+// AddNodes takes places told by others. A place that was heard of lately is
 // believed over one that is only told; a silent one may have moved. False says
 // that some of what was told was not believed, so that it is to be told again.
-func (r *Detector) Learn(nowMs int64, places []protocol.Node) bool {
+func (r *Detector) AddNodes(nowMs int64, places []protocol.Node) bool {
 	believed := true
 	for _, place := range places {
 		if place.Name == "" || place.Name == r.self.Name {
@@ -78,8 +78,8 @@
 	return believed
 }
 
-// Heard notes a message that came from the peer itself.
-func (r *Detector) Heard(nowMs int64, place protocol.Node) {
+// Observe notes a message that came from the peer itself.
+func (r *Detector) Observe(nowMs int64, place protocol.Node) {
 	if place.Name == "" || place.Name == r.self.Name {
 		return
 	}
@@ -128,16 +128,16 @@
 
 func (r *Detector) changed() { r.sorted, r.sum = nil, 0 }
 
-// Told takes a watcher's sighting.
-func (r *Detector) Told(nowMs int64, s protocol.HeartbeatReport) {
+// ObserveReport takes a watcher's sighting.
+func (r *Detector) ObserveReport(nowMs int64, s protocol.HeartbeatReport) {
 	known := r.peers[s.Place.Name]
 	if known == nil || !known.seen || known.seenMs < nowMs-s.AgoMs {
-		r.Heard(nowMs-s.AgoMs, s.Place)
+		r.Observe(nowMs-s.AgoMs, s.Place)
 	}
 }
 
-// Seen says how long ago the peer was last heard of, if ever.
-func (r *Detector) Seen(nowMs int64, name string) (int64, bool) {
+// SilentMs says how long ago the peer was last heard of, if ever.
+func (r *Detector) SilentMs(nowMs int64, name string) (int64, bool) {
 	known := r.peers[name]
 	if known == nil || !known.seen {
 		return 0, false
@@ -147,12 +147,12 @@
 
 // Live says whether the peer was heard of lately.
 func (r *Detector) Live(nowMs int64, name string) bool {
-	agoMs, seen := r.Seen(nowMs, name)
+	agoMs, seen := r.SilentMs(nowMs, name)
 	return seen && agoMs <= TimeoutMs
 }
 
-// Place finds a peer, or this daemon itself.
-func (r *Detector) Place(name string) (protocol.Node, bool) {
+// Node finds a peer, or this daemon itself.
+func (r *Detector) Node(name string) (protocol.Node, bool) {
 	if name == r.self.Name {
 		return r.self, true
 	}
@@ -163,9 +163,9 @@
 	return known.place, true
 }
 
-// Places lists all known peers and this daemon, in order of name. The list
+// Nodes lists all known peers and this daemon, in order of name. The list
 // is shared: whoever asks must not change it.
-func (r *Detector) Places() []protocol.Node {
+func (r *Detector) Nodes() []protocol.Node {
 	if r.sorted == nil {
 		r.sorted = make([]protocol.Node, 0, len(r.peers)+1)
 		r.sorted = append(r.sorted, r.self)
@@ -177,27 +177,27 @@
 	return r.sorted
 }
 
-// Sum names the list of all places, so that it need not be told again.
-func (r *Detector) Sum() uint64 {
+// Digest names the list of all places, so that it need not be told again.
+func (r *Detector) Digest() uint64 {
 	if r.sum == 0 {
-		r.sum = protocol.SumNodes(r.Places())
+		r.sum = protocol.SumNodes(r.Nodes())
 	}
 	return r.sum
 }
 
-// Others lists all peers without this daemon.
-func (r *Detector) Others() []protocol.Node {
+// OtherNodes lists all peers without this daemon.
+func (r *Detector) OtherNodes() []protocol.Node {
 	return r.those(func(p protocol.Node) bool { return true })
 }
 
-// Part lists the peers of a part, without this daemon.
-func (r *Detector) Part(part string) []protocol.Node {
+// NodesOf lists the peers of a part, without this daemon.
+func (r *Detector) NodesOf(part string) []protocol.Node {
 	return r.those(func(p protocol.Node) bool { return p.Part == part })
 }
 
 func (r *Detector) those(are func(protocol.Node) bool) []protocol.Node {
 	var out []protocol.Node
-	for _, place := range r.Places() {
+	for _, place := range r.Nodes() {
 		if place.Name != r.self.Name && are(place) {
 			out = append(out, place)
 		}
@@ -207,7 +207,7 @@
 
 // Watchers lists whom a daemon beats to: its successors on the ring.
 func (r *Detector) Watchers(name string) []protocol.Node {
-	places := slices.Clone(r.Places())
+	places := slices.Clone(r.Nodes())
 	slices.SortFunc(places, func(a, b protocol.Node) int { return cmp.Compare(spot(a.Name), spot(b.Name)) })
 	var out []protocol.Node
 	start := slices.IndexFunc(places, func(p protocol.Node) bool { return p.Name == name })
@@ -234,7 +234,7 @@
 		for _, place := range r.Watchers(r.self.Name) {
 			sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.Heartbeat{Epoch: epoch, Serving: serving}})
 		}
-		if to, ok := r.Place(primary); ok && primary != r.self.Name {
+		if to, ok := r.Node(primary); ok && primary != r.self.Name {
 			sends = append(sends, protocol.Send{To: to.Name, Address: to.Address, Body: protocol.HeartbeatReports{Seen: r.sightings(nowMs)}})
 		}
 	}
@@ -247,7 +247,7 @@
 
 func (r *Detector) sightings(nowMs int64) []protocol.HeartbeatReport {
 	var seen []protocol.HeartbeatReport
-	for _, place := range r.Places() {
+	for _, place := range r.Nodes() {
 		if r.Live(nowMs, place.Name) {
 			seen = append(seen, protocol.HeartbeatReport{Place: place, AgoMs: nowMs - r.peers[place.Name].seenMs})
 		}
@@ -264,7 +264,7 @@
 			sends = append(sends, protocol.Send{Address: seed, Body: protocol.PeersRequest{}})
 		}
 	}
-	places := r.Others()
+	places := r.OtherNodes()
 	if len(places) > 0 {
 		place := places[int(nowMs/helloMs)%len(places)]
 		sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.PeersRequest{}})
@@ -272,8 +272,8 @@
 	return sends
 }
 
-// At finds a peer that was heard of itself, or this daemon, by address.
-func (r *Detector) At(address string) (protocol.Node, bool) {
+// NodeAt finds a peer that was heard of itself, or this daemon, by address.
+func (r *Detector) NodeAt(address string) (protocol.Node, bool) {
 	if address == r.self.Address {
 		return r.self, true
 	}
@@ -285,5 +285,5 @@
 	return protocol.Node{}, false
 }
 
-// Reseed replaces the seeds; peers that are known stay known.
-func (r *Detector) Reseed(seeds []string) { r.seeds = seeds }
+// SetSeeds replaces the seeds; peers that are known stay known.
+func (r *Detector) SetSeeds(seeds []string) { r.seeds = seeds }
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -197,7 +197,7 @@
 
 func (m *Machine) ask() {
 	m.askedMs = m.nowMs
-	if place, ok := m.roster.Place(m.primary); ok && m.primary != "" {
+	if place, ok := m.roster.Node(m.primary); ok && m.primary != "" {
 		m.send(place, protocol.RouterPoll{EchoMs: m.nowMs, Revision: m.revision, Held: m.heldSum, GivenMs: max(0, m.givenUntilMs-m.nowMs), Waiting: m.waitingKeys(), Number: m.number})
 	}
 }
@@ -228,16 +228,16 @@
 		m.count(errkind.OtherDaemon)
 		return
 	}
-	m.roster.Heard(m.nowMs, e.From)
+	m.roster.Observe(m.nowMs, e.From)
 	switch body := e.Body.(type) {
 	case protocol.Heartbeat:
 		if body.Serving && body.Epoch == m.epoch {
 			m.servedMs = m.nowMs
 		}
 	case protocol.PeersRequest:
-		m.send(e.From, protocol.PeersReply{Peers: m.roster.Places(), Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary}})
+		m.send(e.From, protocol.PeersReply{Peers: m.roster.Nodes(), Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary}})
 	case protocol.PeersReply:
-		m.roster.Learn(m.nowMs, body.Peers)
+		m.roster.AddNodes(m.nowMs, body.Peers)
 		m.heed(body.Record.Epoch, body.Record.Primary)
 	case protocol.PrimaryQuery:
 		if body.Epoch == m.epoch {
@@ -295,7 +295,7 @@
 	// A number of an earlier primary says nothing to the next.
 	m.number = w.Number
 	m.epoch, m.primary, m.echoMs = w.Epoch, from.Name, w.EchoMs
-	m.roster.Learn(m.nowMs, w.Peers)
+	m.roster.AddNodes(m.nowMs, w.Peers)
 	m.mark(w.Leaving)
 	m.leaveWordMs = max(m.leaveWordMs, w.EchoMs)
 	if w.Revision > m.revision {
--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -133,7 +133,7 @@
 	b := newBench(c)
 	other := core
 	other.Name, other.Address = "core-2", "c2"
-	b.m.roster.Heard(b.nowMs, other)
+	b.m.roster.Observe(b.nowMs, other)
 	b.ask("move", "", "a")
 	b.index(moves, 1, "table-1")
 	b.ask("move", "", "b")
--- a/internal/native/router/prolong.go
+++ b/internal/native/router/prolong.go
@@ -32,7 +32,7 @@
 	}
 	m.prolongMs = m.nowMs
 	for _, member := range m.described.Routers {
-		if place, ok := m.roster.Place(member.Name); ok && member.Name != m.set.Self.Name {
+		if place, ok := m.roster.Node(member.Name); ok && member.Name != m.set.Self.Name {
 			m.send(place, protocol.ExtendLease{EchoMs: m.nowMs, Revision: m.revision})
 		}
 	}
--- a/internal/proxy/lookup.go
+++ b/internal/proxy/lookup.go
@@ -9,7 +9,7 @@
 // lookUp sends the look-up of a request to a controller. Nothing is sent while
 // the controller's address is unknown.
 func (m *Machine) lookUp(r *request, to string) {
-	place, ok := m.roster.Place(to)
+	place, ok := m.roster.Node(to)
 	if !ok || to == "" {
 		return
 	}
@@ -136,7 +136,7 @@
 
 // nextController names the one after another, a live one if there is one.
 func (m *Machine) nextController(than string) string {
-	places := m.roster.Part(protocol.Controller)
+	places := m.roster.NodesOf(protocol.Controller)
 	at := slices.IndexFunc(places, func(p protocol.Node) bool { return p.Name > than })
 	first := ""
 	for i := range places {
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -281,7 +281,7 @@
 		b.step(protocol.Tick{})
 	}
 	c.Assert(b.m.isLeaving("p1"), qt.IsTrue)
-	c.Assert(b.m.roster.Part(protocol.Controller), qt.HasLen, 2)
+	c.Assert(b.m.roster.NodesOf(protocol.Controller), qt.HasLen, 2)
 	b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
 	c.Assert(asked().LeavingSum, qt.Equals, uint64(9))
 }
--- a/internal/proxy/primary.go
+++ b/internal/proxy/primary.go
@@ -14,7 +14,7 @@
 // router lives.
 func (m *Machine) ask() {
 	m.askedMs = m.nowMs
-	if place, ok := m.roster.Place(m.primary); ok && m.primary != "" {
+	if place, ok := m.roster.Node(m.primary); ok && m.primary != "" {
 		m.send(place, protocol.ConfigPoll{
 			EchoMs: m.nowMs, Version: m.version, Sum: m.sum, LeavingSum: m.leavingSum, ControllersSum: m.controllersSum,
 		})
@@ -28,7 +28,7 @@
 	for _, seed := range m.seeds {
 		m.out.Sends = append(m.out.Sends, protocol.Send{Address: seed, Body: protocol.PeersRequest{}})
 	}
-	known := m.roster.Part(protocol.Controller)
+	known := m.roster.NodesOf(protocol.Controller)
 	known = slices.DeleteFunc(known, func(p protocol.Node) bool { return slices.Contains(m.seeds, p.Address) })
 	if len(known) > 0 {
 		m.send(known[int(m.nowMs/helloMs)%len(known)], protocol.PeersRequest{})
@@ -47,13 +47,13 @@
 		m.count(errkind.OtherDaemon)
 		return
 	}
-	m.roster.Heard(m.nowMs, e.From)
+	m.roster.Observe(m.nowMs, e.From)
 	switch body := e.Body.(type) {
 	case protocol.Heartbeat:
 	case protocol.PeersRequest:
-		m.send(e.From, protocol.PeersReply{Peers: m.roster.Places(), Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary}})
+		m.send(e.From, protocol.PeersReply{Peers: m.roster.Nodes(), Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary}})
 	case protocol.PeersReply:
-		m.roster.Learn(m.nowMs, body.Peers)
+		m.roster.AddNodes(m.nowMs, body.Peers)
 		m.heed(body.Record.Epoch, body.Record.Primary)
 	case protocol.PollRequest:
 		m.heed(body.Epoch, e.From.Name)
@@ -104,7 +104,7 @@
 	if len(w.Controllers) > 0 {
 		m.near = nearest(m.set.Self, w.Controllers)
 		m.controllersSum = 0
-		if m.roster.Learn(m.nowMs, w.Controllers) {
+		if m.roster.AddNodes(m.nowMs, w.Controllers) {
 			m.controllersSum = w.ControllersSum
 		}
 	}
--- a/internal/simulation/endurance/site_test.go
+++ b/internal/simulation/endurance/site_test.go
@@ -172,7 +172,7 @@
 	limits := bounds.Bounds{CatchUpMs: 4000, LeaseMs: 3000}
 	tenant := controller.New(controller.Settings{Self: self, Bounds: limits, ListAddress: "list", ListPerSec: 1, ControlPort: "80"}, opaqueFormat{&m.reads})
 	machine, err := consensus.New(consensus.Settings{
-		Site: "s", Self: self, Seeds: s.seeds, Tenant: tenant, Losses: s.losses, Founds: first, GapMs: limits.LeaseMs, AwayMs: 1000, ShowMs: 400,
+		Site: "s", Self: self, Seeds: s.seeds, Application: tenant, MaxLosses: s.losses, FirstStart: first, GapMs: limits.LeaseMs, WitnessTimeoutMs: 1000, ReplicaGraceMs: 400,
 	}, maps.Clone(keys), s.nowMs)
 	if err != nil {
 		panic(err)
--- a/internal/simulation/faultsim/buggy_application.go
+++ b/internal/simulation/faultsim/buggy_application.go
@@ -12,12 +12,12 @@
 
 // buggyApplication is a controller's tenant with deliberate faults.
 type buggyApplication struct {
-	consensus.Tenant
+	consensus.Application
 	bugs InjectedBugs
 }
 
 // withBugs gives a tenant the faults that the world has.
-func (sim *Simulation) withBugs(tenant consensus.Tenant) consensus.Tenant {
+func (sim *Simulation) withBugs(tenant consensus.Application) consensus.Application {
 	b := sim.Bugs
 	if b.ForgetAccepted || b.IgnoreBase || b.StaleRead || b.StaleRejection {
 		return buggyApplication{tenant, b}
@@ -42,8 +42,8 @@
 	return kept.Version, text
 }
 
-// Input answers operators as a broken system would.
-func (t buggyApplication) Input(h consensus.Host, input any) bool {
+// HandleInput answers operators as a broken system would.
+func (t buggyApplication) HandleInput(h consensus.Host, input any) bool {
 	version, text := localConfig(h)
 	switch in := input.(type) {
 	case controller.Read:
@@ -59,16 +59,16 @@
 		if t.bugs.IgnoreBase {
 			in.BuiltOn = version
 		}
-		return t.Tenant.Input(t.wrapHost(h), in)
+		return t.Application.HandleInput(t.wrapHost(h), in)
 	}
-	return t.Tenant.Input(t.wrapHost(h), input)
+	return t.Application.HandleInput(t.wrapHost(h), input)
 }
 
-// Began hands the faults on to the start of a primacy.
-func (t buggyApplication) Began(h consensus.Host) { t.Tenant.Began(t.wrapHost(h)) }
+// BecamePrimary hands the faults on to the start of a primacy.
+func (t buggyApplication) BecamePrimary(h consensus.Host) { t.Application.BecamePrimary(t.wrapHost(h)) }
 
 // Tick hands the faults on to what waits.
-func (t buggyApplication) Tick(h consensus.Host) { t.Tenant.Tick(t.wrapHost(h)) }
+func (t buggyApplication) Tick(h consensus.Host) { t.Application.Tick(t.wrapHost(h)) }
 
 func (t buggyApplication) wrapHost(h consensus.Host) consensus.Host {
 	if t.bugs.ForgetAccepted {
--- a/internal/simulation/faultsim/faults.go
+++ b/internal/simulation/faultsim/faults.go
@@ -400,7 +400,7 @@
 				continue
 			}
 			if to.isController() {
-				sim.deliver(to, to.incarnation, consensus.Reseed{Seeds: slices.Clone(sim.seeds)})
+				sim.deliver(to, to.incarnation, consensus.SetSeeds{Seeds: slices.Clone(sim.seeds)})
 			} else {
 				sim.deliver(to, to.incarnation, proxy.Reseed{Seeds: slices.Clone(sim.seeds)})
 			}
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -113,10 +113,10 @@
 			Self: self, Bounds: sim.Bounds, ListAddress: listAddress, ListPerSec: listPerSec, ControlPort: "80",
 		}, format{})
 		machine, err := consensus.New(consensus.Settings{
-			Site: site, Self: self, Seeds: slices.Clone(sim.seeds), Tenant: sim.withBugs(tenant), Losses: sim.allowedLosses, Founds: first,
-			GapMs: sim.Bounds.LeaseMs + sim.Bounds.ThawMs, AwayMs: consensus.AwayMsFor(sim.Bounds.CatchUpMs),
-			ShowMs: consensus.ShowMsFor(sim.Bounds.CatchUpMs), Timing: consensus.TimingFor(sim.Bounds.CatchUpMs),
-			LeaveMs: controller.LeaveMs(sim.Bounds),
+			Site: site, Self: self, Seeds: slices.Clone(sim.seeds), Application: sim.withBugs(tenant), MaxLosses: sim.allowedLosses, FirstStart: first,
+			GapMs: sim.Bounds.LeaseMs + sim.Bounds.ThawMs, WitnessTimeoutMs: consensus.WitnessTimeoutFor(sim.Bounds.CatchUpMs),
+			ReplicaGraceMs: consensus.ReplicaGraceFor(sim.Bounds.CatchUpMs), Timing: consensus.TimingFor(sim.Bounds.CatchUpMs),
+			LeaveTimeoutMs: controller.LeaveMs(sim.Bounds),
 		}, maps.Clone(n.disk.keys), n.clock(sim.NowMs()))
 		if err != nil {
 			panic(fmt.Sprintf("drill: %s does not start: %v", n.name, err))
@@ -212,7 +212,7 @@
 		sim.outboundCall(n, life, call)
 	}
 	for _, answer := range effects.Answers {
-		if _, is := answer.Body.(consensus.Departed); is {
+		if _, is := answer.Body.(consensus.LeaveResult); is {
 			sim.after(exitDelayMs, func() { sim.exitAndRestart(n, life) })
 		} else if n.isController() {
 			sim.operators.receiveAnswer(sim, n, answer)
@@ -293,7 +293,7 @@
 	sim.connectivity.disturb(n)
 	if n.isController() {
 		// The answer ends it, at the latest after the time for the hand-over.
-		sim.deliver(n, life, consensus.StepDown{})
+		sim.deliver(n, life, consensus.Leave{})
 		sim.after(sim.Bounds.GraceMs, func() { sim.exitAndRestart(n, life) })
 		return
 	}
--- a/internal/simulation/modelcheck/application.go
+++ b/internal/simulation/modelcheck/application.go
@@ -14,13 +14,13 @@
 // rowApplication keeps rows in the replicated state and shows its host.
 type rowApplication struct{ host consensus.Host }
 
-func (t *rowApplication) Changed(h consensus.Host)                       { t.host = h }
-func (t *rowApplication) Began(h consensus.Host)                         { t.host = h }
-func (t *rowApplication) Ended(consensus.Host)                           {}
-func (t *rowApplication) Receive(consensus.Host, protocol.Envelope) bool { return false }
-func (t *rowApplication) Tick(consensus.Host)                            {}
+func (t *rowApplication) StateChanged(h consensus.Host)                        { t.host = h }
+func (t *rowApplication) BecamePrimary(h consensus.Host)                       { t.host = h }
+func (t *rowApplication) LostPrimacy(consensus.Host)                           {}
+func (t *rowApplication) HandleMessage(consensus.Host, protocol.Envelope) bool { return false }
+func (t *rowApplication) Tick(consensus.Host)                                  {}
 
-func (t *rowApplication) Input(h consensus.Host, input any) bool {
+func (t *rowApplication) HandleInput(h consensus.Host, input any) bool {
 	write, ok := input.(Write)
 	if ok {
 		h.Submit(map[string]string{write.Key: "written"}, write.Then)
--- a/internal/simulation/modelcheck/apply_fault.go
+++ b/internal/simulation/modelcheck/apply_fault.go
@@ -243,7 +243,7 @@
 	c.push(&event{atMs: c.nowMs + c.scope.LeaveMs, kind: actionEvent, description: m.node.Name + " must exit", optional: true, action: func() {
 		c.exitPlanned(i, life)
 	}})
-	c.step(i, consensus.StepDown{}, nil)
+	c.step(i, consensus.Leave{}, nil)
 }
 
 // scheduleExit lets a member exit whose machine has handed all over.
--- a/internal/simulation/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -132,8 +132,8 @@
 	m := c.members[i]
 	m.application = &rowApplication{}
 	machine, err := consensus.New(consensus.Settings{
-		Site: site, Self: m.node, Seeds: c.seeds, Tenant: m.application, Losses: c.scope.Losses, Founds: founds, LeaveMs: c.scope.LeaveMs,
-		Timing: consensus.TimingFor(c.scope.CatchUpMs), AwayMs: consensus.AwayMsFor(c.scope.CatchUpMs), ShowMs: consensus.ShowMsFor(c.scope.CatchUpMs),
+		Site: site, Self: m.node, Seeds: c.seeds, Application: m.application, MaxLosses: c.scope.Losses, FirstStart: founds, LeaveTimeoutMs: c.scope.LeaveMs,
+		Timing: consensus.TimingFor(c.scope.CatchUpMs), WitnessTimeoutMs: consensus.WitnessTimeoutFor(c.scope.CatchUpMs), ReplicaGraceMs: consensus.ReplicaGraceFor(c.scope.CatchUpMs),
 	}, keys, c.nowMs)
 	if err != nil {
 		panic(fmt.Sprintf("modelcheck: a member can't read its own disk: %v", err))
@@ -254,7 +254,7 @@
 		c.push(&event{atMs: c.nowMs + messageMs, kind: messageEvent, member: to, from: i, envelope: envelope})
 	}
 	for _, answer := range effects.Answers {
-		if _, departs := answer.Body.(consensus.Departed); departs && m.stopping {
+		if _, departs := answer.Body.(consensus.LeaveResult); departs && m.stopping {
 			c.scheduleExit(i)
 		}
 	}
--- a/internal/simulation/modelcheck/invariants.go
+++ b/internal/simulation/modelcheck/invariants.go
@@ -109,8 +109,8 @@
 	if now.record.Epoch > before.record.Epoch {
 		c.checkChosen(now.record, atMs)
 	}
-	if now.witness.Kept != before.witness.Kept || now.witness.Record.Epoch != before.witness.Record.Epoch {
-		c.recordAccepted(id, now.witness.Record, now.witness.Kept, atMs)
+	if now.witness.Accepted != before.witness.Accepted || now.witness.Record.Epoch != before.witness.Record.Epoch {
+		c.recordAccepted(id, now.witness.Record, now.witness.Accepted, atMs)
 	}
 }
 
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -207,7 +207,7 @@
 		{"a tick", protocol.Tick{}},
 		{"a message of another", from(protocol.Heartbeat{})},
 		{"a promise", from(protocol.Prepare{Ballot: protocol.Ballot{Round: 1, Name: "member-2"}, Found: true})},
-		{"a planned stop", consensus.StepDown{}},
+		{"a planned stop", consensus.Leave{}},
 	} {
 		t.Run(test.about, func(t *testing.T) {
 			qt.Check(t, machine(test.input), qt.Not(qt.Equals), machine())
--- a/internal/simulation/modelcheck/scope.go
+++ b/internal/simulation/modelcheck/scope.go
@@ -38,7 +38,7 @@
 	Workers int
 	// CatchUpMs bounds recovery; see DefaultCatchUpMs.
 	CatchUpMs int64
-	// LeaveMs bounds a planned stop: a member exits once its machine says that
+	// LeaveTimeoutMs bounds a planned stop: a member exits once its machine says that
 	// all is handed over, and then at the latest.
 	LeaveMs int64
 	// Faults says which kinds of fault are explored; empty means all.
--- a/internal/simulation/nativesim/founding_test.go
+++ b/internal/simulation/nativesim/founding_test.go
@@ -58,7 +58,7 @@
 		}
 		qt.Assert(t, w.Primary(), qt.Not(qt.Equals), "", qt.Commentf("seed %d\n%s", seed, w.Trace()))
 		if half {
-			_, ok := w.operator.founding.(consensus.Founded)
+			_, ok := w.operator.founding.(consensus.BootstrapResult)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.founding))
 		}
 		w.HandOver(w.Primary(), 0, w.Text)
--- a/internal/simulation/nativesim/measure.go
+++ b/internal/simulation/nativesim/measure.go
@@ -175,7 +175,7 @@
 		{"no controller speaks, primary killed", "ms", controlOutage(func(w *World) { w.Kill(w.Primary()) })},
 		{"no controller speaks, primary stopped as planned", "ms", controlOutage(func(w *World) {
 			n := w.nodes[w.Primary()]
-			w.put(n, n.life, consensus.StepDown{})
+			w.put(n, n.life, consensus.Leave{})
 		})},
 		{"no controller speaks, every daemon killed and started", "ms", controlOutage(loseAll)},
 		{"last run under the old revision after acceptance, routers cut off", "ms", oldRevision},
--- a/internal/simulation/nativesim/operators.go
+++ b/internal/simulation/nativesim/operators.go
@@ -49,7 +49,7 @@
 func (w *World) foundWith(backup string) {
 	names := w.names(protocol.Controller)
 	w.tell(names[0], "", func(id uint64) any {
-		return consensus.Founding{ID: id, Witnesses: names[:3], Backup: backup}
+		return consensus.Bootstrap{ID: id, Witnesses: names[:3], Backup: backup}
 	}, func(body any) {
 		w.note("founding: %+v", body)
 		w.operator.founding = body
@@ -62,7 +62,7 @@
 	said := w.status(w.nodes[name])
 	w.operator.founding = nil
 	w.tell(name, "", func(id uint64) any {
-		return consensus.Founding{
+		return consensus.Bootstrap{
 			ID: id, Witnesses: witnesses, Backup: backup, Recover: true,
 			Change: said.Position.Number, Revision: said.Revision,
 		}
--- a/internal/simulation/nativesim/recovery_test.go
+++ b/internal/simulation/nativesim/recovery_test.go
@@ -49,7 +49,7 @@
 				witnesses := append([]string{left[0]}, lost...)
 				// A wrong change is refused with the right one.
 				w.tell(left[0], "", func(id uint64) any {
-					return consensus.Founding{ID: id, Witnesses: witnesses, Backup: lost[0], Recover: true, Change: 1}
+					return consensus.Bootstrap{ID: id, Witnesses: witnesses, Backup: lost[0], Recover: true, Change: 1}
 				}, func(body any) { w.operator.founding = body })
 				w.Run(1000)
 				qt.Assert(t, w.operator.founding.(protocol.Rejection).Kind, qt.Equals, errkind.StaleBase)
--- a/internal/simulation/nativesim/stop.go
+++ b/internal/simulation/nativesim/stop.go
@@ -12,7 +12,7 @@
 	n := w.nodes[name]
 	w.note("%s is stopped as planned", name)
 	if n.part == protocol.Controller {
-		w.put(n, n.life, consensus.StepDown{})
+		w.put(n, n.life, consensus.Leave{})
 		w.Run(300)
 	} else {
 		w.put(n, n.life, router.Leave{})
--- a/internal/simulation/scalesim/site.go
+++ b/internal/simulation/scalesim/site.go
@@ -166,8 +166,8 @@
 	for _, n := range s.controllers {
 		tenant := controller.New(controller.Settings{Self: n.place, Bounds: usualBounds, ListAddress: listAddress, ListPerSec: 47, ControlPort: "8146"}, format{})
 		machine, err := consensus.New(consensus.Settings{
-			Site: siteName, Self: n.place, Seeds: seeds, Tenant: tenant, Losses: 2, Founds: true,
-			GapMs: usualBounds.LeaseMs + usualBounds.ThawMs, AwayMs: max(1000, usualBounds.CatchUpMs/4), ShowMs: 400,
+			Site: siteName, Self: n.place, Seeds: seeds, Application: tenant, MaxLosses: 2, FirstStart: true,
+			GapMs: usualBounds.LeaseMs + usualBounds.ThawMs, WitnessTimeoutMs: max(1000, usualBounds.CatchUpMs/4), ReplicaGraceMs: 400,
 		}, map[string]string{}, s.events.NowMs())
 		if err != nil {
 			return errors.Wrap(err, "a controller does not start")
