--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -57,7 +57,7 @@
 	}
 	cli.Parse()
 	if file == "" {
-		file = platform.Path()
+		file = platform.SettingsPath()
 	}
 	switch {
 	case router.Used:
@@ -69,10 +69,10 @@
 	}
 }
 
-func run(name, file string, make func(platform.Place, *log.Logger) (part, error)) {
+func run(name, file string, make func(platform.Settings, *log.Logger) (part, error)) {
 	// Heard from the start on: unheard, the signal would end the program.
 	hangups := signalled(syscall.SIGHUP)
-	place, err := platform.Load(file)
+	place, err := platform.LoadSettings(file)
 	if err != nil {
 		cli.Misused("%v", err)
 	}
@@ -92,7 +92,7 @@
 	made.Join(&c)
 	c.Signals(made.Leave)
 	newReload(file, place, made, logger).join(&c, hangups)
-	logger.Info("running", "address", place.Inner())
+	logger.Info("running", "address", place.PeerAddress())
 	if err := c.Run(); err != nil {
 		cli.Failed("%v", err)
 	}
@@ -122,11 +122,11 @@
 }
 
 // self is this process as its peers know it.
-func self(place platform.Place, part string) protocol.Node {
-	return protocol.Node{Name: place.Name, Address: place.Inner(), Zone: place.Zone, Part: part}
+func self(place platform.Settings, part string) protocol.Node {
+	return protocol.Node{Name: place.Name, Address: place.PeerAddress(), Zone: place.Zone, Part: part}
 }
 
-func newRouter(place platform.Place, logger *log.Logger) (part, error) {
+func newRouter(place platform.Settings, logger *log.Logger) (part, error) {
 	if !place.ServesClients() {
 		return nil, errors.New("a router must serve clients; the settings say it does not")
 	}
@@ -137,45 +137,45 @@
 	me := self(place, protocol.Router)
 	// A router keeps nothing, so each start is another.
 	me.Incarnation = hex.EncodeToString(token)
-	peers, err := listen("for peers", place.Inner())
+	peers, err := listen("for peers", place.PeerAddress())
 	if err != nil {
 		return nil, err
 	}
-	front, err := listen("for clients", place.Front)
+	front, err := listen("for clients", place.ClientAddress)
 	if err != nil {
 		return nil, err
 	}
-	ready, err := listen("for the platform", place.Ready)
+	ready, err := listen("for the platform", place.ReadinessAddress)
 	if err != nil {
 		return nil, err
 	}
 	return proxy.NewGate(proxy.Settings{
-		Site: site, Self: me, Seeds: place.InnerSeeds(), Bounds: place.Bounds, ListAddress: place.List.Address,
+		Site: site, Self: me, Seeds: place.PeerSeeds(), Bounds: place.Bounds, ListAddress: place.RunnerList.Address,
 		MemoryMb: place.MemoryMb, OpenFiles: place.OpenFiles,
-	}, platform.Tongue{}, platform.Format{}, platform.Calls{}, peers, front, ready, logger)
+	}, platform.WireFormat{}, platform.ConfigFormat{}, platform.Client{}, peers, front, ready, logger)
 }
 
-func newController(place platform.Place, logger *log.Logger) (part, error) {
+func newController(place platform.Settings, logger *log.Logger) (part, error) {
 	if !place.ServesOperators() {
 		return nil, errors.New("a controller must serve operators; the settings say it does not")
 	}
-	_, port, err := net.SplitHostPort(place.Control)
+	_, port, err := net.SplitHostPort(place.OperatorAddress)
 	if err != nil {
 		return nil, err
 	}
-	peers, err := listen("for peers", place.Inner())
+	peers, err := listen("for peers", place.PeerAddress())
 	if err != nil {
 		return nil, err
 	}
-	web, err := listen("for operators", place.Control)
+	web, err := listen("for operators", place.OperatorAddress)
 	if err != nil {
 		return nil, err
 	}
-	return controller.NewOffice(controller.OfficeSettings{
-		Site: site, Self: self(place, protocol.Controller), Seeds: place.InnerSeeds(), Losses: place.Losses,
-		FirstStart: place.FirstStart, Bounds: place.Bounds, ListAddress: place.List.Address,
-		ListPerSec: place.List.CallsPerSec, ControlPort: port, Data: place.Data,
-	}, platform.Format{}, platform.Calls{}, func(shell *process.Shell) http.Handler {
-		return platform.Operators(shell, place.Bounds.AckMs)
+	return controller.NewDaemon(controller.DaemonSettings{
+		Site: site, Self: self(place, protocol.Controller), Seeds: place.PeerSeeds(), Losses: place.MaxLosses,
+		FirstStart: place.FirstStart, Bounds: place.Bounds, ListAddress: place.RunnerList.Address,
+		ListPerSec: place.RunnerList.CallsPerSec, ControlPort: port, Data: place.DataFolder,
+	}, platform.ConfigFormat{}, platform.Client{}, func(shell *process.Shell) http.Handler {
+		return platform.OperatorHandler(shell, place.Bounds.AckMs)
 	}, peers, web, logger)
 }
--- a/cmd/myrtlewinch/reload.go
+++ b/cmd/myrtlewinch/reload.go
@@ -25,8 +25,8 @@
 	logger *log.Logger
 }
 
-func newReload(file string, place platform.Place, to interface{ Reseed(seeds []string) }, logger *log.Logger) *reload {
-	return &reload{file: file, seeds: place.InnerSeeds(), to: to, logger: logger}
+func newReload(file string, place platform.Settings, to interface{ Reseed(seeds []string) }, logger *log.Logger) *reload {
+	return &reload{file: file, seeds: place.PeerSeeds(), to: to, logger: logger}
 }
 
 // join adds the duty that reads the file after each signal, and now and then.
@@ -59,12 +59,12 @@
 		return
 	}
 	r.text = text
-	place, err := platform.ReadPlace(text)
+	place, err := platform.ParseSettings(text)
 	if err != nil {
 		r.logger.Warn("the settings are off; going on as before", "cause", err)
 		return
 	}
-	if seeds := place.InnerSeeds(); !slices.Equal(seeds, r.seeds) {
+	if seeds := place.PeerSeeds(); !slices.Equal(seeds, r.seeds) {
 		r.seeds = seeds
 		r.to.Reseed(seeds)
 		r.logger.Info("new seeds", "seeds", seeds)
--- a/cmd/myrtlewinch/reload_test.go
+++ b/cmd/myrtlewinch/reload_test.go
@@ -35,7 +35,7 @@
 func TestReload(t *testing.T) {
 	c := qt.New(t)
 	file := filepath.Join(t.TempDir(), "settings.yaml")
-	place, err := platform.ReadPlace([]byte(sheetText))
+	place, err := platform.ParseSettings([]byte(sheetText))
 	c.Assert(err, qt.IsNil)
 	to := &seeded{}
 	r := newReload(file, place, to, log.New(io.Discard))
--- a/internal/config/check.go
+++ b/internal/config/validate.go
@@ -11,7 +11,7 @@
 // Faults gives everything for which the map may not come into force, in the
 // order of the routes; none means that it is sound. Whether its version may
 // follow the one in force is not asked here.
-func (m *Map) Faults() []string {
+func (m *Configuration) Faults() []string {
 	var faults []string
 	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
 	if m.Version == 0 {
@@ -43,17 +43,17 @@
 		if r.Host == "" {
 			fault("routes[%d] %s: has no host", i, r.Name)
 		}
-		if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
-			fault("routes[%d] %s: prefix %q must begin and end with a slash", i, r.Name, r.Prefix)
+		if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
+			fault("routes[%d] %s: prefix %q must begin and end with a slash", i, r.Name, r.PathPrefix)
 		}
 		// Hosts are told apart without regard to case, as Route does.
-		at := place{strings.ToLower(r.Host), r.Prefix}
+		at := place{strings.ToLower(r.Host), r.PathPrefix}
 		if other, taken := places[at]; taken {
 			fault("routes[%d] %s: has the host and prefix of %s", i, r.Name, other)
 		}
 		places[at] = r.Name
-		if r.GiveUpMs <= 0 {
-			fault("routes[%d] %s: would be given up after %d ms; it must be above 0", i, r.Name, r.GiveUpMs)
+		if r.TimeoutMs <= 0 {
+			fault("routes[%d] %s: would be given up after %d ms; it must be above 0", i, r.Name, r.TimeoutMs)
 		}
 		faults = append(faults, r.splitFaults(i, services)...)
 	}
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -19,7 +19,7 @@
 		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []protocol.Node{primary}}, primary: primary}
 		s.HandleMessage(h, protocol.Envelope{From: router, Body: protocol.IndexLookUp{ID: 1, Service: "llm"}})
 		qt.Assert(t, len(h.sent) > 0, qt.Equals, contact)
-		s.HandleInput(h, Read{ID: 2})
+		s.HandleInput(h, ReadConfig{ID: 2})
 		said := h.answers[0].(protocol.Rejection)
 		qt.Assert(t, said.Kind, qt.Equals, errkind.NotPrimary)
 		qt.Assert(t, said.Primary != "", qt.Equals, contact)
@@ -51,7 +51,7 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			order := softOrder{3, 7}
-			qt.Assert(t, order.later(Soft{Epoch: test.epoch, Sequence: test.sequence}), qt.Equals, test.later)
+			qt.Assert(t, order.later(IndexSnapshot{Epoch: test.epoch, Sequence: test.sequence}), qt.Equals, test.later)
 		})
 	}
 }
--- a/internal/controller/steward.go
+++ b/internal/controller/controller.go
@@ -32,10 +32,10 @@
 	ControlPort string
 }
 
-// Steward is the tenant of a controller. It reads no clock and no socket.
-type Steward struct {
+// Controller is the tenant of a controller. It reads no clock and no socket.
+type Controller struct {
 	set    Settings
-	format Format
+	format ConfigFormat
 	keeper *placement.Manager
 	maps   maps
 	// routers says when each router last asked.
@@ -54,8 +54,8 @@
 }
 
 // New makes a steward that knows no map.
-func New(set Settings, format Format) *Steward {
-	return &Steward{
+func New(set Settings, format ConfigFormat) *Controller {
+	return &Controller{
 		set: set, format: format, routers: map[string]int64{}, maps: newMaps(),
 		keeper: placement.New(set.Bounds, set.Self.Name, set.ListAddress, set.ListPerSec),
 	}
@@ -63,7 +63,7 @@
 
 // StateChanged reads the map in force anew; it may not be safe on all copies yet, so
 // only a follower, which answers nobody, goes by it.
-func (s *Steward) StateChanged(h consensus.Host) {
+func (s *Controller) StateChanged(h consensus.Host) {
 	if !s.serving {
 		s.maps.load(h, s.format)
 		s.keeper.SetMap(s.maps.current.document)
@@ -71,7 +71,7 @@
 }
 
 // BecamePrimary is the start of this daemon's primacy.
-func (s *Steward) BecamePrimary(h consensus.Host) {
+func (s *Controller) BecamePrimary(h consensus.Host) {
 	s.serving = true
 	s.maps.load(h, s.format)
 	s.keeper.SetMap(s.maps.current.document)
@@ -84,7 +84,7 @@
 }
 
 // LostPrimacy is the end of this daemon's primacy.
-func (s *Steward) LostPrimacy(h consensus.Host) {
+func (s *Controller) LostPrimacy(h consensus.Host) {
 	s.serving = false
 	s.keeper.BecomeFollower()
 	s.maps.end(h, s)
@@ -92,7 +92,7 @@
 }
 
 // HandleMessage takes a message of a router or of a peer.
-func (s *Steward) HandleMessage(h consensus.Host, e protocol.Envelope) bool {
+func (s *Controller) HandleMessage(h consensus.Host, e protocol.Envelope) bool {
 	switch body := e.Body.(type) {
 	case protocol.ConfigPoll:
 		s.asked(h, e.From, body)
@@ -108,13 +108,13 @@
 		if body.Waits {
 			s.hurry(h)
 		}
-	case Soft:
+	case IndexSnapshot:
 		if s.serving || body.Epoch < h.Epoch() || !s.softOrder.later(body) {
 			h.Count(string(errkind.Overtaken))
 		} else {
 			s.keeper.ApplySnapshot(h.NowMs(), body.Ledger)
 		}
-	case Demand:
+	case DemandReport:
 		if s.serving {
 			s.keeper.AddDemand(h.NowMs(), body.Counts)
 		}
@@ -125,19 +125,19 @@
 }
 
 // HandleInput takes what operators ask and what calls outward brought.
-func (s *Steward) HandleInput(h consensus.Host, input any) bool {
+func (s *Controller) HandleInput(h consensus.Host, input any) bool {
 	switch in := input.(type) {
-	case HandOver:
+	case SubmitConfig:
 		s.maps.handOver(s, h, in)
-	case Read:
+	case ReadConfig:
 		if !s.serving || !h.Active() {
 			s.notPrimary(h, in.ID)
 		} else if s.maps.current.version == 0 {
 			h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "no map is in force yet"})
 		} else {
-			h.Answer(in.ID, Text{Version: s.maps.current.version, Text: s.maps.current.text})
+			h.Answer(in.ID, ConfigText{Version: s.maps.current.version, Text: s.maps.current.text})
 		}
-	case Look:
+	case ReadStatus:
 		h.Answer(in.ID, s.status(h))
 	case protocol.RunnerList:
 		if s.serving && s.keeper.HandleRunnerList(h.NowMs(), in) {
@@ -161,7 +161,7 @@
 }
 
 // Tick goes on with what time brings.
-func (s *Steward) Tick(h consensus.Host) {
+func (s *Controller) Tick(h consensus.Host) {
 	if s.serving {
 		s.tickPrimary(h)
 		return
@@ -173,7 +173,7 @@
 
 // hurry goes on with the ledger without waiting for the next tick; a follower
 // tells the primary at once of those who wait.
-func (s *Steward) hurry(h consensus.Host) {
+func (s *Controller) hurry(h consensus.Host) {
 	switch {
 	case !s.serving:
 		if s.keeper.HasWaitingRequests() {
@@ -185,7 +185,7 @@
 }
 
 // goOn carries out what the ledger has due.
-func (s *Steward) goOn(h consensus.Host) {
+func (s *Controller) goOn(h consensus.Host) {
 	calls, tells := s.keeper.Tick(h.NowMs(), h.LeaseUntilMs())
 	for _, call := range calls {
 		if order, is := call.Body.(protocol.RunnerOrder); is {
@@ -205,14 +205,14 @@
 	return "unload"
 }
 
-func (s *Steward) tellDemand(h consensus.Host) {
+func (s *Controller) tellDemand(h consensus.Host) {
 	s.demandMs = h.NowMs()
 	if counts := s.keeper.DrainDemand(); len(counts) > 0 && h.Primary().Name != "" {
-		h.Send(h.Primary(), Demand{Counts: counts})
+		h.Send(h.Primary(), DemandReport{Counts: counts})
 	}
 }
 
-func (s *Steward) tickPrimary(h consensus.Host) {
+func (s *Controller) tickPrimary(h consensus.Host) {
 	if !h.Active() {
 		return
 	}
@@ -223,7 +223,7 @@
 	if h.NowMs()-s.softMs >= softMs {
 		s.softMs = h.NowMs()
 		s.softSequence++
-		image := Soft{Epoch: h.Epoch(), Sequence: s.softSequence, Ledger: s.keeper.Snapshot()}
+		image := IndexSnapshot{Epoch: h.Epoch(), Sequence: s.softSequence, Ledger: s.keeper.Snapshot()}
 		for _, place := range h.Controllers() {
 			h.Send(place, image)
 		}
@@ -232,7 +232,7 @@
 
 // asked answers a router's constant question. What the router has is not sent
 // again, so that the answer costs the same however large the site is.
-func (s *Steward) asked(h consensus.Host, from protocol.Node, ask protocol.ConfigPoll) {
+func (s *Controller) asked(h consensus.Host, from protocol.Node, ask protocol.ConfigPoll) {
 	if !s.serving || !h.Active() {
 		return
 	}
@@ -252,7 +252,7 @@
 }
 
 // word is what routers are told now, without the map itself.
-func (s *Steward) word(h consensus.Host) protocol.ConfigUpdate {
+func (s *Controller) word(h consensus.Host) protocol.ConfigUpdate {
 	s.roll.call(s, h)
 	return protocol.ConfigUpdate{
 		Epoch: h.Epoch(), Version: s.maps.current.version, Sum: s.maps.current.sum,
@@ -262,7 +262,7 @@
 }
 
 // tellRouters tells every router at once what changed.
-func (s *Steward) tellRouters(h consensus.Host) {
+func (s *Controller) tellRouters(h consensus.Host) {
 	if !h.Active() {
 		return
 	}
@@ -282,7 +282,7 @@
 // notPrimary sends an operator to the primary, where a majority stood behind it
 // just now. Without that it may be one no longer, and the operator would go
 // round in a circle.
-func (s *Steward) notPrimary(h consensus.Host, id uint64) {
+func (s *Controller) notPrimary(h consensus.Host, id uint64) {
 	said := protocol.Rejection{Kind: errkind.NotPrimary, Detail: "the primary answers this"}
 	primary := h.Primary()
 	alive := slices.ContainsFunc(h.Controllers(), func(p protocol.Node) bool { return p.Name == primary.Name })
--- a/internal/controller/office.go
+++ b/internal/controller/daemon.go
@@ -29,12 +29,12 @@
 // LeaveTimeoutMs is how long, in ms, a planned stop may take to hand over: a successor
 // that has just begun is whole after the catch-up time, and the platform ends
 // the process after its grace.
-func LeaveMs(b bounds.Bounds) int64 {
+func ShutdownHandoverMs(b bounds.Bounds) int64 {
 	return max(leaveWait.Milliseconds(), min(b.CatchUpMs, b.GraceMs-endMs))
 }
 
-// OfficeSettings is the place of a controller process.
-type OfficeSettings struct {
+// DaemonSettings is the place of a controller process.
+type DaemonSettings struct {
 	Site  string
 	Self  protocol.Node
 	Seeds []string
@@ -50,8 +50,8 @@
 	Data        string
 }
 
-// Office is a controller as a process: its machine in a shell.
-type Office struct {
+// Daemon is a controller as a process: its machine in a shell.
+type Daemon struct {
 	shell *process.Shell
 	// doors are the pages that operators use.
 	doors http.Handler
@@ -61,16 +61,16 @@
 	handOver time.Duration
 }
 
-// NewOffice opens the data folder and makes the controller; nothing runs yet.
+// NewDaemon opens the data folder and makes the controller; nothing runs yet.
 // Doors makes the pages that operators use.
-func NewOffice(set OfficeSettings, format Format, exchanger process.Exchanger, doors func(*process.Shell) http.Handler, peers, web net.Listener, logger *log.Logger) (*Office, error) {
+func NewDaemon(set DaemonSettings, format ConfigFormat, exchanger process.Exchanger, doors func(*process.Shell) http.Handler, peers, web net.Listener, logger *log.Logger) (*Daemon, error) {
 	clock := process.NewClock()
 	machine, d, err := set.machine(storage.Open, format, clock)
 	if err != nil {
 		return nil, err
 	}
 	set.Self.Part, set.Self.Incarnation = protocol.Controller, d.Keys()["incarnation"]
-	o := &Office{handOver: time.Duration(LeaveMs(set.Bounds)) * time.Millisecond}
+	o := &Daemon{handOver: time.Duration(ShutdownHandoverMs(set.Bounds)) * time.Millisecond}
 	o.seeds.Store(&set.Seeds)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { o.doors.ServeHTTP(w, r) })
 	o.shell = process.New(process.Settings{
@@ -84,7 +84,7 @@
 }
 
 // anew is what a machine knows that begins anew in the same process.
-func (o *Office) anew(set OfficeSettings) OfficeSettings {
+func (o *Daemon) anew(set DaemonSettings) DaemonSettings {
 	// A site is founded at its first start alone.
 	set.FirstStart = false
 	set.Seeds = *o.seeds.Load()
@@ -92,7 +92,7 @@
 }
 
 // machine opens the data folder and makes a controller from what it holds.
-func (set OfficeSettings) machine(open func(folder, site string) (*storage.Store, error), format Format, clock process.Clock) (process.Machine, *storage.Store, error) {
+func (set DaemonSettings) machine(open func(folder, site string) (*storage.Store, error), format ConfigFormat, clock process.Clock) (process.Machine, *storage.Store, error) {
 	d, err := open(set.Data, set.Site)
 	if err != nil {
 		return nil, nil, err
@@ -110,7 +110,7 @@
 		WitnessTimeoutMs: consensus.WitnessTimeoutFor(set.Bounds.CatchUpMs),
 		ReplicaGraceMs:   consensus.ReplicaGraceFor(set.Bounds.CatchUpMs),
 		Timing:           consensus.TimingFor(set.Bounds.CatchUpMs),
-		LeaveTimeoutMs:   LeaveMs(set.Bounds),
+		LeaveTimeoutMs:   ShutdownHandoverMs(set.Bounds),
 	}, keys, clock.NowMs())
 	if err != nil {
 		d.Close()
@@ -120,11 +120,11 @@
 }
 
 // Join adds the controller's duties to a crew.
-func (o *Office) Join(c *threads.Group) { o.shell.Join(c) }
+func (o *Daemon) Join(c *threads.Group) { o.shell.Join(c) }
 
 // Leave hands the copy, the vote and the primacy of this daemon to others
 // before a planned stop, as far as there are any and within LeaveTimeoutMs.
-func (o *Office) Leave() {
+func (o *Daemon) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), o.handOver+leaveWait)
 	defer cancel()
 	o.shell.Ask(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
@@ -133,7 +133,7 @@
 }
 
 // Reseed takes the seeds of changed settings.
-func (o *Office) Reseed(seeds []string) {
+func (o *Daemon) Reseed(seeds []string) {
 	o.seeds.Store(&seeds)
 	o.shell.Put(consensus.SetSeeds{Seeds: seeds})
 }
--- a/internal/controller/office_test.go
+++ b/internal/controller/daemon_test.go
@@ -22,9 +22,9 @@
 		c.Cleanup(func() { at.Close() })
 		return at
 	}
-	set := OfficeSettings{Site: "s", Self: wordSelf, Seeds: []string{"a:7"}, FirstStart: true, Data: c.TempDir()}
+	set := DaemonSettings{Site: "s", Self: wordSelf, Seeds: []string{"a:7"}, FirstStart: true, Data: c.TempDir()}
 	doors := func(*process.Shell) http.Handler { return http.NotFoundHandler() }
-	o, err := NewOffice(set, wordFormat{}, nil, doors, listen(), listen(), log.New(io.Discard))
+	o, err := NewDaemon(set, wordFormat{}, nil, doors, listen(), listen(), log.New(io.Discard))
 	c.Assert(err, qt.IsNil)
 	for _, seeds := range [][]string{{"a:7"}, {"b:7", "c:7"}} {
 		o.Reseed(seeds)
--- a/internal/controller/document.go
+++ /dev/null
@@ -1,6 +0,0 @@
-package controller
-
-import "myrtlewinch/internal/config"
-
-// Document is a service map that was read.
-type Document = config.Map
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -9,12 +9,13 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/protocol"
 )
 
 // begunHeld is a steward that serves, on a machine whose writes wait.
-func begunHeld(rows map[string]string) (*heldHost, *Steward) {
+func begunHeld(rows map[string]string) (*heldHost, *Controller) {
 	h := newHeldHost()
 	// No order to runners is at stake here.
 	h.rows[ordererRow] = wordSelf.Name
@@ -27,19 +28,19 @@
 }
 
 // chain accepts versions 1 to last, each on top of the one before.
-func chain(h *heldHost, s *Steward, last uint64) {
+func chain(h *heldHost, s *Controller, last uint64) {
 	for version := s.maps.current.version + 1; version <= last; version++ {
 		s.HandleInput(h, chained(1000+version, version))
 		h.end(true)
 	}
 }
 
-func chained(id, version uint64) HandOver {
-	return HandOver{ID: id, BuiltOn: version - 1, Text: fmt.Sprintf("version %d", version)}
+func chained(id, version uint64) SubmitConfig {
+	return SubmitConfig{ID: id, BaseVersion: version - 1, Text: fmt.Sprintf("version %d", version)}
 }
 
 // lastTold gives the answer to an order that is not written, in words.
-func lastTold(h *heldHost, s *Steward, in HandOver) string {
+func lastTold(h *heldHost, s *Controller, in SubmitConfig) string {
 	delete(h.told, in.ID)
 	s.HandleInput(h, in)
 	return strings.Join(h.told[in.ID], ", ")
@@ -54,7 +55,7 @@
 	next := New(Settings{Self: wordSelf}, wordFormat{})
 	next.BecamePrimary(h)
 	for version := uint64(1); version <= accepted; version++ {
-		for _, primary := range []*Steward{s, next} {
+		for _, primary := range []*Controller{s, next} {
 			qt.Assert(t, lastTold(h, primary, chained(1, version)), qt.Equals, fmt.Sprintf("taken %d", version))
 		}
 	}
@@ -86,7 +87,7 @@
 	qt.Assert(t, rows, qt.Equals, most)
 	qt.Assert(t, h.counts[countUnknown], qt.Equals, int(first-1))
 	// What can't be read was never accepted, however old.
-	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 2, Text: "nonsense"}), qt.Equals, string(errkind.FaultyDescription))
+	qt.Assert(t, lastTold(h, s, SubmitConfig{ID: 1, BaseVersion: 2, Text: "nonsense"}), qt.Equals, string(errkind.FaultyDescription))
 }
 
 // A bound that was lowered takes all surplus rows away with the next order.
@@ -126,7 +127,7 @@
 	}
 	text, err := json.Marshal(legacy)
 	qt.Assert(t, err, qt.IsNil)
-	inForce, faults := old.maps.build(wordFormat{}, HandOver{Text: "version 327"})
+	inForce, faults := old.maps.build(wordFormat{}, SubmitConfig{Text: "version 327"})
 	qt.Assert(t, faults, qt.HasLen, 0)
 	h, s := begunHeld(map[string]string{legacyRow: string(text), mapRow: encode(keptMap{327, inForce.packed})})
 
@@ -140,7 +141,7 @@
 		qt.Assert(t, lastTold(h, s, chained(1, version)), qt.Equals, fmt.Sprintf("taken %d", version))
 	}
 	qt.Assert(t, lastTold(h, s, chained(1, 200)), qt.Equals, string(errkind.AcceptanceUnknown)+" 327")
-	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 300, Text: "version 305"}), qt.Equals, string(errkind.StaleBase)+" 327")
+	qt.Assert(t, lastTold(h, s, SubmitConfig{ID: 1, BaseVersion: 300, Text: "version 305"}), qt.Equals, string(errkind.StaleBase)+" 327")
 	chain(h, s, 328)
 	qt.Assert(t, lastTold(h, s, chained(1, 328)), qt.Equals, "taken 328")
 	qt.Assert(t, readHistory(h, 328), qt.Equals, history{OldestBase: 200, Count: 128})
@@ -148,7 +149,7 @@
 
 // What an earlier release kept can't be read: none of it is refused.
 func TestUnreadableHistoryRefusesNothing(t *testing.T) {
-	inForce, _ := new(maps).build(wordFormat{}, HandOver{Text: "version 9"})
+	inForce, _ := new(maps).build(wordFormat{}, SubmitConfig{Text: "version 9"})
 	kept := encode(keptMap{9, inForce.packed})
 	for name, rows := range map[string]map[string]string{
 		"list of an earlier release": {legacyRow: "[", mapRow: kept},
@@ -175,7 +176,7 @@
 	stale := string(errkind.StaleBase)
 	h, s := begunHeld(nil)
 	chain(h, s, 1)
-	early := HandOver{ID: 1, BuiltOn: 2, Text: "version 3 early"}
+	early := SubmitConfig{ID: 1, BaseVersion: 2, Text: "version 3 early"}
 	s.HandleInput(h, early)
 	c.Assert(h.told[1], qt.HasLen, 0, qt.Commentf("the refusal is told before it is safe"))
 	h.end(true)
@@ -183,7 +184,7 @@
 	chain(h, s, 2)
 	next := New(Settings{Self: wordSelf}, wordFormat{})
 	next.BecamePrimary(h)
-	for _, primary := range []*Steward{s, next} {
+	for _, primary := range []*Controller{s, next} {
 		c.Assert(lastTold(h, primary, early), qt.Equals, stale+" 2")
 	}
 	c.Assert(h.writes, qt.HasLen, 0)
@@ -199,7 +200,7 @@
 	h, s := begunHeld(nil)
 	chain(h, s, 3)
 	for id, base := range []uint64{0, 1, 2} {
-		s.HandleInput(h, HandOver{ID: uint64(id), BuiltOn: base, Text: "version 9"})
+		s.HandleInput(h, SubmitConfig{ID: uint64(id), BaseVersion: base, Text: "version 9"})
 	}
 	qt.Assert(t, h.counts[countStale], qt.Equals, 3)
 }
@@ -216,7 +217,7 @@
 // A refusal whose write has no known end is no clear answer.
 func TestARefusalOfUnknownEnd(t *testing.T) {
 	h, s := begunHeld(nil)
-	s.HandleInput(h, HandOver{ID: 1, BuiltOn: 2, Text: "version 3"})
+	s.HandleInput(h, SubmitConfig{ID: 1, BaseVersion: 2, Text: "version 3"})
 	h.end(false)
 	qt.Assert(t, h.told[1], qt.DeepEquals, []string{string(errkind.AcceptanceUnknown)})
 }
@@ -225,10 +226,10 @@
 func TestRefusalsAreBounded(t *testing.T) {
 	h, s := begunHeld(nil)
 	for i := range uint64(refusedMost) {
-		s.HandleInput(h, HandOver{ID: i, BuiltOn: 7, Text: fmt.Sprintf("version 9 of %d", i)})
+		s.HandleInput(h, SubmitConfig{ID: i, BaseVersion: 7, Text: fmt.Sprintf("version 9 of %d", i)})
 		h.end(true)
 	}
-	qt.Assert(t, lastTold(h, s, HandOver{ID: 1, BuiltOn: 7, Text: "version 9"}), qt.Equals, string(errkind.NotTaken))
+	qt.Assert(t, lastTold(h, s, SubmitConfig{ID: 1, BaseVersion: 7, Text: "version 9"}), qt.Equals, string(errkind.NotTaken))
 	qt.Assert(t, h.writes, qt.HasLen, 0)
 }
 
@@ -252,7 +253,7 @@
 	count int
 }
 
-func (f *countingFormat) Read(text []byte) (*Document, []string) {
+func (f *countingFormat) Parse(text []byte) (*config.Configuration, []string) {
 	f.count++
-	return f.wordFormat.Read(text)
+	return f.wordFormat.Parse(text)
 }
--- a/internal/controller/host_test.go
+++ b/internal/controller/host_test.go
@@ -60,7 +60,7 @@
 func (h *heldHost) Answer(id uint64, body any) {
 	text := fmt.Sprintf("%T", body)
 	switch said := body.(type) {
-	case Taken:
+	case ConfigAccepted:
 		text = fmt.Sprintf("taken %d", said.Version)
 	case protocol.Rejection:
 		text = string(said.Kind)
--- a/internal/controller/inputs.go
+++ b/internal/controller/inputs.go
@@ -3,40 +3,42 @@
 // the platform lists, and orders loads and unloads.
 package controller
 
+import "myrtlewinch/internal/config"
+
 // Inputs of operators.
 type (
-	// HandOver is a service map, or a change of named items, to be taken on
+	// SubmitConfig is a service map, or a change of named items, to be taken on
 	// top of the version that it was built on.
-	HandOver struct {
-		ID      uint64
-		BuiltOn uint64
-		Text    string
-		Part    bool
+	SubmitConfig struct {
+		ID          uint64
+		BaseVersion uint64
+		Text        string
+		Partial     bool
 	}
-	// Read asks for the map in force.
-	Read struct{ ID uint64 }
-	// Look asks for the status page.
-	Look struct{ ID uint64 }
+	// ReadConfig asks for the map in force.
+	ReadConfig struct{ ID uint64 }
+	// ReadStatus asks for the status page.
+	ReadStatus struct{ ID uint64 }
 )
 
 // Answers to operators; a refusal is a protocol.Dropped, whose Primary is then the
 // address of the controller to go to, where that is known.
 type (
-	// Taken says that the map is accepted and safe.
-	Taken struct{ Version uint64 }
-	// Text is the map in force as it was sent.
-	Text struct {
+	// ConfigAccepted says that the map is accepted and safe.
+	ConfigAccepted struct{ Version uint64 }
+	// ConfigText is the map in force as it was sent.
+	ConfigText struct {
 		Version uint64
 		Text    string
 	}
 )
 
-// Format reads and writes service maps as operators write them. It only
+// ConfigFormat reads and writes service maps as operators write them. It only
 // translates; package platform has one.
-type Format interface {
-	// Read gives the map, or every fault found.
-	Read(text []byte) (*Document, []string)
-	// Change brings a change of named items into a whole text and gives the
+type ConfigFormat interface {
+	// Parse gives the map, or every fault found.
+	Parse(text []byte) (*config.Configuration, []string)
+	// ApplyChange brings a change of named items into a whole text and gives the
 	// new whole text.
-	Change(text, change []byte) ([]byte, []string)
+	ApplyChange(text, change []byte) ([]byte, []string)
 }
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -6,9 +6,9 @@
 	"myrtlewinch/internal/placement"
 )
 
-// Soft tells the other controllers what the primary's ledger holds. It is a
+// IndexSnapshot tells the other controllers what the primary's ledger holds. It is a
 // hint: they answer look-ups from it and decide nothing by it.
-type Soft struct {
+type IndexSnapshot struct {
 	Epoch uint64
 	// Sequence grows with each snapshot of a primary.
 	Sequence uint64
@@ -22,7 +22,7 @@
 
 // later says whether a snapshot is newer than all before, and notes it. One
 // that was overtaken on its way would bring back runners that have left.
-func (o *softOrder) later(soft Soft) bool {
+func (o *softOrder) later(soft IndexSnapshot) bool {
 	if soft.Epoch < o.epoch || soft.Epoch == o.epoch && soft.Sequence <= o.sequence {
 		return false
 	}
@@ -30,8 +30,8 @@
 	return true
 }
 
-// Demand tells the primary what look-ups another controller answered.
-type Demand struct{ Counts placement.DemandCounts }
+// DemandReport tells the primary what look-ups another controller answered.
+type DemandReport struct{ Counts placement.DemandCounts }
 
 // The names under which the messages of this package are known between daemons.
 // They are not derived from the Go package, so that daemons of the release
@@ -42,6 +42,6 @@
 )
 
 func init() {
-	gob.RegisterName(softWireName, Soft{})
-	gob.RegisterName(demandWireName, Demand{})
+	gob.RegisterName(softWireName, IndexSnapshot{})
+	gob.RegisterName(demandWireName, DemandReport{})
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -19,7 +19,7 @@
 )
 
 // beginOrders is what a new primary may do about orders at once.
-func (s *Steward) beginOrders(h consensus.Host) {
+func (s *Controller) beginOrders(h consensus.Host) {
 	s.orders = ordersNone
 	if h.Row(ordererRow) == h.Self().Name {
 		s.orders = ordersTaken
@@ -32,7 +32,7 @@
 
 // takeOrders takes the right to order once the one before can't have ordered
 // for long enough; no order leaves before the row is safe.
-func (s *Steward) takeOrders(h consensus.Host) {
+func (s *Controller) takeOrders(h consensus.Host) {
 	if s.orders != ordersNone || h.Row(ordererRow) != "" && h.NowMs() < h.OrdersFromMs() {
 		return
 	}
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -13,19 +13,19 @@
 // engineFormat reads a map of one engine, whatever is written.
 type engineFormat struct{ wordFormat }
 
-func (f engineFormat) Read(text []byte) (*Document, []string) {
-	d, faults := f.wordFormat.Read(text)
+func (f engineFormat) Parse(text []byte) (*config.Configuration, []string) {
+	d, faults := f.wordFormat.Parse(text)
 	if d != nil {
 		d.Services = []config.Service{{Name: "llm", Engine: &config.Engine{
-			Slots: 8, RoomMb: 100, LoadsPerSec: 10, Models: []config.Model{{Name: "m1", Mb: 10, LoadMs: 500}},
+			Slots: 8, WeightMemoryMb: 100, LoadsPerSec: 10, Models: []config.Model{{Name: "m1", SizeMb: 10, LoadMs: 500}},
 		}}}
-		d.Index()
+		d.BuildIndex()
 	}
 	return d, faults
 }
 
 // platformOf answers what the steward asks outward, and counts its orders.
-func platformOf(h *heldHost, s *Steward) (orders int) {
+func platformOf(h *heldHost, s *Controller) (orders int) {
 	calls := h.calls
 	h.calls = nil
 	for _, call := range calls {
@@ -68,7 +68,7 @@
 			h := newHeldHost()
 			before := New(Settings{Self: wordSelf}, engineFormat{})
 			before.BecamePrimary(h)
-			before.HandleInput(h, HandOver{Text: "version 1"})
+			before.HandleInput(h, SubmitConfig{Text: "version 1"})
 			h.end(true)
 			if test.row != "" {
 				h.rows[ordererRow] = test.row
@@ -112,7 +112,7 @@
 	h.rows[ordererRow] = wordSelf.Name
 	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
 	s.BecamePrimary(h)
-	s.HandleInput(h, HandOver{Text: "version 1"})
+	s.HandleInput(h, SubmitConfig{Text: "version 1"})
 	h.end(true)
 	s.LostPrimacy(h)
 	orders := 0
--- a/internal/controller/roll.go
+++ b/internal/controller/routers.go
@@ -19,7 +19,7 @@
 }
 
 // call counts anew where the last count is too old.
-func (r *roll) call(s *Steward, h consensus.Host) {
+func (r *roll) call(s *Controller, h consensus.Host) {
 	if r.called && h.NowMs()-r.calledMs < rollMs {
 		return
 	}
@@ -31,7 +31,7 @@
 }
 
 // countRouters is how many routers may spend the budget of second tries.
-func (s *Steward) countRouters(h consensus.Host) int {
+func (s *Controller) countRouters(h consensus.Host) int {
 	for _, place := range h.Routers() {
 		s.routers[place.Name] = max(s.routers[place.Name], h.NowMs())
 	}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -15,7 +15,7 @@
 	Ledger      any      `json:"ledger"`
 }
 
-func (s *Steward) status(h consensus.Host) Status {
+func (s *Controller) status(h consensus.Host) Status {
 	status := Status{
 		Name: s.set.Self.Name, Epoch: h.Epoch(), Primary: h.Primary().Name, Active: s.serving && h.Active(),
 		Version: s.maps.current.version, Routers: len(s.routers), Ledger: s.keeper.Status(),
--- a/internal/controller/maps.go
+++ b/internal/controller/submissions.go
@@ -6,6 +6,7 @@
 	"strconv"
 	"strings"
 
+	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/protocol"
@@ -29,7 +30,7 @@
 	sum      string
 	text     string
 	packed   []byte
-	document *Document
+	document *config.Configuration
 }
 
 // keptMap is how it lies in the copied state.
@@ -50,7 +51,7 @@
 	current inForce
 	// row is the text that current was read from.
 	row   string
-	queue []HandOver
+	queue []SubmitConfig
 	// historyMost is how many accepted orders are kept.
 	historyMost int
 	// writing says that one is on its way to the copies.
@@ -88,7 +89,7 @@
 
 // load reads the map in force from the copied state, unless it is the one that
 // was read last.
-func (m *maps) load(h consensus.Host, format Format) {
+func (m *maps) load(h consensus.Host, format ConfigFormat) {
 	text := h.Row(mapRow)
 	if text == m.row {
 		return
@@ -107,7 +108,7 @@
 		h.Logf("the map in force can't be read: %v", err)
 		return
 	}
-	document, faults := format.Read([]byte(whole))
+	document, faults := format.Parse([]byte(whole))
 	if len(faults) > 0 {
 		h.Logf("the map in force can't be read: %s", strings.Join(faults, "; "))
 		return
@@ -117,7 +118,7 @@
 
 // begin takes over what earlier releases kept of accepted orders, and then the
 // first order that waits.
-func (m *maps) begin(s *Steward, h consensus.Host) {
+func (m *maps) begin(s *Controller, h consensus.Host) {
 	rows := migratedRows(h, m.current.version)
 	if rows == nil {
 		m.next(s, h)
@@ -133,11 +134,11 @@
 }
 
 // sum names an operator's order, so that it is known when it comes again.
-func (in HandOver) sum() string {
-	return protocol.Sum(strconv.FormatUint(in.BuiltOn, 10) + strconv.FormatBool(in.Part) + in.Text)
+func (in SubmitConfig) sum() string {
+	return protocol.Sum(strconv.FormatUint(in.BaseVersion, 10) + strconv.FormatBool(in.Partial) + in.Text)
 }
 
-func (m *maps) handOver(s *Steward, h consensus.Host, in HandOver) {
+func (m *maps) handOver(s *Controller, h consensus.Host, in SubmitConfig) {
 	switch {
 	case !s.serving || !h.Active():
 		s.notPrimary(h, in.ID)
@@ -151,7 +152,7 @@
 
 // next takes the first order that waits and has no fault. One at a time, so that
 // of two on top of one version the second loses.
-func (m *maps) next(s *Steward, h consensus.Host) {
+func (m *maps) next(s *Controller, h consensus.Host) {
 	for !m.writing && len(m.queue) > 0 && h.Active() {
 		in := m.queue[0]
 		m.queue = m.queue[1:]
@@ -160,15 +161,15 @@
 }
 
 // takeOne answers an order by what became of it before, or accepts it.
-func (m *maps) takeOne(s *Steward, h consensus.Host, in HandOver) {
+func (m *maps) takeOne(s *Controller, h consensus.Host, in SubmitConfig) {
 	sum := in.sum()
-	stands, version := standingOf(h, m.current.version, in.BuiltOn, sum)
+	stands, version := standingOf(h, m.current.version, in.BaseVersion, sum)
 	switch stands {
 	case standingNext:
 		m.accept(s, h, in, sum)
 	case standingAccepted:
 		h.Count(countRepeated)
-		h.Answer(in.ID, Taken{Version: version})
+		h.Answer(in.ID, ConfigAccepted{Version: version})
 	case standingStale:
 		m.refuseStale(h, in)
 	case standingAhead:
@@ -178,7 +179,7 @@
 	}
 }
 
-func (m *maps) refuseStale(h consensus.Host, in HandOver) {
+func (m *maps) refuseStale(h consensus.Host, in SubmitConfig) {
 	h.Count(countStale)
 	h.Answer(in.ID, protocol.Rejection{Kind: errkind.StaleBase, Detail: "another version is in force", Revision: m.current.version})
 }
@@ -186,12 +187,12 @@
 // refuseAhead refuses an order on top of a version that has not been in force.
 // A copy of the order may still be on its way when that version is, so the
 // refusal is kept before it is told.
-func (m *maps) refuseAhead(s *Steward, h consensus.Host, in HandOver, sum string) {
+func (m *maps) refuseAhead(s *Controller, h consensus.Host, in SubmitConfig, sum string) {
 	if isRefused(h, sum) {
 		m.refuseStale(h, in)
 		return
 	}
-	rows, room := refusedRows(h, in.BuiltOn, sum)
+	rows, room := refusedRows(h, in.BaseVersion, sum)
 	if !room {
 		h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "too many orders build on versions that have not been in force"})
 		return
@@ -201,9 +202,9 @@
 
 // answerUnknown answers an order that is older than what is kept. It may have
 // been accepted, unless it can't be read.
-func (m *maps) answerUnknown(s *Steward, h consensus.Host, in HandOver) {
-	if !in.Part {
-		if _, faults := s.format.Read([]byte(in.Text)); len(faults) > 0 {
+func (m *maps) answerUnknown(s *Controller, h consensus.Host, in SubmitConfig) {
+	if !in.Partial {
+		if _, faults := s.format.Parse([]byte(in.Text)); len(faults) > 0 {
 			refuseFaulty(h, in, faults)
 			return
 		}
@@ -212,13 +213,13 @@
 	h.Answer(in.ID, protocol.Rejection{Kind: errkind.AcceptanceUnknown, Detail: "it is older than the orders that are remembered", Revision: m.current.version})
 }
 
-func refuseFaulty(h consensus.Host, in HandOver, faults []string) {
+func refuseFaulty(h consensus.Host, in SubmitConfig, faults []string) {
 	h.Answer(in.ID, protocol.Rejection{Kind: errkind.FaultyDescription, Detail: "the map has no effect", Faults: faults})
 }
 
 // write brings rows to the copies, and goes on with then once they are safe.
 // No other order is looked at before.
-func (m *maps) write(s *Steward, h consensus.Host, in HandOver, rows map[string]string, then func()) {
+func (m *maps) write(s *Controller, h consensus.Host, in SubmitConfig, rows map[string]string, then func()) {
 	m.writing = true
 	h.Submit(rows, func(ok bool) {
 		m.writing = false
@@ -234,13 +235,13 @@
 
 // accept puts an order that builds on the current version in force, unless it
 // has faults.
-func (m *maps) accept(s *Steward, h consensus.Host, in HandOver, sum string) {
+func (m *maps) accept(s *Controller, h consensus.Host, in SubmitConfig, sum string) {
 	next, faults := m.build(s.format, in)
 	if len(faults) > 0 {
 		refuseFaulty(h, in, faults)
 		return
 	}
-	rows := acceptedRows(h, in.BuiltOn, next.version, sum, m.historyMost)
+	rows := acceptedRows(h, in.BaseVersion, next.version, sum, m.historyMost)
 	row := encode(keptMap{next.version, next.packed})
 	rows[mapRow] = row
 	m.write(s, h, in, rows, func() {
@@ -249,21 +250,21 @@
 		s.keeper.SetMap(next.document)
 		// Routers are told first: the sooner they hear, the sooner it holds.
 		s.tellRouters(h)
-		h.Answer(in.ID, Taken{Version: next.version})
+		h.Answer(in.ID, ConfigAccepted{Version: next.version})
 	})
 }
 
 // build makes the map that an order asks for, or gives its faults.
-func (m *maps) build(format Format, in HandOver) (inForce, []string) {
+func (m *maps) build(format ConfigFormat, in SubmitConfig) (inForce, []string) {
 	text := []byte(in.Text)
-	if in.Part {
-		changed, faults := format.Change([]byte(m.current.text), text)
+	if in.Partial {
+		changed, faults := format.ApplyChange([]byte(m.current.text), text)
 		if len(faults) > 0 {
 			return inForce{}, faults
 		}
 		text = changed
 	}
-	document, faults := format.Read(text)
+	document, faults := format.Parse(text)
 	if len(faults) > 0 {
 		return inForce{}, faults
 	}
@@ -275,7 +276,7 @@
 }
 
 // end gives all that wait their answer at the end of a primacy.
-func (m *maps) end(h consensus.Host, s *Steward) {
+func (m *maps) end(h consensus.Host, s *Controller) {
 	waiting := m.queue
 	m.queue, m.writing, m.told = nil, false, nil
 	clear(m.sent)
--- a/internal/controller/maps_test.go
+++ b/internal/controller/submissions_test.go
@@ -19,12 +19,14 @@
 		unknown = string(errkind.AcceptanceUnknown)
 	)
 	type told = map[uint64][]string
-	put := func(id, builtOn uint64, text string) HandOver { return HandOver{ID: id, BuiltOn: builtOn, Text: text} }
+	put := func(id, builtOn uint64, text string) SubmitConfig {
+		return SubmitConfig{ID: id, BaseVersion: builtOn, Text: text}
+	}
 	type scene struct {
 		h *heldHost
-		s *Steward
+		s *Controller
 	}
-	give := func(x scene, orders ...HandOver) {
+	give := func(x scene, orders ...SubmitConfig) {
 		for _, order := range orders {
 			x.s.HandleInput(x.h, order)
 		}
@@ -46,7 +48,7 @@
 		{"taken", func(x scene) { give(x, put(1, 0, "version 1")); x.h.end(true) }, told{1: {"taken 1"}}, 1, 0},
 		{"a change is taken", func(x scene) {
 			inForce(x, "version 1")
-			give(x, HandOver{ID: 1, BuiltOn: 1, Text: "version 4", Part: true})
+			give(x, SubmitConfig{ID: 1, BaseVersion: 1, Text: "version 4", Partial: true})
 			x.h.end(true)
 		}, told{1: {"taken 4"}}, 4, 0},
 		{"the same again while it is written", func(x scene) {
@@ -179,7 +181,7 @@
 	s := New(Settings{Self: wordSelf}, wordFormat{})
 	s.BecamePrimary(h)
 	for id := range uint64(queueMost + 2) {
-		s.HandleInput(h, HandOver{ID: id, Text: "version 1"})
+		s.HandleInput(h, SubmitConfig{ID: id, Text: "version 1"})
 	}
 	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{queueMost + 1: {string(errkind.NotTaken)}})
 	h.end(true)
--- a/internal/controller/words_test.go
+++ b/internal/controller/updates_test.go
@@ -9,21 +9,22 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/protocol"
 )
 
 // wordFormat reads a map that is only its version.
 type wordFormat struct{}
 
-func (wordFormat) Read(text []byte) (*Document, []string) {
-	var d Document
+func (wordFormat) Parse(text []byte) (*config.Configuration, []string) {
+	var d config.Configuration
 	if _, err := fmt.Sscanf(string(text), "version %d", &d.Version); err != nil {
 		return nil, []string{err.Error()}
 	}
 	return &d, nil
 }
 
-func (wordFormat) Change(_, change []byte) ([]byte, []string) { return change, nil }
+func (wordFormat) ApplyChange(_, change []byte) ([]byte, []string) { return change, nil }
 
 // wordHost is a machine whose copies are always safe at once.
 type wordHost struct {
@@ -87,15 +88,15 @@
 	return out
 }
 
-func begun(routers int) (*wordHost, *Steward) {
+func begun(routers int) (*wordHost, *Controller) {
 	h := &wordHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(protocol.Controller, 4), routers: placed(protocol.Router, routers)}
 	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}}, wordFormat{})
 	s.BecamePrimary(h)
-	s.HandleInput(h, HandOver{ID: 1, Text: "version 1" + strings.Repeat(" model", 10_000)})
+	s.HandleInput(h, SubmitConfig{ID: 1, Text: "version 1" + strings.Repeat(" model", 10_000)})
 	return h, s
 }
 
-func ask(h *wordHost, s *Steward, in protocol.ConfigPoll) protocol.ConfigUpdate {
+func ask(h *wordHost, s *Controller, in protocol.ConfigPoll) protocol.ConfigUpdate {
 	h.said()
 	s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router}, Body: in})
 	return h.said()[0]
@@ -182,7 +183,7 @@
 			h.nowMs += test.laterMs
 			from.Incarnation = test.life
 			if test.newer {
-				s.HandleInput(h, HandOver{ID: 2, BuiltOn: 1, Text: "version 2"})
+				s.HandleInput(h, SubmitConfig{ID: 2, BaseVersion: 1, Text: "version 2"})
 			}
 			qt.Assert(t, sent(), qt.Equals, test.want)
 		})
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -126,5 +126,5 @@
 func hasAdapter(m *config.Model, name string) bool {
 	number, found := strings.CutPrefix(name, "a")
 	n, err := strconv.Atoi(number)
-	return found && err == nil && n >= 1 && n <= m.Adapters && number[0] != '+' && number[0] != '0'
+	return found && err == nil && n >= 1 && n <= m.AdapterCount && number[0] != '+' && number[0] != '0'
 }
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -22,7 +22,7 @@
 	selfName       string
 	listAddress    string
 	listIntervalMs int64
-	serviceMap     *config.Map
+	serviceMap     *config.Configuration
 
 	// nowMs is when it was last told the time.
 	nowMs         int64
@@ -100,7 +100,7 @@
 }
 
 // SetMap takes the service map in force.
-func (k *Manager) SetMap(m *config.Map) {
+func (k *Manager) SetMap(m *config.Configuration) {
 	if m == nil || m == k.serviceMap {
 		return
 	}
--- a/internal/placement/manager_test.go
+++ b/internal/placement/manager_test.go
@@ -54,7 +54,7 @@
 					if s.poisson(20) {
 						adapter := ""
 						if hot == 0 || hot == 2 {
-							adapter = fmt.Sprintf("a%d", 1+s.rnd.IntN(s.engine.Models[hot].Adapters))
+							adapter = fmt.Sprintf("a%d", 1+s.rnd.IntN(s.engine.Models[hot].AdapterCount))
 						}
 						load.ask(s.engine.Models[hot].Name, adapter)
 					}
--- a/internal/placement/model.go
+++ b/internal/placement/model.go
@@ -78,7 +78,7 @@
 		return m
 	}
 	m := &Model{Service: s, Name: name, QueueMs: -1}
-	m.Spec = config.Model{Name: name, Mb: s.largestMb, AdapterMb: s.largestAdapterMb}
+	m.Spec = config.Model{Name: name, SizeMb: s.largestMb, AdapterSizeMb: s.largestAdapterMb}
 	s.Models[name] = m
 	return m
 }
@@ -95,8 +95,8 @@
 		return
 	}
 	for i := range e.Models {
-		s.largestMb = max(s.largestMb, e.Models[i].Mb)
-		s.largestAdapterMb = max(s.largestAdapterMb, e.Models[i].AdapterMb)
+		s.largestMb = max(s.largestMb, e.Models[i].SizeMb)
+		s.largestAdapterMb = max(s.largestAdapterMb, e.Models[i].AdapterSizeMb)
 	}
 	for i := range e.Models {
 		m := s.Model(e.Models[i].Name)
@@ -104,8 +104,8 @@
 		s.Configured = append(s.Configured, m)
 	}
 	for _, m := range s.Models {
-		if m.Spec.Mb == 0 {
-			m.Spec.Mb, m.Spec.AdapterMb = s.largestMb, s.largestAdapterMb
+		if m.Spec.SizeMb == 0 {
+			m.Spec.SizeMb, m.Spec.AdapterSizeMb = s.largestMb, s.largestAdapterMb
 		}
 	}
 }
--- a/internal/placement/planner.go
+++ b/internal/placement/planner.go
@@ -114,11 +114,11 @@
 	if m == nil || !m.Configured || r.Has(x) {
 		return false
 	}
-	free := p.service.Engine.RoomMb - r.UsedMb()
+	free := p.service.Engine.WeightMemoryMb - r.UsedMb()
 	if x.Adapter == "" {
-		return m.Spec.Mb <= free
+		return m.Spec.SizeMb <= free
 	}
-	return m.Spec.AdapterMb <= free && r.UsedAdapterSlots() < p.service.Engine.AdapterRoom
+	return m.Spec.AdapterSizeMb <= free && r.UsedAdapterSlots() < p.service.Engine.MaxAdapters
 }
 
 // reservedForOther says whether the room of a runner is kept for something else.
--- a/internal/placement/planner_adapters.go
+++ b/internal/placement/planner_adapters.go
@@ -120,10 +120,10 @@
 // wouldTakeReservedRoom says whether an adapter would take the room that is kept.
 func (p *Planner) wouldTakeReservedRoom(r *Runner, m *Model) bool {
 	if r.ReservedFor.Adapter != "" {
-		return r.UsedAdapterSlots()+1 >= p.service.Engine.AdapterRoom
+		return r.UsedAdapterSlots()+1 >= p.service.Engine.MaxAdapters
 	}
 	planned := p.service.Models[r.ReservedFor.Model]
-	return planned == nil || p.service.Engine.RoomMb-r.UsedMb()-m.Spec.AdapterMb < planned.Spec.Mb
+	return planned == nil || p.service.Engine.WeightMemoryMb-r.UsedMb()-m.Spec.AdapterSizeMb < planned.Spec.SizeMb
 }
 
 // chooseAdapterEviction finds the adapter that is worth least on a runner.
--- a/internal/placement/planner_copies.go
+++ b/internal/placement/planner_copies.go
@@ -148,7 +148,7 @@
 			asked++
 		}
 	}
-	if places := p.service.Engine.AdapterRoom; places > 0 && asked > places {
+	if places := p.service.Engine.MaxAdapters; places > 0 && asked > places {
 		m.AdapterCopies = (asked + places - 1) / places
 		m.Wanted = max(m.Wanted, m.AdapterCopies)
 	}
@@ -181,7 +181,7 @@
 		} else {
 			v = max(v, 0.05)
 		}
-		v = max(v, 0.1*m.PeakRate, min(maxAdapterValue, valuePerAdapter*float64(m.Spec.Adapters)))
+		v = max(v, 0.1*m.PeakRate, min(maxAdapterValue, valuePerAdapter*float64(m.Spec.AdapterCount)))
 		if m.Demand.HasWaiting(p.nowMs) {
 			v += 2 * min(m.Demand.waiting+0.5, 5)
 		}
--- a/internal/placement/planner_models.go
+++ b/internal/placement/planner_models.go
@@ -80,9 +80,9 @@
 func (p *Planner) roomToPrefetch() bool {
 	smallestMb, largestMb := math.Inf(1), 0.0
 	for _, m := range p.service.Configured {
-		largestMb = max(largestMb, m.Spec.Mb)
+		largestMb = max(largestMb, m.Spec.SizeMb)
 		if m.Copies+m.Coming == 0 {
-			smallestMb = min(smallestMb, m.Spec.Mb)
+			smallestMb = min(smallestMb, m.Spec.SizeMb)
 		}
 	}
 	small, large := false, false
@@ -90,7 +90,7 @@
 		if !p.acceptsLoads(r) || p.reservedForOther(r, Item{}) {
 			continue
 		}
-		freeMb := p.service.Engine.RoomMb - r.UsedMb()
+		freeMb := p.service.Engine.WeightMemoryMb - r.UsedMb()
 		small = small || freeMb >= smallestMb
 		large = large || freeMb >= largestMb || r.Order != nil && !r.Order.Load && r.Order.Adapter == ""
 	}
@@ -137,7 +137,7 @@
 			score += 0.3
 		}
 		first := Item{}
-		left := p.service.Engine.RoomMb - r.UsedMb() - m.Spec.Mb
+		left := p.service.Engine.WeightMemoryMb - r.UsedMb() - m.Spec.SizeMb
 		if left < 0 {
 			if !evict || r.Order != nil {
 				continue
@@ -149,7 +149,7 @@
 			first = out
 			// An unload waits until its runs have finished.
 			score += cost + running + 0.05
-		} else if left < m.Spec.AdapterMb*float64(p.service.Engine.AdapterRoom) && m.Spec.Adapters > 0 {
+		} else if left < m.Spec.AdapterSizeMb*float64(p.service.Engine.MaxAdapters) && m.Spec.AdapterCount > 0 {
 			score += 0.05
 		}
 		if score < lowest {
@@ -202,7 +202,7 @@
 		if w.SinceRequestMs(p.nowMs) < 3_000 {
 			running = max(running, 1-math.Exp(-w.fast*1.5/float64(max(1, g.h.Model.Copies))))
 		}
-		needMb -= g.h.Model.Spec.Mb + float64(len(g.h.Adapters))*g.h.Model.Spec.AdapterMb
+		needMb -= g.h.Model.Spec.SizeMb + float64(len(g.h.Adapters))*g.h.Model.Spec.AdapterSizeMb
 		if needMb <= 0 {
 			return cost, running, first, true
 		}
--- a/internal/placement/planner_test.go
+++ b/internal/placement/planner_test.go
@@ -54,7 +54,7 @@
 		{"nothing is asked: nothing moves", [][]string{{"m001"}, {"m002"}}, func(*Service) {}, full, nil},
 		{"a fill takes free room, slowly", [][]string{{"m001"}, {"m000"}}, func(*Service) {}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, []string{"load m002"}},
 		{"a fill leaves the last room that a larger one would need", [][]string{{"m001", "m003"}}, func(s *Service) {
-			s.Engine.RoomMb = 215_000
+			s.Engine.WeightMemoryMb = 215_000
 		}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, nil},
 		{"what someone waits for is loaded into free room", [][]string{{"m001", "m002", "m000"}, {"m003"}}, func(s *Service) {
 			s.Models["m004"].Demand.Add(sceneNowMs, 1, 1, 1)
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -111,14 +111,14 @@
 func (r *Runner) UsedMb() float64 {
 	sum := 0.0
 	for _, h := range r.Held {
-		sum += h.Model.Spec.Mb + float64(len(h.Adapters))*h.Model.Spec.AdapterMb
+		sum += h.Model.Spec.SizeMb + float64(len(h.Adapters))*h.Model.Spec.AdapterSizeMb
 	}
 	if o := r.Order; o != nil && o.Load && !r.Has(o.Item) {
 		m := r.Service.Model(o.Model)
 		if o.Adapter == "" {
-			sum += m.Spec.Mb
+			sum += m.Spec.SizeMb
 		} else {
-			sum += m.Spec.AdapterMb
+			sum += m.Spec.AdapterSizeMb
 		}
 	}
 	return sum
--- a/internal/placement/simulator_test.go
+++ b/internal/placement/simulator_test.go
@@ -54,7 +54,7 @@
 type platformSim struct {
 	t       testing.TB
 	rnd     *rand.Rand
-	m       *config.Map
+	m       *config.Configuration
 	engine  *config.Engine
 	bounds  bounds.Bounds
 	events  *eventqueue.Queue
@@ -74,29 +74,29 @@
 	next          int
 }
 
-func newServiceMap(models, adapters int, perSec float64) *config.Map {
-	e := &config.Engine{Slots: 64, CacheTokens: 150_000, Stride: 6, RoomMb: 220_000, AdapterRoom: 8, LoadsPerSec: perSec}
+func newServiceMap(models, adapters int, perSec float64) *config.Configuration {
+	e := &config.Engine{Slots: 64, CacheTokens: 150_000, TokensPerEvent: 6, WeightMemoryMb: 220_000, MaxAdapters: 8, LoadsPerSec: perSec}
 	for i := range models {
-		m := config.Model{Name: fmt.Sprintf("m%03d", i), Mb: 65_100, LoadMs: 1900, AdapterMb: 12}
+		m := config.Model{Name: fmt.Sprintf("m%03d", i), SizeMb: 65_100, LoadMs: 1900, AdapterSizeMb: 12}
 		if i%2 == 1 {
-			m.Mb, m.LoadMs = 72_700, 2100
+			m.SizeMb, m.LoadMs = 72_700, 2100
 		}
 		if i == 0 {
-			m.Adapters = adapters
+			m.AdapterCount = adapters
 		}
 		if i == 2 {
-			m.Adapters, m.AdapterMb = 16, 66
+			m.AdapterCount, m.AdapterSizeMb = 16, 66
 		}
 		e.Models = append(e.Models, m)
 	}
-	m := &config.Map{Version: 1, Services: []config.Service{{Name: llm, Engine: e}, {Name: "plain"}}}
-	m.Index()
+	m := &config.Configuration{Version: 1, Services: []config.Service{{Name: llm, Engine: e}, {Name: "plain"}}}
+	m.BuildIndex()
 	return m
 }
 
 var simBounds = bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1, Fenced: true}
 
-func newPlatformSim(t testing.TB, seed uint64, m *config.Map, runners int) *platformSim {
+func newPlatformSim(t testing.TB, seed uint64, m *config.Configuration, runners int) *platformSim {
 	s := &platformSim{t: t, rnd: rand.New(rand.NewPCG(seed, 7)), m: m, engine: m.Services[0].Engine, bounds: simBounds, events: eventqueue.New(1000), runners: map[string]*simRunner{}, leaseUntilMs: map[*Manager]int64{}}
 	zones := []string{"a", "b", "c", "d"}
 	for i := range runners {
@@ -123,7 +123,7 @@
 		for range ids {
 			r := s.runners[ids[at%len(ids)]]
 			at++
-			if r.held[name] == nil && s.usedMb(r)+s.model(name).Mb <= s.engine.RoomMb {
+			if r.held[name] == nil && s.usedMb(r)+s.model(name).SizeMb <= s.engine.WeightMemoryMb {
 				r.held[name] = map[string]bool{}
 				r.disk[name] = true
 				return true
@@ -144,14 +144,14 @@
 }
 
 func (s *platformSim) model(name string) *config.Model {
-	m, _ := s.engine.Model(name)
+	m, _ := s.engine.FindModel(name)
 	return m
 }
 
 func (s *platformSim) usedMb(r *simRunner) float64 {
 	sum := 0.0
 	for name, adapters := range r.held {
-		sum += s.model(name).Mb + float64(len(adapters))*s.model(name).AdapterMb
+		sum += s.model(name).SizeMb + float64(len(adapters))*s.model(name).AdapterSizeMb
 	}
 	return sum
 }
@@ -316,7 +316,7 @@
 	switch {
 	case c.Load && c.Adapter == "":
 		s.loads++
-		if s.usedMb(r)+m.Mb > s.engine.RoomMb {
+		if s.usedMb(r)+m.SizeMb > s.engine.WeightMemoryMb {
 			s.violations = append(s.violations, fmt.Sprintf("%d ms: %s overfilled with %s", s.events.NowMs(), r.entry.ID, c.Model))
 		}
 		took = m.LoadMs
@@ -331,7 +331,7 @@
 		for _, held := range r.held {
 			adapters += len(held)
 		}
-		if adapters >= s.engine.AdapterRoom || s.usedMb(r)+m.AdapterMb > s.engine.RoomMb {
+		if adapters >= s.engine.MaxAdapters || s.usedMb(r)+m.AdapterSizeMb > s.engine.WeightMemoryMb {
 			s.violations = append(s.violations, fmt.Sprintf("%d ms: %s overfilled with %s %s", s.events.NowMs(), r.entry.ID, c.Model, c.Adapter))
 		}
 		r.finish = func() { r.held[c.Model][c.Adapter] = true }
--- a/internal/proxy/candidates.go
+++ b/internal/proxy/candidates.go
@@ -59,7 +59,7 @@
 		waiting = max(waiting, int64(known.waiting)*max(1, r.Asked.PromptTokens))
 	}
 	aheadMs := int64(float64(waiting) * each / 1000)
-	return aheadMs > max(r.route.AimMs, m.patienceMs(r)/2)
+	return aheadMs > max(r.route.LatencyTargetMs, m.patienceMs(r)/2)
 }
 
 // stale says that a line is too old for a hit: its request waits for the
@@ -71,8 +71,8 @@
 
 // streams is how many requests this router may have under way at a runner.
 func (m *Machine) streams(s *config.Service) int {
-	if s.MostStreams <= 0 {
+	if s.MaxConnections <= 0 {
 		return 1 << 20
 	}
-	return max(2, int(margin*float64(s.MostStreams))/max(1, m.routers))
+	return max(2, int(margin*float64(s.MaxConnections))/max(1, m.routers))
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -37,18 +37,18 @@
 }
 
 // limitsOf reads the limits of a map, which may be nil.
-func limitsOf(document *config.Map) clientLimits {
+func limitsOf(document *config.Configuration) clientLimits {
 	limits := clientLimits{defaultIdle, defaultHeadWait, defaultHeadBytes}
 	if document == nil {
 		return limits
 	}
-	if ms := document.Limits.IdleMs; ms > 0 {
+	if ms := document.Limits.IdleTimeoutMs; ms > 0 {
 		limits.idle = waitOf(ms)
 	}
-	if ms := document.Limits.HeaderWaitMs; ms > 0 {
+	if ms := document.Limits.HeaderTimeoutMs; ms > 0 {
 		limits.headWait = waitOf(ms)
 	}
-	if bytes := document.Limits.HeaderBytes; bytes > 0 {
+	if bytes := document.Limits.MaxHeaderBytes; bytes > 0 {
 		limits.headBytes = min(bytes, headBytesCeiling)
 	}
 	return limits
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -78,7 +78,7 @@
 }
 
 func byTheMap(b *waitBed, front net.Listener) (*http.Server, net.Listener) {
-	limits := func() clientLimits { return limitsOf(&config.Map{Limits: *b.limits.Load()}) }
+	limits := func() clientLimits { return limitsOf(&config.Configuration{Limits: *b.limits.Load()}) }
 	return &http.Server{ConnState: trackClientConn}, clientListener{front, limits}
 }
 
@@ -87,7 +87,9 @@
 	return &http.Server{ReadHeaderTimeout: defaultHeadWait, IdleTimeout: defaultIdle}, front
 }
 
-func (b *waitBed) idle(ms int64) { b.limits.Store(&config.Limits{IdleMs: ms, HeaderWaitMs: 3000}) }
+func (b *waitBed) idle(ms int64) {
+	b.limits.Store(&config.Limits{IdleTimeoutMs: ms, HeaderTimeoutMs: 3000})
+}
 
 // ask says whether a request on the connection is answered.
 func (b *waitBed) ask(pieces ...string) bool {
@@ -248,7 +250,7 @@
 		runner := newPlayed(c, plain("hello"))
 		g, server := gateBed(c, runner)
 		document := exampleMap(2)
-		document.Limits.HeaderBytes = test.bytes
+		document.Limits.MaxHeaderBytes = test.bytes
 		text, err := json.Marshal(document)
 		c.Assert(err, qt.IsNil)
 		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.ConfigUpdate{
@@ -276,16 +278,16 @@
 		want   clientLimits
 	}{
 		{"none", config.Limits{}, clientLimits{defaultIdle, defaultHeadWait, defaultHeadBytes}},
-		{"all", config.Limits{HeaderBytes: 16384, HeaderWaitMs: 3000, IdleMs: 15_000}, clientLimits{17 * time.Second, 5 * time.Second, 16384}},
+		{"all", config.Limits{MaxHeaderBytes: 16384, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15_000}, clientLimits{17 * time.Second, 5 * time.Second, 16384}},
 		{
-			"beyond what can be held", config.Limits{HeaderBytes: 1 << 40, HeaderWaitMs: 1 << 60, IdleMs: 1 << 60},
+			"beyond what can be held", config.Limits{MaxHeaderBytes: 1 << 40, HeaderTimeoutMs: 1 << 60, IdleTimeoutMs: 1 << 60},
 			clientLimits{waitCeiling + waitSlack, waitCeiling + waitSlack, headBytesCeiling},
 		},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			qt.Assert(t, limitsOf(&config.Map{Limits: test.limits}) == test.want, qt.IsTrue)
+			qt.Assert(t, limitsOf(&config.Configuration{Limits: test.limits}) == test.want, qt.IsTrue)
 		})
 	}
-	qt.Assert(t, limitsOf(nil), qt.Equals, limitsOf(&config.Map{}))
+	qt.Assert(t, limitsOf(nil), qt.Equals, limitsOf(&config.Configuration{}))
 }
--- a/internal/proxy/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -508,7 +508,7 @@
 // exchangeModel is a router between modelled clients and runners.
 type exchangeModel struct {
 	tongue   Tongue
-	document config.Map
+	document config.Configuration
 }
 
 func (e exchangeModel) play(clients [][]modelRequest) ([]string, error) {
@@ -589,7 +589,7 @@
 	}
 	moreTries := exampleMap(1)
 	for i := range moreTries.Routes {
-		moreTries.Routes[i].Tries = triesMost + 2
+		moreTries.Routes[i].MaxAttempts = triesMost + 2
 	}
 	cases := []struct {
 		about     string
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -77,7 +77,7 @@
 	runner := &fixedRunner{}
 	threads.Side(func() { acceptAll(listener, runner.serve) })
 	document := exampleMap(1)
-	document.Index()
+	document.BuildIndex()
 	g, _, stop, err := startGate(plainTongue{}, document, nil, io.Discard)
 	if err != nil {
 		f.Fatal(err)
@@ -118,7 +118,7 @@
 	})
 }
 
-func routeOf(document config.Map, name string) *config.Route {
+func routeOf(document config.Configuration, name string) *config.Route {
 	for i := range document.Routes {
 		if document.Routes[i].Name == name {
 			return &document.Routes[i]
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -222,8 +222,8 @@
 		return nil, ""
 	}
 	most := int64(bodyMost)
-	if document := g.machine.Map(); document != nil && document.Limits.BodyBytes > 0 {
-		most = document.Limits.BodyBytes
+	if document := g.machine.Map(); document != nil && document.Limits.MaxBodyBytes > 0 {
+		most = document.Limits.MaxBodyBytes
 	}
 	if r.ContentLength > most {
 		w.Header().Set("Connection", "close")
--- a/internal/proxy/gate_test.go
+++ b/internal/proxy/gate_test.go
@@ -185,7 +185,7 @@
 }
 
 // startGate runs a router for runners that all hold all.
-func startGate(tongue Tongue, document config.Map, addresses []string, logs io.Writer) (g *Gate, url string, stop func(), err error) {
+func startGate(tongue Tongue, document config.Configuration, addresses []string, logs io.Writer) (g *Gate, url string, stop func(), err error) {
 	var listeners [3]net.Listener
 	for i := range listeners {
 		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -45,8 +45,8 @@
 
 // Format reads service maps as operators write them.
 type Format interface {
-	// Read gives the map, or every fault found.
-	Read(text []byte) (*config.Map, []string)
+	// Parse gives the map, or every fault found.
+	Parse(text []byte) (*config.Configuration, []string)
 }
 
 // Machine is the state machine of one router. It takes inputs through Step and
@@ -62,7 +62,7 @@
 	seeds  []string
 
 	// current is the map in use, also for those on other threads.
-	current atomic.Pointer[config.Map]
+	current atomic.Pointer[config.Configuration]
 	version uint64
 	sum     string
 	epoch   uint64
@@ -127,7 +127,7 @@
 }
 
 // Map is the map in use, or nil; any thread may ask.
-func (m *Machine) Map() *config.Map { return m.current.Load() }
+func (m *Machine) Map() *config.Configuration { return m.current.Load() }
 
 // Step applies one input at the given time and returns its effects: messages to
 // send, answers to requests, calls and notes. An input of unknown type panics.
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -18,29 +18,29 @@
 // plainFormat reads maps written as JSON of the product's own types.
 type plainFormat struct{}
 
-func (plainFormat) Read(text []byte) (*config.Map, []string) {
-	var m config.Map
+func (plainFormat) Parse(text []byte) (*config.Configuration, []string) {
+	var m config.Configuration
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{err.Error()}
 	}
 	return &m, nil
 }
 
-func exampleMap(version uint64) config.Map {
-	return config.Map{
+func exampleMap(version uint64) config.Configuration {
+	return config.Configuration{
 		Version: version,
 		Routes: []config.Route{
-			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: config.Safe, GiveUpMs: 4000, AimMs: 400, Tries: 3, Split: []config.Share{{Service: "pages", Weight: 1}}},
-			{Name: "urgent", Host: "h", Prefix: "/urgent/", Kind: config.Safe, GiveUpMs: 4000, AimMs: 400, Tries: 3, Split: []config.Share{{Service: "pages", Weight: 1}}},
-			{Name: "later", Host: "h", Prefix: "/later/", Kind: config.Safe, GiveUpMs: 4000, AimMs: 400, Priority: 3, Tries: 3, Split: []config.Share{{Service: "pages", Weight: 1}}},
-			{Name: "unsafe", Host: "h", Prefix: "/unsafe/", Kind: config.Unsafe, GiveUpMs: 4000, AimMs: 400, Tries: 3, Split: []config.Share{{Service: "pages", Weight: 1}}},
-			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: config.Stream, GiveUpMs: 8000, AimMs: 400, Tries: 3, Resume: true, Split: []config.Share{{Service: "reader", Weight: 1}}},
-			{Name: "patient", Host: "h", Prefix: "/patient/", Kind: config.Stream, GiveUpMs: 20_000, AimMs: 3000, Tries: 3, Split: []config.Share{{Service: "reader", Weight: 1}}},
-			{Name: "once", Host: "h", Prefix: "/once/", Kind: config.Stream, GiveUpMs: 8000, AimMs: 400, Tries: 3, Split: []config.Share{{Service: "reader", Weight: 1}}},
+			{Name: "safe", Host: "h", PathPrefix: "/safe/", Kind: config.Safe, TimeoutMs: 4000, LatencyTargetMs: 400, MaxAttempts: 3, Split: []config.WeightedService{{Service: "pages", Weight: 1}}},
+			{Name: "urgent", Host: "h", PathPrefix: "/urgent/", Kind: config.Safe, TimeoutMs: 4000, LatencyTargetMs: 400, MaxAttempts: 3, Split: []config.WeightedService{{Service: "pages", Weight: 1}}},
+			{Name: "later", Host: "h", PathPrefix: "/later/", Kind: config.Safe, TimeoutMs: 4000, LatencyTargetMs: 400, Priority: 3, MaxAttempts: 3, Split: []config.WeightedService{{Service: "pages", Weight: 1}}},
+			{Name: "unsafe", Host: "h", PathPrefix: "/unsafe/", Kind: config.Unsafe, TimeoutMs: 4000, LatencyTargetMs: 400, MaxAttempts: 3, Split: []config.WeightedService{{Service: "pages", Weight: 1}}},
+			{Name: "stream", Host: "h", PathPrefix: "/stream/", Kind: config.Stream, TimeoutMs: 8000, LatencyTargetMs: 400, MaxAttempts: 3, Resumable: true, Split: []config.WeightedService{{Service: "reader", Weight: 1}}},
+			{Name: "patient", Host: "h", PathPrefix: "/patient/", Kind: config.Stream, TimeoutMs: 20_000, LatencyTargetMs: 3000, MaxAttempts: 3, Split: []config.WeightedService{{Service: "reader", Weight: 1}}},
+			{Name: "once", Host: "h", PathPrefix: "/once/", Kind: config.Stream, TimeoutMs: 8000, LatencyTargetMs: 400, MaxAttempts: 3, Split: []config.WeightedService{{Service: "reader", Weight: 1}}},
 		},
 		Services: []config.Service{
-			{Name: "pages", MostStreams: 90},
-			{Name: "reader", MostStreams: 90, Engine: &config.Engine{Slots: 4, Models: []config.Model{{Name: "m"}}}},
+			{Name: "pages", MaxConnections: 90},
+			{Name: "reader", MaxConnections: 90, Engine: &config.Engine{Slots: 4, Models: []config.Model{{Name: "m"}}}},
 		},
 	}
 }
@@ -646,8 +646,8 @@
 func TestSplitFollowsTheWeights(t *testing.T) {
 	c := qt.New(t)
 	document := exampleMap(1)
-	document.Routes[0].Split = []config.Share{{Service: "pages", Weight: 30}, {Service: "reader", Weight: 70}, {Service: "gone", Weight: 5}}
-	document.Index()
+	document.Routes[0].Split = []config.WeightedService{{Service: "pages", Weight: 30}, {Service: "reader", Weight: 70}, {Service: "gone", Weight: 5}}
+	document.BuildIndex()
 	counts := map[string]int{}
 	for i := range 2000 {
 		service, ok := split(&document, &document.Routes[0], Asked{}, hash(fmt.Sprint(i)))
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -95,13 +95,13 @@
 			r.last = errkind.BrokenAnswer
 		}
 		// What may have run goes on only if it may run twice.
-		if !r.route.Repeatable() || r.goes >= max(1, r.route.Tries) || r.passed && r.after == "" {
+		if !r.route.Retryable() || r.goes >= max(1, r.route.MaxAttempts) || r.passed && r.after == "" {
 			m.giveUp(r)
 		}
 	}
 	if m.requests[r.ID] != nil {
 		m.wait(r)
-		if r.goes >= max(1, r.route.Tries) {
+		if r.goes >= max(1, r.route.MaxAttempts) {
 			m.giveUp(r)
 		}
 	}
--- a/internal/proxy/passage.go
+++ b/internal/proxy/passage.go
@@ -60,7 +60,7 @@
 	ctx, cancel := context.WithCancel(p.r.Context())
 	defer cancel()
 	defer after(s.DeadlineMs-nowMs+lateMs, cancel)()
-	if s.Route.Repeatable() {
+	if s.Route.Retryable() {
 		defer g.hearing.add(nowMs, s.Go.Runner, p.id, cancel)()
 	}
 	s.Go.LeftMs = max(1, s.DeadlineMs-nowMs)
@@ -125,10 +125,10 @@
 	}
 	got := &whole{answer.StatusCode, answer.Header, text}
 	switch status := answer.StatusCode; {
-	case s.Route.Repeatable() && (status == http.StatusInternalServerError || status == http.StatusBadGateway):
+	case s.Route.Retryable() && (status == http.StatusInternalServerError || status == http.StatusBadGateway):
 		p.kept = got
 		return p.ended(Failed)
-	case !s.Route.Repeatable() && !heard.NotRun && promises(status):
+	case !s.Route.Retryable() && !heard.NotRun && promises(status):
 		// Passed on, it would promise what the runner did not.
 		return p.ended(Lost)
 	}
--- a/internal/proxy/primary.go
+++ b/internal/proxy/primary.go
@@ -144,12 +144,12 @@
 		}
 		return
 	}
-	document, faults := m.format.Read([]byte(w.Text))
+	document, faults := m.format.Parse([]byte(w.Text))
 	if len(faults) > 0 || document == nil {
 		m.count(errkind.Malformed)
 		return
 	}
-	document.Index()
+	document.BuildIndex()
 	m.version, m.sum = w.Version, w.Sum
 	m.current.Store(document)
 	m.note("map version %d is in use", w.Version)
--- a/internal/proxy/rejection.go
+++ b/internal/proxy/rejection.go
@@ -9,7 +9,7 @@
 // full holds a request whose runners have no place, for a quarter of its aim.
 func (m *Machine) full(r *request) {
 	m.crowd(r)
-	aimMs := r.route.AimMs
+	aimMs := r.route.LatencyTargetMs
 	if aimMs <= 0 {
 		aimMs = 400
 	}
@@ -33,7 +33,7 @@
 	waiting := int64(m.crowded[r.key.service])
 	pace := m.paces[r.key.service]
 	if pace == nil || pace.perSecond() <= 0 {
-		return max(100, r.route.AimMs)
+		return max(100, r.route.LatencyTargetMs)
 	}
 	return max(50, int64(float64(waiting*1000)/pace.perSecond()))
 }
@@ -70,7 +70,7 @@
 			m.drop(r, errkind.NoTurn, 500)
 		}
 	case r.service.Engine == nil:
-		if waitedMs >= max(50, r.route.AimMs/4) {
+		if waitedMs >= max(50, r.route.LatencyTargetMs/4) {
 			m.drop(r, errkind.NoRunner, 300)
 		}
 	default:
@@ -84,7 +84,7 @@
 func (m *Machine) patienceMs(r *request) int64 {
 	totalMs := r.deadlineMs - r.cameMs
 	if r.route.Kind == config.Stream && !r.passed {
-		totalMs = min(totalMs, max(silenceMs, silenceAims*r.route.AimMs, silenceGaps*r.route.GapMs))
+		totalMs = min(totalMs, max(silenceMs, silenceAims*r.route.LatencyTargetMs, silenceGaps*r.route.MaxEventGapMs))
 	}
 	return totalMs
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -121,7 +121,7 @@
 	if document == nil {
 		return false
 	}
-	route, ok := document.Route(r.Host, r.Path)
+	route, ok := document.FindRoute(r.Host, r.Path)
 	if !ok {
 		// Without word the route may be there and this map an old one.
 		if m.silent() {
@@ -142,12 +142,12 @@
 		r.key.model, r.key.adapter = r.Asked.Model, r.Asked.Adapter
 		r.tokens = r.Asked.PromptTokens + r.Asked.OutTokens
 	}
-	if route.Sticky || len(r.Asked.Parts) > 0 {
+	if route.PrefixCacheAffinity || len(r.Asked.Parts) > 0 {
 		r.affinity = affinity(r.service.Name, r.Asked)
 	}
 	leftMs := int64(plainMs)
-	if route.GiveUpMs > 0 {
-		leftMs = route.GiveUpMs
+	if route.TimeoutMs > 0 {
+		leftMs = route.TimeoutMs
 	}
 	if r.Asked.LeftMs > 0 {
 		leftMs = min(leftMs, r.Asked.LeftMs)
@@ -168,17 +168,17 @@
 
 // split draws the service of a request. One that can't hold the model is not
 // drawn where another can.
-func split(document *config.Map, route *config.Route, a Asked, draw uint64) (*config.Service, bool) {
+func split(document *config.Configuration, route *config.Route, a Asked, draw uint64) (*config.Service, bool) {
 	var able []*config.Service
 	var weights []int64
 	total := int64(0)
 	for _, share := range route.Split {
-		service, ok := document.Service(share.Service)
+		service, ok := document.FindService(share.Service)
 		if !ok || share.Weight <= 0 {
 			continue
 		}
 		if e := service.Engine; e != nil && a.Model != "" {
-			if _, ok := e.Model(a.Model); !ok {
+			if _, ok := e.FindModel(a.Model); !ok {
 				continue
 			}
 		}
@@ -231,7 +231,7 @@
 		return
 	}
 	if r.goes > 0 {
-		if r.goes >= max(1, r.route.Tries) || !m.budget(r.service.Name).spend() {
+		if r.goes >= max(1, r.route.MaxAttempts) || !m.budget(r.service.Name).spend() {
 			m.giveUp(r)
 			return
 		}
@@ -262,7 +262,7 @@
 		Go: Go{
 			Runner: h.ID, Urgency: urgency(r.route.Priority), After: r.after, Version: r.version,
 		},
-		Address: h.Address, Route: r.route, Single: !r.route.Repeatable(),
+		Address: h.Address, Route: r.route, Single: !r.route.Retryable(),
 		UntilMs: min(m.nowMs+writeMs, r.deadlineMs), DeadlineMs: r.deadlineMs,
 	})
 }
--- a/internal/simulation/endurance/routes_test.go
+++ b/internal/simulation/endurance/routes_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		panic(fmt.Sprintf("a configuration can't be written: %v", err))
 	}
-	if _, faults := (platform.Format{}).Read(written); len(faults) > 0 {
+	if _, faults := (platform.ConfigFormat{}).Parse(written); len(faults) > 0 {
 		panic(fmt.Sprintf("a configuration is not valid: %v", faults))
 	}
 	return t.version, string(written)
--- a/internal/simulation/endurance/site_test.go
+++ b/internal/simulation/endurance/site_test.go
@@ -21,17 +21,17 @@
 // version: only bytes count here, and how often it is read.
 type opaqueFormat struct{ reads *int }
 
-func (f opaqueFormat) Read(text []byte) (*config.Map, []string) {
+func (f opaqueFormat) Parse(text []byte) (*config.Configuration, []string) {
 	*f.reads++
-	document := &config.Map{}
+	document := &config.Configuration{}
 	if _, err := fmt.Sscanf(string(text[:min(len(text), 24)]), "%d\n", &document.Version); err != nil {
 		return nil, []string{err.Error()}
 	}
-	document.Index()
+	document.BuildIndex()
 	return document, nil
 }
 
-func (opaqueFormat) Change(_, change []byte) ([]byte, []string) { return change, nil }
+func (opaqueFormat) ApplyChange(_, change []byte) ([]byte, []string) { return change, nil }
 
 // site is a few controllers in virtual time.
 type site struct {
@@ -288,17 +288,17 @@
 	if s.broke.eagerAnswers {
 		s.version = version
 	}
-	s.step(primary, controller.HandOver{ID: s.ids, BuiltOn: version - 1, Text: s.text(version)})
+	s.step(primary, controller.SubmitConfig{ID: s.ids, BaseVersion: version - 1, Text: s.text(version)})
 }
 
 func (s *site) answered(m *member, answer protocol.Answer) {
 	switch said := answer.Body.(type) {
-	case controller.Text:
+	case controller.ConfigText:
 		s.read++
 		if said.Version < s.reads[answer.ID] {
 			s.older = append(s.older, fmt.Sprintf("%s served version %d after %d was acknowledged", m.name, said.Version, s.reads[answer.ID]))
 		}
-	case controller.Taken:
+	case controller.ConfigAccepted:
 		s.version = max(s.version, said.Version)
 	case protocol.Rejection:
 		s.counts["refused "+string(said.Kind)]++
@@ -337,7 +337,7 @@
 	for _, m := range s.members {
 		s.ids++
 		s.reads[s.ids] = s.version
-		s.step(m, controller.Read{ID: s.ids})
+		s.step(m, controller.ReadConfig{ID: s.ids})
 	}
 	s.after(readMs, s.keepReading)
 }
--- a/internal/simulation/faultsim/buggy_application.go
+++ b/internal/simulation/faultsim/buggy_application.go
@@ -46,18 +46,18 @@
 func (t buggyApplication) HandleInput(h consensus.Host, input any) bool {
 	version, text := localConfig(h)
 	switch in := input.(type) {
-	case controller.Read:
+	case controller.ReadConfig:
 		if t.bugs.StaleRead && version > 0 {
-			h.Answer(in.ID, controller.Text{Version: version, Text: text})
+			h.Answer(in.ID, controller.ConfigText{Version: version, Text: text})
 			return true
 		}
-	case controller.HandOver:
-		if t.bugs.StaleRejection && version > in.BuiltOn {
+	case controller.SubmitConfig:
+		if t.bugs.StaleRejection && version > in.BaseVersion {
 			h.Answer(in.ID, protocol.Rejection{Kind: errkind.StaleBase, Revision: version})
 			return true
 		}
 		if t.bugs.IgnoreBase {
-			in.BuiltOn = version
+			in.BaseVersion = version
 		}
 		return t.Application.HandleInput(t.wrapHost(h), in)
 	}
--- a/internal/simulation/faultsim/checker.go
+++ b/internal/simulation/faultsim/checker.go
@@ -130,10 +130,10 @@
 	sim, try := b.sim, p.client.id
 	b.Runs++
 	b.runs[try]++
-	if b.runs[try] > 1 && !s.Route.Repeatable() {
+	if b.runs[try] > 1 && !s.Route.Retryable() {
 		b.report("TWICE", sim.NowMs(), "%s (%s) runs again, on %s", try, s.Route.Name, r.entry.ID)
 	}
-	if kind, refused := b.rejected[try]; refused && !s.Route.Repeatable() {
+	if kind, refused := b.rejected[try]; refused && !s.Route.Retryable() {
 		b.report("REFUSED", sim.NowMs(), "%s runs on %s after it was refused as %q", try, r.entry.ID, kind)
 	}
 	if s.Route.Split[0].Service != r.entry.Service {
--- a/internal/simulation/faultsim/configurations.go
+++ b/internal/simulation/faultsim/configurations.go
@@ -49,11 +49,11 @@
 		to = otherService
 	}
 	mark := config.Route{
-		Name: fmt.Sprintf("mark@%d", version), Host: requestHost, Prefix: "/mark/", Kind: config.Safe, GiveUpMs: 3000, AimMs: 400, Priority: 1,
-		Split: []config.Share{{Service: to, Weight: 1}}, Tries: 2,
+		Name: fmt.Sprintf("mark@%d", version), Host: requestHost, PathPrefix: "/mark/", Kind: config.Safe, TimeoutMs: 3000, LatencyTargetMs: 400, Priority: 1,
+		Split: []config.WeightedService{{Service: to, Weight: 1}}, MaxAttempts: 2,
 	}
 	only := mark
-	only.Name, only.Prefix = fmt.Sprintf("only@%d", version), fmt.Sprintf("/only-%d/", version)
+	only.Name, only.PathPrefix = fmt.Sprintf("only@%d", version), fmt.Sprintf("/only-%d/", version)
 	return []config.Route{mark, only}
 }
 
@@ -73,35 +73,35 @@
 }
 
 // newConfig is the whole map of a version.
-func (sim *Simulation) newConfig(version uint64) config.Map {
+func (sim *Simulation) newConfig(version uint64) config.Configuration {
 	engine := &config.Engine{
-		Slots: slots, CacheTokens: cacheTokens, Stride: 1, RoomMb: capacityMb, AdapterRoom: adapterCapacity, LoadsPerSec: loadsPerSec,
+		Slots: slots, CacheTokens: cacheTokens, TokensPerEvent: 1, WeightMemoryMb: capacityMb, MaxAdapters: adapterCapacity, LoadsPerSec: loadsPerSec,
 	}
 	if sim.Bugs.OverstateCapacity {
-		engine.RoomMb = 2 * capacityMb
+		engine.WeightMemoryMb = 2 * capacityMb
 	}
 	for i := range modelCount {
-		m := config.Model{Name: modelName(i), Mb: modelMb(modelName(i)), LoadMs: loadMs, AdapterMb: adapterMb}
+		m := config.Model{Name: modelName(i), SizeMb: modelMb(modelName(i)), LoadMs: loadMs, AdapterSizeMb: adapterMb}
 		if i == 0 {
-			m.Adapters = adapterCount
+			m.AdapterCount = adapterCount
 		}
 		engine.Models = append(engine.Models, m)
 	}
-	route := func(name, service string, kind config.Kind, priority int) config.Route {
+	route := func(name, service string, kind config.RequestKind, priority int) config.Route {
 		return config.Route{
-			Name: name, Host: requestHost, Prefix: "/" + name + "/", Kind: kind, GiveUpMs: 3000, AimMs: 400, Priority: priority,
-			Split: []config.Share{{Service: service, Weight: 1}}, Tries: 2, GapMs: 300,
+			Name: name, Host: requestHost, PathPrefix: "/" + name + "/", Kind: kind, TimeoutMs: 3000, LatencyTargetMs: 400, Priority: priority,
+			Split: []config.WeightedService{{Service: service, Weight: 1}}, MaxAttempts: 2, MaxEventGapMs: 300,
 		}
 	}
 	resumable, once := route("resume", modelService, config.Stream, 1), route("once", modelService, config.Stream, 2)
-	resumable.Resume, resumable.Sticky, resumable.Tries = true, true, 3
-	resumable.GiveUpMs, once.GiveUpMs = 6000, 6000
-	m := config.Map{
+	resumable.Resumable, resumable.PrefixCacheAffinity, resumable.MaxAttempts = true, true, 3
+	resumable.TimeoutMs, once.TimeoutMs = 6000, 6000
+	m := config.Configuration{
 		Version: version,
 		Routes: append([]config.Route{
 			route("safe", plainService, config.Safe, 1), route("unsafe", plainService, config.Unsafe, 0), resumable, once,
 		}, versionRoutes(version)...),
-		Services: []config.Service{{Name: plainService, MostStreams: 90}, {Name: otherService, MostStreams: 90}, {Name: modelService, MostStreams: 60, Engine: engine}},
+		Services: []config.Service{{Name: plainService, MaxConnections: 90}, {Name: otherService, MaxConnections: 90}, {Name: modelService, MaxConnections: 60, Engine: engine}},
 	}
 	return m
 }
--- a/internal/simulation/faultsim/faults.go
+++ b/internal/simulation/faultsim/faults.go
@@ -24,7 +24,7 @@
 		if !n.up || n.frozen {
 			continue
 		}
-		out := n.machine.Step(n.clock(sim.NowMs()), controller.Look{})
+		out := n.machine.Step(n.clock(sim.NowMs()), controller.ReadStatus{})
 		active := false
 		for _, answer := range out.Answers {
 			if said, is := answer.Body.(controller.Status); is {
--- a/internal/simulation/faultsim/format.go
+++ b/internal/simulation/faultsim/format.go
@@ -17,22 +17,22 @@
 	Remove  []string
 }
 
-// Read gives the map, or every fault found.
-func (format) Read(text []byte) (*config.Map, []string) {
-	var m config.Map
+// Parse gives the map, or every fault found.
+func (format) Parse(text []byte) (*config.Configuration, []string) {
+	var m config.Configuration
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{err.Error()}
 	}
 	if faults := m.Faults(); len(faults) > 0 {
 		return nil, faults
 	}
-	m.Index()
+	m.BuildIndex()
 	return &m, nil
 }
 
-// Change brings a change into a whole text.
-func (format) Change(text, part []byte) ([]byte, []string) {
-	var m config.Map
+// ApplyChange brings a change into a whole text.
+func (format) ApplyChange(text, part []byte) ([]byte, []string) {
+	var m config.Configuration
 	var c configChange
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{"there is no map to change"}
@@ -50,7 +50,7 @@
 }
 
 // encodeConfig writes a map.
-func encodeConfig(m config.Map) []byte {
+func encodeConfig(m config.Configuration) []byte {
 	text, err := json.Marshal(m)
 	if err != nil {
 		panic("drill: a map can't be written: " + err.Error())
--- a/internal/simulation/faultsim/history.go
+++ b/internal/simulation/faultsim/history.go
@@ -124,7 +124,7 @@
 
 // isUnreadable says whether a whole configuration has faults of its own.
 func (r *submissionRecord) isUnreadable() bool {
-	_, faults := format{}.Read([]byte(r.text))
+	_, faults := format{}.Parse([]byte(r.text))
 	return len(faults) > 0
 }
 
--- a/internal/simulation/faultsim/history_test.go
+++ b/internal/simulation/faultsim/history_test.go
@@ -13,7 +13,7 @@
 // apart.
 func configText(version uint64, variant int64) string {
 	m := New(1, InjectedBugs{}).newConfig(version)
-	m.Routes[0].AimMs += variant
+	m.Routes[0].LatencyTargetMs += variant
 	return string(encodeConfig(m))
 }
 
@@ -104,7 +104,7 @@
 func TestHistoryOfAChange(t *testing.T) {
 	h := newHistory()
 	whole, part := configText(1, 0), string(newChange(1, 2))
-	after, faults := format{}.Change([]byte(whole), []byte(part))
+	after, faults := format{}.ApplyChange([]byte(whole), []byte(part))
 	qt.Assert(t, faults, qt.HasLen, 0)
 	first := h.recordSubmission(0, submissionKey{text: whole}, 1)
 	first.answers = append(first.answers, answerRecord{0, 10, outcomeAccepted, 0})
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -116,7 +116,7 @@
 			Site: site, Self: self, Seeds: slices.Clone(sim.seeds), Application: sim.withBugs(tenant), MaxLosses: sim.allowedLosses, FirstStart: first,
 			GapMs: sim.Bounds.LeaseMs + sim.Bounds.ThawMs, WitnessTimeoutMs: consensus.WitnessTimeoutFor(sim.Bounds.CatchUpMs),
 			ReplicaGraceMs: consensus.ReplicaGraceFor(sim.Bounds.CatchUpMs), Timing: consensus.TimingFor(sim.Bounds.CatchUpMs),
-			LeaveTimeoutMs: controller.LeaveMs(sim.Bounds),
+			LeaveTimeoutMs: controller.ShutdownHandoverMs(sim.Bounds),
 		}, maps.Clone(n.disk.keys), n.clock(sim.NowMs()))
 		if err != nil {
 			panic(fmt.Sprintf("drill: %s does not start: %v", n.name, err))
--- a/internal/simulation/faultsim/operators.go
+++ b/internal/simulation/faultsim/operators.go
@@ -51,7 +51,7 @@
 	done                     bool
 	// isRead says that it only reads the map in force, which got then holds.
 	isRead     bool
-	readResult *controller.Text
+	readResult *controller.ConfigText
 	// isRival says that another order may have the same version, so that the
 	// rules by version don't hold for it.
 	isRival bool
@@ -168,15 +168,15 @@
 	o.calls[o.lastCallID] = a
 	id := o.lastCallID
 	if sim.Bugs.AcknowledgeEarly && !h.isRead {
-		o.recordAnswer(sim, a, controller.Taken{Version: h.version})
+		o.recordAnswer(sim, a, controller.ConfigAccepted{Version: h.version})
 		o.accept(sim, h)
 	}
 	arrive := func() {
 		if at.up {
 			if h.isRead {
-				sim.deliver(at, at.incarnation, controller.Read{ID: id})
+				sim.deliver(at, at.incarnation, controller.ReadConfig{ID: id})
 			} else {
-				sim.deliver(at, at.incarnation, controller.HandOver{ID: id, BuiltOn: h.builtOn, Text: h.text, Part: h.isChange})
+				sim.deliver(at, at.incarnation, controller.SubmitConfig{ID: id, BaseVersion: h.builtOn, Text: h.text, Partial: h.isChange})
 			}
 		} else {
 			sim.after(5, func() { o.retry(sim, a, nil) })
@@ -248,10 +248,10 @@
 func (o *operators) recordAnswer(sim *Simulation, a *operatorCall, body any) {
 	answer := answerRecord{sentMs: a.sentMs, atMs: sim.NowMs()}
 	switch said := body.(type) {
-	case controller.Text:
+	case controller.ConfigText:
 		o.history.recordRead(a.sentMs, sim.NowMs(), said.Version, said.Text)
 		return
-	case controller.Taken:
+	case controller.ConfigAccepted:
 		answer.outcome = outcomeAccepted
 	case protocol.Rejection:
 		switch said.Kind {
@@ -271,12 +271,12 @@
 func (o *operators) handleAnswer(sim *Simulation, a *operatorCall, body any) {
 	h := a.submission
 	switch said := body.(type) {
-	case controller.Taken:
+	case controller.ConfigAccepted:
 		if said.Version != h.version {
 			sim.Checker.report("CONFIG", sim.NowMs(), "version %d is acknowledged as %d", h.version, said.Version)
 		}
 		o.accept(sim, h)
-	case controller.Text:
+	case controller.ConfigText:
 		h.done = true
 		h.readResult = &said
 	case protocol.Rejection:
--- a/internal/simulation/faultsim/proxied_request.go
+++ b/internal/simulation/faultsim/proxied_request.go
@@ -193,7 +193,7 @@
 
 // serverError is a runner's own 500: kept where it may be tried elsewhere.
 func (p *proxiedRequest) serverError() {
-	if p.attempt.send.Route.Repeatable() && !p.headSent {
+	if p.attempt.send.Route.Retryable() && !p.headSent {
 		p.keptFailure = true
 		p.reportOutcome(proxy.Ended{Outcome: proxy.Failed})
 		return
--- a/internal/simulation/faultsim/register.go
+++ b/internal/simulation/faultsim/register.go
@@ -160,13 +160,13 @@
 func (r *register) compute(on configuration, order *submissionRecord) appliedSubmission {
 	text := []byte(order.text)
 	if order.isChange {
-		changed, faults := format{}.Change([]byte(r.texts[on.sum]), text)
+		changed, faults := format{}.ApplyChange([]byte(r.texts[on.sum]), text)
 		if len(faults) > 0 {
 			return appliedSubmission{on, false}
 		}
 		text = changed
 	}
-	read, faults := format{}.Read(text)
+	read, faults := format{}.Parse(text)
 	if len(faults) > 0 || read.Version <= on.version {
 		return appliedSubmission{on, false}
 	}
--- a/internal/simulation/faultsim/workload.go
+++ b/internal/simulation/faultsim/workload.go
@@ -158,12 +158,12 @@
 	aimMs := int64(400 + len(o.history.submissions))
 	m := sim.newConfig(version)
 	last := &m.Routes[len(m.Routes)-1]
-	last.AimMs = aimMs
+	last.LatencyTargetMs = aimMs
 	text := encodeConfig(m)
 	if part {
 		var c configChange
 		_ = json.Unmarshal(newChange(builtOn, version), &c)
-		c.Put[len(c.Put)-1].AimMs = aimMs
+		c.Put[len(c.Put)-1].LatencyTargetMs = aimMs
 		text, _ = json.Marshal(c)
 	}
 	return &submission{builtOn: builtOn, version: version, text: string(text), isChange: part, isRival: true}
--- a/internal/simulation/scalesim/maps.go
+++ b/internal/simulation/scalesim/maps.go
@@ -29,18 +29,18 @@
 // format is plain JSON.
 type format struct{}
 
-// Read gives the map, or every fault found.
-func (format) Read(text []byte) (*config.Map, []string) {
-	var m config.Map
+// Parse gives the map, or every fault found.
+func (format) Parse(text []byte) (*config.Configuration, []string) {
+	var m config.Configuration
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{err.Error()}
 	}
-	m.Index()
+	m.BuildIndex()
 	return &m, m.Faults()
 }
 
-// Change is not used here.
-func (format) Change(_, change []byte) ([]byte, []string) { return change, nil }
+// ApplyChange is not used here.
+func (format) ApplyChange(_, change []byte) ([]byte, []string) { return change, nil }
 
 func modelName(i int) string { return fmt.Sprintf("model-%04d", i) }
 
@@ -55,19 +55,19 @@
 // text is the service map of a version, as an operator would write it.
 func (s Size) text(version uint64) string {
 	engine := &config.Engine{
-		Slots: slots, CacheTokens: cacheTokens, Stride: 5, RoomMb: roomMb, AdapterRoom: adapterRoom, LoadsPerSec: loadsPerSec,
+		Slots: slots, CacheTokens: cacheTokens, TokensPerEvent: 5, WeightMemoryMb: roomMb, MaxAdapters: adapterRoom, LoadsPerSec: loadsPerSec,
 	}
 	for i := range s.Models {
 		engine.Models = append(engine.Models, config.Model{
-			Name: modelName(i), Mb: modelMb, LoadMs: loadMs, Adapters: s.adaptersOf(i), AdapterMb: adapterMb,
+			Name: modelName(i), SizeMb: modelMb, LoadMs: loadMs, AdapterCount: s.adaptersOf(i), AdapterSizeMb: adapterMb,
 		})
 	}
-	m := config.Map{Version: version, Services: []config.Service{{Name: service, SoundnessPath: "/health", MostStreams: 100_000, Engine: engine}}}
+	m := config.Configuration{Version: version, Services: []config.Service{{Name: service, HealthPath: "/health", MaxConnections: 100_000, Engine: engine}}}
 	for i := range s.Routes {
 		m.Routes = append(m.Routes, config.Route{
-			Name: fmt.Sprintf("route-%04d", i), Host: host, Prefix: routeName(i), Kind: config.Stream, Resume: true, Tries: 2,
+			Name: fmt.Sprintf("route-%04d", i), Host: host, PathPrefix: routeName(i), Kind: config.Stream, Resumable: true, MaxAttempts: 2,
 			// What a change is about: the time-out of one route.
-			GiveUpMs: 30_000 + int64(version), AimMs: 760, GapMs: 72, Priority: i % 3, Split: []config.Share{{Service: service, Weight: 1}},
+			TimeoutMs: 30_000 + int64(version), LatencyTargetMs: 760, MaxEventGapMs: 72, Priority: i % 3, Split: []config.WeightedService{{Service: service, Weight: 1}},
 		})
 	}
 	text, err := json.Marshal(m)
--- a/internal/simulation/scalesim/runtime.go
+++ b/internal/simulation/scalesim/runtime.go
@@ -143,7 +143,7 @@
 // answered plays the runner that a request was sent to.
 func (s *Site) answered(n *node, answer protocol.Answer) {
 	switch body := answer.Body.(type) {
-	case controller.Taken:
+	case controller.ConfigAccepted:
 		s.taken, s.version, s.handedMs = true, body.Version, s.events.NowMs()
 		s.watch()
 	case proxy.Status:
--- a/internal/simulation/scalesim/workload.go
+++ b/internal/simulation/scalesim/workload.go
@@ -12,7 +12,7 @@
 func (s *Site) handOver() {
 	text := s.size.text(s.version + 1)
 	for _, n := range s.controllers {
-		s.step(n, controller.HandOver{ID: 1, BuiltOn: s.version, Text: text})
+		s.step(n, controller.SubmitConfig{ID: 1, BaseVersion: s.version, Text: text})
 	}
 }
 
