--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -1,4 +1,4 @@
-// Program sender is the stand-in for callers: it asks the services of a
+// Program client is the stand-in for callers: it asks the services of a
 // description at a rate, and says what it got.
 package main
 
@@ -43,13 +43,13 @@
 	if seconds <= 0 || small <= 0 || other <= 0 {
 		cli.Misused("seconds, small, other: must be above 0")
 	}
-	book := invariants.New(d.Store.LoadsPer10s, d.SecondGoes)
-	sender := testbackend.NewSender(fmt.Sprintf("sender-%d", os.Getpid()), cli.List(routers), testbackend.MixOf(d, small, other), book, process.NewClock().NowMs, 1)
-	sender.For(time.Duration(seconds) * time.Second)
-	for _, line := range sender.Lines() {
+	checker := invariants.New(d.Store.LoadsPer10s, d.SecondGoes)
+	client := testbackend.NewClient(fmt.Sprintf("client-%d", os.Getpid()), cli.List(routers), testbackend.WorkloadsOf(d, small, other), checker, process.NewClock().NowMs, 1)
+	client.RunFor(time.Duration(seconds) * time.Second)
+	for _, line := range client.OutcomeLines() {
 		fmt.Println(line)
 	}
-	if breaches := book.Breaches(); len(breaches) > 0 {
+	if breaches := checker.Violations(); len(breaches) > 0 {
 		for _, breach := range breaches {
 			fmt.Println("rule broken:", breach)
 		}
--- a/cmd/localcluster/main.go
+++ b/cmd/localcluster/main.go
@@ -1,4 +1,4 @@
-// Program fleet runs a whole site in one process over loopback, with traffic,
+// Program cluster runs a whole site in one process over loopback, with traffic,
 // and reports what it saw; or it writes the settings for separate processes.
 package main
 
@@ -55,13 +55,13 @@
 	if measure {
 		workMs = 0
 	}
-	run(text, loadMs, workMs, quiet, func(fleet *localcluster.Fleet) (int, error) {
+	run(text, loadMs, workMs, quiet, func(cluster *localcluster.Cluster) (int, error) {
 		if measure {
-			return 0, fleet.Measure(os.Stdout)
+			return 0, cluster.Measure(os.Stdout)
 		}
-		sender := testbackend.NewSender("s", fleet.RouterAddresses(), testbackend.MixOf(fleet.Description, small, other), fleet.Book, fleet.Clock.NowMs, 1)
-		sender.For(time.Duration(seconds) * time.Second)
-		return fleet.Report(os.Stdout, sender)
+		client := testbackend.NewClient("s", cluster.RouterAddresses(), testbackend.WorkloadsOf(cluster.Description, small, other), cluster.Checker, cluster.Clock.NowMs, 1)
+		client.RunFor(time.Duration(seconds) * time.Second)
+		return cluster.Report(os.Stdout, client)
 	})
 }
 
@@ -75,31 +75,31 @@
 	if len(d.Controllers) < 3 {
 		cli.Misused("description: a site has at least three controllers")
 	}
-	if err := localcluster.Write(d, text, folder, port); err != nil {
+	if err := localcluster.WriteSettings(d, text, folder, port); err != nil {
 		cli.Failed("write: %v", err)
 	}
 	fmt.Println("wrote", folder)
 }
 
-func run(text []byte, loadMs, workMs int64, quiet bool, work func(*localcluster.Fleet) (int, error)) {
+func run(text []byte, loadMs, workMs int64, quiet bool, work func(*localcluster.Cluster) (int, error)) {
 	data, clean, err := localcluster.TempData()
 	if err != nil {
 		cli.Failed("data: %v", err)
 	}
 	defer clean()
-	logger := cli.Log("fleet")
+	logger := cli.Log("cluster")
 	if quiet {
 		logger = log.New(io.Discard)
 	}
-	fleet, err := localcluster.New(localcluster.Options{Text: text, Data: data, LoadMs: loadMs, WorkMs: workMs, Pieces: 8, Log: logger})
+	cluster, err := localcluster.New(localcluster.Options{Text: text, Data: data, LoadMs: loadMs, WorkMs: workMs, Pieces: 8, Log: logger})
 	if err != nil {
 		cli.Misused("%v", err)
 	}
-	broken, err := 0, begin(fleet, text)
+	broken, err := 0, begin(cluster, text)
 	if err == nil {
-		broken, err = work(fleet)
+		broken, err = work(cluster)
 	}
-	fleet.Stop()
+	cluster.Stop()
 	if err != nil {
 		clean()
 		cli.Failed("%v", err)
@@ -111,12 +111,12 @@
 }
 
 // begin founds the site, hands the description over and waits for the routers.
-func begin(fleet *localcluster.Fleet, text []byte) error {
-	if err := fleet.Found(patience); err != nil {
+func begin(cluster *localcluster.Cluster, text []byte) error {
+	if err := cluster.Bootstrap(patience); err != nil {
 		return err
 	}
-	if err := fleet.HandOver("0", text, patience); err != nil {
+	if err := cluster.SubmitDescription("0", text, patience); err != nil {
 		return err
 	}
-	return fleet.Ready(patience)
+	return cluster.WaitReady(patience)
 }
--- a/cmd/nativesim/main.go
+++ b/cmd/nativesim/main.go
@@ -36,7 +36,7 @@
 	}
 	played, known := nativesim.Scenarios[scenario]
 	if !known && scenario != "campaign" {
-		cli.Misused("scenario: there is no %q; there are: campaign, %s", scenario, strings.Join(nativesim.Names(), ", "))
+		cli.Misused("scenario: there is no %q; there are: campaign, %s", scenario, strings.Join(nativesim.ScenarioNames(), ", "))
 	}
 	if seeds < 1 || count < 1 {
 		cli.Misused("seeds, faults: must be above 0")
@@ -59,14 +59,14 @@
 		} else {
 			r = nativesim.Campaign(string(text), s, count)
 		}
-		if len(r.Breaches) > 0 {
+		if len(r.Violations) > 0 {
 			broken++
 			fmt.Println(r.Report())
 		} else if trace {
 			fmt.Println(r.World.Trace())
-			fmt.Println(r.World.Kinds())
-			fmt.Println(r.World.Backs())
-			fmt.Println("models asked for often and never answered:", r.World.Starved())
+			fmt.Println(r.World.OutcomeLines())
+			fmt.Println(r.World.RetryOutcomes())
+			fmt.Println("models asked for often and never answered:", r.World.StarvedModels())
 		}
 	}
 	fmt.Printf("%d of %d seeds broke a rule\n", broken, seeds)
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -92,7 +92,7 @@
 func primary(method, path string, body []byte) {
 	var last string
 	for _, address := range cli.List(controllers) {
-		code, text, err := localcluster.Ask(method, address, path, base, body)
+		code, text, err := localcluster.Call(method, address, path, base, body)
 		if err != nil {
 			// An answer that was lost on the way may still have taken effect;
 			// one that was never dialled has not.
@@ -170,7 +170,7 @@
 
 func show(path string) {
 	for _, address := range cli.List(controllers) {
-		if code, text, err := localcluster.Ask(http.MethodGet, address, path, "", nil); err == nil && code == http.StatusOK {
+		if code, text, err := localcluster.Call(http.MethodGet, address, path, "", nil); err == nil && code == http.StatusOK {
 			indent(text)
 			return
 		}
@@ -181,7 +181,7 @@
 func status() {
 	answered := false
 	for _, address := range cli.List(controllers) {
-		code, text, err := localcluster.Ask(http.MethodGet, address, "/status", "", nil)
+		code, text, err := localcluster.Call(http.MethodGet, address, "/status", "", nil)
 		if err != nil || code != http.StatusOK {
 			fmt.Fprintf(os.Stderr, "%s: no answer\n", address)
 			continue
--- a/cmd/statediff/main.go
+++ b/cmd/statediff/main.go
@@ -51,7 +51,7 @@
 	if address == "" {
 		cli.Misused("%s: must be given", field)
 	}
-	code, text, err := localcluster.Ask(http.MethodGet, address, "/status", "", nil)
+	code, text, err := localcluster.Call(http.MethodGet, address, "/status", "", nil)
 	if err != nil {
 		cli.Misused("%s: %v", field, err)
 	}
--- a/cmd/testrunner/main.go
+++ b/cmd/testrunner/main.go
@@ -49,7 +49,7 @@
 		cli.Failed("platform: %v", err)
 	}
 	runner := testbackend.NewRunner(name, incarnation, room, loadMs, nil)
-	cli.Web(at, testbackend.NewRunnerDoor(runner, process.NewClock().NowMs, workMs, pieces))
+	cli.Web(at, testbackend.NewRunnerServer(runner, process.NewClock().NowMs, workMs, pieces))
 }
 
 func announce(platform string, listed protocol.ListedRunner) error {
--- a/internal/simulation/localcluster/bad_test.go
+++ b/internal/simulation/localcluster/bad_input_test.go
@@ -19,12 +19,12 @@
 	"myrtlewinch/internal/threads"
 )
 
-// TestBadInput hands bad input to real doors: each is named and has no effect.
-func TestBadInput(t *testing.T) {
+// TestBadInputIsRejectedWithoutEffect hands bad input to real doors: each is named and has no effect.
+func TestBadInputIsRejectedWithoutEffect(t *testing.T) {
 	c := qt.New(t)
-	f := up(c, "alexandria.json")
-	edge, core := f.Routers[0].Settings.HTTP, f.Controllers[0].Settings.HTTP
-	whole := string(f.options.Text)
+	cluster := startCluster(c, "alexandria.json")
+	edge, core := cluster.Routers[0].Settings.HTTP, cluster.Controllers[0].Settings.HTTP
+	whole := string(cluster.options.Text)
 	cases := []struct {
 		about, method, address, path, base, body string
 		status                                   int
@@ -46,16 +46,16 @@
 		{"no base", "PUT", core, "/description", "", whole, 428, errkind.NoBase, "If-Match"},
 		{"odd base", "PUT", core, "/description", "x", whole, 400, errkind.BadRequest, "x"},
 		{"faulty", "PUT", core, "/description", "1", strings.Replace(whole, `"size": 22`, `"size": 0, "colour": 1`, 1), 422, errkind.FaultyDescription, ""},
-		{"faulty part", "PATCH", core, "/description", "1", `{"store":{"loadsPer10s":0}}`, 422, errkind.FaultyDescription, ""},
+		{"faulty daemon", "PATCH", core, "/description", "1", `{"store":{"loadsPer10s":0}}`, 422, errkind.FaultyDescription, ""},
 		{"too large", "PUT", core, "/description", "1", whole + strings.Repeat(" ", 1<<20), 413, errkind.TooLarge, ""},
-		{"not the primary", "PUT", f.Controllers[1].Settings.HTTP, "/description", "1", whole, 421, errkind.NotPrimary, ""},
+		{"not the primary", "PUT", cluster.Controllers[1].Settings.HTTP, "/description", "1", whole, 421, errkind.NotPrimary, ""},
 		{"founded already", "POST", core, "/found", "", `{"witnesses":["core-1","core-2","core-3"],"backup":"core-2"}`, 409, errkind.AlreadyFounded, ""},
 		{"wrong method at the core", "DELETE", core, "/description", "", ``, 405, errkind.WrongMethod, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			status, text, err := Ask(test.method, test.address, test.path, test.base, []byte(test.body))
+			status, text, err := Call(test.method, test.address, test.path, test.base, []byte(test.body))
 			c.Assert(err, qt.IsNil)
 			c.Assert(status, qt.Equals, test.status, qt.Commentf("%s", text))
 			var said errkind.Answer
@@ -65,43 +65,43 @@
 			c.Assert(said.Ran, qt.Equals, "no")
 		})
 	}
-	status, text, err := Ask(http.MethodGet, core, "/description", "", nil)
+	status, text, err := Call(http.MethodGet, core, "/description", "", nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status, qt.Equals, 200)
 	c.Assert(string(text), qt.Equals, whole, qt.Commentf("nothing that was refused took effect"))
 	// What is no message of this site is counted and has no effect.
-	stream, err := net.Dial("tcp", f.Controllers[0].Settings.Address)
+	stream, err := net.Dial("tcp", cluster.Controllers[0].Settings.Address)
 	c.Assert(err, qt.IsNil)
 	_, err = stream.Write([]byte("\xff\xff\xff\xff and more than fits"))
 	c.Assert(err, qt.IsNil)
 	_, err = io.ReadAll(stream)
 	c.Assert(err == nil || strings.Contains(err.Error(), "reset"), qt.IsTrue, qt.Commentf("an oversized frame ends the stream: %v", err))
 	for _, frame := range []string{"\xff\xff\xff\xff", "\x00\x00\x00\x04oops"} {
-		stream, err := net.Dial("tcp", f.Controllers[0].Settings.Address)
+		stream, err := net.Dial("tcp", cluster.Controllers[0].Settings.Address)
 		c.Assert(err, qt.IsNil)
 		_, err = io.WriteString(stream, frame)
 		c.Assert(err, qt.IsNil)
 		_, _ = io.ReadAll(stream)
 		_ = stream.Close()
 	}
-	c.Assert(f.until(patience, func() error {
+	c.Assert(cluster.retryFor(patience, func() error {
 		var counts map[string]uint64
-		_, text, err := Ask(http.MethodGet, core, "/counters", "", nil)
+		_, text, err := Call(http.MethodGet, core, "/counters", "", nil)
 		if err == nil && json.Unmarshal(text, &counts) == nil && counts["malformed"] < 3 {
 			err = errors.Newf("malformed: %d", counts["malformed"])
 		}
 		return err
 	}), qt.IsNil)
-	c.Assert(f.Book.Breaches(), qt.HasLen, 0)
+	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
 }
 
-// strange is a runner that holds everything and answers as it is told to.
-type strange struct {
+// misbehavingRunner is a runner that holds everything and answers as it is told to.
+type misbehavingRunner struct {
 	inner  http.Handler
 	answer func(w http.ResponseWriter, request string)
 }
 
-func (s *strange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *misbehavingRunner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/run" || s.answer == nil {
 		s.inner.ServeHTTP(w, r)
 		return
@@ -113,13 +113,13 @@
 	s.answer(w, call.Request)
 }
 
-// TestStrangeRunners: whatever a runner sends, a sender gets the runner's own
+// TestMisbehavingRunnerNeverReachesClient: whatever a runner sends, a client gets the runner's own
 // whole answer to its own request, or a kind of defect, or a broken stream.
-func TestStrangeRunners(t *testing.T) {
+func TestMisbehavingRunnerNeverReachesClient(t *testing.T) {
 	c := qt.New(t)
-	f := up(c, "alexandria.json")
+	cluster := startCluster(c, "alexandria.json")
 	// One page runner remains, and it is strange.
-	odd := &strange{inner: f.Runners[9].Door}
+	odd := &misbehavingRunner{inner: cluster.Runners[9].Server}
 	at, err := listen()
 	c.Assert(err, qt.IsNil)
 	server := &http.Server{Handler: odd}
@@ -130,15 +130,15 @@
 		fmt.Fprintf(w, `{"request":"another","incarnation":"first-scan-1","answer":"secret"}`)
 	}
 	for _, name := range []string{"scan-2", "scan-3"} {
-		f.Platform.Remove(name)
+		cluster.Platform.Remove(name)
 	}
-	f.Platform.Put(protocol.ListedRunner{Name: "scan-1", Address: at.Addr().String(), Incarnation: "first-scan-1"})
+	cluster.Platform.Put(protocol.ListedRunner{Name: "scan-1", Address: at.Addr().String(), Incarnation: "first-scan-1"})
 	ask := func() (int, string, error) {
-		status, text, err := Ask(http.MethodPost, f.Routers[0].Settings.HTTP, "/services/page", "", []byte(`{}`))
+		status, text, err := Call(http.MethodPost, cluster.Routers[0].Settings.HTTP, "/services/page", "", []byte(`{}`))
 		return status, string(text), err
 	}
 	// Wait until the table knows only the strange one.
-	c.Assert(f.until(patience, func() error {
+	c.Assert(cluster.retryFor(patience, func() error {
 		status, text, err := ask()
 		if err == nil && status != 502 {
 			err = errors.Newf("%d %s", status, text)
@@ -164,7 +164,7 @@
 		}, errkind.OutcomeUnknown},
 		{"an odd status", func(w http.ResponseWriter, _ string) { w.WriteHeader(500) }, errkind.BrokenAnswer},
 		{"a redirect", func(w http.ResponseWriter, _ string) {
-			w.Header().Set("Location", "http://"+f.Runners[0].Address+"/run")
+			w.Header().Set("Location", "http://"+cluster.Runners[0].Address+"/run")
 			w.WriteHeader(307)
 		}, errkind.BrokenAnswer},
 		{"a stream that breaks", func(http.ResponseWriter, string) { panic(http.ErrAbortHandler) }, errkind.OutcomeUnknown},
@@ -182,22 +182,22 @@
 	}
 }
 
-// TestTornTellings: a telling that breaks off never looks finished.
-func TestTornTellings(t *testing.T) {
+// TestBrokenStreamNeverLooksFinished: a telling that breaks off never looks finished.
+func TestBrokenStreamNeverLooksFinished(t *testing.T) {
 	c := qt.New(t)
-	f := up(c, "zagreb.json")
-	for _, r := range f.Runners {
-		r.Door.Torn = true
+	cluster := startCluster(c, "zagreb.json")
+	for _, r := range cluster.Runners {
+		r.Server.BreakStreams = true
 	}
-	sender := testbackend.NewSender("s", f.RouterAddresses(), testbackend.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
-	for _, mix := range sender.Mix {
-		if !mix.Telling {
+	client := testbackend.NewClient("s", cluster.RouterAddresses(), testbackend.WorkloadsOf(cluster.Description, 1, 1), cluster.Checker, cluster.Clock.NowMs, 1)
+	for _, workload := range client.Workloads {
+		if !workload.Streaming {
 			continue
 		}
-		mix.Models, mix.Adapters = mix.Models[:1], nil
+		workload.Models, workload.Adapters = workload.Models[:1], nil
 		for range 10 {
-			c.Assert(sender.One(mix), qt.Equals, "telling broke off")
+			c.Assert(client.SendOne(workload), qt.Equals, "telling broke off")
 		}
 	}
-	c.Assert(f.Book.Breaches(), qt.HasLen, 0)
+	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
 }
--- a/internal/simulation/localcluster/cuts_test.go
+++ b/internal/simulation/localcluster/cut_streams_test.go
@@ -13,37 +13,37 @@
 )
 
 // TestStreamsCut cuts streams to runners off in the middle of a request, of an
-// answer and of a telling, at many lengths. Nobody gets a part for a whole,
+// answer and of a telling, at many lengths. Nobody takes a part of an answer for the whole,
 // nothing runs twice, and what can't be known is said so.
 func TestStreamsCut(t *testing.T) {
 	c := qt.New(t)
-	f := up(c, "alexandria.json")
+	cluster := startCluster(c, "alexandria.json")
 	// Every way to a runner leads over a cutter.
-	var cutters []*testbackend.Cutter
-	for _, listed := range f.Platform.List() {
+	var cutters []*testbackend.ConnectionCutter
+	for _, listed := range cluster.Platform.List() {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(func() { _ = listener.Close() })
-		cutter := testbackend.NewCutter(listener, listed.Address)
+		cutter := testbackend.NewConnectionCutter(listener, listed.Address)
 		threads.Side(cutter.Serve)
 		cutters = append(cutters, cutter)
 		listed.Address = listener.Addr().String()
-		f.Platform.Put(listed)
+		cluster.Platform.Put(listed)
 	}
-	sender := testbackend.NewSender("s", f.RouterAddresses(), testbackend.MixOf(f.Description, 1, 1), f.Book, f.Clock.NowMs, 1)
-	for i := range sender.Mix {
-		mix := &sender.Mix[i]
-		mix.Models, mix.Adapters = mix.Models[:min(1, len(mix.Models))], nil
+	client := testbackend.NewClient("s", cluster.RouterAddresses(), testbackend.WorkloadsOf(cluster.Description, 1, 1), cluster.Checker, cluster.Clock.NowMs, 1)
+	for i := range client.Workloads {
+		workload := &client.Workloads[i]
+		workload.Models, workload.Adapters = workload.Models[:min(1, len(workload.Models))], nil
 	}
 	// answers waits until each service is answered over the cutters.
 	answers := func() {
-		for _, mix := range sender.Mix {
-			c.Assert(f.until(patience, func() error {
-				if kind := sender.One(mix); kind != "answered" {
+		for _, workload := range client.Workloads {
+			c.Assert(cluster.retryFor(patience, func() error {
+				if kind := client.SendOne(workload); kind != "answered" {
 					return errors.New(kind)
 				}
 				return nil
-			}), qt.IsNil, qt.Commentf("%s", mix.Service))
+			}), qt.IsNil, qt.Commentf("%s", workload.Service))
 		}
 	}
 	answers()
@@ -65,26 +65,26 @@
 			before := int64(0)
 			for _, cutter := range cutters {
 				before += cutter.Cuts.Load()
-				cutter.Towards.Store(test.towards)
-				cutter.Back.Store(test.back)
+				cutter.RequestLimit.Store(test.towards)
+				cutter.ResponseLimit.Store(test.back)
 			}
 			for range 4 {
-				for _, mix := range sender.Mix {
-					sender.One(mix)
+				for _, workload := range client.Workloads {
+					client.SendOne(workload)
 				}
 			}
 			cuts := -before
 			for _, cutter := range cutters {
 				cuts += cutter.Cuts.Load()
-				cutter.Mend()
+				cutter.Reset()
 			}
 			qt.Assert(t, cuts > 0, qt.IsTrue)
 			answers()
 		})
 	}
-	c.Assert(f.Book.Breaches(), qt.HasLen, 0)
+	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
 	ended := map[string]int{}
-	for _, kinds := range sender.Kinds() {
+	for _, kinds := range client.Outcomes() {
 		for kind, count := range kinds {
 			ended[kind] += count
 		}
--- a/internal/simulation/localcluster/shells_test.go
+++ b/internal/simulation/localcluster/faults_test.go
@@ -19,24 +19,24 @@
 	"myrtlewinch/internal/threads"
 )
 
-// trial is a real site under traffic whose daemons are hit one after another.
-type trial struct {
+// faultTrial is a real site under traffic whose daemons are hit one after another.
+type faultTrial struct {
 	c *qt.C
-	*Fleet
+	*Cluster
 	revision int
-	// count makes each description another one.
-	count int
-	text  string
+	// submitted makes each description another one.
+	submitted int
+	text      string
 }
 
 // primary waits for a controller that speaks for the site, other than some.
-func (s *trial) primary(but ...*Part) *Part {
-	var found *Part
-	s.c.Assert(s.until(patience, func() error {
-		for _, part := range s.Controllers {
+func (s *faultTrial) primary(but ...*Daemon) *Daemon {
+	var found *Daemon
+	s.c.Assert(s.retryFor(patience, func() error {
+		for _, daemon := range s.Controllers {
 			var status consensus.Status
-			if !slices.Contains(but, part) && read(part, &status) == nil && status.Active {
-				found = part
+			if !slices.Contains(but, daemon) && readStatus(daemon, &status) == nil && status.Active {
+				found = daemon
 				return nil
 			}
 		}
@@ -45,96 +45,96 @@
 	return found
 }
 
-// describe hands the next description over until it is in force. Where the
+// submitNext hands the next description over until it is in force. Where the
 // outcome was unknown, what is in force tells.
-func (s *trial) describe() {
-	s.count++
-	next := strings.Replace(s.text, `"secondGoes": 10`, fmt.Sprintf(`"secondGoes": %d`, 1+s.count%9), 1)
-	s.c.Assert(s.until(patience, func() error {
+func (s *faultTrial) submitNext() {
+	s.submitted++
+	next := strings.Replace(s.text, `"secondGoes": 10`, fmt.Sprintf(`"secondGoes": %d`, 1+s.submitted%9), 1)
+	s.c.Assert(s.retryFor(patience, func() error {
 		err := errors.New("no controller takes it")
-		for _, part := range s.Controllers {
+		for _, daemon := range s.Controllers {
 			var status consensus.Status
-			if read(part, &status) != nil || !status.Active {
+			if readStatus(daemon, &status) != nil || !status.Active {
 				continue
 			}
-			code, text, asked := Ask(http.MethodGet, part.Settings.HTTP, "/description", "", nil)
+			code, text, asked := Call(http.MethodGet, daemon.Settings.HTTP, "/description", "", nil)
 			if asked == nil && code == http.StatusOK && string(text) == next {
 				s.revision = int(status.Revision)
 				return nil
 			}
-			code, text, asked = Ask(http.MethodPut, part.Settings.HTTP, "/description", fmt.Sprint(status.Revision), []byte(next))
+			code, text, asked = Call(http.MethodPut, daemon.Settings.HTTP, "/description", fmt.Sprint(status.Revision), []byte(next))
 			err = errors.Newf("%d %s %v", code, text, asked)
 		}
 		return err
 	}), qt.IsNil)
 }
 
-// whole waits until the pair is whole and every controller follows.
-func (s *trial) whole() {
+// waitHealthy waits until the pair is whole and every controller follows.
+func (s *faultTrial) waitHealthy() {
 	s.primary()
-	s.c.Assert(s.until(patience, func() error {
-		for _, part := range s.Controllers {
+	s.c.Assert(s.retryFor(patience, func() error {
+		for _, daemon := range s.Controllers {
 			var status consensus.Status
-			if err := read(part, &status); err != nil {
+			if err := readStatus(daemon, &status); err != nil {
 				return err
 			}
 			if status.Revision != uint64(s.revision) || status.WitnessBlank || status.DiskBroken {
-				return errors.Newf("%s does not follow yet", part.Settings.Name)
+				return errors.Newf("%s does not follow yet", daemon.Settings.Name)
 			}
 		}
 		return nil
 	}), qt.IsNil)
-	s.c.Assert(s.Ready(patience), qt.IsNil)
+	s.c.Assert(s.WaitReady(patience), qt.IsNil)
 }
 
-// TestShellsForReal hits the shells round the state machines, on real streams
+// TestDaemonsSurviveFaultsUnderTraffic hits the shells round the state machines, on real streams
 // and disks and under traffic. Verdicts speak of what must hold at the end of
 // each step, however long it took; the rules are checked all the time.
-func TestShellsForReal(t *testing.T) {
+func TestDaemonsSurviveFaultsUnderTraffic(t *testing.T) {
 	c := qt.New(t)
-	f := up(c, "alexandria.json")
-	s := &trial{c: c, Fleet: f, revision: 1, text: string(f.options.Text)}
-	sender, stop := asking(c, f)
+	cluster := startCluster(c, "alexandria.json")
+	s := &faultTrial{c: c, Cluster: cluster, revision: 1, text: string(cluster.options.Text)}
+	client, stop := startTraffic(c, cluster)
 	steps := []struct {
 		about string
 		do    func(c *qt.C)
 	}{
 		{"the primary's disk is full", func(c *qt.C) {
 			p := s.primary()
-			p.Spoil(func(*os.File) error { return syscall.ENOSPC })
-			s.describe()
+			p.InjectDiskFault(func(*os.File) error { return syscall.ENOSPC })
+			s.submitNext()
 			c.Assert(s.primary() != p, qt.IsTrue)
 			p.Kill()
 			c.Assert(s.Restart(p), qt.IsNil)
 		}},
 		{"the backup's disk fails to sync", func(c *qt.C) {
 			var status consensus.Status
-			c.Assert(read(s.primary(), &status), qt.IsNil)
+			c.Assert(readStatus(s.primary(), &status), qt.IsNil)
 			peer, _ := status.Record.Peer(status.Name)
-			at := slices.IndexFunc(s.Controllers, func(p *Part) bool { return p.Settings.Name == peer.Name })
-			s.Controllers[at].Spoil(func(*os.File) error { return syscall.EIO })
-			s.describe()
+			at := slices.IndexFunc(s.Controllers, func(p *Daemon) bool { return p.Settings.Name == peer.Name })
+			s.Controllers[at].InjectDiskFault(func(*os.File) error { return syscall.EIO })
+			s.submitNext()
 			s.Controllers[at].Kill()
 			c.Assert(s.Restart(s.Controllers[at]), qt.IsNil)
 		}},
 		{"the primary's disk stalls and goes on", func(c *qt.C) {
 			p, free := s.primary(), make(chan struct{})
 			var once sync.Once
-			p.Spoil(func(file *os.File) error { <-free; return file.Sync() })
-			s.describe()
+			p.InjectDiskFault(func(file *os.File) error { <-free; return file.Sync() })
+			s.submitNext()
 			c.Assert(s.primary(p) != p, qt.IsTrue)
 			once.Do(func() { close(free) })
 		}},
 		{"the primary stands still past its holds and goes on", func(c *qt.C) {
 			p := s.primary()
-			release := p.Halt()
+			release := p.Pause()
 			next := s.primary(p)
-			s.describe()
+			s.submitNext()
 			release()
 			// It finds that it was replaced, and follows.
-			c.Assert(s.until(patience, func() error {
+			c.Assert(s.retryFor(patience, func() error {
 				var status consensus.Status
-				if err := read(p, &status); err != nil {
+				if err := readStatus(p, &status); err != nil {
 					return err
 				}
 				if status.Active || status.Revision != uint64(s.revision) {
@@ -145,12 +145,12 @@
 			c.Assert(s.primary(p), qt.Equals, next)
 		}},
 		{"a router stands still while a description is taken", func(c *qt.C) {
-			release := s.Routers[0].Halt()
-			s.describe()
+			release := s.Routers[0].Pause()
+			s.submitNext()
 			release()
-			c.Assert(s.until(patience, func() error {
+			c.Assert(s.retryFor(patience, func() error {
 				var status router.Status
-				if err := read(s.Routers[0], &status); err != nil {
+				if err := readStatus(s.Routers[0], &status); err != nil {
 					return err
 				}
 				if status.Revision != uint64(s.revision) {
@@ -164,21 +164,21 @@
 			said := make(chan int, 1)
 			next := strings.Replace(s.text, `"secondGoes": 10`, `"secondGoes": 1`, 1)
 			threads.Side(func() {
-				status, _, err := Ask(http.MethodPut, p.Settings.HTTP, "/description", fmt.Sprint(s.revision), []byte(next))
+				status, _, err := Call(http.MethodPut, p.Settings.HTTP, "/description", fmt.Sprint(s.revision), []byte(next))
 				if err != nil {
 					status = 0
 				}
 				said <- status
 			})
-			all := append(append([]*Part{}, s.Controllers...), s.Routers...)
-			for _, part := range all {
-				part.Kill()
+			all := append(append([]*Daemon{}, s.Controllers...), s.Routers...)
+			for _, daemon := range all {
+				daemon.Kill()
 			}
-			for _, part := range all {
-				c.Assert(s.Restart(part), qt.IsNil)
+			for _, daemon := range all {
+				c.Assert(s.Restart(daemon), qt.IsNil)
 			}
 			status := <-said
-			_, text, err := Ask(http.MethodGet, s.primary().Settings.HTTP, "/history", "", nil)
+			_, text, err := Call(http.MethodGet, s.primary().Settings.HTTP, "/history", "", nil)
 			c.Assert(err, qt.IsNil)
 			var history struct {
 				Revisions []struct{ Number int }
@@ -199,10 +199,10 @@
 		t.Run(step.about, func(t *testing.T) {
 			s.c = qt.New(t)
 			step.do(s.c)
-			s.whole()
+			s.waitHealthy()
 		})
 	}
 	stop()
-	c.Assert(f.Book.Breaches(), qt.HasLen, 0)
-	c.Assert(sender.Kinds()["page"]["answered"] > 0, qt.IsTrue)
+	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
+	c.Assert(client.Outcomes()["page"]["answered"] > 0, qt.IsTrue)
 }
--- a/internal/simulation/localcluster/half_test.go
+++ b/internal/simulation/localcluster/half_close_test.go
@@ -10,19 +10,19 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A sender that closes its own half of a stream counts as gone. What it may
+// A client that closes its own half of a stream counts as gone. What it may
 // still read must not look like an answer: it is the runner's whole one, or
 // the stream breaks.
-func TestHalfClosedSender(t *testing.T) {
+func TestHalfClosedClientGetsNoPartialAnswer(t *testing.T) {
 	c := qt.New(t)
-	f := up(c, "alexandria.json")
+	cluster := startCluster(c, "alexandria.json")
 	for i, service := range []string{"page", "desk"} {
 		body := fmt.Sprintf(`{"id":"half-%d"}`, i)
 		if service == "desk" {
 			body = fmt.Sprintf(`{"id":"half-%d","model":"label-1"}`, i)
 		}
 		for range 5 {
-			stream, err := net.Dial("tcp", f.Routers[0].Settings.HTTP)
+			stream, err := net.Dial("tcp", cluster.Routers[0].Settings.HTTP)
 			c.Assert(err, qt.IsNil)
 			_, err = fmt.Fprintf(stream, "POST /services/%s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", service, len(body), body)
 			c.Assert(err, qt.IsNil)
--- a/internal/simulation/localcluster/measure.go
+++ b/internal/simulation/localcluster/measure.go
@@ -12,46 +12,46 @@
 	"myrtlewinch/internal/native/description"
 )
 
-const pairs = 400
+const callPairs = 400
 
 // Measure prints what only real streams show: the cost of the way through a
 // router as a ratio to a direct call, paired within one run, and how long the
 // small service is away after every daemon was killed and started.
-func (f *Fleet) Measure(out io.Writer) error {
-	small, runner, err := f.small()
+func (c *Cluster) Measure(out io.Writer) error {
+	small, runner, err := c.smallService()
 	if err != nil {
 		return err
 	}
 	var direct, routed []float64
-	for i := range pairs {
+	for i := range callPairs {
 		body := []byte(fmt.Sprintf(`{"request":"direct-%d","service":%q,"revision":1,"incarnation":%q,"repeatable":true}`, i, small.Name, "first-"+runner.Name))
-		tookMs, err := timed(runner.Address, "/run", body)
+		tookMs, err := timedPost(runner.Address, "/run", body)
 		if err != nil {
 			return err
 		}
 		direct = append(direct, tookMs)
-		edge := f.Routers[i%len(f.Routers)].Settings.HTTP
-		if tookMs, err = timed(edge, "/services/"+small.Name, []byte(`{}`)); err != nil {
+		edge := c.Routers[i%len(c.Routers)].Settings.HTTP
+		if tookMs, err = timedPost(edge, "/services/"+small.Name, []byte(`{}`)); err != nil {
 			return err
 		}
 		routed = append(routed, tookMs)
 	}
 	sort.Float64s(direct)
 	sort.Float64s(routed)
-	fmt.Fprintf(out, "routed to direct call, middle of %d pairs: %.2f\n", pairs, routed[pairs/2]/direct[pairs/2])
-	fmt.Fprintf(out, "routed to direct call, 95 in 100: %.2f\n", routed[pairs*95/100]/direct[pairs*95/100])
-	all := append(append([]*Part{}, f.Controllers...), f.Routers...)
-	for _, part := range all {
-		part.Kill()
+	fmt.Fprintf(out, "routed to direct call, middle of %d pairs: %.2f\n", callPairs, routed[callPairs/2]/direct[callPairs/2])
+	fmt.Fprintf(out, "routed to direct call, 95 in 100: %.2f\n", routed[callPairs*95/100]/direct[callPairs*95/100])
+	all := append(append([]*Daemon{}, c.Controllers...), c.Routers...)
+	for _, daemon := range all {
+		daemon.Kill()
 	}
 	from := time.Now()
-	for _, part := range all {
-		if err := f.Restart(part); err != nil {
+	for _, daemon := range all {
+		if err := c.Restart(daemon); err != nil {
 			return err
 		}
 	}
-	err = f.until(time.Minute, func() error {
-		_, err := timed(f.Routers[0].Settings.HTTP, "/services/"+small.Name, []byte(`{}`))
+	err = c.retryFor(time.Minute, func() error {
+		_, err := timedPost(c.Routers[0].Settings.HTTP, "/services/"+small.Name, []byte(`{}`))
 		return err
 	})
 	if err != nil {
@@ -61,25 +61,25 @@
 	return nil
 }
 
-// small finds a repeatable service without models and a runner of its pool.
-func (f *Fleet) small() (*description.Service, *RunnerPart, error) {
-	for i := range f.Description.Services {
-		s := &f.Description.Services[i]
+// smallService finds a repeatable service without models and a runner of its pool.
+func (c *Cluster) smallService() (*description.Service, *Runner, error) {
+	for i := range c.Description.Services {
+		s := &c.Description.Services[i]
 		if !s.Repeatable || len(s.Models) > 0 {
 			continue
 		}
-		for _, part := range f.Runners {
-			if r, ok := f.Description.Runner(part.Name); ok && s.Uses(r.Pool) {
-				return s, part, nil
+		for _, daemon := range c.Runners {
+			if r, ok := c.Description.Runner(daemon.Name); ok && s.Uses(r.Pool) {
+				return s, daemon, nil
 			}
 		}
 	}
 	return nil, nil, errors.New("no repeatable service without models is described; nothing was measured")
 }
 
-func timed(address, path string, body []byte) (float64, error) {
+func timedPost(address, path string, body []byte) (float64, error) {
 	from := time.Now()
-	status, text, err := Ask(http.MethodPost, address, path, "", body)
+	status, text, err := Call(http.MethodPost, address, path, "", body)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/simulation/localcluster/report.go
+++ b/internal/simulation/localcluster/report.go
@@ -12,15 +12,15 @@
 )
 
 // Report says what a run showed: answers by kind, look-ups, and rules broken.
-func (f *Fleet) Report(out io.Writer, sender *testbackend.Sender) (broken int, err error) {
+func (c *Cluster) Report(out io.Writer, client *testbackend.Client) (broken int, err error) {
 	fmt.Fprintln(out, "answers by service and kind:")
-	for _, line := range sender.Lines() {
+	for _, line := range client.OutcomeLines() {
 		fmt.Fprintln(out, "  "+line)
 	}
 	var sum router.Tally
-	for _, part := range f.Routers {
+	for _, daemon := range c.Routers {
 		var s router.Status
-		if err := read(part, &s); err != nil {
+		if err := readStatus(daemon, &s); err != nil {
 			return 0, err
 		}
 		sum.Requests += s.Tally.Requests
@@ -32,9 +32,9 @@
 		sum.SecondGoes += s.Tally.SecondGoes
 	}
 	var answered uint64
-	for _, part := range f.Controllers {
+	for _, daemon := range c.Controllers {
 		var s consensus.Status
-		if err := read(part, &s); err != nil {
+		if err := readStatus(daemon, &s); err != nil {
 			return 0, err
 		}
 		answered += s.LookUps
@@ -44,8 +44,8 @@
 		fmt.Fprintf(out, " (%.3f a request)", float64(answered)/float64(sum.Requests))
 	}
 	fmt.Fprintf(out, "\nhits %d, misses %d, held beyond the miss wait %d\n", sum.Hits, sum.Misses, sum.MissesHeld)
-	fmt.Fprintf(out, "goes %d, second goes %d, orders %d, runs %d\n", sum.Goes, sum.SecondGoes, f.Book.Orders(), f.Book.Ran)
-	breaches := f.Book.Breaches()
+	fmt.Fprintf(out, "goes %d, second goes %d, orders %d, runs %d\n", sum.Goes, sum.SecondGoes, c.Checker.OrderCount(), c.Checker.Executions)
+	breaches := c.Checker.Violations()
 	fmt.Fprintf(out, "rules broken: %d\n", len(breaches))
 	for _, breach := range breaches {
 		fmt.Fprintln(out, "  "+breach.String())
@@ -53,8 +53,8 @@
 	return len(breaches), nil
 }
 
-func read(part *Part, into any) error {
-	_, text, err := Ask(http.MethodGet, part.Settings.HTTP, "/status", "", nil)
+func readStatus(daemon *Daemon, into any) error {
+	_, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/status", "", nil)
 	if err != nil {
 		return err
 	}
--- a/internal/simulation/localcluster/write.go
+++ b/internal/simulation/localcluster/settings.go
@@ -11,9 +11,9 @@
 	"myrtlewinch/internal/settings"
 )
 
-// trouble is a script that hits the running processes one after another; what
-// came of it is for the sender and the status pages to show.
-const trouble = `#!/bin/sh
+// faultScript is a script that hits the running processes one after another; what
+// came of it is for the client and the status pages to show.
+const faultScript = `#!/bin/sh
 # Stops, continues, kills and starts daemons of the site that run.sh runs here.
 # BIN is the folder of the programs. Only processes that run.sh started are hit.
 cd "$(dirname "$0")" || exit 1
@@ -39,10 +39,10 @@
 wait
 `
 
-// Write writes the settings of a site's processes into a folder, with a shell
+// WriteSettings writes the settings of a site's processes into a folder, with a shell
 // script that runs them. The script is run by a person; no program here
 // starts another.
-func Write(d *description.Description, text []byte, folder string, port int) error {
+func WriteSettings(d *description.Description, text []byte, folder string, port int) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
@@ -79,9 +79,9 @@
 		for _, seed := range all[:min(3, len(d.Controllers))] {
 			all[i].Seeds = append(all[i].Seeds, seed.Address)
 		}
-		part := "router"
+		program := "router"
 		if all[i].Data != "" {
-			part = "controller"
+			program = "controller"
 		}
 		text, err := json.MarshalIndent(all[i], "", "  ")
 		if err != nil {
@@ -91,13 +91,13 @@
 		if err := os.WriteFile(filepath.Join(folder, name), append(text, '\n'), 0o644); err != nil {
 			return err
 		}
-		start(all[i].Name, "%s --settings %s", part, name)
+		start(all[i].Name, "%s --settings %s", program, name)
 	}
 	run.WriteString("wait\n")
 	if err := os.WriteFile(filepath.Join(folder, "run.sh"), []byte(run.String()), 0o755); err != nil {
 		return err
 	}
-	if err := os.WriteFile(filepath.Join(folder, "trouble.sh"), []byte(trouble), 0o755); err != nil {
+	if err := os.WriteFile(filepath.Join(folder, "trouble.sh"), []byte(faultScript), 0o755); err != nil {
 		return err
 	}
 	if err := os.WriteFile(filepath.Join(folder, "description.json"), text, 0o644); err != nil {
--- a/internal/simulation/nativesim/founding_test.go
+++ b/internal/simulation/nativesim/bootstrap_test.go
@@ -13,15 +13,15 @@
 // A founding that was cut short at any moment is finished by repeating it. A
 // different one, where a witness was already taken, is refused and changes
 // nothing.
-func TestFoundingCutShort(t *testing.T) {
+func TestInterruptedBootstrapCanBeRepeated(t *testing.T) {
 	t.Parallel()
 	halves, refused := 0, 0
 	for seed := int64(1); seed <= 60; seed++ {
 		w := New(example(t, "zagreb"), seed)
 		w.Run(2000)
-		w.Found()
+		w.Bootstrap()
 		w.Run(3 + w.Random.Int63n(20))
-		names := w.names(protocol.Controller)
+		names := w.nodeNames(protocol.Controller)
 		// All three are hit, so that each may or may not have kept the record.
 		for _, name := range names[:3] {
 			w.Kill(name)
@@ -42,28 +42,28 @@
 			}
 		}
 		if half && kept > 0 {
-			w.operator.founding = nil
-			w.foundWith(names[2])
+			w.operator.bootstrapResult = nil
+			w.bootstrapWith(names[2])
 			w.Run(3000)
-			said, ok := w.operator.founding.(protocol.Rejection)
-			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.founding))
+			said, ok := w.operator.bootstrapResult.(protocol.Rejection)
+			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.bootstrapResult))
 			qt.Assert(t, said.Kind, qt.Equals, errkind.AlreadyFounded, qt.Commentf("seed %d", seed))
 			refused++
 		}
 		for range 5 {
 			if w.Primary() == "" {
-				w.Found()
+				w.Bootstrap()
 				w.Run(3000)
 			}
 		}
 		qt.Assert(t, w.Primary(), qt.Not(qt.Equals), "", qt.Commentf("seed %d\n%s", seed, w.Trace()))
 		if half {
-			_, ok := w.operator.founding.(consensus.BootstrapResult)
-			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.founding))
+			_, ok := w.operator.bootstrapResult.(consensus.BootstrapResult)
+			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.bootstrapResult))
 		}
-		w.HandOver(w.Primary(), 0, w.Text)
+		w.SubmitDescription(w.Primary(), 0, w.DescriptionText)
 		w.Run(9000)
-		qt.Assert(t, w.operator.lastNumber, qt.Equals, uint64(1), qt.Commentf("seed %d\n%s", seed, w.Trace()))
+		qt.Assert(t, w.operator.newestAccepted, qt.Equals, uint64(1), qt.Commentf("seed %d\n%s", seed, w.Trace()))
 	}
 	qt.Assert(t, halves > 10 && refused > 3, qt.IsTrue, qt.Commentf("halves %d, refused %d", halves, refused))
 }
--- a/internal/simulation/nativesim/broken_test.go
+++ b/internal/simulation/nativesim/bugs_test.go
@@ -9,12 +9,12 @@
 	"myrtlewinch/internal/simulation/invariants"
 )
 
-// crashes ends one runner after the other while a crowd is served.
-var crashes = Scenario{"", func(w *World) {
+// crashEachRunner ends one runner after the other while a crowd is served.
+var crashEachRunner = Scenario{"", func(w *World) {
 	// Second copies come once every model that is asked for has its first.
 	w.Run(60_000)
-	for _, r := range w.Site.Runners {
-		w.Crowd("narration", 60)
+	for _, r := range w.Description.Runners {
+		w.Burst("narration", 60)
 		w.Run(150)
 		w.CrashRunner(r.Name)
 		w.Run(500)
@@ -32,26 +32,26 @@
 		spoil  func(w *World)
 		played Scenario
 	}{
-		{"no check at the socket", "leaver", func(w *World) { w.Breaks.NoSocketCheck = true }, Scenario{"", func(w *World) {
-			w.Crowd("narration", 400)
+		{"no check at the socket", "leaver", func(w *World) { w.Bugs.SkipSocketCheck = true }, Scenario{"", func(w *World) {
+			w.Burst("narration", 400)
 			for range 20 {
 				w.Run(7)
-				for _, name := range w.names(protocol.Router) {
+				for _, name := range w.nodeNames(protocol.Router) {
 					w.Freeze(name)
 				}
-				for _, r := range w.Site.Runners {
+				for _, r := range w.Description.Runners {
 					w.MarkLeaving(r.Name)
 				}
 				w.Run(8000)
-				for _, name := range w.names(protocol.Router) {
+				for _, name := range w.nodeNames(protocol.Router) {
 					w.Thaw(name)
 				}
 			}
 		}, 2000}},
-		{"no gap between holders", "two holders", func(w *World) { w.Breaks.GapMs = 1 }, Scenario{"", func(w *World) {
+		{"no gap between holders", "two holders", func(w *World) { w.Bugs.HolderGapMs = 1 }, Scenario{"", func(w *World) {
 			for range 4 {
-				w.senders.rare = true
-				w.Crowd("commentary", 60)
+				w.clients.uniformModels = true
+				w.Burst("commentary", 60)
 				w.Run(2500 + w.Random.Int63n(900))
 				p := w.Primary()
 				w.Kill(p)
@@ -60,27 +60,27 @@
 				w.Run(8000)
 			}
 		}, 2000}},
-		{"runners that heed late orders", "two holders", func(w *World) { w.Breaks.NoFence = true }, Scenarios["orders on the way when holders change"]},
-		{"disks that forget", "description lost", func(w *World) { w.Breaks.UnsyncedDisk = true }, Scenarios["total loss"]},
-		{"lost goes are sent again", "twice", func(w *World) { w.Breaks.ResendLost = true }, crashes},
-		{"drops that run", "drop ran", func(w *World) { w.Breaks.DropThenRun = true }, Scenarios["quiet"]},
-		{"tellings that look whole", "torn answer", func(w *World) { w.Breaks.TellWrong = true }, crashes},
-		{"a store slower than described", "store pace", func(w *World) { w.Book = invariants.New(2, 10) }, Scenarios["quiet"]},
+		{"runners that heed late orders", "two holders", func(w *World) { w.Bugs.IgnoreFencing = true }, Scenarios["orders on the way when holders change"]},
+		{"disks that forget", "description lost", func(w *World) { w.Bugs.LoseWrites = true }, Scenarios["total loss"]},
+		{"lost goes are sent again", "twice", func(w *World) { w.Bugs.RetryLost = true }, crashEachRunner},
+		{"drops that run", "drop ran", func(w *World) { w.Bugs.RunDropped = true }, Scenarios["quiet"]},
+		{"tellings that look whole", "torn answer", func(w *World) { w.Bugs.EndBrokenStreams = true }, crashEachRunner},
+		{"a store slower than described", "store pace", func(w *World) { w.Checker = invariants.New(2, 10) }, Scenarios["quiet"]},
 		{"runners smaller than they say", "room", func(w *World) {
 			for _, r := range w.runners {
-				r.stand.Room = 20
+				r.backend.Capacity = 20
 			}
-			w.lieAboutRoom = 96
+			w.reportedCapacity = 96
 		}, Scenarios["quiet"]},
-		{"no allowance of second goes", "second goes", func(w *World) { w.Book = invariants.New(100, -40) }, Scenarios["quiet"]},
-		{"refusals of what is in force", "no effect", func(w *World) { w.Breaks.LieToOperator = true }, Scenarios["operators race"]},
-		{"losers that are told they won", "two accepted", func(w *World) { w.Breaks.LieToOperator = true }, Scenarios["operators race"]},
-		{"routers that go back", "slip back", func(w *World) { w.careless, w.Breaks.SlipBack = true, true }, Scenarios["operators race"]},
+		{"no allowance of second goes", "second goes", func(w *World) { w.Checker = invariants.New(100, -40) }, Scenarios["quiet"]},
+		{"refusals of what is in force", "no effect", func(w *World) { w.Bugs.InvertOutcomes = true }, Scenarios["operators race"]},
+		{"losers that are told they won", "two accepted", func(w *World) { w.Bugs.InvertOutcomes = true }, Scenarios["operators race"]},
+		{"routers that go back", "slip back", func(w *World) { w.acceptOldRevisions, w.Bugs.SendOldRevision = true, true }, Scenarios["operators race"]},
 		{"nobody starts again", "not back", func(*World) {}, Scenario{"", func(w *World) {
-			for _, name := range w.names("") {
+			for _, name := range w.nodeNames("") {
 				w.Kill(name)
 			}
-			w.checkBack()
+			w.checkRecovery()
 		}, 100}},
 	}
 	for _, test := range cases {
@@ -93,9 +93,9 @@
 				w := New(example(t, "zagreb"), seed)
 				test.spoil(w)
 				for _, r := range w.runners {
-					r.stand.Book, r.stand.Careless = w.Book, w.careless
+					r.backend.Checker, r.backend.AcceptOldRevisions = w.Checker, w.acceptOldRevisions
 				}
-				for _, breach := range w.Play(test.played).Breaches {
+				for _, breach := range w.Play(test.played).Violations {
 					fired[breach.Rule] = true
 				}
 			}
@@ -111,17 +111,17 @@
 	fired := map[string]bool{}
 	for seed := int64(1); seed <= 4; seed++ {
 		w := New(example(t, "zagreb"), seed)
-		w.Breaks.NoSocketCheck = true
-		w.Breaks.ForgetHold = true
+		w.Bugs.SkipSocketCheck = true
+		w.Bugs.ForgetLeases = true
 		r := w.Play(Scenario{"", func(w *World) {
 			for i := range 4 {
-				w.Crowd("move", 200)
+				w.Burst("move", 200)
 				w.Run(100)
-				frozen := w.names(protocol.Router)[:4]
+				frozen := w.nodeNames(protocol.Router)[:4]
 				for _, name := range frozen {
 					w.Freeze(name)
 				}
-				w.HandOver(w.Primary(), uint64(1+i), w.Variant(i+1))
+				w.SubmitDescription(w.Primary(), uint64(1+i), w.Variant(i+1))
 				w.Run(9000)
 				for _, name := range frozen {
 					w.Thaw(name)
@@ -129,42 +129,42 @@
 				w.Run(1000)
 			}
 		}, 2000})
-		for _, breach := range r.Breaches {
+		for _, breach := range r.Violations {
 			fired[breach.Rule] = true
 		}
 	}
 	qt.Assert(t, fired["in force"], qt.IsTrue, qt.Commentf("fired: %v", fired))
 }
 
-// peers cuts some routers off while the others, which renewed their holds,
+// renewByPeers cuts some routers off while the others, which renewed their holds,
 // acknowledge a next revision. The runners' own guard is off.
-func peers(w *World) {
+func renewByPeers(w *World) {
 	for _, r := range w.runners {
-		r.stand.Careless = true
+		r.backend.AcceptOldRevisions = true
 	}
-	w.Cut(w.names(protocol.Controller), w.names(protocol.Router)[:2], false)
+	w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router)[:2], false)
 	w.Run(4500)
-	w.HandOver(w.Primary(), 1, w.Variant(1))
+	w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 	for range 40 {
 		w.Run(250)
-		w.Crowd(w.small(), 20)
+		w.Burst(w.smallService(), 20)
 	}
 }
 
 // Renewals that peers gave are waited for; kept from the primary, the old
 // revision would be used too long.
-func TestBrokenPeers(t *testing.T) {
+func TestHiddenRenewalsBreakInForce(t *testing.T) {
 	t.Parallel()
 	for _, site := range []string{"zagreb", "alexandria"} {
 		for _, kept := range []bool{false, true} {
 			w := New(example(t, site), 1)
-			w.Breaks.NoGiven = kept
-			r := w.Play(Scenario{"", peers, 10_000})
+			w.Bugs.HideRenewals = kept
+			r := w.Play(Scenario{"", renewByPeers, 10_000})
 			fired := false
-			for _, breach := range r.Breaches {
+			for _, breach := range r.Violations {
 				fired = fired || breach.Rule == "in force"
 			}
-			qt.Assert(t, fired, qt.Equals, kept, qt.Commentf("%s: %v", site, r.Breaches))
+			qt.Assert(t, fired, qt.Equals, kept, qt.Commentf("%s: %v", site, r.Violations))
 			qt.Assert(t, w.operator.outcomes["accepted"], qt.Equals, 2)
 		}
 	}
--- a/internal/simulation/nativesim/variant.go
+++ b/internal/simulation/nativesim/descriptions.go
@@ -7,20 +7,20 @@
 	"strings"
 )
 
-var markPattern = regexp.MustCompile(`"(mark-[0-9]+)"`)
+var markerPattern = regexp.MustCompile(`"(mark-[0-9]+)"`)
 
-// markOf names the service that only this text has, if it has one.
-func markOf(text string) string {
-	if found := markPattern.FindStringSubmatch(text); found != nil {
+// markerOf names the service that only this text has, if it has one.
+func markerOf(text string) string {
+	if found := markerPattern.FindStringSubmatch(text); found != nil {
 		return found[1]
 	}
 	return ""
 }
 
-// markService is a small service by which senders and runners can tell which
+// markerService is a small service by which senders and runners can tell which
 // text is in effect.
-func (w *World) markService(number int) string {
-	small, _ := w.Site.Service(w.small())
+func (w *World) markerService(number int) string {
+	small, _ := w.Description.Service(w.smallService())
 	return fmt.Sprintf(`{"name": "mark-%d", "repeatable": true, "pools": [%q], "deadlineMs": 3000, "holding": 64}`, number, small.Pools[0])
 }
 
@@ -29,8 +29,8 @@
 // Variant is the site's description with a service of its own and another
 // allowance.
 func (w *World) Variant(number int) string {
-	text := strings.Replace(w.Text, `"secondGoes": 10`, fmt.Sprintf(`"secondGoes": %d`, 10-number%3), 1)
-	return strings.Replace(text, servicesEnd, ",\n    "+w.markService(number)+servicesEnd, 1)
+	text := strings.Replace(w.DescriptionText, `"secondGoes": 10`, fmt.Sprintf(`"secondGoes": %d`, 10-number%3), 1)
+	return strings.Replace(text, servicesEnd, ",\n    "+w.markerService(number)+servicesEnd, 1)
 }
 
 // Part is the change of one named part that has the same mark.
--- a/internal/simulation/nativesim/disk.go
+++ b/internal/simulation/nativesim/disk.go
@@ -24,37 +24,37 @@
 	d.keys = map[string]string{}
 	d.incarnation = fmt.Sprintf("%s-disk-%d", name, d.wipes)
 	d.full, d.stalled, d.slowMs = false, false, 0
-	w.note("%s loses its disk", name)
+	w.tracef("%s loses its disk", name)
 }
 
-func (w *World) saveTo(n *node, life int, save protocol.DiskWrite) {
+func (w *World) writeToDisk(n *node, life int, save protocol.DiskWrite) {
 	n.disk.pending = append(n.disk.pending, save)
 	if len(n.disk.pending) == 1 {
-		w.saveNext(n, life)
+		w.syncNextWrite(n, life)
 	}
 }
 
-// saveNext brings the first save that waits to the platter: one after the
+// syncNextWrite brings the first save that waits to the platter: one after the
 // other, as on the disk's own thread.
-func (w *World) saveNext(n *node, life int) {
+func (w *World) syncNextWrite(n *node, life int) {
 	d := n.disk
 	w.events.After(1+w.Random.Int63n(4)+d.slowMs, func() {
 		// What a power cut left was settled when it happened.
-		if !n.up || n.life != life {
+		if !n.up || n.incarnation != life {
 			return
 		}
 		if d.stalled {
-			w.saveNext(n, life)
+			w.syncNextWrite(n, life)
 			return
 		}
 		save := d.pending[0]
 		d.pending = d.pending[1:]
-		if !d.full && !w.Breaks.UnsyncedDisk {
+		if !d.full && !w.Bugs.LoseWrites {
 			save.Write.Apply(d.keys)
 		}
 		if len(d.pending) > 0 {
-			w.saveNext(n, life)
+			w.syncNextWrite(n, life)
 		}
-		w.put(n, life, protocol.DiskWriteDone{Number: save.Number, Ok: !d.full})
+		w.deliver(n, life, protocol.DiskWriteDone{Number: save.Number, Ok: !d.full})
 	})
 }
--- a/internal/simulation/nativesim/measure.go
+++ b/internal/simulation/nativesim/measure.go
@@ -16,17 +16,17 @@
 type Measurement struct {
 	About string
 	Unit  string
-	Of    func(w *World) (float64, error)
+	Take  func(w *World) (float64, error)
 }
 
 // worst and middle of what the seeds gave.
-func spread(values []float64) (middle, worst float64) {
+func medianAndWorst(values []float64) (middle, worst float64) {
 	sort.Float64s(values)
 	return values[len(values)/2], values[len(values)-1]
 }
 
-func (w *World) small() string {
-	for _, s := range w.Site.Services {
+func (w *World) smallService() string {
+	for _, s := range w.Description.Services {
 		if s.Repeatable {
 			return s.Name
 		}
@@ -34,15 +34,15 @@
 	return ""
 }
 
-// outage brings a loss about and gives the longest time without an answer of
+// serviceOutage brings a loss about and gives the longest time without an answer of
 // the small service.
-func outage(loss func(w *World)) func(w *World) (float64, error) {
+func serviceOutage(loss func(w *World)) func(w *World) (float64, error) {
 	return func(w *World) (float64, error) {
 		w.Begin()
-		w.senders.worstGapMs[w.small()] = 0
+		w.clients.worstGapMs[w.smallService()] = 0
 		loss(w)
 		w.Run(25_000)
-		return float64(w.WorstGapMs(w.small())), nil
+		return float64(w.WorstGapMs(w.smallService())), nil
 	}
 }
 
@@ -62,20 +62,20 @@
 	}
 }
 
-// allBack gives the time from a loss until every service has answered.
-func allBack(loss func(w *World)) func(w *World) (float64, error) {
+// fullRecovery gives the time from a loss until every service has answered.
+func fullRecovery(loss func(w *World)) func(w *World) (float64, error) {
 	return func(w *World) (float64, error) {
 		w.Begin()
 		loss(w)
 		from := w.events.NowMs()
 		before := map[string]int{}
-		for _, s := range w.Site.Services {
+		for _, s := range w.Description.Services {
 			before[s.Name] = w.Answered(s.Name)
 		}
 		for {
 			w.Run(10)
 			back := true
-			for _, s := range w.Site.Services {
+			for _, s := range w.Description.Services {
 				back = back && w.Answered(s.Name) > before[s.Name]
 			}
 			if back {
@@ -88,8 +88,8 @@
 	}
 }
 
-func loseAll(w *World) {
-	names := w.names("")
+func restartAllDaemons(w *World) {
+	names := w.nodeNames("")
 	for _, name := range names {
 		w.Kill(name)
 	}
@@ -100,12 +100,12 @@
 
 func loseZone(w *World) {
 	zone := w.nodes[w.Primary()].zone
-	for _, name := range w.names("") {
+	for _, name := range w.nodeNames("") {
 		if w.nodes[name].zone == zone {
 			w.Kill(name)
 		}
 	}
-	for _, r := range w.Site.Runners {
+	for _, r := range w.Description.Runners {
 		if r.Zone == zone {
 			w.CrashRunner(r.Name)
 		}
@@ -114,20 +114,20 @@
 
 // lookUpsPerRequest counts over the routers from now on for a time.
 func (w *World) lookUpsPerRequest(ms int64) (float64, error) {
-	before := w.tallies()
-	sent := w.Net.LookUps
+	before := w.routerTally()
+	sent := w.Network.LookUps
 	w.Run(ms)
-	after := w.tallies()
+	after := w.routerTally()
 	requests := after.Requests - before.Requests
 	if requests == 0 {
 		return 0, errors.Newf("no request was made")
 	}
-	return float64(w.Net.LookUps-sent) / float64(requests), nil
+	return float64(w.Network.LookUps-sent) / float64(requests), nil
 }
 
-func (w *World) tallies() router.Tally {
+func (w *World) routerTally() router.Tally {
 	var sum router.Tally
-	for _, name := range w.names(protocol.Router) {
+	for _, name := range w.nodeNames(protocol.Router) {
 		tally := w.nodes[name].machine.(*router.Machine).Tally
 		sum.Requests += tally.Requests
 		sum.LookUps += tally.LookUps
@@ -139,35 +139,35 @@
 func trafficPerSec(busy, bytes bool) func(w *World) (float64, error) {
 	return func(w *World) (float64, error) {
 		w.Begin()
-		w.weigh = bytes
+		w.countBytes = bytes
 		if !busy {
-			w.StopSending()
+			w.StopClients()
 			w.Run(5000)
 		}
-		before := w.Net
+		before := w.Network
 		w.Run(10_000)
 		if bytes {
-			return float64(w.Net.Bytes-before.Bytes) / 10_000, nil
+			return float64(w.Network.Bytes-before.Bytes) / 10_000, nil
 		}
-		return float64(w.Net.Messages-before.Messages) / 10, nil
+		return float64(w.Network.Messages-before.Messages) / 10, nil
 	}
 }
 
 // Measurements lists what is measured.
 func Measurements() []Measurement {
 	return []Measurement{
-		{"small service without an answer, primary killed", "ms", outage(func(w *World) { w.Kill(w.Primary()) })},
-		{"small service without an answer, zone of the primary lost", "ms", outage(loseZone)},
-		{"small service without an answer, every daemon killed and started", "ms", outage(loseAll)},
-		{"small service without an answer, core cut off from all routers for 40 s", "ms", outage(func(w *World) {
-			w.Cut(w.names(protocol.Controller), w.names(protocol.Router), false)
+		{"small service without an answer, primary killed", "ms", serviceOutage(func(w *World) { w.Kill(w.Primary()) })},
+		{"small service without an answer, zone of the primary lost", "ms", serviceOutage(loseZone)},
+		{"small service without an answer, every daemon killed and started", "ms", serviceOutage(restartAllDaemons)},
+		{"small service without an answer, core cut off from all routers for 40 s", "ms", serviceOutage(func(w *World) {
+			w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router), false)
 			w.Run(40_000)
 			w.Heal()
 		})},
-		{"every service answered again, every daemon killed and started", "ms", allBack(loseAll)},
-		{"every service answered again, every daemon and runner killed and started", "ms", allBack(func(w *World) {
-			loseAll(w)
-			for _, r := range w.Site.Runners {
+		{"every service answered again, every daemon killed and started", "ms", fullRecovery(restartAllDaemons)},
+		{"every service answered again, every daemon and runner killed and started", "ms", fullRecovery(func(w *World) {
+			restartAllDaemons(w)
+			for _, r := range w.Description.Runners {
 				w.CrashRunner(r.Name)
 				w.StartRunner(r.Name)
 			}
@@ -175,19 +175,19 @@
 		{"no controller speaks, primary killed", "ms", controlOutage(func(w *World) { w.Kill(w.Primary()) })},
 		{"no controller speaks, primary stopped as planned", "ms", controlOutage(func(w *World) {
 			n := w.nodes[w.Primary()]
-			w.put(n, n.life, consensus.Leave{})
+			w.deliver(n, n.incarnation, consensus.Leave{})
 		})},
-		{"no controller speaks, every daemon killed and started", "ms", controlOutage(loseAll)},
-		{"last run under the old revision after acceptance, routers cut off", "ms", oldRevision},
-		{"last request to a leaver after the mark could be read", "ms", lastToLeaver},
-		{"second goes in the worst ten seconds, a part of first goes", "ratio", worstSeconds},
+		{"no controller speaks, every daemon killed and started", "ms", controlOutage(restartAllDaemons)},
+		{"last run under the old revision after acceptance, routers cut off", "ms", oldRevisionAge},
+		{"last request to a leaver after the mark could be read", "ms", leaverDelay},
+		{"second goes in the worst ten seconds, a part of first goes", "ratio", worstRetryRatio},
 		{"look-ups a request, warm", "ratio", func(w *World) (float64, error) {
 			w.Begin()
 			return w.lookUpsPerRequest(10_000)
 		}},
 		{"look-ups a request, all routers cold", "ratio", func(w *World) (float64, error) {
 			w.Begin()
-			for _, name := range w.names(protocol.Router) {
+			for _, name := range w.nodeNames(protocol.Router) {
 				w.Kill(name)
 				w.Start(name)
 			}
@@ -196,7 +196,7 @@
 		}},
 		{"look-ups a request, after recovery of everything", "ratio", func(w *World) (float64, error) {
 			w.Begin()
-			loseAll(w)
+			restartAllDaemons(w)
 			w.Run(6000)
 			return w.lookUpsPerRequest(10_000)
 		}},
@@ -204,61 +204,61 @@
 		{"messages between daemons a second, busy", "count", trafficPerSec(true, false)},
 		{"bytes between daemons a second, idle, each message sent alone", "thousands", trafficPerSec(false, true)},
 		{"bytes between daemons a second, busy, each message sent alone", "thousands", trafficPerSec(true, true)},
-		{"first answer for a cold rare model", "ms", coldModel},
+		{"first answer for a cold rare model", "ms", coldModelLatency},
 	}
 }
 
-func oldRevision(w *World) (float64, error) {
+func oldRevisionAge(w *World) (float64, error) {
 	w.Begin()
-	w.Crowd(w.small(), 400)
-	w.Cut(w.names(protocol.Controller), w.names(protocol.Router)[:2], false)
-	w.HandOver(w.Primary(), 1, w.Variant(1))
+	w.Burst(w.smallService(), 400)
+	w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router)[:2], false)
+	w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 	w.Run(15_000)
 	if w.operator.outcomes["accepted"] < 2 {
 		return 0, errors.Newf("the description was not accepted: %v", w.operator.outcomes)
 	}
-	return float64(w.Book.OldWorstMs), nil
+	return float64(w.Checker.WorstOldRevisionMs), nil
 }
 
-func lastToLeaver(w *World) (float64, error) {
+func leaverDelay(w *World) (float64, error) {
 	w.Begin()
 	for range 4 {
-		for _, s := range w.Site.Services {
-			w.Crowd(s.Name, 50)
+		for _, s := range w.Description.Services {
+			w.Burst(s.Name, 50)
 		}
-		w.MarkLeaving(w.someRunner())
+		w.MarkLeaving(w.randomRunner())
 		w.Run(4000)
 	}
-	return float64(w.Book.LeaverWorstMs), nil
+	return float64(w.Checker.WorstLeaverMs), nil
 }
 
-func worstSeconds(w *World) (float64, error) {
+func worstRetryRatio(w *World) (float64, error) {
 	w.Begin()
 	for range 6 {
-		w.Crowd(w.small(), 100)
-		w.CrashRunner(w.Site.Runners[len(w.Site.Runners)-1].Name)
+		w.Burst(w.smallService(), 100)
+		w.CrashRunner(w.Description.Runners[len(w.Description.Runners)-1].Name)
 		w.Run(1000)
-		w.StartRunner(w.Site.Runners[len(w.Site.Runners)-1].Name)
+		w.StartRunner(w.Description.Runners[len(w.Description.Runners)-1].Name)
 		w.Run(1000)
 	}
-	seconds, firsts := w.Book.WorstSeconds(w.small())
+	seconds, firsts := w.Checker.WorstRetryWindow(w.smallService())
 	if firsts == 0 {
 		return 0, errors.Newf("no go was made")
 	}
 	return float64(seconds) / float64(firsts), nil
 }
 
-func coldModel(w *World) (float64, error) {
+func coldModelLatency(w *World) (float64, error) {
 	w.Run(2000)
-	w.Found()
+	w.Bootstrap()
 	w.Run(2000)
-	w.HandOver(w.Primary(), 0, w.Text)
+	w.SubmitDescription(w.Primary(), 0, w.DescriptionText)
 	w.Run(8000)
 	from := w.events.NowMs()
-	w.senders.rare = true
-	for w.Answered(w.Site.Services[1].Name) == 0 {
+	w.clients.uniformModels = true
+	for w.Answered(w.Description.Services[1].Name) == 0 {
 		if w.events.NowMs() == from {
-			w.ask(w.Site.Services[1].Name)
+			w.submitRequest(w.Description.Services[1].Name)
 		}
 		w.Run(5)
 		if w.events.NowMs()-from > 60_000 {
@@ -276,7 +276,7 @@
 		var values []float64
 		var failed error
 		for seed := int64(1); seed <= seeds; seed++ {
-			value, err := m.Of(New(text, seed))
+			value, err := m.Take(New(text, seed))
 			if err != nil {
 				failed = errors.Wrapf(err, "seed %d", seed)
 				break
@@ -287,7 +287,7 @@
 			fmt.Fprintf(&out, "| %s | not measured: %v | |\n", m.About, failed)
 			continue
 		}
-		middle, worst := spread(values)
+		middle, worst := medianAndWorst(values)
 		fmt.Fprintf(&out, "| %s (%s) | %.4g | %.4g |\n", m.About, m.Unit, middle, worst)
 	}
 	return out.String()
--- a/internal/simulation/nativesim/sim_test.go
+++ b/internal/simulation/nativesim/nativesim_test.go
@@ -16,18 +16,18 @@
 	return string(text)
 }
 
-const seedsInCi = 3
+const seedsInCI = 3
 
 // TestScenarios plays each scenario on both sites with a fixed set of seeds.
 func TestScenarios(t *testing.T) {
 	for _, site := range []string{"zagreb", "alexandria"} {
 		text := example(t, site)
-		for _, name := range Names() {
+		for _, name := range ScenarioNames() {
 			t.Run(site+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				for seed := int64(1); seed <= seedsInCi; seed++ {
+				for seed := int64(1); seed <= seedsInCI; seed++ {
 					r := Play(text, seed, Scenarios[name])
-					if len(r.Breaches) > 0 {
+					if len(r.Violations) > 0 {
 						t.Fatal(r.Report())
 					}
 				}
@@ -43,7 +43,7 @@
 		for seed := int64(1); seed <= 12; seed++ {
 			t.Run(fmt.Sprintf("%s/%d", site, seed), func(t *testing.T) {
 				t.Parallel()
-				if r := Campaign(text, seed, 20); len(r.Breaches) > 0 {
+				if r := Campaign(text, seed, 20); len(r.Violations) > 0 {
 					t.Fatal(r.Report())
 				}
 			})
@@ -51,8 +51,8 @@
 	}
 }
 
-// pairsInCi is of how many pairs of faults one is played; each fault alone is.
-const pairsInCi = 9
+// pairStrideInCI is of how many pairs of faults one is played; each fault alone is.
+const pairStrideInCI = 9
 
 // TestPairs brings each fault about alone, and some with another one. All of
 // them: sim --pairs.
@@ -60,16 +60,16 @@
 	for _, site := range []string{"zagreb", "alexandria"} {
 		text := example(t, site)
 		paired := 0
-		for _, cell := range Cells() {
+		for _, cell := range FaultPairs() {
 			if cell.Second != "" {
-				if paired++; paired%pairsInCi != 0 {
+				if paired++; paired%pairStrideInCI != 0 {
 					continue
 				}
 			}
 			t.Run(site+"/"+cell.First+"/"+cell.Second, func(t *testing.T) {
 				t.Parallel()
-				if c := PlayCell(text, 1, cell); len(c.Broken) > 0 {
-					t.Fatalf("%v\n%s", c.Broken, c.Trace)
+				if c := PlayPair(text, 1, cell); len(c.Violations) > 0 {
+					t.Fatalf("%v\n%s", c.Violations, c.Trace)
 				}
 			})
 		}
@@ -82,10 +82,10 @@
 	text := example(t, "alexandria")
 	first, second := Campaign(text, 7, 8), Campaign(text, 7, 8)
 	qt.Assert(t, second.World.Trace(), qt.Equals, first.World.Trace())
-	qt.Assert(t, second.World.Kinds(), qt.Equals, first.World.Kinds())
-	qt.Assert(t, second.World.Net, qt.Equals, first.World.Net)
-	cell := Cells()[7]
-	qt.Assert(t, PlayCell(text, 3, cell).Drops, qt.DeepEquals, PlayCell(text, 3, cell).Drops)
+	qt.Assert(t, second.World.OutcomeLines(), qt.Equals, first.World.OutcomeLines())
+	qt.Assert(t, second.World.Network, qt.Equals, first.World.Network)
+	cell := FaultPairs()[7]
+	qt.Assert(t, PlayPair(text, 3, cell).Drops, qt.DeepEquals, PlayPair(text, 3, cell).Drops)
 }
 
 // A rolling restart loses no request: each is answered, or dropped so that it
@@ -94,10 +94,10 @@
 	t.Parallel()
 	for _, site := range []string{"zagreb", "alexandria"} {
 		r := Play(example(t, site), 1, Scenario{"", (*World).RollingRestart, 5000})
-		if len(r.Breaches) > 0 {
+		if len(r.Violations) > 0 {
 			t.Fatal(r.Report())
 		}
-		for service, kinds := range r.World.senders.kinds {
+		for service, kinds := range r.World.clients.outcomes {
 			for kind, count := range kinds {
 				// Some senders go away, or send an id twice at once, on their own.
 				own := kind == "sender gone" || kind == string(errkind.AlreadyTaken)
--- a/internal/simulation/nativesim/network.go
+++ b/internal/simulation/nativesim/network.go
@@ -7,12 +7,12 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// NetTally counts the control traffic.
-type NetTally struct{ Messages, Lost, LookUps, Bytes uint64 }
+// NetworkTally counts the control traffic.
+type NetworkTally struct{ Messages, Lost, LookUps, Bytes uint64 }
 
 // Cut stops all messages between two groups; with oneWay only from the first.
 func (w *World) Cut(from, to []string, oneWay bool) {
-	w.note("cut %v | %v", from, to)
+	w.tracef("cut %v | %v", from, to)
 	for _, a := range from {
 		for _, b := range to {
 			if a == b {
@@ -28,9 +28,9 @@
 
 // Heal ends all cuts and all loss.
 func (w *World) Heal() {
-	w.note("the network heals")
+	w.tracef("the network heals")
 	w.cuts = map[[2]string]bool{}
-	w.lossPart, w.twicePart, w.latePart = 0, 0, 0
+	w.lossRate, w.duplicateRate, w.delayRate = 0, 0, 0
 }
 
 func (w *World) latencyMs() int64 {
@@ -40,11 +40,11 @@
 	return 1 + w.Random.Int63n(3)
 }
 
-// pass carries something from one name to another, unless the network is cut.
-func (w *World) pass(from, to string, arrive func(), lost func()) {
+// transmit carries something from one name to another, unless the network is cut.
+func (w *World) transmit(from, to string, arrive func(), lost func()) {
 	tookMs := w.latencyMs()
-	if w.latePart > 0 && w.Random.Float64() < w.latePart {
-		tookMs += w.Random.Int63n(w.lateness(from, to))
+	if w.delayRate > 0 && w.Random.Float64() < w.delayRate {
+		tookMs += w.Random.Int63n(w.maxDelayBetween(from, to))
 	}
 	w.events.After(tookMs, func() {
 		if w.cuts[[2]string{from, to}] {
@@ -57,55 +57,55 @@
 	})
 }
 
-// requestLateMs bounds how late a request or its answer comes: what a router
+// maxRequestDelayMs bounds how late a request or its answer comes: what a router
 // wrote can't be called back, and a leaver's time would be up meanwhile.
-const requestLateMs = 800
+const maxRequestDelayMs = 800
 
-func (w *World) lateness(from, to string) int64 {
+func (w *World) maxDelayBetween(from, to string) int64 {
 	for _, end := range []string{from, to} {
-		if n := w.nodes[end]; n != nil && n.part == protocol.Router && (w.runners[from] != nil || w.runners[to] != nil) {
-			return requestLateMs
+		if n := w.nodes[end]; n != nil && n.role == protocol.Router && (w.runners[from] != nil || w.runners[to] != nil) {
+			return maxRequestDelayMs
 		}
 	}
-	return w.lateMs
+	return w.maxDelayMs
 }
 
 func (w *World) send(n *node, send protocol.Send) {
-	to, ok := w.address[send.Address]
+	to, ok := w.nodeAt[send.Address]
 	if !ok {
 		return
 	}
-	w.Net.Messages++
+	w.Network.Messages++
 	if _, isLookUp := send.Body.(protocol.LookUp); isLookUp {
-		w.Net.LookUps++
+		w.Network.LookUps++
 	}
-	if w.lossPart > 0 && w.Random.Float64() < w.lossPart {
-		w.Net.Lost++
+	if w.lossRate > 0 && w.Random.Float64() < w.lossRate {
+		w.Network.Lost++
 		return
 	}
-	if ask, isAsk := send.Body.(protocol.RouterPoll); isAsk && w.Breaks.NoGiven {
+	if ask, isAsk := send.Body.(protocol.RouterPoll); isAsk && w.Bugs.HideRenewals {
 		ask.GivenMs = 0
 		send.Body = ask
 	}
-	envelope := protocol.Envelope{Site: w.Site.Site, From: w.place(n), To: send.To, Body: send.Body}
-	if w.weigh {
-		w.Net.Bytes += weight(envelope)
+	envelope := protocol.Envelope{Site: w.Description.Site, From: w.identity(n), To: send.To, Body: send.Body}
+	if w.countBytes {
+		w.Network.Bytes += encodedSize(envelope)
 	}
 	times := 1
-	if w.twicePart > 0 && w.Random.Float64() < w.twicePart {
+	if w.duplicateRate > 0 && w.Random.Float64() < w.duplicateRate {
 		times = 2
 	}
 	for range times {
-		w.pass(n.name, to, func() {
+		w.transmit(n.name, to, func() {
 			if target := w.nodes[to]; target != nil {
-				w.put(target, target.life, envelope)
+				w.deliver(target, target.incarnation, envelope)
 			}
-		}, func() { w.Net.Lost++ })
+		}, func() { w.Network.Lost++ })
 	}
 }
 
-// weight is the size of a message as it is sent alone between daemons.
-func weight(e protocol.Envelope) uint64 {
+// encodedSize is the size of a message as it is sent alone between daemons.
+func encodedSize(e protocol.Envelope) uint64 {
 	var text bytes.Buffer
 	if gob.NewEncoder(&text).Encode([]protocol.Envelope{e}) != nil {
 		return 0
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -12,49 +12,49 @@
 
 // node is one daemon.
 type node struct {
-	name, zone, part string
-	// called is the name that the daemon itself goes by.
-	called string
-	// lived is the name that its incarnations are made of, if another.
-	lived      string
-	address    string
-	machine    process.Machine
-	up, frozen bool
-	frozenMs   int64
-	// life tells one run of the process from the next.
-	life    int
-	bootMs  int64
-	offset  int64
-	backlog []func()
-	disk    *simDisk
-	under   map[uint64]*asked
+	name, zone, role string
+	// ownName is the name that the daemon itself goes by.
+	ownName string
+	// incarnationName is the name that its incarnations are made of, if another.
+	incarnationName string
+	address         string
+	machine         process.Machine
+	up, frozen      bool
+	frozenSinceMs   int64
+	// incarnation tells one run of the process from the next.
+	incarnation   int
+	startedMs     int64
+	clockOffsetMs int64
+	backlog       []func()
+	disk          *simDisk
+	pending       map[uint64]*clientRequest
 	// seeds are those of its settings; only a new machine gets new ones.
 	seeds []string
 }
 
 func (w *World) addNode(member description.Member, part string) *node {
-	n := &node{name: member.Name, called: member.Name, zone: member.Zone, part: part, address: member.Name + ":1", under: map[uint64]*asked{}}
+	n := &node{name: member.Name, ownName: member.Name, zone: member.Zone, role: part, address: member.Name + ":1", pending: map[uint64]*clientRequest{}}
 	w.nodes[n.name] = n
-	w.address[n.address] = n.name
+	w.nodeAt[n.address] = n.name
 	return n
 }
 
 // clock is the daemon's own clock: monotonic, with a start of its own.
-func (n *node) clock(nowMs int64) int64 { return nowMs - n.bootMs + n.offset }
+func (n *node) clock(nowMs int64) int64 { return nowMs - n.startedMs + n.clockOffsetMs }
 
-// put brings an input before a daemon; a frozen one takes it when it wakes.
-func (w *World) put(n *node, life int, input any) {
-	if !n.up || n.life != life {
+// deliver brings an input before a daemon; a frozen one takes it when it wakes.
+func (w *World) deliver(n *node, life int, input any) {
+	if !n.up || n.incarnation != life {
 		return
 	}
 	if n.frozen {
 		// What can't wait for ever is lost, as a full ring loses it.
 		if len(n.backlog) < 4096 {
-			n.backlog = append(n.backlog, func() { w.put(n, life, input) })
+			n.backlog = append(n.backlog, func() { w.deliver(n, life, input) })
 		}
 		return
 	}
-	w.perform(n, n.machine.Step(n.clock(w.events.NowMs()), input))
+	w.applyEffects(n, n.machine.Step(n.clock(w.events.NowMs()), input))
 }
 
 // Start starts a daemon from what its disk holds.
@@ -64,24 +64,24 @@
 		return
 	}
 	n.up, n.frozen, n.backlog = true, false, nil
-	n.life++
-	n.bootMs = w.events.NowMs()
-	n.offset = 3_600_000 + w.Random.Int63n(1_000_000)
-	n.under = map[uint64]*asked{}
-	self := protocol.Node{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part}
-	if n.part == protocol.Controller {
+	n.incarnation++
+	n.startedMs = w.events.NowMs()
+	n.clockOffsetMs = 3_600_000 + w.Random.Int63n(1_000_000)
+	n.pending = map[uint64]*clientRequest{}
+	self := protocol.Node{Name: n.ownName, Address: n.address, Zone: n.zone, Part: n.role}
+	if n.role == protocol.Controller {
 		self.Incarnation = n.disk.incarnation
-		machine, err := consensus.New(consensus.Settings{Site: w.Site.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Breaks.GapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
+		machine, err := consensus.New(consensus.Settings{Site: w.Description.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Bugs.HolderGapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
 		if err != nil {
 			panic(fmt.Sprintf("sim: %s does not start: %v", name, err))
 		}
 		n.machine = machine
 	} else {
-		self.Incarnation = n.incarnation()
-		n.machine = router.New(router.Settings{Site: w.Site.Site, Self: self, Seeds: n.seeds, Platform: "platform"}, n.clock(w.events.NowMs()))
+		self.Incarnation = n.incarnationID()
+		n.machine = router.New(router.Settings{Site: w.Description.Site, Self: self, Seeds: n.seeds, Platform: "platform"}, n.clock(w.events.NowMs()))
 	}
-	w.note("%s starts", name)
-	life := n.life
+	w.tracef("%s starts", name)
+	life := n.incarnation
 	w.events.After(w.Random.Int63n(tickMs), func() { w.tick(n, life) })
 }
 
@@ -94,11 +94,11 @@
 }
 
 func (w *World) tick(n *node, life int) {
-	if !n.up || n.life != life {
+	if !n.up || n.incarnation != life {
 		return
 	}
 	if !n.frozen {
-		w.put(n, life, protocol.Tick{})
+		w.deliver(n, life, protocol.Tick{})
 	}
 	w.events.After(tickMs, func() { w.tick(n, life) })
 }
@@ -109,7 +109,7 @@
 	if n == nil || !n.up {
 		return
 	}
-	w.note("%s is killed", name)
+	w.tracef("%s is killed", name)
 	n.up = false
 	if n.disk != nil && len(n.disk.pending) > 0 {
 		// A power cut leaves some first part of what was not synced yet.
@@ -118,15 +118,15 @@
 		}
 		n.disk.pending = nil
 	}
-	for _, id := range sortedIds(n.under) {
-		n.under[id].broke()
+	for _, id := range sortedIDs(n.pending) {
+		n.pending[id].streamBroke()
 	}
 }
 
 // Freeze stops a daemon where it stands; Thaw lets it go on.
 func (w *World) Freeze(name string) {
-	w.note("%s freezes", name)
-	w.nodes[name].frozen, w.nodes[name].frozenMs = true, w.events.NowMs()
+	w.tracef("%s freezes", name)
+	w.nodes[name].frozen, w.nodes[name].frozenSinceMs = true, w.events.NowMs()
 }
 
 // Thaw wakes a frozen daemon. Its clock went on.
@@ -135,10 +135,10 @@
 	if !n.frozen {
 		return
 	}
-	w.note("%s wakes", name)
+	w.tracef("%s wakes", name)
 	n.frozen = false
-	if w.Breaks.ForgetHold {
-		n.bootMs += w.events.NowMs() - n.frozenMs
+	if w.Bugs.ForgetLeases {
+		n.startedMs += w.events.NowMs() - n.frozenSinceMs
 	}
 	backlog := n.backlog
 	n.backlog = nil
@@ -147,44 +147,44 @@
 	}
 }
 
-// perform carries a daemon's effects out.
-func (w *World) perform(n *node, effects protocol.Effects) {
-	life := n.life
+// applyEffects carries a daemon's effects out.
+func (w *World) applyEffects(n *node, effects protocol.Effects) {
+	life := n.incarnation
 	for _, text := range effects.LogLines {
-		w.note("%s: %s", n.name, text)
+		w.tracef("%s: %s", n.name, text)
 	}
 	for _, save := range effects.DiskWrites {
-		w.saveTo(n, life, save)
+		w.writeToDisk(n, life, save)
 	}
 	for _, send := range effects.Sends {
 		w.send(n, send)
 	}
 	for _, call := range effects.Calls {
-		w.call(n, life, call)
+		w.startCall(n, life, call)
 	}
 	for _, answer := range effects.Answers {
-		if op := w.operator.asked[answer.ID]; op != nil && n.part == protocol.Controller {
+		if op := w.operator.pending[answer.ID]; op != nil && n.role == protocol.Controller {
 			w.operator.answered(w, n, answer)
 			continue
 		}
-		if under := n.under[answer.ID]; under != nil {
-			under.told(answer.Body)
+		if under := n.pending[answer.ID]; under != nil {
+			under.routerAnswered(answer.Body)
 		}
 	}
 }
 
-func (w *World) place(n *node) protocol.Node {
-	return protocol.Node{Name: n.called, Address: n.address, Zone: n.zone, Part: n.part, Incarnation: n.incarnation()}
+func (w *World) identity(n *node) protocol.Node {
+	return protocol.Node{Name: n.ownName, Address: n.address, Zone: n.zone, Part: n.role, Incarnation: n.incarnationID()}
 }
 
-// incarnation is that of the disk, or of the process where there is none.
-func (n *node) incarnation() string {
-	if n.part == protocol.Controller {
+// incarnationID is that of the disk, or of the process where there is none.
+func (n *node) incarnationID() string {
+	if n.role == protocol.Controller {
 		return n.disk.incarnation
 	}
 	name := n.name
-	if n.lived != "" {
-		name = n.lived
+	if n.incarnationName != "" {
+		name = n.incarnationName
 	}
-	return fmt.Sprintf("%s-life-%d", name, n.life)
+	return fmt.Sprintf("%s-life-%d", name, n.incarnation)
 }
--- a/internal/simulation/nativesim/pairs.go
+++ b/internal/simulation/nativesim/pairs.go
@@ -8,29 +8,29 @@
 	"myrtlewinch/internal/errkind"
 )
 
-// Cell is what one fault, or two together, did to a site.
-type Cell struct {
+// FaultPair is what one fault, or two together, did to a site.
+type FaultPair struct {
 	First, Second string
 	Seed          int64
-	Broken        []string
-	// SmallGapMs and GapMs are the longest times without an answer of the
+	Violations    []string
+	// SmallOutageMs and HolderGapMs are the longest times without an answer of the
 	// small service and of any other.
-	SmallGapMs, GapMs int64
-	Drops             map[string]int
-	Dropped, Unknown  int
-	Trace             string
+	SmallOutageMs, OtherOutageMs int64
+	Drops                        map[string]int
+	Dropped, Unknown             int
+	Trace                        string
 }
 
-// Cells lists what there is to play: each fault alone, then each with each
+// FaultPairs lists what there is to play: each fault alone, then each with each
 // other one.
-func Cells() []Cell {
-	var cells []Cell
+func FaultPairs() []FaultPair {
+	var cells []FaultPair
 	for _, f := range faults {
-		cells = append(cells, Cell{First: f.name})
+		cells = append(cells, FaultPair{First: f.name})
 	}
 	for i, f := range faults {
 		for _, g := range faults[i+1:] {
-			cells = append(cells, Cell{First: f.name, Second: g.name})
+			cells = append(cells, FaultPair{First: f.name, Second: g.name})
 		}
 	}
 	return cells
@@ -45,40 +45,40 @@
 	panic("sim: no fault is named " + name)
 }
 
-// PlayCell brings the cell's faults about on a serving site, the second while
+// PlayPair brings the cell's faults about on a serving site, the second while
 // the first lasts, lets them end, and gives the site its time to be back.
-func PlayCell(text string, seed int64, cell Cell) Cell {
+func PlayPair(text string, seed int64, cell FaultPair) FaultPair {
 	w := New(text, seed)
 	w.Begin()
-	for _, s := range w.Site.Services {
-		w.senders.lastOkMs[s.Name], w.senders.worstGapMs[s.Name] = w.events.NowMs(), 0
-		clear(w.senders.kinds[s.Name])
+	for _, s := range w.Description.Services {
+		w.clients.lastAnswerMs[s.Name], w.clients.worstGapMs[s.Name] = w.events.NowMs(), 0
+		clear(w.clients.outcomes[s.Name])
 	}
-	faultNamed(cell.First).do(w)
+	faultNamed(cell.First).inject(w)
 	if cell.Second != "" {
 		w.Run(w.Random.Int63n(1500))
-		faultNamed(cell.Second).do(w)
+		faultNamed(cell.Second).inject(w)
 	}
 	w.Run(12_000)
-	w.MendAll()
-	w.checkBack()
-	w.StopSending()
+	w.RepairAll()
+	w.checkRecovery()
+	w.StopClients()
 	w.Run(4000)
 	w.CheckDescriptions()
 	cell.Seed, cell.Drops = seed, map[string]int{}
-	for _, breach := range w.Book.Breaches() {
-		cell.Broken = append(cell.Broken, breach.String())
+	for _, breach := range w.Checker.Violations() {
+		cell.Violations = append(cell.Violations, breach.String())
 	}
-	if len(cell.Broken) > 0 {
+	if len(cell.Violations) > 0 {
 		cell.Trace = w.Trace()
 	}
-	for _, s := range w.Site.Services {
-		if s.Name == w.small() {
-			cell.SmallGapMs = w.senders.worstGapMs[s.Name]
+	for _, s := range w.Description.Services {
+		if s.Name == w.smallService() {
+			cell.SmallOutageMs = w.clients.worstGapMs[s.Name]
 		} else {
-			cell.GapMs = max(cell.GapMs, w.senders.worstGapMs[s.Name])
+			cell.OtherOutageMs = max(cell.OtherOutageMs, w.clients.worstGapMs[s.Name])
 		}
-		for kind, count := range w.senders.kinds[s.Name] {
+		for kind, count := range w.clients.outcomes[s.Name] {
 			switch {
 			case errkind.Kind(kind).Reply().Drop:
 				cell.Drops[kind] += count
@@ -91,29 +91,29 @@
 	return cell
 }
 
-// Table sums cells up: a row a fault, alone and with whatever made it worst.
-func Table(played []Cell) string {
+// PairTable sums cells up: a row a fault, alone and with whatever made it worst.
+func PairTable(played []FaultPair) string {
 	type sums struct {
 		runs, broken, dropped, unknown int
 		smallMs, gapMs                 int64
 		smallBy, gapBy                 string
 	}
 	alone, paired := map[string]*sums{}, map[string]*sums{}
-	add := func(into map[string]*sums, name, partner string, c Cell) {
+	add := func(into map[string]*sums, name, partner string, c FaultPair) {
 		s := into[name]
 		if s == nil {
 			s = &sums{}
 			into[name] = s
 		}
 		s.runs++
-		s.broken += min(1, len(c.Broken))
+		s.broken += min(1, len(c.Violations))
 		s.dropped += c.Dropped
 		s.unknown += c.Unknown
-		if c.SmallGapMs > s.smallMs {
-			s.smallMs, s.smallBy = c.SmallGapMs, partner
+		if c.SmallOutageMs > s.smallMs {
+			s.smallMs, s.smallBy = c.SmallOutageMs, partner
 		}
-		if c.GapMs > s.gapMs {
-			s.gapMs, s.gapBy = c.GapMs, partner
+		if c.OtherOutageMs > s.gapMs {
+			s.gapMs, s.gapBy = c.OtherOutageMs, partner
 		}
 	}
 	kinds := map[string]int{}
--- a/internal/simulation/nativesim/proofs_test.go
+++ b/internal/simulation/nativesim/proofs_test.go
@@ -22,7 +22,7 @@
 		return filepath.Base(filepath.Dir(name)) == "invariants" && !strings.HasSuffix(name, "_test.go")
 	})
 	ruled := map[string]bool{}
-	for _, match := range regexp.MustCompile(`(?:breach\(|Breach\{)"([a-z ]+)"`).FindAllStringSubmatch(book, -1) {
+	for _, match := range regexp.MustCompile(`(?:report\(|Violation\{)"([a-z ]+)"`).FindAllStringSubmatch(book, -1) {
 		ruled[match[1]] = true
 	}
 	known := map[string]bool{}
--- a/internal/simulation/nativesim/recovery_test.go
+++ b/internal/simulation/nativesim/recovery_test.go
@@ -21,7 +21,7 @@
 			w.Wipe(name)
 		}
 	}
-	for _, name := range w.names(protocol.Controller) {
+	for _, name := range w.nodeNames(protocol.Controller) {
 		if !slices.Contains(lost, name) {
 			left = append(left, name)
 		}
@@ -37,7 +37,7 @@
 		for seed := int64(1); seed <= 6; seed++ {
 			w := New(example(t, site), seed)
 			r := w.Play(Scenario{"", func(w *World) {
-				w.HandOver(w.Primary(), 1, w.Variant(1))
+				w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 				w.Run(3000)
 				lost, left := w.losePair(true)
 				w.Run(1000)
@@ -48,22 +48,22 @@
 				qt.Assert(t, w.Primary(), qt.Equals, "", qt.Commentf("blank disks and a spare serve nothing by themselves"))
 				witnesses := append([]string{left[0]}, lost...)
 				// A wrong change is refused with the right one.
-				w.tell(left[0], "", func(id uint64) any {
+				w.askController(left[0], "", func(id uint64) any {
 					return consensus.Bootstrap{ID: id, Witnesses: witnesses, Backup: lost[0], Recover: true, Change: 1}
-				}, func(body any) { w.operator.founding = body })
+				}, func(body any) { w.operator.bootstrapResult = body })
 				w.Run(1000)
-				qt.Assert(t, w.operator.founding.(protocol.Rejection).Kind, qt.Equals, errkind.StaleBase)
+				qt.Assert(t, w.operator.bootstrapResult.(protocol.Rejection).Kind, qt.Equals, errkind.StaleBase)
 				w.Recover(left[0], witnesses, lost[0])
 				w.Run(9000)
 				qt.Assert(t, w.Primary(), qt.Equals, left[0], qt.Commentf("seed %d\n%s", seed, w.Trace()))
 				number := w.status(w.nodes[left[0]]).Revision
 				qt.Assert(t, number, qt.Equals, uint64(1002))
-				w.HandOver(left[0], number, w.Variant(2))
+				w.SubmitDescription(left[0], number, w.Variant(2))
 				w.Run(9000)
-				w.mustBeAccepted(number + 1)
-				w.checkBack()
+				w.checkAccepted(number + 1)
+				w.checkRecovery()
 			}, 3000})
-			if len(r.Breaches) > 0 {
+			if len(r.Violations) > 0 {
 				t.Fatal(r.Report())
 			}
 		}
@@ -72,7 +72,7 @@
 
 // The pair was only away: its disks return after the recovery. They retire and
 // disturb nothing; while one of them is there the act is refused.
-func TestRecoveryAndTheOldPair(t *testing.T) {
+func TestOldPairRetiresAfterRecovery(t *testing.T) {
 	t.Parallel()
 	for seed := int64(1); seed <= 6; seed++ {
 		w := New(example(t, "zagreb"), seed)
@@ -82,7 +82,7 @@
 			w.Run(500)
 			w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			w.Run(2000)
-			qt.Assert(t, w.operator.founding.(protocol.Rejection).Kind, qt.Equals, errkind.NotTaken, qt.Commentf("%+v", w.operator.founding))
+			qt.Assert(t, w.operator.bootstrapResult.(protocol.Rejection).Kind, qt.Equals, errkind.NotTaken, qt.Commentf("%+v", w.operator.bootstrapResult))
 			w.Kill(lost[1])
 			// A third machine comes blank in the place of one that is lost.
 			w.Wipe(lost[1])
@@ -91,21 +91,21 @@
 			w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			w.Run(2000)
 			// The copy that reaches further is named, and is the one to go on from.
-			if said, refused := w.operator.founding.(protocol.Rejection); refused {
+			if said, refused := w.operator.bootstrapResult.(protocol.Rejection); refused {
 				qt.Assert(t, said.Detail, qt.Contains, left[1]+" has a later copy")
 				left[0], left[1] = left[1], left[0]
 				w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			}
 			w.Run(12_000)
-			qt.Assert(t, w.Primary(), qt.Equals, left[0], qt.Commentf("seed %d: %+v\n%s", seed, w.operator.founding, w.Trace()))
+			qt.Assert(t, w.Primary(), qt.Equals, left[0], qt.Commentf("seed %d: %+v\n%s", seed, w.operator.bootstrapResult, w.Trace()))
 			// The old primary's disk comes back as it was.
 			w.Start(lost[0])
 			w.Run(4000)
 			qt.Assert(t, w.retired(lost[0]), qt.IsTrue, qt.Commentf("seed %d", seed))
 			qt.Assert(t, w.Primary(), qt.Equals, left[0])
-			w.checkBack()
+			w.checkRecovery()
 		}, 3000})
-		if len(r.Breaches) > 0 {
+		if len(r.Violations) > 0 {
 			t.Fatal(r.Report())
 		}
 	}
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -8,101 +8,103 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// asked is a sender's request at a router.
-type asked struct {
-	id      uint64
-	name    string
-	service string
-	model   string
-	w       *World
-	n       *node
-	life    int
-	done    bool
-	pieces  int
-	telling bool
+// clientRequest is a sender's request at a router.
+type clientRequest struct {
+	id                uint64
+	name              string
+	service           string
+	model             string
+	world             *World
+	router            *node
+	routerIncarnation int
+	done              bool
+	pieces            int
+	streaming         bool
 	// probe is asked to see which description a router uses.
 	probe bool
-	// again is how often the sender has come back with this id.
-	again int
-	// twin is one of two sendings at once.
-	twin bool
+	// retries is how often the sender has come back with this id.
+	retries int
+	// duplicate is one of two sendings at once.
+	duplicate bool
 	// retryMs is what the drop said of when to come back.
 	retryMs int64
 	adapter string
-	// gone is set once the sender went away; what it is told reaches no one.
-	gone bool
-	// going says that the shell is on its way to a runner and back.
-	going bool
+	// disconnected is set once the sender went away; what it is told reaches no one.
+	disconnected bool
+	// attempting says that the shell is on its way to a runner and back.
+	attempting bool
 }
 
-// told is what the router's machine answers: a refusal, or a go.
-func (a *asked) told(body any) {
+// routerAnswered is what the router's machine answers: a refusal, or a go.
+func (a *clientRequest) routerAnswered(body any) {
 	switch said := body.(type) {
 	case protocol.Rejection:
 		a.retryMs = said.RetryMs
-		a.w.pass(a.n.name, "senders", func() { a.end(string(said.Kind), said.Kind.Reply().Drop) }, func() { a.end("stream broke", false) })
-		delete(a.n.under, a.id)
+		a.world.transmit(a.router.name, "senders", func() { a.finish(string(said.Kind), said.Kind.Reply().Drop) }, func() { a.finish("stream broke", false) })
+		delete(a.router.pending, a.id)
 	case router.Go:
-		a.going = true
-		if a.w.Breaks.SlipBack && a.w.Random.Intn(10) == 0 {
+		a.attempting = true
+		if a.world.Bugs.SendOldRevision && a.world.Random.Intn(10) == 0 {
 			said.Revision = 1
 		}
-		if a.w.Breaks.DropThenRun && a.w.Random.Intn(20) == 0 {
-			a.end("no runner", true)
+		if a.world.Bugs.RunDropped && a.world.Random.Intn(20) == 0 {
+			a.finish("no runner", true)
 		}
-		machine := a.n.machine.(*router.Machine)
-		a.w.atSocket(a.n, a.life, func() bool { return a.w.Breaks.SlipBack || machine.MaySend(a.n.clock(a.w.events.NowMs()), said) }, func() { a.goTo(said) }, func() { a.ended(router.TooLate, 0) })
+		machine := a.router.machine.(*router.Machine)
+		a.world.atSocketWrite(a.router, a.routerIncarnation, func() bool {
+			return a.world.Bugs.SendOldRevision || machine.MaySend(a.router.clock(a.world.events.NowMs()), said)
+		}, func() { a.forward(said) }, func() { a.attemptEnded(router.TooLate, 0) })
 	}
 }
 
-func (a *asked) ended(outcome router.Outcome, revision uint64) {
-	a.going = false
-	if a.gone {
-		a.w.put(a.n, a.life, router.Gone{ID: a.id})
+func (a *clientRequest) attemptEnded(outcome router.Outcome, revision uint64) {
+	a.attempting = false
+	if a.disconnected {
+		a.world.deliver(a.router, a.routerIncarnation, router.Gone{ID: a.id})
 		return
 	}
-	a.w.put(a.n, a.life, router.Ended{ID: a.id, Outcome: outcome, Revision: revision})
+	a.world.deliver(a.router, a.routerIncarnation, router.Ended{ID: a.id, Outcome: outcome, Revision: revision})
 }
 
-// goTo takes a go to the runner, and what comes of it back.
-func (a *asked) goTo(to router.Go) {
-	w := a.w
+// forward takes a go to the runner, and what comes of it back.
+func (a *clientRequest) forward(to router.Go) {
+	w := a.world
 	r := w.runners[to.Runner]
-	cut := w.cuts[[2]string{a.n.name, to.Runner}]
+	cut := w.cuts[[2]string{a.router.name, to.Runner}]
 	// A refused or unreachable stream is known before a byte is written.
 	if r == nil || !r.up || cut {
-		w.events.After(1, func() { a.ended(router.NotSent, 0) })
+		w.events.After(1, func() { a.attemptEnded(router.NotSent, 0) })
 		return
 	}
 	lost := func() {
-		if w.Breaks.ResendLost {
-			a.ended(router.NotSent, 0)
+		if w.Bugs.RetryLost {
+			a.attemptEnded(router.NotSent, 0)
 			return
 		}
-		a.ended(router.Lost, 0)
+		a.attemptEnded(router.Lost, 0)
 	}
-	deadline := func() { w.events.After(max(1, to.DeadlineMs-a.n.clock(w.events.NowMs())), lost) }
-	runnerLife := r.life
-	w.Book.Sent(w.events.NowMs(), a.n.name, to.Service, to.Name, to.Revision)
-	w.pass(a.n.name, to.Runner, func() {
-		if !r.up || r.life != runnerLife {
+	deadline := func() { w.events.After(max(1, to.DeadlineMs-a.router.clock(w.events.NowMs())), lost) }
+	runnerLife := r.incarnation
+	w.Checker.RequestSent(w.events.NowMs(), a.router.name, to.Service, to.Name, to.Revision)
+	w.transmit(a.router.name, to.Runner, func() {
+		if !r.up || r.incarnation != runnerLife {
 			lost()
 			return
 		}
-		if r.dark {
+		if r.blackholed {
 			deadline()
 			return
 		}
-		drop := r.stand.Run(w.events.NowMs(), router.RunCall{
+		drop := r.backend.StartRequest(w.events.NowMs(), router.RunCall{
 			Request: to.Name, Service: to.Service, Model: to.Model, Adapter: to.Adapter, Revision: to.Revision,
 			Incarnation: to.Incarnation, Repeatable: to.Repeatable, Telling: to.Telling,
-		}, a.n.name)
+		}, a.router.name)
 		if drop != nil {
-			w.pass(to.Runner, a.n.name, func() { a.ended(outcomeOf(drop), drop.Revision) }, deadline)
+			w.transmit(to.Runner, a.router.name, func() { a.attemptEnded(outcomeOf(drop), drop.Revision) }, deadline)
 			return
 		}
-		a.telling = to.Telling
-		a.work(r, runnerLife, to, 1, lost, deadline)
+		a.streaming = to.Telling
+		a.execute(r, runnerLife, to, 1, lost, deadline)
 	}, deadline)
 }
 
@@ -120,94 +122,94 @@
 	return router.Busy
 }
 
-const tellingPieces = 5
+const streamPieces = 5
 
-// work is the running of a request: a piece at a time for a telling.
-func (a *asked) work(r *runner, life int, to router.Go, piece int, lost, deadline func()) {
-	w := a.w
+// execute is the running of a request: a piece at a time for a telling.
+func (a *clientRequest) execute(r *runner, life int, to router.Go, piece int, lost, deadline func()) {
+	w := a.world
 	w.events.After(20+w.Random.Int63n(120), func() {
 		broken := func() {
 			if a.pieces > 0 {
-				if w.Breaks.TellWrong {
-					w.Book.Wrong(w.events.NowMs(), a.service, a.name, "a telling looked finished without its end mark")
+				if w.Bugs.EndBrokenStreams {
+					w.Checker.InvalidAnswer(w.events.NowMs(), a.service, a.name, "a telling looked finished without its end mark")
 				}
 				// The router closes the sender's stream without an end.
-				a.ended(router.Answered, 0)
-				a.broke()
+				a.attemptEnded(router.Answered, 0)
+				a.streamBroke()
 				return
 			}
 			lost()
 		}
-		if !r.up || r.life != life {
+		if !r.up || r.incarnation != life {
 			broken()
 			return
 		}
-		if r.dark {
+		if r.blackholed {
 			deadline()
 			return
 		}
-		last := !to.Telling || piece == tellingPieces
+		last := !to.Telling || piece == streamPieces
 		if last {
-			r.stand.Done()
+			r.backend.FinishRequest()
 		}
-		w.pass(to.Runner, a.n.name, func() {
-			if !a.n.up || a.n.life != a.life {
+		w.transmit(to.Runner, a.router.name, func() {
+			if !a.router.up || a.router.incarnation != a.routerIncarnation {
 				return
 			}
 			a.pieces = piece
 			if !last {
 				return
 			}
-			a.ended(router.Answered, 0)
-			delete(a.n.under, a.id)
-			w.pass(a.n.name, "senders", func() { a.end("answered", false) }, func() { a.end("stream broke", false) })
+			a.attemptEnded(router.Answered, 0)
+			delete(a.router.pending, a.id)
+			w.transmit(a.router.name, "senders", func() { a.finish("answered", false) }, func() { a.finish("stream broke", false) })
 		}, broken)
 		if !last {
-			a.work(r, life, to, piece+1, lost, deadline)
+			a.execute(r, life, to, piece+1, lost, deadline)
 		}
 	})
 }
 
-// leave is the sender going away: its stream closes, and a go that is under
+// disconnect is the sender going away: its stream closes, and a go that is under
 // way is broken off.
-func (a *asked) leave() {
-	if a.done || a.n.under[a.id] != a {
+func (a *clientRequest) disconnect() {
+	if a.done || a.router.pending[a.id] != a {
 		return
 	}
-	a.gone = true
-	a.end("sender gone", false)
-	delete(a.n.under, a.id)
-	if !a.going {
-		a.w.put(a.n, a.life, router.Gone{ID: a.id})
+	a.disconnected = true
+	a.finish("sender gone", false)
+	delete(a.router.pending, a.id)
+	if !a.attempting {
+		a.world.deliver(a.router, a.routerIncarnation, router.Gone{ID: a.id})
 	}
 }
 
-// broke is the sender's stream breaking.
-func (a *asked) broke() {
-	delete(a.n.under, a.id)
-	a.end("stream broke", false)
+// streamBroke is the sender's stream breaking.
+func (a *clientRequest) streamBroke() {
+	delete(a.router.pending, a.id)
+	a.finish("stream broke", false)
 }
 
-func (a *asked) end(kind string, drop bool) {
+func (a *clientRequest) finish(kind string, drop bool) {
 	if a.done {
 		return
 	}
 	a.done = true
-	a.w.Book.Told(a.w.events.NowMs(), a.service, a.name, kind, drop)
+	a.world.Checker.RequestEnded(a.world.events.NowMs(), a.service, a.name, kind, drop)
 	if a.probe {
 		return
 	}
-	a.w.senders.ended(a.w, a.service, kind)
-	if a.again > 0 && a.again <= comeBackMost && !a.twin {
-		a.w.senders.backs[kind]++
+	a.world.clients.requestEnded(a.world, a.service, kind)
+	if a.retries > 0 && a.retries <= maxClientRetries && !a.duplicate {
+		a.world.clients.retryOutcomes[kind]++
 	}
-	a.comeBack(kind, drop)
+	a.scheduleRetry(kind, drop)
 	if kind == "answered" && a.model != "" {
-		a.w.senders.servedOf[a.model]++
+		a.world.clients.answersByModel[a.model]++
 	}
 }
 
-func sortedIds(under map[uint64]*asked) []uint64 {
+func sortedIDs(under map[uint64]*clientRequest) []uint64 {
 	ids := make([]uint64, 0, len(under))
 	for id := range under {
 		ids = append(ids, id)
--- a/internal/simulation/nativesim/runner.go
+++ b/internal/simulation/nativesim/runner.go
@@ -9,13 +9,13 @@
 
 // runner is a back end in the world.
 type runner struct {
-	name   string
-	room   int64
-	stand  *testbackend.Runner
-	life   int
-	up     bool
-	dark   bool
-	loadMs int64
+	name        string
+	capacity    int64
+	backend     *testbackend.Runner
+	incarnation int
+	up          bool
+	blackholed  bool
+	loadMs      int64
 }
 
 // StartRunner starts a runner with a new incarnation and lists it.
@@ -24,33 +24,33 @@
 	if r.up {
 		return
 	}
-	r.life++
-	r.up, r.dark = true, false
+	r.incarnation++
+	r.up, r.blackholed = true, false
 	if r.loadMs == 0 {
 		r.loadMs = 2000
 	}
-	r.stand = testbackend.NewRunner(name, fmt.Sprintf("%s-%d", name, r.life), r.room, r.loadMs, w.Book)
-	r.stand.Careless = w.careless
-	w.platform.Put(protocol.ListedRunner{Name: name, Address: "run:" + name, Incarnation: r.stand.Incarnation})
-	w.note("%s starts as %s", name, r.stand.Incarnation)
+	r.backend = testbackend.NewRunner(name, fmt.Sprintf("%s-%d", name, r.incarnation), r.capacity, r.loadMs, w.Checker)
+	r.backend.AcceptOldRevisions = w.acceptOldRevisions
+	w.platform.Put(protocol.ListedRunner{Name: name, Address: "run:" + name, Incarnation: r.backend.Incarnation})
+	w.tracef("%s starts as %s", name, r.backend.Incarnation)
 }
 
 // CrashRunner ends a runner; what it ran breaks off.
 func (w *World) CrashRunner(name string) {
 	if r := w.runners[name]; r.up {
-		w.note("%s crashes", name)
+		w.tracef("%s crashes", name)
 		r.up = false
 	}
 }
 
-// DarkenRunner makes a runner take everything and answer nothing.
-func (w *World) DarkenRunner(name string, dark bool) {
-	w.note("%s dark: %v", name, dark)
-	w.runners[name].dark = dark
+// BlackholeRunner makes a runner take everything and answer nothing.
+func (w *World) BlackholeRunner(name string, dark bool) {
+	w.tracef("%s dark: %v", name, dark)
+	w.runners[name].blackholed = dark
 }
 
 // MarkLeaving marks a runner's present incarnation at the platform.
 func (w *World) MarkLeaving(name string) {
-	w.note("%s is marked leaving", name)
-	w.platform.Mark(name)
+	w.tracef("%s is marked leaving", name)
+	w.platform.MarkLeaving(name)
 }
--- a/internal/simulation/nativesim/scenario.go
+++ b/internal/simulation/nativesim/scenario.go
@@ -13,30 +13,30 @@
 // Scenario is a failure that is brought about on a serving site.
 type Scenario struct {
 	About string
-	// Do brings it about; the site serves, and goes on for RunMs after it.
-	Do    func(w *World)
-	RunMs int64
+	// Inject brings it about; the site serves, and goes on for RunMs after it.
+	Inject func(w *World)
+	RunMs  int64
 }
 
-// settleMs is how long a founded site is given before its first failure.
-const settleMs = 12_000
+// warmUpMs is how long a founded site is given before its first failure.
+const warmUpMs = 12_000
 
 // Result is what a run showed.
 type Result struct {
-	World    *World
-	Breaches []invariants.Breach
+	World      *World
+	Violations []invariants.Violation
 }
 
 // Begin founds a world's site, hands the description over and begins sending.
 func (w *World) Begin() {
 	w.Run(2000)
-	w.Found()
+	w.Bootstrap()
 	w.Run(2000)
-	w.HandOver(w.Primary(), 0, w.Text)
+	w.SubmitDescription(w.Primary(), 0, w.DescriptionText)
 	w.Run(2000)
-	w.SendAll()
-	w.Probe()
-	w.Run(settleMs)
+	w.StartClients()
+	w.StartProbes()
+	w.Run(warmUpMs)
 }
 
 // Play runs a scenario on a site with a seed and checks the rules.
@@ -48,17 +48,17 @@
 // Play runs a scenario on this world.
 func (w *World) Play(s Scenario) Result {
 	w.Begin()
-	s.Do(w)
+	s.Inject(w)
 	w.Run(s.RunMs)
-	w.StopSending()
+	w.StopClients()
 	w.CheckDescriptions()
-	return Result{w, w.Book.Breaches()}
+	return Result{w, w.Checker.Violations()}
 }
 
 // Report says what broke, and how to see it again.
 func (r Result) Report() string {
 	var lines []string
-	for _, breach := range r.Breaches {
+	for _, breach := range r.Violations {
 		lines = append(lines, breach.String())
 	}
 	return fmt.Sprintf("seed %d\n%s\n%s", r.World.Seed, strings.Join(lines, "\n"), r.World.Trace())
@@ -66,7 +66,7 @@
 
 func (w *World) others(names ...string) []string {
 	var out []string
-	for _, name := range append(w.names(""), "platform", "operator", "senders") {
+	for _, name := range append(w.nodeNames(""), "platform", "operator", "senders") {
 		skip := false
 		for _, n := range names {
 			skip = skip || n == name
@@ -86,23 +86,23 @@
 	return peer.Name
 }
 
-// mustBeAccepted looks whether a revision that could be taken was.
-func (w *World) mustBeAccepted(number uint64) {
-	if w.operator.lastNumber < number {
-		w.Book.Lost(w.events.NowMs(), fmt.Sprintf("revision %d could be taken and was not: %v", number, w.operator.outcomes))
+// checkAccepted looks whether a revision that could be taken was.
+func (w *World) checkAccepted(number uint64) {
+	if w.operator.newestAccepted < number {
+		w.Checker.DescriptionLost(w.events.NowMs(), fmt.Sprintf("revision %d could be taken and was not: %v", number, w.operator.outcomes))
 	}
 }
 
-// mustBeRetired looks whether the old daemon retired and the new one did not.
-func (w *World) mustBeRetired(old, fresh string) {
+// checkRetired looks whether the old daemon retired and the new one did not.
+func (w *World) checkRetired(old, fresh string) {
 	if !w.retired(old) || w.retired(fresh) {
-		w.Book.Lost(w.events.NowMs(), fmt.Sprintf("%s retired: %v, %s retired: %v", old, w.retired(old), fresh, w.retired(fresh)))
+		w.Checker.DescriptionLost(w.events.NowMs(), fmt.Sprintf("%s retired: %v, %s retired: %v", old, w.retired(old), fresh, w.retired(fresh)))
 	}
 }
 
 func (w *World) retired(name string) bool {
 	n := w.nodes[name]
-	if n.part == protocol.Controller {
+	if n.role == protocol.Controller {
 		return w.status(n).Retired
 	}
 	for _, answer := range n.machine.Step(n.clock(w.events.NowMs()), router.Look{ID: 1}).Answers {
@@ -117,13 +117,13 @@
 var Scenarios = map[string]Scenario{
 	"quiet": {"nothing fails", func(*World) {}, 10_000},
 	"rare models for two minutes": {"all models are asked for alike", func(w *World) {
-		w.senders.rare = true
+		w.clients.uniformModels = true
 		w.Run(120_000)
 	}, 1000},
 	"primary killed while a description is being accepted": {
 		"the outcome is one of in force and not, and never both", func(w *World) {
 			p := w.Primary()
-			w.HandOver(p, 1, w.Variant(1))
+			w.SubmitDescription(p, 1, w.Variant(1))
 			w.Run(w.Random.Int63n(40))
 			w.Kill(p)
 			w.Run(4000)
@@ -131,7 +131,7 @@
 		}, 20_000},
 	"primary loses its disk right after": {"an accepted description outlives the primary's disk", func(w *World) {
 		p := w.Primary()
-		w.HandOver(p, 1, w.Variant(1))
+		w.SubmitDescription(p, 1, w.Variant(1))
 		w.Run(300 + w.Random.Int63n(500))
 		w.Kill(p)
 		w.Wipe(p)
@@ -140,7 +140,7 @@
 	}, 20_000},
 	"backup loses its disk right after": {"an accepted description outlives the backup's disk", func(w *World) {
 		b := w.backup()
-		w.HandOver(w.Primary(), 1, w.Variant(1))
+		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(300 + w.Random.Int63n(500))
 		w.Kill(b)
 		w.Wipe(b)
@@ -151,34 +151,34 @@
 		p := w.Primary()
 		w.Freeze(p)
 		w.Run(3000 + w.Random.Int63n(4000))
-		w.HandOver(p, 1, w.Variant(1))
+		w.SubmitDescription(p, 1, w.Variant(1))
 		w.Thaw(p)
 	}, 20_000},
 	"core cut off from routers for long": {"routers go on by a majority of themselves", func(w *World) {
-		w.Cut(w.names(protocol.Controller), w.names(protocol.Router), false)
-		w.HandOver(w.Primary(), 1, w.Variant(1))
+		w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router), false)
+		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(40_000)
 		w.Heal()
 	}, 15_000},
 	"some routers cut off while descriptions come": {"those cut off stop in time", func(w *World) {
-		names := w.names(protocol.Router)
-		w.Cut(w.names(protocol.Controller), names[:2], false)
+		names := w.nodeNames(protocol.Router)
+		w.Cut(w.nodeNames(protocol.Controller), names[:2], false)
 		w.Run(w.Random.Int63n(3000))
 		for range 3 {
-			w.handOverNext()
+			w.submitNext()
 			w.Run(w.Random.Int63n(9000))
 		}
 		w.Kill(names[len(names)-1])
 		w.Start(names[len(names)-1])
-		w.handOverNext()
+		w.submitNext()
 	}, 20_000},
 	"orders on the way when holders change": {"orders arrive seconds after their holder died", func(w *World) {
-		w.senders.rare = true
+		w.clients.uniformModels = true
 		for range 4 {
-			w.latePart, w.lateMs = 0.5, 9000
+			w.delayRate, w.maxDelayMs = 0.5, 9000
 			w.Run(3000 + w.Random.Int63n(2000))
 			p := w.Primary()
-			w.latePart = 0
+			w.delayRate = 0
 			if p != "" {
 				w.Kill(p)
 			}
@@ -190,7 +190,7 @@
 		}
 	}, 5000},
 	"a core machine stays away, then another goes": {"where there is a fourth, the site outlives the second loss", func(w *World) {
-		names := w.names(protocol.Controller)
+		names := w.nodeNames(protocol.Controller)
 		gone := names[w.Random.Intn(3)]
 		w.Kill(gone)
 		w.Run(45_000)
@@ -198,9 +198,9 @@
 			p := w.Primary()
 			w.Kill(p)
 			w.Run(6000)
-			w.HandOver(w.Primary(), 1, w.Variant(1))
+			w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 			w.Run(9000)
-			w.mustBeAccepted(2)
+			w.checkAccepted(2)
 			w.Run(30_000)
 			// The first comes back as it was, beside its successor.
 			w.Start(gone)
@@ -211,45 +211,45 @@
 		} else {
 			w.Start(gone)
 		}
-		w.checkBack()
+		w.checkRecovery()
 	}, 1000},
 	"an old core machine wakes beside its replacement": {"the old one retires for good and disturbs nobody", func(w *World) {
-		name := w.names(protocol.Controller)[w.Random.Intn(3)]
-		ghost := w.Double(name)
+		name := w.nodeNames(protocol.Controller)[w.Random.Intn(3)]
+		ghost := w.StartReplacement(name)
 		w.Run(3000 + w.Random.Int63n(8000))
 		w.Thaw(ghost)
 		w.Run(4000)
-		w.mustBeRetired(ghost, name)
-		w.HandOver(w.Primary(), 1, w.Variant(1))
+		w.checkRetired(ghost, name)
+		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(9000)
-		w.mustBeAccepted(2)
+		w.checkAccepted(2)
 		// It stays retired, also when it is started again.
 		w.Kill(ghost)
 		w.Start(ghost)
 		w.Run(3000)
-		w.mustBeRetired(ghost, name)
+		w.checkRetired(ghost, name)
 	}, 3000},
 	"an old router wakes beside its replacement": {"one of the two goes on; no description slips", func(w *World) {
-		name := w.some(protocol.Router)
-		ghost := w.Double(name)
+		name := w.randomNode(protocol.Router)
+		ghost := w.StartReplacement(name)
 		w.Run(500 + w.Random.Int63n(4000))
-		w.HandOver(w.Primary(), 1, w.Variant(1))
+		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(w.Random.Int63n(3000))
 		w.Thaw(ghost)
 		w.Run(6000)
-		w.mustBeRetired(ghost, name)
-		w.HandOver(w.Primary(), 2, w.Variant(2))
+		w.checkRetired(ghost, name)
+		w.SubmitDescription(w.Primary(), 2, w.Variant(2))
 		w.Run(9000)
-		w.mustBeAccepted(3)
+		w.checkAccepted(3)
 	}, 3000},
 	"a description shrinks rooms and pace": {"less than is in use, while all models are asked for", func(w *World) {
-		w.senders.rare = true
+		w.clients.uniformModels = true
 		w.Run(8000)
 		small := strings.ReplaceAll(w.Variant(1), `"room": 96`, `"room": 70`)
-		pace := fmt.Sprintf(`"loadsPer10s": %d`, w.Site.Store.LoadsPer10s)
-		w.HandOver(w.Primary(), 1, strings.Replace(small, pace, `"loadsPer10s": 4`, 1))
+		pace := fmt.Sprintf(`"loadsPer10s": %d`, w.Description.Store.LoadsPer10s)
+		w.SubmitDescription(w.Primary(), 1, strings.Replace(small, pace, `"loadsPer10s": 4`, 1))
 		w.Run(30_000)
-		w.mustBeAccepted(2)
+		w.checkAccepted(2)
 		p := w.Primary()
 		w.Kill(p)
 		w.Run(12_000)
@@ -258,7 +258,7 @@
 	"core cut in two": {"at most one side goes on", func(w *World) {
 		p := w.Primary()
 		w.Cut([]string{p}, w.others(p, "operator", "senders"), false)
-		w.HandOver(p, 1, w.Variant(1))
+		w.SubmitDescription(p, 1, w.Variant(1))
 		w.Run(8000)
 		w.Heal()
 	}, 20_000},
@@ -282,12 +282,12 @@
 		w.StartRunner("language-2")
 	}, 20_000},
 	"runner goes dark": {"what it took ends as unknown", func(w *World) {
-		w.DarkenRunner("language-1", true)
+		w.BlackholeRunner("language-1", true)
 		w.Run(10_000)
-		w.DarkenRunner("language-1", false)
+		w.BlackholeRunner("language-1", false)
 	}, 10_000},
 	"runner marked leaving while requests are held": {"nothing reaches it once its time is up", func(w *World) {
-		w.Crowd(w.Site.Services[0].Name, 60)
+		w.Burst(w.Description.Services[0].Name, 60)
 		w.MarkLeaving("language-1")
 		w.MarkLeaving("language-3")
 		w.Run(8000)
@@ -305,19 +305,19 @@
 	"leaving while the primary is dead and routers freeze": {"a router that wakes does not send to a leaver", func(w *World) {
 		w.Kill(w.Primary())
 		w.Run(500)
-		for i, name := range w.names(protocol.Router) {
+		for i, name := range w.nodeNames(protocol.Router) {
 			if i%2 == 0 {
 				w.Freeze(name)
 			}
 		}
 		w.MarkLeaving("language-1")
 		w.Run(5000)
-		for _, name := range w.names(protocol.Router) {
+		for _, name := range w.nodeNames(protocol.Router) {
 			w.Thaw(name)
 		}
 	}, 15_000},
 	"total loss": {"all daemons are killed and started", func(w *World) {
-		names := w.names("")
+		names := w.nodeNames("")
 		for _, name := range names {
 			w.Kill(name)
 		}
@@ -327,7 +327,7 @@
 		}
 	}, 25_000},
 	"all seed machines swapped, then all lost": {"each comes back empty at a new address; routers' seeds lead nowhere", func(w *World) {
-		for _, name := range w.names(protocol.Controller)[:3] {
+		for _, name := range w.nodeNames(protocol.Controller)[:3] {
 			w.Kill(name)
 			w.Wipe(name)
 			w.Move(name)
@@ -335,19 +335,19 @@
 			w.Start(name)
 			w.Run(8000)
 		}
-		for _, name := range w.names("") {
+		for _, name := range w.nodeNames("") {
 			w.Kill(name)
 		}
-		for _, name := range w.names("") {
+		for _, name := range w.nodeNames("") {
 			w.Start(name)
 		}
-		w.checkBack()
+		w.checkRecovery()
 	}, 1000},
 	"core machines wiped one after the other": {"the description outlives every disk it was first on", func(w *World) {
-		w.HandOver(w.Primary(), 1, w.Variant(1))
+		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(1000)
 		for range 2 {
-			for _, name := range w.names(protocol.Controller) {
+			for _, name := range w.nodeNames(protocol.Controller) {
 				w.Kill(name)
 				w.Wipe(name)
 				w.Run(500)
@@ -358,37 +358,37 @@
 	}, 5000},
 	"descriptions large and many": {"close to the bound in size, one after the other", func(w *World) {
 		for i := range 4 {
-			w.HandOver(w.Primary(), uint64(1+i), w.Text+strings.Repeat(" ", 1_000_000+i))
+			w.SubmitDescription(w.Primary(), uint64(1+i), w.DescriptionText+strings.Repeat(" ", 1_000_000+i))
 			w.Run(1000)
 		}
 	}, 5000},
 	"runners forget what they hold": {"the ledger follows what they report", func(w *World) {
 		for range 5 {
-			name := w.someRunner()
-			w.note("%s forgets %d things", name, len(w.runners[name].stand.Report(w.events.NowMs()).Held))
-			w.runners[name].stand.Forget()
+			name := w.randomRunner()
+			w.tracef("%s forgets %d things", name, len(w.runners[name].backend.Report(w.events.NowMs()).Held))
+			w.runners[name].backend.UnloadAll()
 			w.Run(3000)
 		}
 	}, 10_000},
 	"operators race": {"of two descriptions with one base one wins", func(w *World) {
 		p := w.Primary()
-		w.HandOver(p, 1, w.Variant(1))
-		w.HandOver(p, 1, w.Variant(2))
-		w.HandOver(w.backup(), 1, w.Variant(3))
+		w.SubmitDescription(p, 1, w.Variant(1))
+		w.SubmitDescription(p, 1, w.Variant(2))
+		w.SubmitDescription(w.backup(), 1, w.Variant(3))
 	}, 10_000},
 	"disk full at the primary": {"it steps down, and the next goes on", func(w *World) {
 		p := w.Primary()
 		w.nodes[p].disk.full = true
-		w.HandOver(p, 1, w.Variant(1))
+		w.SubmitDescription(p, 1, w.Variant(1))
 		w.Run(6000)
-		w.HandOver(w.Primary(), 1, w.Variant(2))
+		w.SubmitDescription(w.Primary(), 1, w.Variant(2))
 	}, 15_000},
 	"disk full at the backup for long": {"a spare, where there is one, takes its place", func(w *World) {
 		b := w.backup()
 		w.nodes[b].disk.full = true
-		w.HandOver(w.Primary(), 1, w.Variant(1))
+		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(15_000)
-		w.mustBeAccepted(2)
+		w.checkAccepted(2)
 		w.nodes[b].disk.full = false
 		w.Kill(b)
 		w.Start(b)
@@ -396,22 +396,22 @@
 	"disk stalled at the backup for long": {"a spare, where there is one, takes its place", func(w *World) {
 		b := w.backup()
 		w.nodes[b].disk.stalled = true
-		w.HandOver(w.Primary(), 1, w.Variant(1))
+		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(15_000)
-		w.mustBeAccepted(2)
+		w.checkAccepted(2)
 		w.nodes[b].disk.stalled = false
 	}, 10_000},
 	"disk stalled at the primary": {"it steps down, and the next goes on", func(w *World) {
 		p := w.Primary()
 		w.nodes[p].disk.stalled = true
-		w.HandOver(p, 1, w.Variant(1))
+		w.SubmitDescription(p, 1, w.Variant(1))
 		w.Run(6000)
 		w.nodes[p].disk.stalled = false
 	}, 15_000},
 }
 
-// Names lists the scenarios in order.
-func Names() []string {
+// ScenarioNames lists the scenarios in order.
+func ScenarioNames() []string {
 	var names []string
 	for name := range Scenarios {
 		names = append(names, name)
--- a/internal/simulation/nativesim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -17,73 +17,73 @@
 )
 
 const (
-	startMs   = 1_000_000
-	tickMs    = 50
-	traceMost = 400
+	startMs       = 1_000_000
+	tickMs        = 50
+	maxTraceLines = 400
 )
 
 // World is a whole site in virtual time.
 type World struct {
-	Seed   int64
-	Book   *invariants.Book
-	Text   string
-	Site   *description.Description
-	Random *rand.Rand
+	Seed            int64
+	Checker         *invariants.Checker
+	DescriptionText string
+	Description     *description.Description
+	Random          *rand.Rand
 
 	events   *eventqueue.Queue
 	nodes    map[string]*node
-	address  map[string]string
+	nodeAt   map[string]string
 	runners  map[string]*runner
 	platform *testbackend.Platform
 	// cuts holds the directed pairs that no message passes.
 	cuts map[[2]string]bool
-	// lossPart of messages are lost and twicePart come twice.
-	lossPart, twicePart float64
-	// latePart of what passes the network comes up to lateMs late.
-	latePart        float64
-	lateMs          int64
-	seeds           []string
-	trace           []string
-	operator        operator
-	senders         senders
-	Net             NetTally
-	busy            map[string]bool
-	variants, moves int
-	careless        bool
-	// weigh counts the bytes of messages, which costs time.
-	weigh bool
-	// lieAboutRoom is what runners report as their room, for a broken variant.
-	lieAboutRoom int64
-	faults       []string
-	// Breaks lets a test break the system on purpose, to show that a rule fires.
-	Breaks Breaks
+	// lossRate of messages are lost and duplicateRate come twice.
+	lossRate, duplicateRate float64
+	// delayRate of what passes the network comes up to maxDelayMs late.
+	delayRate          float64
+	maxDelayMs         int64
+	seeds              []string
+	trace              []string
+	operator           operator
+	clients            clients
+	Network            NetworkTally
+	recovering         map[string]bool
+	submissions, moves int
+	acceptOldRevisions bool
+	// countBytes counts the bytes of messages, which costs time.
+	countBytes bool
+	// reportedCapacity is what runners report as their room, for a broken variant.
+	reportedCapacity int64
+	faults           []string
+	// Bugs lets a test break the system on purpose, to show that a rule fires.
+	Bugs Bugs
 }
 
-// Breaks are deliberate faults of the system itself, for showing that a
+// Bugs are deliberate faults of the system itself, for showing that a
 // checker fires. None is ever set otherwise.
-type Breaks struct {
-	// NoSocketCheck makes sends ignore the check at the socket.
-	NoSocketCheck bool
-	// UnsyncedDisk makes disks say that they saved what they then lose.
-	UnsyncedDisk bool
-	// ResendLost makes routers send lost requests again whatever they are.
-	ResendLost bool
-	// GapMs replaces the gap between two holders.
-	GapMs int64
-	// NoGiven makes routers keep from the primary what they gave to peers.
-	NoGiven bool
-	// DropThenRun tells senders of a drop and sends the request all the same.
-	DropThenRun bool
-	// TellWrong makes routers end a torn telling as if it were whole.
-	TellWrong bool
-	// LieToOperator tells operators of the opposite of what became of a text.
-	LieToOperator bool
-	// NoFence makes runners heed late orders of holders before.
-	NoFence bool
-	// SlipBack makes routers send under the first revision at times.
-	SlipBack bool
-	// ForgetHold makes frozen daemons believe that no time passed.
-	ForgetHold bool
+type Bugs struct {
+	// SkipSocketCheck makes sends ignore the check at the socket.
+	SkipSocketCheck bool
+	// LoseWrites makes disks say that they saved what they then lose.
+	LoseWrites bool
+	// RetryLost makes routers send lost requests again whatever they are.
+	RetryLost bool
+	// HolderGapMs replaces the gap between two holders.
+	HolderGapMs int64
+	// HideRenewals makes routers keep from the primary what they gave to peers.
+	HideRenewals bool
+	// RunDropped tells senders of a drop and sends the request all the same.
+	RunDropped bool
+	// EndBrokenStreams makes routers end a torn telling as if it were whole.
+	EndBrokenStreams bool
+	// InvertOutcomes tells operators of the opposite of what became of a text.
+	InvertOutcomes bool
+	// IgnoreFencing makes runners heed late orders of holders before.
+	IgnoreFencing bool
+	// SendOldRevision makes routers send under the first revision at times.
+	SendOldRevision bool
+	// ForgetLeases makes frozen daemons believe that no time passed.
+	ForgetLeases bool
 }
 
 // New makes the world of a described site; nothing is founded.
@@ -99,10 +99,10 @@
 		panic(fmt.Sprintf("sim: the description has faults: %v", faults))
 	}
 	w := &World{
-		Seed: seed, Text: text, Site: d, Random: rand.New(rand.NewSource(seed)),
-		Book:  invariants.New(d.Store.LoadsPer10s, d.SecondGoes),
-		nodes: map[string]*node{}, address: map[string]string{}, runners: map[string]*runner{},
-		platform: testbackend.NewPlatform(), cuts: map[[2]string]bool{}, busy: map[string]bool{}, events: eventqueue.New(startMs),
+		Seed: seed, DescriptionText: text, Description: d, Random: rand.New(rand.NewSource(seed)),
+		Checker: invariants.New(d.Store.LoadsPer10s, d.SecondGoes),
+		nodes:   map[string]*node{}, nodeAt: map[string]string{}, runners: map[string]*runner{},
+		platform: testbackend.NewPlatform(), cuts: map[[2]string]bool{}, recovering: map[string]bool{}, events: eventqueue.New(startMs),
 	}
 	for i, member := range d.Controllers {
 		n := w.addNode(member, protocol.Controller)
@@ -115,23 +115,23 @@
 		w.addNode(member, protocol.Router)
 	}
 	for _, r := range d.Runners {
-		w.runners[r.Name] = &runner{name: r.Name, room: r.Room}
+		w.runners[r.Name] = &runner{name: r.Name, capacity: r.Room}
 		w.StartRunner(r.Name)
 	}
-	for _, name := range w.names("") {
+	for _, name := range w.nodeNames("") {
 		w.nodes[name].seeds = w.seeds
 		w.Start(name)
 	}
-	w.senders.init(w)
+	w.clients.init(w)
 	w.operator.init()
 	return w
 }
 
-// names lists the daemons of a part, or all, in order.
-func (w *World) names(part string) []string {
+// nodeNames lists the daemons of a part, or all, in order.
+func (w *World) nodeNames(part string) []string {
 	var out []string
 	for name, n := range w.nodes {
-		if part == "" || n.part == part {
+		if part == "" || n.role == part {
 			out = append(out, name)
 		}
 	}
@@ -139,10 +139,10 @@
 	return out
 }
 
-func (w *World) note(format string, args ...any) {
+func (w *World) tracef(format string, args ...any) {
 	w.trace = append(w.trace, fmt.Sprintf("%8d ", w.events.NowMs())+fmt.Sprintf(format, args...))
-	if len(w.trace) > traceMost {
-		w.trace = w.trace[len(w.trace)-traceMost:]
+	if len(w.trace) > maxTraceLines {
+		w.trace = w.trace[len(w.trace)-maxTraceLines:]
 	}
 }
 
--- a/internal/simulation/testbackend/cutter.go
+++ b/internal/simulation/testbackend/connection_cutter.go
@@ -8,33 +8,33 @@
 	"myrtlewinch/internal/threads"
 )
 
-// Cutter stands on the way to a back end and cuts streams off in the middle:
+// ConnectionCutter stands on the way to a back end and cuts streams off in the middle:
 // after so many bytes towards it, or so many back.
-type Cutter struct {
+type ConnectionCutter struct {
 	listener net.Listener
 	target   string
-	// Towards and Back are how many bytes of each stream pass, or below nought
+	// RequestLimit and Back are how many bytes of each stream pass, or below nought
 	// for all.
-	Towards, Back atomic.Int64
+	RequestLimit, ResponseLimit atomic.Int64
 	// Cuts counts the streams that were cut off.
 	Cuts atomic.Int64
 }
 
-// NewCutter listens before a back end; nothing is cut yet.
-func NewCutter(listener net.Listener, target string) *Cutter {
-	c := &Cutter{listener: listener, target: target}
-	c.Mend()
+// NewConnectionCutter listens before a back end; nothing is cut yet.
+func NewConnectionCutter(listener net.Listener, target string) *ConnectionCutter {
+	c := &ConnectionCutter{listener: listener, target: target}
+	c.Reset()
 	return c
 }
 
-// Mend lets all pass again.
-func (c *Cutter) Mend() {
-	c.Towards.Store(-1)
-	c.Back.Store(-1)
+// Reset lets all pass again.
+func (c *ConnectionCutter) Reset() {
+	c.RequestLimit.Store(-1)
+	c.ResponseLimit.Store(-1)
 }
 
 // Serve carries streams until the listener is closed.
-func (c *Cutter) Serve() {
+func (c *ConnectionCutter) Serve() {
 	for {
 		near, err := c.listener.Accept()
 		if err != nil {
@@ -47,13 +47,13 @@
 		}
 		var once sync.Once
 		end := func() { once.Do(func() { _, _ = near.Close(), far.Close() }) }
-		threads.Side(func() { c.carry(far, near, &c.Towards, end) })
-		threads.Side(func() { c.carry(near, far, &c.Back, end) })
+		threads.Side(func() { c.copyUpTo(far, near, &c.RequestLimit, end) })
+		threads.Side(func() { c.copyUpTo(near, far, &c.ResponseLimit, end) })
 	}
 }
 
-// carry passes bytes on until one side ends or the bound is reached.
-func (c *Cutter) carry(to, from net.Conn, bound *atomic.Int64, end func()) {
+// copyUpTo passes bytes on until one side ends or the bound is reached.
+func (c *ConnectionCutter) copyUpTo(to, from net.Conn, bound *atomic.Int64, end func()) {
 	defer end()
 	passed, buffer := int64(0), make([]byte, 4096)
 	for {
--- a/internal/simulation/testbackend/platform.go
+++ b/internal/simulation/testbackend/platform.go
@@ -38,8 +38,8 @@
 	p.runners[listed.Name] = listed
 }
 
-// Mark marks the present incarnation of a runner as leaving.
-func (p *Platform) Mark(name string) (protocol.ListedRunner, bool) {
+// MarkLeaving marks the present incarnation of a runner as leaving.
+func (p *Platform) MarkLeaving(name string) (protocol.ListedRunner, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed, ok := p.runners[name]
@@ -74,7 +74,7 @@
 		p.Remove(name)
 		writeJSON(w, http.StatusOK, map[string]string{"removed": name})
 	case one && strings.HasSuffix(name, "/leaving") && r.Method == http.MethodPost:
-		if listed, ok := p.Mark(strings.TrimSuffix(name, "/leaving")); ok {
+		if listed, ok := p.MarkLeaving(strings.TrimSuffix(name, "/leaving")); ok {
 			writeJSON(w, http.StatusOK, listed)
 			return
 		}
--- a/internal/simulation/testbackend/runner.go
+++ b/internal/simulation/testbackend/runner.go
@@ -16,35 +16,35 @@
 // runs what it holds. It is a state machine too; its door is elsewhere.
 type Runner struct {
 	Name, Incarnation string
-	Room              int64
+	Capacity          int64
 	LoadMs            int64
-	Book              *invariants.Book
-	// Careless makes it run under any revision, for showing that the system
+	Checker           *invariants.Checker
+	// AcceptOldRevisions makes it run under any revision, for showing that the system
 	// does not lean on the runners' guard alone.
-	Careless bool
+	AcceptOldRevisions bool
 
-	epoch     uint64
-	lastOrder uint64
-	lastState string
-	order     protocol.Order
-	endsMs    int64
-	held      map[string]protocol.HeldItem
-	revision  uint64
-	seen      map[string]bool
-	running   int64
+	epoch       uint64
+	lastOrder   uint64
+	lastState   string
+	order       protocol.Order
+	orderEndsMs int64
+	held        map[string]protocol.HeldItem
+	revision    uint64
+	started     map[string]bool
+	running     int64
 }
 
 // NewRunner makes a runner that holds nothing.
-func NewRunner(name, incarnation string, room, loadMs int64, book *invariants.Book) *Runner {
+func NewRunner(name, incarnation string, room, loadMs int64, checker *invariants.Checker) *Runner {
 	return &Runner{
-		Name: name, Incarnation: incarnation, Room: room, LoadMs: loadMs, Book: book,
-		held: map[string]protocol.HeldItem{}, seen: map[string]bool{},
+		Name: name, Incarnation: incarnation, Capacity: room, LoadMs: loadMs, Checker: checker,
+		held: map[string]protocol.HeldItem{}, started: map[string]bool{},
 	}
 }
 
-// settle ends an order whose time has come.
-func (r *Runner) settle(nowMs int64) {
-	if r.lastState != protocol.OrderUnderWay || nowMs < r.endsMs {
+// completeOrder ends an order whose time has come.
+func (r *Runner) completeOrder(nowMs int64) {
+	if r.lastState != protocol.OrderUnderWay || nowMs < r.orderEndsMs {
 		return
 	}
 	r.lastState = protocol.OrderDone
@@ -58,9 +58,9 @@
 
 // Report is the runner's word on itself.
 func (r *Runner) Report(nowMs int64) protocol.RunnerReport {
-	r.settle(nowMs)
+	r.completeOrder(nowMs)
 	report := protocol.RunnerReport{
-		Runner: r.Name, Incarnation: r.Incarnation, Room: r.Room, Burden: r.running, Epoch: r.epoch,
+		Runner: r.Name, Incarnation: r.Incarnation, Room: r.Capacity, Burden: r.running, Epoch: r.epoch,
 		LastOrder: r.lastOrder, LastState: r.lastState, Held: []protocol.HeldItem{},
 	}
 	for _, held := range r.held {
@@ -73,21 +73,21 @@
 	return report
 }
 
-// Heed takes the epoch of whoever reads the report as the least that is heeded.
-func (r *Runner) Heed(epoch uint64) { r.epoch = max(r.epoch, epoch) }
+// RaiseEpoch takes the epoch of whoever reads the report as the least that is heeded.
+func (r *Runner) RaiseEpoch(epoch uint64) { r.epoch = max(r.epoch, epoch) }
 
-// Order takes an order, or refuses one of a lower epoch, for another
+// AcceptOrder takes an order, or refuses one of a lower epoch, for another
 // incarnation, or while another is under way. A repeat changes nothing.
-func (r *Runner) Order(nowMs int64, o protocol.Order) (protocol.RunnerReport, errkind.Kind) {
-	r.settle(nowMs)
+func (r *Runner) AcceptOrder(nowMs int64, o protocol.Order) (protocol.RunnerReport, errkind.Kind) {
+	r.completeOrder(nowMs)
 	switch {
 	case o.Incarnation != r.Incarnation:
 		return protocol.RunnerReport{}, errkind.OtherRunner
 	case o.Epoch < r.epoch:
 		return protocol.RunnerReport{}, errkind.LowerEpoch
 	}
-	if r.Book != nil {
-		r.Book.Order(nowMs, r.Name, o.Holder, o.Epoch)
+	if r.Checker != nil {
+		r.Checker.OrderReceived(nowMs, r.Name, o.Holder, o.Epoch)
 	}
 	r.epoch = o.Epoch
 	if o.Number <= r.lastOrder {
@@ -97,38 +97,38 @@
 		return protocol.RunnerReport{}, errkind.RunnerDropped
 	}
 	r.order, r.lastOrder, r.lastState = o, o.Number, protocol.OrderUnderWay
-	r.endsMs = nowMs + r.LoadMs/10
+	r.orderEndsMs = nowMs + r.LoadMs/10
 	if o.Action == protocol.Load {
-		r.endsMs = nowMs + r.LoadMs
+		r.orderEndsMs = nowMs + r.LoadMs
 		taken := o.Size
 		for _, held := range r.held {
 			taken += held.Size
 		}
-		if r.Book != nil {
-			r.Book.Load(nowMs, r.Name, o.Model)
-			r.Book.Room(nowMs, r.Name, taken, r.Room)
+		if r.Checker != nil {
+			r.Checker.LoadStarted(nowMs, r.Name, o.Model)
+			r.Checker.CapacityAssigned(nowMs, r.Name, taken, r.Capacity)
 		}
-		if taken > r.Room {
+		if taken > r.Capacity {
 			r.lastState = protocol.OrderFailed
 		}
 	}
 	return r.Report(nowMs), ""
 }
 
-// Run starts a request, or says that it did not run it.
-func (r *Runner) Run(nowMs int64, call router.RunCall, routerName string) *router.RunDrop {
-	r.settle(nowMs)
+// StartRequest starts a request, or says that it did not run it.
+func (r *Runner) StartRequest(nowMs int64, call router.RunCall, routerName string) *router.RunDrop {
+	r.completeOrder(nowMs)
 	no := false
 	drop := func(kind errkind.Kind) *router.RunDrop {
 		return &router.RunDrop{Kind: string(kind), Request: call.Request, Ran: &no, Revision: r.revision}
 	}
-	if r.Book != nil {
-		r.Book.Arrived(nowMs, call.Service, call.Request, r.Name, r.Incarnation)
+	if r.Checker != nil {
+		r.Checker.RequestArrived(nowMs, call.Service, call.Request, r.Name, r.Incarnation)
 	}
 	if call.Incarnation != r.Incarnation {
 		return drop(errkind.OtherRunner)
 	}
-	if call.Revision < r.revision && !r.Careless {
+	if call.Revision < r.revision && !r.AcceptOldRevisions {
 		return drop(errkind.StaleRevision)
 	}
 	r.revision = call.Revision
@@ -140,19 +140,19 @@
 		}
 	}
 	id := call.Service + "/" + call.Request
-	if r.seen[id] && !call.Repeatable {
+	if r.started[id] && !call.Repeatable {
 		return drop(errkind.AlreadyTaken)
 	}
-	r.seen[id] = true
+	r.started[id] = true
 	r.running++
-	if r.Book != nil {
-		r.Book.Started(nowMs, call.Service, call.Request, r.Name, call.Repeatable, routerName, call.Revision)
+	if r.Checker != nil {
+		r.Checker.RequestStarted(nowMs, call.Service, call.Request, r.Name, call.Repeatable, routerName, call.Revision)
 	}
 	return nil
 }
 
-// Forget drops everything that is held, without a new incarnation.
-func (r *Runner) Forget() { r.held = map[string]protocol.HeldItem{} }
+// UnloadAll drops everything that is held, without a new incarnation.
+func (r *Runner) UnloadAll() { r.held = map[string]protocol.HeldItem{} }
 
-// Done ends a request that Run started.
-func (r *Runner) Done() { r.running-- }
+// FinishRequest ends a request that Run started.
+func (r *Runner) FinishRequest() { r.running-- }
--- a/internal/simulation/testbackend/runnerdoor.go
+++ b/internal/simulation/testbackend/runner_server.go
@@ -14,30 +14,30 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// RunnerDoor is a runner's door to the network.
-type RunnerDoor struct {
+// RunnerServer is a runner's door to the network.
+type RunnerServer struct {
 	mu     sync.Mutex
 	runner *Runner
 	nowMs  func() int64
 	// WorkMs is how long a plain answer takes, and each piece of a telling.
 	WorkMs int64
 	Pieces int
-	// Torn makes every telling break off after its first piece.
-	Torn bool
+	// BreakStreams makes every telling break off after its first piece.
+	BreakStreams bool
 }
 
-// NewRunnerDoor opens a door.
-func NewRunnerDoor(runner *Runner, nowMs func() int64, workMs int64, pieces int) *RunnerDoor {
-	return &RunnerDoor{runner: runner, nowMs: nowMs, WorkMs: workMs, Pieces: pieces}
+// NewRunnerServer opens a door.
+func NewRunnerServer(runner *Runner, nowMs func() int64, workMs int64, pieces int) *RunnerServer {
+	return &RunnerServer{runner: runner, nowMs: nowMs, WorkMs: workMs, Pieces: pieces}
 }
 
 // ServeHTTP answers reports, orders and requests.
-func (d *RunnerDoor) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *RunnerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method + " " + r.URL.Path {
 	case "GET /report":
 		epoch, _ := strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
 		d.mu.Lock()
-		d.runner.Heed(epoch)
+		d.runner.RaiseEpoch(epoch)
 		report := d.runner.Report(d.nowMs())
 		d.mu.Unlock()
 		writeJSON(w, http.StatusOK, report)
@@ -47,7 +47,7 @@
 			return
 		}
 		d.mu.Lock()
-		report, kind := d.runner.Order(d.nowMs(), order)
+		report, kind := d.runner.AcceptOrder(d.nowMs(), order)
 		d.mu.Unlock()
 		if kind != "" {
 			writeJSON(w, http.StatusConflict, errkind.Answer{Kind: kind, Ran: "no"})
@@ -64,9 +64,9 @@
 	}
 }
 
-func (d *RunnerDoor) run(w http.ResponseWriter, r *http.Request, call router.RunCall) {
+func (d *RunnerServer) run(w http.ResponseWriter, r *http.Request, call router.RunCall) {
 	d.mu.Lock()
-	drop := d.runner.Run(d.nowMs(), call, "")
+	drop := d.runner.StartRequest(d.nowMs(), call, "")
 	incarnation := d.runner.Incarnation
 	d.mu.Unlock()
 	if drop != nil {
@@ -75,11 +75,11 @@
 	}
 	defer func() {
 		d.mu.Lock()
-		d.runner.Done()
+		d.runner.FinishRequest()
 		d.mu.Unlock()
 	}()
 	if !call.Telling {
-		if !d.work(r) {
+		if !d.wait(r) {
 			return
 		}
 		text, _ := json.Marshal(map[string]string{"service": call.Service, "model": call.Model, "said": "answer to " + call.Request})
@@ -89,10 +89,10 @@
 	encoder := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	for piece := 1; piece <= d.Pieces; piece++ {
-		if !d.work(r) {
+		if !d.wait(r) {
 			return
 		}
-		if d.Torn && piece == 2 {
+		if d.BreakStreams && piece == 2 {
 			panic(http.ErrAbortHandler)
 		}
 		_ = encoder.Encode(router.RunAnswer{Request: call.Request, Incarnation: incarnation, Piece: piece, Text: fmt.Sprintf("piece %d of %s", piece, call.Request)})
@@ -101,7 +101,7 @@
 	_ = encoder.Encode(router.RunAnswer{Request: call.Request, Incarnation: incarnation, End: &d.Pieces})
 }
 
-func (d *RunnerDoor) work(r *http.Request) bool {
+func (d *RunnerServer) wait(r *http.Request) bool {
 	timer := time.NewTimer(time.Duration(d.WorkMs) * time.Millisecond)
 	defer timer.Stop()
 	select {
