--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -28,7 +28,7 @@
 		k.counters.Taken++
 	case protocol.OutcomeBusy, protocol.OutcomeAlreadyInEffect, protocol.OutcomeNotSent:
 		k.counters.Busy++
-	case protocol.OutcomeRefused:
+	case protocol.OutcomeRejected:
 		k.counters.Refused++
 	case protocol.OutcomeUnknown:
 		k.counters.Unknown++
--- a/internal/placement/runner.go
+++ b/internal/placement/runner.go
@@ -313,7 +313,7 @@
 	if !o.Load {
 		r.setUnloading(o.Item, false, t)
 	}
-	if outcome == protocol.OutcomeRefused || outcome == protocol.OutcomeBusy {
+	if outcome == protocol.OutcomeRejected || outcome == protocol.OutcomeBusy {
 		r.cooldownUntilMs = nowMs + orderCooldownMs
 	}
 	return false
--- a/internal/placement/simulator_test.go
+++ b/internal/placement/simulator_test.go
@@ -291,7 +291,7 @@
 		return protocol.OutcomeNotSent
 	}
 	if r.entry.ID != c.Runner {
-		return protocol.OutcomeRefused
+		return protocol.OutcomeRejected
 	}
 	if c.Fence < r.fence {
 		return protocol.OutcomeFenced
@@ -303,7 +303,7 @@
 	_, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return protocol.OutcomeRefused
+			return protocol.OutcomeRejected
 		}
 		there = r.held[c.Model][c.Adapter]
 	}
--- a/internal/simulation/faultsim/runner.go
+++ b/internal/simulation/faultsim/runner.go
@@ -77,7 +77,7 @@
 // handleOrder is the runner's side of an order.
 func (r *runner) handleOrder(sim *Simulation, sender string, c protocol.RunnerOrder) protocol.OrderOutcome {
 	if r.entry.ID != c.Runner || r.entry.Service != modelService {
-		return protocol.OutcomeRefused
+		return protocol.OutcomeRejected
 	}
 	sim.Checker.recordOrder(sender, r.entry.ID, c.Holder, c.Fence)
 	if sim.Bounds.Fenced && c.Fence < r.fence {
@@ -90,7 +90,7 @@
 	of, there := r.loaded[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return protocol.OutcomeRefused
+			return protocol.OutcomeRejected
 		}
 		there = of[c.Adapter]
 	}
--- a/internal/simulation/scalesim/runner.go
+++ b/internal/simulation/scalesim/runner.go
@@ -41,7 +41,7 @@
 	of, there := r.held[c.Model]
 	if c.Adapter != "" {
 		if !there {
-			return protocol.OutcomeRefused
+			return protocol.OutcomeRejected
 		}
 		there = of[c.Adapter]
 	}
--- a/internal/simulation/scalesim/runtime.go
+++ b/internal/simulation/scalesim/runtime.go
@@ -119,7 +119,7 @@
 	case protocol.RunnerOrder:
 		count(&n.load.Orders)
 		s.events.After(wayMs, func() {
-			outcome := protocol.OutcomeRefused
+			outcome := protocol.OutcomeRejected
 			if r := s.byAddress[call.Address]; r != nil {
 				outcome = r.command(s, body)
 			}
