--- a/internal/httpclient/quiet_other.go
+++ b/internal/httpclient/quiet_other.go
@@ -1,6 +1,6 @@
 //go:build !unix
 
-package outward
+package httpclient
 
 // nothingToRead can't be told here, so no connection is used twice.
 func nothingToRead(uintptr) bool { return false }
--- a/internal/httpclient/usertimeout_other.go
+++ b/internal/httpclient/usertimeout_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package outward
+package httpclient
 
 import "syscall"
 
--- a/internal/process/boot_linux.go
+++ b/internal/process/boot_linux.go
@@ -9,7 +9,7 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
 		// It is there on every kernel that Go runs on; a hold can't be
 		// counted without it.
-		panic("daemon: the boot clock can't be read: " + err.Error())
+		panic("process: the boot clock can't be read: " + err.Error())
 	}
 	return at.Nano() / 1_000_000
 }
--- a/internal/process/boot_other.go
+++ b/internal/process/boot_other.go
@@ -1,6 +1,6 @@
 //go:build !linux
 
-package daemon
+package process
 
 import "time"
 
