--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -13,9 +13,9 @@
 )
 
 func main() {
-	cli.Begin("controller", "Keeps the control state of a site, on a core machine.")
+	cli.Setup("controller", "Keeps the control state of a site, on a core machine.")
 	var flags settings.Flags
-	flags.Add(true)
+	flags.Register(true)
 	cli.Run("controller", true, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
 		return consensus.NewOffice(set, peers, web, logger)
 	})
--- a/cmd/faultsim/main.go
+++ b/cmd/faultsim/main.go
@@ -17,7 +17,7 @@
 )
 
 func main() {
-	cli.Begin("faultsim", "Plays failures on a site of the platform's path in virtual time and checks the rules.")
+	cli.Setup("faultsim", "Plays failures on a site of the platform's path in virtual time and checks the rules.")
 	scenario := "campaign"
 	var seed, seeds int64 = 1, 1
 	count := 12
@@ -35,7 +35,7 @@
 		return
 	}
 	if seeds < 1 || count < 1 {
-		cli.Misused("seeds, faults: must be above 0")
+		cli.UsageError("seeds, faults: must be above 0")
 	}
 	play := func(seed int64) (faultsim.Result, bool) { return faultsim.Campaign(seed, count), true }
 	if scenario != "campaign" {
@@ -65,11 +65,11 @@
 	for s := seed; s < seed+seeds; s++ {
 		places <- struct{}{}
 		under.Add(1)
-		threads.Side(func() {
+		threads.Go(func() {
 			defer func() { <-places; under.Done() }()
 			r, ok := play(s)
 			if !ok {
-				cli.Misused("scenario: it is not known; --list prints what is")
+				cli.UsageError("scenario: it is not known; --list prints what is")
 			}
 			mu.Lock()
 			defer mu.Unlock()
--- a/cmd/journalcheck/main.go
+++ b/cmd/journalcheck/main.go
@@ -15,11 +15,11 @@
 )
 
 func main() {
-	cli.Begin("journalcheck", "Prints what the days in entries of the bench's journal broke; the files are named after --.")
+	cli.Setup("journalcheck", "Prints what the days in entries of the bench's journal broke; the files are named after --.")
 	flaggy.Parse()
 	files := flaggy.TrailingArguments
 	if len(files) == 0 {
-		cli.Misused("no journal entry named")
+		cli.UsageError("no journal entry named")
 	}
 	entries := make([]Entry, 0, len(files))
 	for _, file := range files {
@@ -41,11 +41,11 @@
 func read(file string) Entry {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		cli.Misused("%v", err)
+		cli.UsageError("%v", err)
 	}
 	entry, err := ReadEntry(text)
 	if err != nil {
-		cli.Misused("%s: %v", file, err)
+		cli.UsageError("%s: %v", file, err)
 	}
 	return entry
 }
--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	cli.Begin("loadgen", "Stand-in: asks the services of a description and tallies the answers.")
+	cli.Setup("loadgen", "Stand-in: asks the services of a description and tallies the answers.")
 	var file, routers string
 	seconds, small, other := 10, 30.0, 4.0
 	flaggy.String(&file, "d", "description", "the description whose services are asked")
@@ -29,22 +29,22 @@
 	cli.Parse()
 	text, err := os.ReadFile(file)
 	if err != nil {
-		cli.Misused("description: %v", err)
+		cli.UsageError("description: %v", err)
 	}
 	var named struct{ Site string }
 	_ = json.Unmarshal(text, &named)
 	d, faults := description.Read(text, named.Site)
 	if len(faults) > 0 {
-		cli.Misused("description: %v", faults)
+		cli.UsageError("description: %v", faults)
 	}
-	if len(cli.List(routers)) == 0 {
-		cli.Misused("routers: must be given")
+	if len(cli.SplitList(routers)) == 0 {
+		cli.UsageError("routers: must be given")
 	}
 	if seconds <= 0 || small <= 0 || other <= 0 {
-		cli.Misused("seconds, small, other: must be above 0")
+		cli.UsageError("seconds, small, other: must be above 0")
 	}
 	checker := invariants.New(d.Store.LoadsPer10s, d.SecondGoes)
-	client := testbackend.NewClient(fmt.Sprintf("client-%d", os.Getpid()), cli.List(routers), testbackend.WorkloadsOf(d, small, other), checker, process.NewClock().NowMs, 1)
+	client := testbackend.NewClient(fmt.Sprintf("client-%d", os.Getpid()), cli.SplitList(routers), testbackend.WorkloadsOf(d, small, other), checker, process.NewClock().NowMs, 1)
 	client.RunFor(time.Duration(seconds) * time.Second)
 	for _, line := range client.OutcomeLines() {
 		fmt.Println(line)
--- a/cmd/localcluster/main.go
+++ b/cmd/localcluster/main.go
@@ -21,7 +21,7 @@
 const patience = 60 * time.Second
 
 func main() {
-	cli.Begin("localcluster", "Runs a whole site in one process with traffic, or writes settings for separate processes.")
+	cli.Setup("localcluster", "Runs a whole site in one process with traffic, or writes settings for separate processes.")
 	file, write := "examples/zagreb.json", ""
 	seconds, port := 15, 7100
 	small, other := 30.0, 4.0
@@ -39,14 +39,14 @@
 	flaggy.Bool(&quiet, "q", "quiet", "no log of the daemons")
 	cli.Parse()
 	if seconds <= 0 || small <= 0 || other <= 0 || loadMs < 0 || workMs < 0 {
-		cli.Misused("seconds, small, other, loadMs, workMs: must not be negative or nought")
+		cli.UsageError("seconds, small, other, loadMs, workMs: must not be negative or nought")
 	}
 	if port < 1 || port > 65000 {
-		cli.Misused("port: %d is not from 1 to 65000", port)
+		cli.UsageError("port: %d is not from 1 to 65000", port)
 	}
 	text, err := os.ReadFile(file)
 	if err != nil {
-		cli.Misused("description: %v", err)
+		cli.UsageError("description: %v", err)
 	}
 	if write != "" {
 		writeSite(text, write, port)
@@ -70,13 +70,13 @@
 	_ = json.Unmarshal(text, &named)
 	d, faults := description.Read(text, named.Site)
 	if len(faults) > 0 {
-		cli.Misused("description: %v", faults)
+		cli.UsageError("description: %v", faults)
 	}
 	if len(d.Controllers) < 3 {
-		cli.Misused("description: a site has at least three controllers")
+		cli.UsageError("description: a site has at least three controllers")
 	}
 	if err := localcluster.WriteSettings(d, text, folder, port); err != nil {
-		cli.Failed("write: %v", err)
+		cli.Fatal("write: %v", err)
 	}
 	fmt.Println("wrote", folder)
 }
@@ -84,16 +84,16 @@
 func run(text []byte, loadMs, workMs int64, quiet bool, work func(*localcluster.Cluster) (int, error)) {
 	data, clean, err := localcluster.TempData()
 	if err != nil {
-		cli.Failed("data: %v", err)
+		cli.Fatal("data: %v", err)
 	}
 	defer clean()
-	logger := cli.Log("cluster")
+	logger := cli.NewLogger("cluster")
 	if quiet {
 		logger = log.New(io.Discard)
 	}
 	cluster, err := localcluster.New(localcluster.Options{Text: text, Data: data, LoadMs: loadMs, WorkMs: workMs, Pieces: 8, Log: logger})
 	if err != nil {
-		cli.Misused("%v", err)
+		cli.UsageError("%v", err)
 	}
 	broken, err := 0, begin(cluster, text)
 	if err == nil {
@@ -102,7 +102,7 @@
 	cluster.Stop()
 	if err != nil {
 		clean()
-		cli.Failed("%v", err)
+		cli.Fatal("%v", err)
 	}
 	if broken > 0 {
 		clean()
--- a/cmd/modelcheck/main.go
+++ b/cmd/modelcheck/main.go
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	cli.Begin("modelcheck", "Explores the election and replication machines for every placement of a few faults.")
+	cli.Setup("modelcheck", "Explores the election and replication machines for every placement of a few faults.")
 	scope := modelcheck.Scope{
 		Members: modelcheck.DefaultMembers, Losses: modelcheck.DefaultLosses, Deviations: modelcheck.DefaultDeviations,
 		Depth: modelcheck.DefaultDepth, States: modelcheck.DefaultStates, Workers: 2, ProbeDeviations: -1,
@@ -37,14 +37,14 @@
 	cli.Parse()
 	kinds, err := modelcheck.ParseFaults(faults)
 	if err != nil {
-		cli.Misused("faults: %v; there are: %v", err, modelcheck.FaultKinds())
+		cli.UsageError("faults: %v; there are: %v", err, modelcheck.FaultKinds())
 	}
 	scope.Faults = kinds
 	if messages != "" {
 		scope.Messages = strings.Split(messages, ",")
 	}
 	if scope.Members < 2*scope.Losses+1 || scope.Losses < 1 || scope.Depth < 1 || scope.States < 1 || scope.Workers < 1 {
-		cli.Misused("members must be at least twice the losses and one more; losses, depth, states and workers above 0")
+		cli.UsageError("members must be at least twice the losses and one more; losses, depth, states and workers above 0")
 	}
 	violated := false
 	for _, chosen := range chooseScenarios(scenario) {
@@ -66,7 +66,7 @@
 		for _, s := range modelcheck.Scenarios {
 			names = append(names, s.Name)
 		}
-		cli.Misused("scenario: there is no %q; there are: all, %s", name, strings.Join(names, ", "))
+		cli.UsageError("scenario: there is no %q; there are: all, %s", name, strings.Join(names, ", "))
 	}
 	return []modelcheck.Scenario{chosen}
 }
--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -45,7 +45,7 @@
 }
 
 func main() {
-	cli.Begin("myrtlewinch", "Runs one process of a site: a router or a controller.")
+	cli.Setup("myrtlewinch", "Runs one process of a site: a router or a controller.")
 	var file string
 	router := flaggy.NewSubcommand("router")
 	router.Description = "take requests and send them to runners"
@@ -61,11 +61,11 @@
 	}
 	switch {
 	case router.Used:
-		run(protocol.Router, file, newRouter)
+		run(protocol.RoleRouter, file, newRouter)
 	case controller.Used:
-		run(protocol.Controller, file, newController)
+		run(protocol.RoleController, file, newController)
 	default:
-		cli.Misused("which part to run must be given: router or controller")
+		cli.UsageError("which part to run must be given: router or controller")
 	}
 }
 
@@ -74,9 +74,9 @@
 	hangups := signalled(syscall.SIGHUP)
 	place, err := platform.LoadSettings(file)
 	if err != nil {
-		cli.Misused("%v", err)
+		cli.UsageError("%v", err)
 	}
-	logger := cli.Log(name + " " + place.Name)
+	logger := cli.NewLogger(name + " " + place.Name)
 	defer func() {
 		if cause := recover(); cause != nil {
 			logger.Error("panic", "cause", cause, "stack", string(debug.Stack()))
@@ -86,15 +86,15 @@
 	thrift(place.MemoryMb)
 	made, err := make(place, logger)
 	if err != nil {
-		cli.Failed("%v", err)
+		cli.Fatal("%v", err)
 	}
 	var c threads.Group
-	made.Join(&c)
-	c.Signals(made.Leave)
+	made.AddTasks(&c)
+	c.StopOnSignal(made.Shutdown)
 	newReload(file, place, made, logger).join(&c, hangups)
 	logger.Info("running", "address", place.PeerAddress())
 	if err := c.Run(); err != nil {
-		cli.Failed("%v", err)
+		cli.Fatal("%v", err)
 	}
 	logger.Info("stopped")
 }
@@ -134,7 +134,7 @@
 	if _, err := rand.Read(token); err != nil {
 		return nil, err
 	}
-	me := self(place, protocol.Router)
+	me := self(place, protocol.RoleRouter)
 	// A router keeps nothing, so each start is another.
 	me.Incarnation = hex.EncodeToString(token)
 	peers, err := listen("for peers", place.PeerAddress())
@@ -172,10 +172,10 @@
 		return nil, err
 	}
 	return controller.NewDaemon(controller.DaemonSettings{
-		Site: site, Self: self(place, protocol.Controller), Seeds: place.PeerSeeds(), Losses: place.MaxLosses,
+		Site: site, Self: self(place, protocol.RoleController), Seeds: place.PeerSeeds(), Losses: place.MaxLosses,
 		FirstStart: place.FirstStart, Bounds: place.Bounds, ListAddress: place.RunnerList.Address,
 		ListPerSec: place.RunnerList.CallsPerSec, ControlPort: port, Data: place.DataFolder,
-	}, platform.ConfigFormat{}, platform.Client{}, func(shell *process.Shell) http.Handler {
+	}, platform.ConfigFormat{}, platform.Client{}, func(shell *process.Runtime) http.Handler {
 		return platform.OperatorHandler(shell, place.Bounds.AckMs)
 	}, peers, web, logger)
 }
--- a/cmd/myrtlewinch/reload.go
+++ b/cmd/myrtlewinch/reload.go
@@ -32,7 +32,7 @@
 // join adds the duty that reads the file after each signal, and now and then.
 func (r *reload) join(c *threads.Group, hangups <-chan os.Signal) {
 	done := make(chan struct{})
-	c.Duty(func() error {
+	c.Add(func() error {
 		ticker := time.NewTicker(checkMs * time.Millisecond)
 		defer ticker.Stop()
 		for {
--- a/cmd/nativesim/main.go
+++ b/cmd/nativesim/main.go
@@ -14,7 +14,7 @@
 )
 
 func main() {
-	cli.Begin("nativesim", "Plays failures on a simulated site in virtual time and checks the rules.")
+	cli.Setup("nativesim", "Plays failures on a simulated site in virtual time and checks the rules.")
 	file, scenario := "examples/zagreb.json", "campaign"
 	var seed, seeds int64 = 1, 1
 	count := 20
@@ -32,14 +32,14 @@
 	cli.Parse()
 	text, err := os.ReadFile(file)
 	if err != nil {
-		cli.Misused("description: %v", err)
+		cli.UsageError("description: %v", err)
 	}
 	played, known := nativesim.Scenarios[scenario]
 	if !known && scenario != "campaign" {
-		cli.Misused("scenario: there is no %q; there are: campaign, %s", scenario, strings.Join(nativesim.ScenarioNames(), ", "))
+		cli.UsageError("scenario: there is no %q; there are: campaign, %s", scenario, strings.Join(nativesim.ScenarioNames(), ", "))
 	}
 	if seeds < 1 || count < 1 {
-		cli.Misused("seeds, faults: must be above 0")
+		cli.UsageError("seeds, faults: must be above 0")
 	}
 	if measure {
 		fmt.Print("| what | middle | worst |\n| --- | --- | --- |\n" + nativesim.Measure(string(text), seeds))
--- a/cmd/nativesim/pairs.go
+++ b/cmd/nativesim/pairs.go
@@ -20,7 +20,7 @@
 		for i, cell := range cells {
 			places <- struct{}{}
 			under.Add(1)
-			threads.Side(func() {
+			threads.Go(func() {
 				defer under.Done()
 				played[int(s)*len(cells)+i] = nativesim.PlayPair(text, seed+s, cell)
 				<-places
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -37,7 +37,7 @@
 )
 
 func main() {
-	cli.Begin("operator", "Hands descriptions over, reads them, and shows the state of a site.")
+	cli.Setup("operator", "Hands descriptions over, reads them, and shows the state of a site.")
 	flaggy.String(&controllers, "c", "controllers", "http addresses of controllers, with commas")
 	commands := []command{
 		add("found", "begin a new site on the first controller named; all witnesses must be blank", found, func(s *flaggy.Subcommand) {
@@ -63,14 +63,14 @@
 	cli.Parse()
 	for _, c := range commands {
 		if c.sub.Used {
-			if len(cli.List(controllers)) == 0 && !c.alone {
-				cli.Misused("controllers: must be given")
+			if len(cli.SplitList(controllers)) == 0 && !c.alone {
+				cli.UsageError("controllers: must be given")
 			}
 			c.work()
 			return
 		}
 	}
-	cli.Misused("a command must be given: found, recover, put, patch, get, history, topology or status")
+	cli.UsageError("a command must be given: found, recover, put, patch, get, history, topology or status")
 }
 
 func add(name, about string, work func(), flags func(*flaggy.Subcommand)) command {
@@ -91,19 +91,19 @@
 // primary asks each controller until one does not say that it is another.
 func primary(method, path string, body []byte) {
 	var last string
-	for _, address := range cli.List(controllers) {
+	for _, address := range cli.SplitList(controllers) {
 		code, text, err := localcluster.Call(method, address, path, base, body)
 		if err != nil {
 			// An answer that was lost on the way may still have taken effect;
 			// one that was never dialled has not.
 			var dial *net.OpError
 			if method != http.MethodGet && !(errors.As(err, &dial) && dial.Op == "dial") {
-				cli.Failed("%s: no answer (%v); it may have taken effect: read the description to find out", address, err)
+				cli.Fatal("%s: no answer (%v); it may have taken effect: read the description to find out", address, err)
 			}
 			last = err.Error()
 			continue
 		}
-		var said errkind.Answer
+		var said errkind.ErrorBody
 		if code != http.StatusOK && json.Unmarshal(text, &said) == nil && said.Kind == errkind.NotPrimary {
 			last = fmt.Sprintf("%s is not the primary (it knows of %q)", address, said.Primary)
 			continue
@@ -121,28 +121,28 @@
 		_, _ = os.Stdout.Write(text)
 		return
 	}
-	cli.Failed("no controller answered as the primary: %s", last)
+	cli.Fatal("no controller answered as the primary: %s", last)
 }
 
 func found() {
-	body, _ := json.Marshal(map[string]any{"witnesses": cli.List(witnesses), "backup": backup})
-	controllers = cli.List(controllers)[0]
+	body, _ := json.Marshal(map[string]any{"witnesses": cli.SplitList(witnesses), "backup": backup})
+	controllers = cli.SplitList(controllers)[0]
 	primary(http.MethodPost, "/found", body)
 }
 
 func recovered() {
-	body, _ := json.Marshal(map[string]any{"witnesses": cli.List(witnesses), "backup": backup, "change": change, "revision": revision})
-	controllers = cli.List(controllers)[0]
+	body, _ := json.Marshal(map[string]any{"witnesses": cli.SplitList(witnesses), "backup": backup, "change": change, "revision": revision})
+	controllers = cli.SplitList(controllers)[0]
 	primary(http.MethodPost, "/recover", body)
 }
 
 func hand(method string) {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		cli.Misused("file: %v", err)
+		cli.UsageError("file: %v", err)
 	}
 	if base == "" {
-		cli.Misused("base: must be given")
+		cli.UsageError("base: must be given")
 	}
 	primary(method, "/description", text)
 }
@@ -151,14 +151,14 @@
 func drawn() {
 	text, err := os.ReadFile(file)
 	if err != nil {
-		cli.Misused("file: %v", err)
+		cli.UsageError("file: %v", err)
 	}
 	parts, faults := topology.Read(text)
 	if len(faults) > 0 {
 		for _, fault := range faults {
 			fmt.Fprintln(os.Stderr, "  "+fault)
 		}
-		cli.Misused("file: %s does not fit", file)
+		cli.UsageError("file: %s does not fit", file)
 	}
 	fmt.Println(string(parts.Text()))
 }
@@ -169,18 +169,18 @@
 }
 
 func show(path string) {
-	for _, address := range cli.List(controllers) {
+	for _, address := range cli.SplitList(controllers) {
 		if code, text, err := localcluster.Call(http.MethodGet, address, path, "", nil); err == nil && code == http.StatusOK {
 			indent(text)
 			return
 		}
 	}
-	cli.Failed("no controller answered")
+	cli.Fatal("no controller answered")
 }
 
 func status() {
 	answered := false
-	for _, address := range cli.List(controllers) {
+	for _, address := range cli.SplitList(controllers) {
 		code, text, err := localcluster.Call(http.MethodGet, address, "/status", "", nil)
 		if err != nil || code != http.StatusOK {
 			fmt.Fprintf(os.Stderr, "%s: no answer\n", address)
@@ -190,7 +190,7 @@
 		indent(text)
 	}
 	if !answered {
-		cli.Failed("no controller answered")
+		cli.Fatal("no controller answered")
 	}
 }
 
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -12,9 +12,9 @@
 )
 
 func main() {
-	cli.Begin("router", "Takes requests and sends them to runners, on an edge machine.")
+	cli.Setup("router", "Takes requests and sends them to runners, on an edge machine.")
 	var flags settings.Flags
-	flags.Add(false)
+	flags.Register(false)
 	cli.Run("router", false, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
 		return router.NewGate(set, peers, web, logger)
 	})
--- a/cmd/scalesim/main.go
+++ b/cmd/scalesim/main.go
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	cli.Begin("scalesim", "Runs the machines of large sites in one process, in virtual time, and prints what each role costs. Flags marked (list) take several figures with commas; the n-th site takes the n-th of each, or the last.")
+	cli.Setup("scalesim", "Runs the machines of large sites in one process, in virtual time, and prints what each role costs. Flags marked (list) take several figures with commas; the n-th site takes the n-th of each, or the last.")
 	usual := scalesim.Usual()
 	var lists []*list
 	add := func(name, about string, at func(s *scalesim.Size) *int) {
@@ -45,7 +45,7 @@
 	flaggy.Bool(&machine, "", "json", "print the results as JSON")
 	cli.Parse()
 	if half := halfMb(); usual.HeapMb > half {
-		cli.Misused("heap: %d MB is more than half of the machine's, %d MB", usual.HeapMb, half)
+		cli.UsageError("heap: %d MB is more than half of the machine's, %d MB", usual.HeapMb, half)
 	}
 	sizes := sizesOf(usual, lists)
 	debug.SetMemoryLimit(int64(usual.HeapMb) << 20)
@@ -55,7 +55,7 @@
 	for _, size := range sizes {
 		result, err := scalesim.Run(size, threadNs)
 		if err != nil {
-			cli.Failed("%d routers, %d runners: %v", size.Routers, size.Runners, err)
+			cli.Fatal("%d routers, %d runners: %v", size.Routers, size.Runners, err)
 		}
 		results = append(results, result)
 	}
@@ -81,14 +81,14 @@
 		for _, text := range strings.Split(l.text, ",") {
 			n, err := strconv.Atoi(strings.TrimSpace(text))
 			if err != nil {
-				cli.Misused("%s: %q is no whole number", l.name, text)
+				cli.UsageError("%s: %q is no whole number", l.name, text)
 			}
 			figures[i] = append(figures[i], n)
 		}
 		count = max(count, len(figures[i]))
 	}
 	if count > sizesMost {
-		cli.Misused("%d sites are more than %d", count, sizesMost)
+		cli.UsageError("%d sites are more than %d", count, sizesMost)
 	}
 	var sizes []scalesim.Size
 	for n := range count {
@@ -97,7 +97,7 @@
 			*l.at(&size) = figures[i][min(n, len(figures[i])-1)]
 		}
 		if faults := size.Faults(); len(faults) > 0 {
-			cli.Misused("%s", strings.Join(faults, "; "))
+			cli.UsageError("%s", strings.Join(faults, "; "))
 		}
 		sizes = append(sizes, size)
 	}
@@ -108,7 +108,7 @@
 func threadNs() int64 {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at); err != nil {
-		cli.Failed("clock: %v", err)
+		cli.Fatal("clock: %v", err)
 	}
 	return at.Nano()
 }
@@ -117,7 +117,7 @@
 func halfMb() int {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
-		cli.Failed("memory: %v", err)
+		cli.Fatal("memory: %v", err)
 	}
 	return int(uint64(info.Totalram) * uint64(info.Unit) >> 21)
 }
--- a/cmd/statediff/main.go
+++ b/cmd/statediff/main.go
@@ -16,7 +16,7 @@
 )
 
 func main() {
-	cli.Begin("statediff", "Shows what two daemons believe differently; exits 0 alike, 1 different, 2 could not tell.")
+	cli.Setup("statediff", "Shows what two daemons believe differently; exits 0 alike, 1 different, 2 could not tell.")
 	var left, right string
 	machine := false
 	flaggy.String(&left, "", "left", "http address of a controller or router")
@@ -49,18 +49,18 @@
 
 func read(field, address string) statediff.Belief {
 	if address == "" {
-		cli.Misused("%s: must be given", field)
+		cli.UsageError("%s: must be given", field)
 	}
 	code, text, err := localcluster.Call(http.MethodGet, address, "/status", "", nil)
 	if err != nil {
-		cli.Misused("%s: %v", field, err)
+		cli.UsageError("%s: %v", field, err)
 	}
 	if code != http.StatusOK {
-		cli.Misused("%s: %s answered %d", field, address, code)
+		cli.UsageError("%s: %s answered %d", field, address, code)
 	}
 	belief, err := statediff.Read(text)
 	if err != nil {
-		cli.Misused("%s: %v", field, err)
+		cli.UsageError("%s: %v", field, err)
 	}
 	return belief
 }
--- a/cmd/testplatform/main.go
+++ b/cmd/testplatform/main.go
@@ -10,9 +10,9 @@
 )
 
 func main() {
-	cli.Begin("testplatform", "Stand-in: lists runners (GET /runners) and marks leavers (POST /runners/NAME/leaving).")
+	cli.Setup("testplatform", "Stand-in: lists runners (GET /runners) and marks leavers (POST /runners/NAME/leaving).")
 	http := ""
 	flaggy.String(&http, "", "http", "IP:port to listen at")
 	cli.Parse()
-	cli.Web(cli.Listen("http", http), testbackend.NewPlatform())
+	cli.Serve(cli.Listen("http", http), testbackend.NewPlatform())
 }
--- a/cmd/testrunner/main.go
+++ b/cmd/testrunner/main.go
@@ -19,7 +19,7 @@
 )
 
 func main() {
-	cli.Begin("testrunner", "Stand-in: a runner that holds models, announced to the platform.")
+	cli.Setup("testrunner", "Stand-in: a runner that holds models, announced to the platform.")
 	var name, address, platform string
 	var room, loadMs, workMs int64 = 96, 3000, 200
 	pieces := 8
@@ -33,23 +33,23 @@
 	cli.Parse()
 	switch {
 	case name == "":
-		cli.Misused("name: must be given")
+		cli.UsageError("name: must be given")
 	case platform == "":
-		cli.Misused("platform: must be given")
+		cli.UsageError("platform: must be given")
 	case room < 0 || loadMs < 0 || workMs < 0 || pieces < 0:
-		cli.Misused("room, loadMs, workMs, pieces: must not be negative")
+		cli.UsageError("room, loadMs, workMs, pieces: must not be negative")
 	}
 	at := cli.Listen("http", address)
 	token := make([]byte, 8)
 	if _, err := rand.Read(token); err != nil {
-		cli.Failed("%v", err)
+		cli.Fatal("%v", err)
 	}
 	incarnation := hex.EncodeToString(token)
 	if err := announce(platform, protocol.ListedRunner{Name: name, Address: address, Incarnation: incarnation}); err != nil {
-		cli.Failed("platform: %v", err)
+		cli.Fatal("platform: %v", err)
 	}
 	runner := testbackend.NewRunner(name, incarnation, room, loadMs, nil)
-	cli.Web(at, testbackend.NewRunnerServer(runner, process.NewClock().NowMs, workMs, pieces))
+	cli.Serve(at, testbackend.NewRunnerServer(runner, process.NewClock().NowMs, workMs, pieces))
 }
 
 func announce(platform string, listed protocol.ListedRunner) error {
--- a/internal/cli/program.go
+++ b/internal/cli/program.go
@@ -19,13 +19,13 @@
 
 // Exit codes of all programs.
 const (
-	ExitWell    = 0
-	ExitFailed  = 1
-	ExitMisused = 2
+	ExitOK     = 0
+	ExitFailed = 1
+	ExitUsage  = 2
 )
 
-// Begin sets the command line up; Parse reads it.
-func Begin(name, about string) {
+// Setup sets the command line up; Parse reads it.
+func Setup(name, about string) {
 	flaggy.ResetParser()
 	flaggy.SetName(name)
 	flaggy.SetDescription(about)
@@ -38,31 +38,31 @@
 	// Every value needs a flag, so words on their own were meant for one.
 	flaggy.Parse()
 	if extra := flaggy.TrailingArguments; len(extra) > 0 {
-		Misused("unexpected argument %q", extra[0])
+		UsageError("unexpected argument %q", extra[0])
 	}
 }
 
-// Misused ends the program since its flags or settings are off.
-func Misused(format string, args ...any) {
+// UsageError ends the program since its flags or settings are off.
+func UsageError(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, "%s: %s\n", flaggy.DefaultParser.Name, fmt.Sprintf(format, args...))
-	os.Exit(ExitMisused)
+	os.Exit(ExitUsage)
 }
 
-// Failed ends the program since what it was to do did not succeed.
-func Failed(format string, args ...any) {
+// Fatal ends the program since what it was to do did not succeed.
+func Fatal(format string, args ...any) {
 	fmt.Fprintf(os.Stderr, "%s: %s\n", flaggy.DefaultParser.Name, fmt.Sprintf(format, args...))
 	os.Exit(ExitFailed)
 }
 
-// Log makes the log of a part; every line has its prefix.
-func Log(prefix string) *log.Logger {
+// NewLogger makes the log of a part; every line has its prefix.
+func NewLogger(prefix string) *log.Logger {
 	return log.NewWithOptions(os.Stderr, log.Options{Prefix: prefix, ReportTimestamp: true, TimeFormat: time.RFC3339})
 }
 
 // Daemon is a controller or a router, ready to run.
 type Daemon interface {
-	Join(*threads.Group)
-	Leave()
+	AddTasks(*threads.Group)
+	Shutdown()
 }
 
 // Run runs a daemon until it is told to stop.
@@ -70,27 +70,27 @@
 	Parse()
 	set, err := flags.Read(data)
 	if err != nil {
-		Misused("%v", err)
+		UsageError("%v", err)
 	}
 	peers, err := net.Listen("tcp", set.Address)
 	if err != nil {
-		Failed("address: %v", err)
+		Fatal("address: %v", err)
 	}
 	web, err := net.Listen("tcp", set.HTTP)
 	if err != nil {
-		Failed("http: %v", err)
+		Fatal("http: %v", err)
 	}
-	logger := Log(part + " " + set.Name)
+	logger := NewLogger(part + " " + set.Name)
 	daemon, err := make(set, peers, web, logger)
 	if err != nil {
-		Failed("%v", err)
+		Fatal("%v", err)
 	}
 	var c threads.Group
-	daemon.Join(&c)
-	c.Signals(daemon.Leave)
+	daemon.AddTasks(&c)
+	c.StopOnSignal(daemon.Shutdown)
 	logger.Info("running", "address", set.Address, "http", set.HTTP, "version", settings.Version)
 	if err := c.Run(); err != nil {
-		Failed("%v", err)
+		Fatal("%v", err)
 	}
 	logger.Info("stopped")
 }
@@ -98,32 +98,32 @@
 // Listen opens a stand-in's address.
 func Listen(field, address string) net.Listener {
 	if address == "" {
-		Misused("%s: must be given", field)
+		UsageError("%s: must be given", field)
 	}
 	host, _, err := net.SplitHostPort(address)
 	if err != nil || net.ParseIP(host) == nil {
-		Misused("%s: %q is not IP:port", field, address)
+		UsageError("%s: %q is not IP:port", field, address)
 	}
 	at, err := net.Listen("tcp", address)
 	if err != nil {
-		Failed("%s: %v", field, err)
+		Fatal("%s: %v", field, err)
 	}
 	return at
 }
 
-// Web runs a handler until the program is told to stop.
-func Web(at net.Listener, handler http.Handler) {
+// Serve runs a handler until the program is told to stop.
+func Serve(at net.Listener, handler http.Handler) {
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: 5 * time.Second}
 	var c threads.Group
-	c.Duty(func() error { return server.Serve(at) }, func() { _ = server.Close() })
-	c.Signals(nil)
+	c.Add(func() error { return server.Serve(at) }, func() { _ = server.Close() })
+	c.StopOnSignal(nil)
 	if err := c.Run(); err != nil && err != http.ErrServerClosed {
-		Failed("%v", err)
+		Fatal("%v", err)
 	}
 }
 
-// List splits a flag's value at its commas.
-func List(value string) []string {
+// SplitList splits a flag's value at its commas.
+func SplitList(value string) []string {
 	var out []string
 	for _, item := range strings.Split(value, ",") {
 		if item = strings.TrimSpace(item); item != "" {
--- a/internal/consensus/application.go
+++ b/internal/consensus/application.go
@@ -79,8 +79,8 @@
 	return slices.DeleteFunc(h.m.roster.NodesOf(part), func(p protocol.Node) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
 }
 
-func (h host) Controllers() []protocol.Node { return h.live(protocol.Controller) }
-func (h host) Routers() []protocol.Node     { return h.live(protocol.Router) }
+func (h host) Controllers() []protocol.Node { return h.live(protocol.RoleController) }
+func (h host) Routers() []protocol.Node     { return h.live(protocol.RoleRouter) }
 func (h host) Row(key string) string        { return h.m.state.Kept[key] }
 
 func (h host) Submit(rows map[string]string, then func(ok bool)) {
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -24,11 +24,11 @@
 func (m *Machine) found(f Bootstrap) {
 	drop := func(kind errkind.Kind, detail string) { m.answer(f.ID, protocol.Rejection{Kind: kind, Detail: detail}) }
 	if m.record.Epoch > 0 || m.state.Position.Number > 0 {
-		drop(errkind.AlreadyFounded, "this controller belongs to a founded site")
+		drop(errkind.AlreadyBootstrapped, "this controller belongs to a founded site")
 		return
 	}
 	if m.election.founding != nil || m.election.role != follower && m.witness.Record.Epoch == 0 {
-		drop(errkind.NotTaken, "a founding is under way")
+		drop(errkind.NotAccepted, "a founding is under way")
 		return
 	}
 	first, fault := m.firstRecord(f)
@@ -38,7 +38,7 @@
 	}
 	m.election.first = first
 	if m.witness.Record.Epoch > 0 && !same(m.witness.Record, m.election.first) {
-		drop(errkind.AlreadyFounded, "this controller's witness belongs to another founding")
+		drop(errkind.AlreadyBootstrapped, "this controller's witness belongs to another founding")
 		return
 	}
 	m.election.founding, m.election.finishes = &f, false
@@ -52,7 +52,7 @@
 	for _, name := range f.Witnesses {
 		set[name] = true
 		place, ok := m.roster.Node(name)
-		if !ok || place.Part != protocol.Controller {
+		if !ok || place.Part != protocol.RoleController {
 			return protocol.EpochRecord{}, "witnesses: no controller named " + name + " is known here"
 		}
 		witnesses = append(witnesses, protocol.MemberID{Name: name, Incarnation: place.Incarnation})
@@ -64,7 +64,7 @@
 		return m.seedsRecord(witnesses), ""
 	}
 	backup, ok := m.roster.Node(f.Backup)
-	if !ok || backup.Part != protocol.Controller || f.Backup == m.set.Self.Name {
+	if !ok || backup.Part != protocol.RoleController || f.Backup == m.set.Self.Name {
 		return protocol.EpochRecord{}, "backup: must be another controller that is known here"
 	}
 	return protocol.EpochRecord{
@@ -103,7 +103,7 @@
 	s.founding = nil
 	// Whoever keeps that record finishes it, if it is left the time.
 	m.retreat(foundAfterMs)
-	m.answer(id, protocol.Rejection{Kind: errkind.AlreadyFounded, Detail: "a witness belongs to another founding"})
+	m.answer(id, protocol.Rejection{Kind: errkind.AlreadyBootstrapped, Detail: "a witness belongs to another founding"})
 	return true
 }
 
@@ -150,7 +150,7 @@
 		return
 	}
 	m.firstDisk = true
-	m.save(storage.Write{Sets: map[string]string{bootstrapKey: "first start"}}, nil)
+	m.save(storage.Write{Set: map[string]string{bootstrapKey: "first start"}}, nil)
 }
 
 // tickFounding founds the site by itself, where this is the first start of
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -84,7 +84,7 @@
 	for i := range count {
 		name := fmt.Sprintf("core-%d", i+1)
 		w.nodes[name] = &coreNode{place: protocol.Node{
-			Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3), Part: protocol.Controller, Incarnation: name + "-disk",
+			Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3), Part: protocol.RoleController, Incarnation: name + "-disk",
 		}}
 		w.start(name, map[string]string{}, true)
 	}
@@ -101,7 +101,7 @@
 	}
 	slices.Sort(seeds)
 	w.seeds = seeds[:min(3, len(seeds))]
-	w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: address, Zone: zone, Part: protocol.Controller, Incarnation: name + "-disk"}}
+	w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: address, Zone: zone, Part: protocol.RoleController, Incarnation: name + "-disk"}}
 	w.start(name, map[string]string{}, false)
 }
 
@@ -143,7 +143,7 @@
 	}
 	n.saves = append(n.saves, out.DiskWrites...)
 	w.saveNext(n, life)
-	for _, answer := range out.Answers {
+	for _, answer := range out.Responses {
 		if _, is := answer.Body.(LeaveResult); is && n.departed != nil {
 			n.departed()
 		}
@@ -460,7 +460,7 @@
 			}
 		}
 		slices.Sort(w.seeds)
-		w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: protocol.Controller, Incarnation: name}}
+		w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: protocol.RoleController, Incarnation: name}}
 		w.start(name, map[string]string{}, false)
 		w.run(4000)
 		w.until(2500, "a primary", w.serves)
--- a/internal/consensus/duty.go
+++ b/internal/consensus/duty.go
@@ -297,7 +297,7 @@
 		return
 	}
 	if in.Report.Runner != in.Runner {
-		m.count(errkind.OtherRunner)
+		m.count(errkind.WrongIncarnation)
 		return
 	}
 	if in.Report.Epoch > m.record.Epoch {
@@ -331,11 +331,11 @@
 		if !done {
 			m.note("%s could not %s %s", in.Runner, row.Intent.Action, row.Intent.Model)
 		}
-		if row.Intent.Action == protocol.Load && done && s.firstMs > 0 {
+		if row.Intent.Action == protocol.ActionLoad && done && s.firstMs > 0 {
 			// The latest counts a quarter, so that one slow load says little.
 			m.duty.loadMs += (m.nowMs - s.firstMs - m.duty.loadMs) / 4
 		}
-		if row.Intent.Action == protocol.Unload && done {
+		if row.Intent.Action == protocol.ActionUnload && done {
 			delete(s.since, ledger.Item{Model: row.Intent.Model, Adapter: row.Intent.Adapter}.String())
 		}
 		m.submit(func(bool) {}, ledger.Settle{
@@ -358,7 +358,7 @@
 		}
 		// A load that is sent again may begin only now, so it is paced anew:
 		// after a take-over or a cut many may be open at once.
-		if row.Intent.Action == protocol.Load && !m.duty.pace.take(m.nowMs, m.described.Store.LoadsPer10s) {
+		if row.Intent.Action == protocol.ActionLoad && !m.duty.pace.take(m.nowMs, m.described.Store.LoadsPer10s) {
 			continue
 		}
 		m.sendOrder(name)
--- a/internal/consensus/duty_test.go
+++ b/internal/consensus/duty_test.go
@@ -22,13 +22,13 @@
 
 // serving makes a primary whose pair is whole, at 100 s of its clock.
 func serving(t *testing.T) *Machine {
-	self := protocol.Node{Name: "a", Address: "a:1", Zone: "z", Part: protocol.Controller, Incarnation: "1"}
+	self := protocol.Node{Name: "a", Address: "a:1", Zone: "z", Part: protocol.RoleController, Incarnation: "1"}
 	m, err := New(Settings{Site: "s", Self: self, Platform: "platform"}, map[string]string{}, 100_000)
 	qt.Assert(t, err, qt.IsNil)
 	a, b, c := protocol.MemberID{Name: "a", Incarnation: "1"}, protocol.MemberID{Name: "b", Incarnation: "1"}, protocol.MemberID{Name: "c", Incarnation: "1"}
 	set := []protocol.MemberID{a, b, c}
 	for _, name := range []string{"b", "c"} {
-		m.roster.Observe(100_000, protocol.Node{Name: name, Address: name + ":1", Zone: "y", Part: protocol.Controller, Incarnation: "1"})
+		m.roster.Observe(100_000, protocol.Node{Name: name, Address: name + ":1", Zone: "y", Part: protocol.RoleController, Incarnation: "1"})
 	}
 	m.state.Do(protocol.Position{Epoch: 1, Number: 1}, []ledger.Command{ledger.Accept{Text: described, Epoch: 1}})
 	qt.Assert(t, m.describe(), qt.IsNil)
@@ -46,7 +46,7 @@
 		m.Step(nowMs, protocol.DiskWriteDone{Number: number, Ok: true})
 	}
 	m.Step(nowMs, protocol.Envelope{
-		Site: "s", To: "a", From: protocol.Node{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
+		Site: "s", To: "a", From: protocol.Node{Name: "b", Address: "b:1", Zone: "y", Part: protocol.RoleController, Incarnation: "1"},
 		Body: protocol.AppendReply{Epoch: 1, At: m.state.Position},
 	})
 }
@@ -147,7 +147,7 @@
 					}
 				}
 				orders = append(orders, calls[protocol.OrderCall](m.Step(nowMs, protocol.Envelope{
-					Site: "s", To: "a", From: protocol.Node{Name: "b", Address: "b:1", Zone: "y", Part: protocol.Controller, Incarnation: "1"},
+					Site: "s", To: "a", From: protocol.Node{Name: "b", Address: "b:1", Zone: "y", Part: protocol.RoleController, Incarnation: "1"},
 					Body: protocol.AppendReply{Epoch: 1, At: m.state.Position},
 				}))...)
 			}
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -168,7 +168,7 @@
 	m.election.proposal = nil
 	if f := m.election.founding; f != nil {
 		m.election.founding = nil
-		m.answer(f.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it"})
+		m.answer(f.ID, protocol.Rejection{Kind: errkind.NotAccepted, Detail: "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it"})
 	}
 }
 
@@ -178,7 +178,7 @@
 	m.election.role = asking
 	m.election.sinceMs = m.nowMs
 	m.election.opposed = false
-	asked := m.roster.NodesOf(protocol.Controller)
+	asked := m.roster.NodesOf(protocol.RoleController)
 	for _, place := range m.roster.Watchers(m.record.Primary) {
 		if !slices.Contains(asked, place) && place.Name != m.set.Self.Name {
 			asked = append(asked, place)
@@ -225,7 +225,7 @@
 		return
 	}
 	s.learnMs = m.nowMs
-	for _, place := range m.roster.NodesOf(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.RoleController) {
 		m.send(place, protocol.PrimaryQuery{Epoch: m.record.Epoch})
 	}
 }
@@ -478,7 +478,7 @@
 			m.election.quietMs = m.nowMs + RouterHoldMs
 		}
 		m.offer.current = m.state.Revision
-		m.offer.token = fmt.Sprintf("%s-%d", protocol.Sum(m.state.Revision.Text), m.record.Epoch)
+		m.offer.token = fmt.Sprintf("%s-%d", protocol.Digest(m.state.Revision.Text), m.record.Epoch)
 		m.nudge()
 		m.note("the pair is whole; epoch %d serves", m.record.Epoch)
 		if f := m.election.founding; f != nil {
--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -53,8 +53,8 @@
 	m.election.leaseUntilMs = m.nowMs + 1
 	effects := m.Step(m.nowMs+1, HandOver{ID: 3, Base: 1, Text: described})
 	qt.Assert(t, m.isPrimary(), qt.IsFalse)
-	qt.Assert(t, effects.Answers, qt.HasLen, 1)
-	qt.Assert(t, effects.Answers[0].Body.(protocol.Rejection).Kind.Reply().Drop, qt.IsTrue)
+	qt.Assert(t, effects.Responses, qt.HasLen, 1)
+	qt.Assert(t, effects.Responses[0].Body.(protocol.Rejection).Kind.Response().NotExecuted, qt.IsTrue)
 }
 
 // One that still hears the primary keeps another from taking over.
@@ -76,7 +76,7 @@
 			m.Step(nowMs, protocol.Tick{})
 			qt.Assert(t, m.election.role, qt.Equals, asking)
 			m.Step(nowMs+10, protocol.Envelope{
-				Site: "s", To: "a", From: protocol.Node{Name: "c", Address: "c:1", Part: protocol.Controller, Incarnation: "1"},
+				Site: "s", To: "a", From: protocol.Node{Name: "c", Address: "c:1", Part: protocol.RoleController, Incarnation: "1"},
 				Body: protocol.PrimaryReply{Epoch: 1, HeardMs: test.heardMs},
 			})
 			m.Step(nowMs+usualTiming.PreVoteMs, protocol.Tick{})
--- a/internal/consensus/index.go
+++ b/internal/consensus/index.go
@@ -89,7 +89,7 @@
 			line = m.table.Look(key, m.described, m.state, m.softNow())
 		}
 		if len(line.Holders) > 0 {
-			for _, place := range m.roster.NodesOf(protocol.Router) {
+			for _, place := range m.roster.NodesOf(protocol.RoleRouter) {
 				if _, asked := routers[place.Name]; asked {
 					m.send(place, protocol.LookUpReply{Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Holders: line.Holders})
 				}
--- a/internal/consensus/index_test.go
+++ b/internal/consensus/index_test.go
@@ -12,7 +12,7 @@
 // asks brings a router's look-up and gives the answers that leave.
 func asks(m *Machine, nowMs int64, service, model string) []protocol.LookUpReply {
 	return indexed(m.Step(nowMs, protocol.Envelope{
-		Site: "s", To: "a", From: protocol.Node{Name: "e", Address: "e:1", Part: protocol.Router, Incarnation: "1"},
+		Site: "s", To: "a", From: protocol.Node{Name: "e", Address: "e:1", Part: protocol.RoleRouter, Incarnation: "1"},
 		Body: protocol.LookUp{ID: 7, Service: service, Model: model},
 	}))
 }
@@ -50,11 +50,11 @@
 			m.duty.seen["r"].okMs = m.nowMs - darkMs - 100
 		}, "v", "m", 0, false, 0, true},
 		{"being loaded", func(m *Machine) {
-			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.Load, Model: "m", Size: 6}
+			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionLoad, Model: "m", Size: 6}
 		}, "v", "m", 0, true, 0, true},
 		{"being unloaded", func(m *Machine) {
 			m.state.Rows["r"].Held["m"] = item
-			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.Unload, Model: "m"}
+			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionUnload, Model: "m"}
 		}, "v", "m", 0, false, 0, true},
 		{"its turn is known", func(m *Machine) { m.duty.turns = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
 		{"no such service", func(*Machine) {}, "x", "m", 0, false, 0, false},
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -116,7 +116,7 @@
 // successor says whether a live daemon that is not leaving stands outside the
 // members.
 func (m *Machine) successor(members []protocol.MemberID) bool {
-	for _, place := range m.roster.NodesOf(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.RoleController) {
 		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
 		sits := slices.ContainsFunc(members, func(member protocol.MemberID) bool { return member.Name == seat.Name })
 		if !sits && m.replication.live(m.nowMs, seat) && !m.replication.leaves(seat) {
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -132,7 +132,7 @@
 func (w *core) withoutVote(member string) {
 	record := w.record()
 	for name, n := range w.nodes {
-		if _, sits := record.MemberNamed(name); !sits {
+		if _, sits := record.Member(name); !sits {
 			for i, seat := range record.Witnesses {
 				if seat.Name == member {
 					record.Witnesses = slices.Clone(record.Witnesses)
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -308,20 +308,20 @@
 		return
 	}
 	m.peers = string(text)
-	m.save(storage.Write{Sets: map[string]string{peersKey: m.peers}}, nil)
+	m.save(storage.Write{Set: map[string]string{peersKey: m.peers}}, nil)
 }
 
 func (m *Machine) receive(e protocol.Envelope) {
 	if e.Site != m.set.Site {
-		m.count(errkind.OtherSite)
+		m.count(errkind.WrongSite)
 		return
 	}
 	// An address may have passed to another daemon.
 	if e.To != "" && e.To != m.set.Self.Name {
-		m.count(errkind.OtherDaemon)
+		m.count(errkind.WrongDaemon)
 		return
 	}
-	if e.From.Part == protocol.Controller && !m.heeds(e) {
+	if e.From.Part == protocol.RoleController && !m.heeds(e) {
 		return
 	}
 	m.roster.Observe(m.nowMs, e.From)
@@ -347,7 +347,7 @@
 		}
 	case protocol.Prepare:
 		if body.Found && !body.AllSeeds && !m.mayBootstrap() {
-			m.count(errkind.NotFirstDisk)
+			m.count(errkind.NotInitialDisk)
 			m.reply(e, protocol.PrepareReply{Ballot: body.Ballot, NotFirstDisk: true})
 			return
 		}
@@ -393,10 +393,10 @@
 // needs the controllers only, and all routers ask at once while a primary is
 // missing.
 func (m *Machine) known(to protocol.Node) []protocol.Node {
-	if m.set.Application == nil || to.Part != protocol.Router {
+	if m.set.Application == nil || to.Part != protocol.RoleRouter {
 		return m.roster.Nodes()
 	}
-	return append(m.roster.NodesOf(protocol.Controller), m.set.Self)
+	return append(m.roster.NodesOf(protocol.RoleController), m.set.Self)
 }
 
 // saveWitness saves the witness where it changed, and then answers. What a
@@ -408,7 +408,7 @@
 	case m.broken:
 	case changed:
 		m.witnessSaves++
-		m.save(storage.Write{Sets: map[string]string{witness.Key: m.witness.Encode()}}, func(ok bool) {
+		m.save(storage.Write{Set: map[string]string{witness.Key: m.witness.Encode()}}, func(ok bool) {
 			m.witnessSaves--
 			if ok {
 				then()
@@ -477,7 +477,7 @@
 func (m *Machine) count(kind errkind.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
 
 func (m *Machine) answer(id uint64, body any) {
-	m.out.Answers = append(m.out.Answers, protocol.Answer{ID: id, Body: body})
+	m.out.Responses = append(m.out.Responses, protocol.Response{ID: id, Body: body})
 }
 
 // adopt takes a complete record as the one in force.
@@ -499,6 +499,6 @@
 	}
 	if changed && !m.broken {
 		text, _ := json.Marshal(remembered{m.record, m.ballot})
-		m.save(storage.Write{Sets: map[string]string{recordKey: string(text)}}, nil)
+		m.save(storage.Write{Set: map[string]string{recordKey: string(text)}}, nil)
 	}
 }
--- a/internal/consensus/machine_witness_test.go
+++ b/internal/consensus/machine_witness_test.go
@@ -31,7 +31,7 @@
 			m.witness.Release(m.record.Primary, protocol.ReleaseLease{Epoch: m.record.Epoch, Ballot: m.witness.Accepted})
 			ask := protocol.Envelope{
 				Site: "s", To: name, Body: test.ask(m),
-				From: protocol.Node{Name: "core-9", Address: "10.0.0.9:7", Part: protocol.Controller, Incarnation: "1"},
+				From: protocol.Node{Name: "core-9", Address: "10.0.0.9:7", Part: protocol.RoleController, Incarnation: "1"},
 			}
 			first := m.Step(w.nowMs, ask)
 			qt.Assert(t, first.DiskWrites, qt.HasLen, 1)
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -32,7 +32,7 @@
 			next.Witnesses = append(next.Witnesses, seat)
 		} else {
 			if old := next.Witnesses[i]; old.Name == seat.Name {
-				next.Gone = m.record.Replaced(old)
+				next.Gone = m.record.GoneWith(old)
 			}
 			next.Witnesses[i] = seat
 		}
@@ -78,8 +78,8 @@
 	}
 	gone = m.record.Gone
 	// A disk that came back blank under the name takes over the name.
-	if old, ok := m.record.MemberNamed(spare.Name); ok && old != spare {
-		gone = m.record.Replaced(old)
+	if old, ok := m.record.Member(spare.Name); ok && old != spare {
+		gone = m.record.GoneWith(old)
 	}
 	m.note("recruiting %s as a copy", spare.Name)
 	return append(without(bad), spare), gone, true
@@ -92,7 +92,7 @@
 			return seat, true
 		}
 	}
-	return m.record.Peer(m.set.Self.Name)
+	return m.record.OtherReplica(m.set.Self.Name)
 }
 
 // recruit picks a follower that holds every change that was answered, in
@@ -101,7 +101,7 @@
 func (m *Machine) recruit(lost protocol.MemberID) (protocol.MemberID, bool) {
 	var best protocol.MemberID
 	found, other := false, false
-	for _, place := range m.roster.NodesOf(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.RoleController) {
 		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
 		c := m.replication.peers[place.Name]
 		if seat == lost || m.record.HasReplica(seat) || c == nil || c.acked < m.replication.committed {
--- a/internal/consensus/offer.go
+++ b/internal/consensus/offer.go
@@ -71,13 +71,13 @@
 	case len(in.Text) > description.Most:
 		m.drop(in.ID, errkind.TooLarge, "a description may have at most 1 MiB", nil)
 	case m.record.Epoch == 0:
-		m.drop(in.ID, errkind.NotFounded, "this site is not founded", nil)
+		m.drop(in.ID, errkind.NotBootstrapped, "this site is not founded", nil)
 	case !m.isPrimary():
 		m.drop(in.ID, errkind.NotPrimary, "the primary takes descriptions", nil)
 	case !m.active():
-		m.drop(in.ID, errkind.NotTaken, "the pair is not whole yet", nil)
+		m.drop(in.ID, errkind.NotAccepted, "the pair is not whole yet", nil)
 	case len(m.offer.line) >= lineMost:
-		m.drop(in.ID, errkind.NotTaken, "too many descriptions wait", nil)
+		m.drop(in.ID, errkind.NotAccepted, "too many descriptions wait", nil)
 	default:
 		m.offer.line = append(m.offer.line, in)
 		m.nextOffer()
@@ -120,7 +120,7 @@
 		o.line = o.line[1:]
 		o.pending = &candidate{from: in, number: o.current.Number + 1, text: string(text), sinceMs: m.nowMs}
 		o.count++
-		o.pending.token = fmt.Sprintf("%s-%d-%d", protocol.Sum(string(text)), m.record.Epoch, o.count)
+		o.pending.token = fmt.Sprintf("%s-%d-%d", protocol.Digest(string(text)), m.record.Epoch, o.count)
 		m.note("revision %d is offered to the routers", o.pending.number)
 		m.nudge()
 		m.tickOffer()
@@ -129,7 +129,7 @@
 
 // nudge makes the routers ask at once rather than at their next turn.
 func (m *Machine) nudge() {
-	for _, place := range m.roster.NodesOf(protocol.Router) {
+	for _, place := range m.roster.NodesOf(protocol.RoleRouter) {
 		m.send(place, protocol.PollRequest{Epoch: m.record.Epoch})
 	}
 }
@@ -151,7 +151,7 @@
 		if m.nowMs-o.pending.sinceMs >= giveUpMs {
 			id := o.pending.from.ID
 			o.pending = nil
-			m.drop(id, errkind.NotTaken, "too few routers acknowledged it", nil)
+			m.drop(id, errkind.NotAccepted, "too few routers acknowledged it", nil)
 			m.nudge()
 			m.nextOffer()
 		}
@@ -211,12 +211,12 @@
 	o.line, o.pending = nil, nil
 	o.forget()
 	for _, in := range line {
-		m.drop(in.ID, errkind.NotTaken, "this controller is not the primary any more", nil)
+		m.drop(in.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
 	}
 	// One that was never written can't come into force; one that was has been
 	// answered by its write's end.
 	if pending != nil && !pending.given {
-		m.drop(pending.from.ID, errkind.NotTaken, "this controller is not the primary any more", nil)
+		m.drop(pending.from.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
 	}
 }
 
--- a/internal/consensus/office.go
+++ b/internal/consensus/office.go
@@ -33,7 +33,7 @@
 // Office is a controller as a process: its machine in a shell, and the pages
 // that operators use.
 type Office struct {
-	shell *process.Shell
+	shell *process.Runtime
 	disk  *storage.Store
 }
 
@@ -43,10 +43,10 @@
 	if err != nil {
 		return nil, err
 	}
-	keys := d.Keys()
+	keys := d.Rows()
 	clock := process.NewClock()
 	self := protocol.Node{
-		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.Controller, Incarnation: keys["incarnation"],
+		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.RoleController, Incarnation: keys["incarnation"],
 	}
 	machine, err := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, keys, clock.NowMs())
 	if err != nil {
@@ -54,22 +54,22 @@
 		return nil, err
 	}
 	o := &Office{disk: d}
-	o.shell = process.New(process.Settings{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, d, peers, web, o)
+	o.shell = process.New(process.Options{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, d, peers, web, o)
 	return o, nil
 }
 
-// Join adds the controller's duties to a crew.
-func (o *Office) Join(c *threads.Group) { o.shell.Join(c) }
+// AddTasks adds the controller's duties to a crew.
+func (o *Office) AddTasks(c *threads.Group) { o.shell.AddTasks(c) }
 
-// Halt makes the controller stand still until it is released.
-func (o *Office) Halt() (release func()) { return o.shell.Halt() }
+// Pause makes the controller stand still until it is released.
+func (o *Office) Pause() (release func()) { return o.shell.Pause() }
 
-// Spoil makes its disk behave as a full, failing or stalling one.
-func (o *Office) Spoil(sync func(*os.File) error) { o.disk.Spoil(sync) }
+// OverrideSync makes its disk behave as a full, failing or stalling one.
+func (o *Office) OverrideSync(sync func(*os.File) error) { o.disk.OverrideSync(sync) }
 
-// Leave steps down before a planned stop, so that the next need not wait.
-func (o *Office) Leave() {
-	o.shell.Put(Leave{})
+// Shutdown steps down before a planned stop, so that the next need not wait.
+func (o *Office) Shutdown() {
+	o.shell.Submit(Leave{})
 	time.Sleep(leaveWait)
 }
 
@@ -86,7 +86,7 @@
 	}
 	page, ok := pages[r.URL.Path]
 	if !ok {
-		errkind.Answer{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
+		errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
 		return
 	}
 	handler, ok := page[r.Method]
@@ -94,7 +94,7 @@
 		for method := range page {
 			w.Header().Add("Allow", method)
 		}
-		errkind.Answer{Kind: errkind.WrongMethod, Detail: r.Method + " " + r.URL.Path}.Write(w)
+		errkind.ErrorBody{Kind: errkind.WrongMethod, Detail: r.Method + " " + r.URL.Path}.Write(w)
 		return
 	}
 	handler(w, r)
@@ -103,7 +103,7 @@
 func (o *Office) ask(r *http.Request, ms int64, input func(id uint64) any) (any, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 	defer cancel()
-	return o.shell.Ask(ctx, input)
+	return o.shell.Call(ctx, input)
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
@@ -112,7 +112,7 @@
 }
 
 func dropped(w http.ResponseWriter, said protocol.Rejection) {
-	errkind.Answer{
+	errkind.ErrorBody{
 		Kind: said.Kind, Detail: said.Detail, Faults: said.Faults, Revision: said.Revision, Primary: said.Primary,
 	}.Write(w)
 }
@@ -120,24 +120,24 @@
 func (o *Office) put(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, description.Most))
 	if err != nil {
-		errkind.Answer{Kind: errkind.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.Most)}.Write(w)
+		errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.Most)}.Write(w)
 		return
 	}
 	given := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if given == "" {
-		errkind.Answer{Kind: errkind.NoBase, Detail: `If-Match: "REVISION" must say which revision this is based on; 0 is none`}.Write(w)
+		errkind.ErrorBody{Kind: errkind.MissingBase, Detail: `If-Match: "REVISION" must say which revision this is based on; 0 is none`}.Write(w)
 		return
 	}
 	base, err := strconv.ParseUint(given, 10, 64)
 	if err != nil {
-		errkind.Answer{Kind: errkind.BadRequest, Detail: "If-Match: " + given + " is not a revision"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.BadRequest, Detail: "If-Match: " + given + " is not a revision"}.Write(w)
 		return
 	}
 	answer, ok := o.ask(r, answerMs, func(id uint64) any {
 		return HandOver{ID: id, Base: base, Text: string(text), Part: r.Method == http.MethodPatch}
 	})
 	if !ok {
-		errkind.Answer{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; read the description to find out"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; read the description to find out"}.Write(w)
 		return
 	}
 	switch said := answer.(type) {
@@ -153,7 +153,7 @@
 	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "description"} })
 	said, right := answer.(Described)
 	if !ok || !right {
-		errkind.Answer{Kind: errkind.NotTaken, Detail: "no answer in time"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "no answer in time"}.Write(w)
 		return said, false
 	}
 	return said, true
@@ -166,11 +166,11 @@
 	}
 	// Only the primary knows what is in force; a follower may be late.
 	if !said.Sure {
-		errkind.Answer{Kind: errkind.NotPrimary, Detail: "the primary knows the description in force", Primary: said.Primary}.Write(w)
+		errkind.ErrorBody{Kind: errkind.NotPrimary, Detail: "the primary knows the description in force", Primary: said.Primary}.Write(w)
 		return
 	}
 	if said.Revision.Number == 0 {
-		errkind.Answer{Kind: errkind.UnknownPage, Detail: "no description is in force yet"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: "no description is in force yet"}.Write(w)
 		return
 	}
 	w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatUint(said.Revision.Number, 10)))
@@ -187,7 +187,7 @@
 func (o *Office) status(w http.ResponseWriter, r *http.Request) {
 	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
 	if !ok {
-		errkind.Answer{Kind: errkind.NotTaken, Detail: "no answer in time"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "no answer in time"}.Write(w)
 		return
 	}
 	writeJSON(w, answer)
@@ -199,7 +199,7 @@
 	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
 	status, right := answer.(Status)
 	if !ok || !right || status.DiskBroken || status.Retired {
-		errkind.Answer{Kind: errkind.NotTaken, Detail: "unsound"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "unsound"}.Write(w)
 		return
 	}
 	writeJSON(w, map[string]any{"sound": true, "role": status.Role, "epoch": status.Record.Epoch})
@@ -217,7 +217,7 @@
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, 4096))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&asked); err != nil {
-		errkind.Answer{Kind: errkind.BadRequest, Detail: err.Error()}.Write(w)
+		errkind.ErrorBody{Kind: errkind.BadRequest, Detail: err.Error()}.Write(w)
 		return
 	}
 	answer, ok := o.ask(r, answerMs, func(id uint64) any {
@@ -227,7 +227,7 @@
 		}
 	})
 	if !ok {
-		errkind.Answer{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; ask for the status"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; ask for the status"}.Write(w)
 		return
 	}
 	switch said := answer.(type) {
--- a/internal/consensus/place.go
+++ b/internal/consensus/place.go
@@ -277,7 +277,7 @@
 			if !m.duty.pace.take(m.nowMs, pace) {
 				return true
 			}
-			m.order(s.row, protocol.Load, n.item, n.size)
+			m.order(s.row, protocol.ActionLoad, n.item, n.size)
 			return true
 		}
 	}
@@ -301,7 +301,7 @@
 	if victim == nil {
 		return false
 	}
-	m.order(victim, protocol.Unload, worst, victim.Held[worst.String()].Size)
+	m.order(victim, protocol.ActionUnload, worst, victim.Held[worst.String()].Size)
 	return true
 }
 
@@ -444,7 +444,7 @@
 // order writes the intent to the pair, and only then sends it.
 func (m *Machine) order(row *ledger.Row, action string, item ledger.Item, size int64) {
 	name := row.Runner
-	if action == protocol.Load {
+	if action == protocol.ActionLoad {
 		m.duty.turnsMs[m.serviceOf(item.Model)] = m.nowMs
 	}
 	m.duty.seen[name].orders++
--- a/internal/consensus/place_test.go
+++ b/internal/consensus/place_test.go
@@ -91,7 +91,7 @@
 		runner string
 		action string
 	}{
-		{"where there is room", func(m *Machine) { m.state.Rows["r"].Held["n"] = held }, true, "q", protocol.Load},
+		{"where there is room", func(m *Machine) { m.state.Rows["r"].Held["n"] = held }, true, "q", protocol.ActionLoad},
 		{"not where the report says something else", func(m *Machine) {
 			m.duty.seen["r"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
 			m.duty.seen["q"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
@@ -116,7 +116,7 @@
 				m.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				m.duty.seen[name].since["n"] = m.nowMs - stayMs
 			}
-		}, true, "r", protocol.Unload},
+		}, true, "r", protocol.ActionUnload},
 		{"what operators want held stays", func(m *Machine) {
 			m.described.Models[1].Copies = 2
 			for _, name := range []string{"r", "q"} {
--- a/internal/consensus/recovery.go
+++ b/internal/consensus/recovery.go
@@ -20,21 +20,21 @@
 	at := m.state.Position
 	switch {
 	case at.Number == 0:
-		drop(errkind.NotFounded, "this controller has no copy to go on from")
+		drop(errkind.NotBootstrapped, "this controller has no copy to go on from")
 		return
 	case m.broken:
-		drop(errkind.NotTaken, "this controller's disk failed")
+		drop(errkind.NotAccepted, "this controller's disk failed")
 		return
 	case m.election.founding != nil:
-		drop(errkind.NotTaken, "a recovery is under way")
+		drop(errkind.NotAccepted, "a recovery is under way")
 		return
 	case m.isPrimary() || m.entitled(m.record) || m.mayStand():
-		drop(errkind.NotTaken, "this disk is one of the pair: it takes over by itself")
+		drop(errkind.NotAccepted, "this disk is one of the pair: it takes over by itself")
 		return
 	}
 	for _, seat := range m.record.Replicas {
 		if place, known := m.roster.Node(seat.Name); known && place.Incarnation == seat.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
-			drop(errkind.NotTaken, "a disk of the pair is there: "+seat.Name+" takes over by itself")
+			drop(errkind.NotAccepted, "a disk of the pair is there: "+seat.Name+" takes over by itself")
 			return
 		}
 	}
@@ -54,7 +54,7 @@
 	first.Gone = m.record.Gone
 	for _, seat := range m.record.Replicas {
 		lost := protocol.EpochRecord{Gone: first.Gone}
-		first.Gone = lost.Replaced(seat)
+		first.Gone = lost.GoneWith(seat)
 	}
 	m.note("recovering: %s", shown)
 	m.election.first, m.election.founding = first, &f
@@ -75,7 +75,7 @@
 	id := s.founding.ID
 	s.founding = nil
 	m.retreat(0)
-	m.answer(id, protocol.Rejection{Kind: errkind.NotTaken, Detail: fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, said.At.Number, said.At.Epoch)})
+	m.answer(id, protocol.Rejection{Kind: errkind.NotAccepted, Detail: fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, said.At.Number, said.At.Epoch)})
 	return true
 }
 
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -183,14 +183,14 @@
 	m.stateChanged(change.Rows)
 	c.keepRecent(change)
 	c.writing, c.writeMs = true, m.nowMs
-	m.keepRows(storage.Write{Sets: change.Rows}, change.At, func() {
+	m.keepRows(storage.Write{Set: change.Rows}, change.At, func() {
 		if m.isPrimary() {
 			m.replication.writing = false
 			m.advance()
 			m.pump()
 		}
 	})
-	for _, place := range m.roster.NodesOf(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.RoleController) {
 		m.sendFollow(place)
 	}
 }
@@ -276,7 +276,7 @@
 	if m.set.Application == nil {
 		m.replication.soft = m.duty.soft(m.nowMs)
 	}
-	for _, place := range m.roster.NodesOf(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.RoleController) {
 		m.sendFollow(place)
 	}
 }
@@ -443,7 +443,7 @@
 		}
 		took = true
 		maps.Copy(changed, change.Rows)
-		m.keepRows(storage.Write{Sets: change.Rows}, change.At, func() { m.tellFollowed(from) })
+		m.keepRows(storage.Write{Set: change.Rows}, change.At, func() { m.tellFollowed(from) })
 	}
 	if took {
 		m.stateChanged(changed)
@@ -510,7 +510,7 @@
 	m.state = fresh
 	m.stateChanged(said.Rows)
 	m.note("took a snapshot at change %d", said.At.Number)
-	m.keepRows(storage.Write{Clear: ledger.Prefix, Sets: said.Rows}, said.At, func() { m.tellFollowed(e.From) })
+	m.keepRows(storage.Write{ClearPrefix: ledger.Prefix, Set: said.Rows}, said.At, func() { m.tellFollowed(e.From) })
 }
 
 // tellFollowed says how far this disk is. One that takes no writes any more
--- a/internal/consensus/retired.go
+++ b/internal/consensus/retired.go
@@ -14,16 +14,16 @@
 func (m *Machine) heeds(e protocol.Envelope) bool {
 	seat := protocol.MemberID{Name: e.From.Name, Incarnation: e.From.Incarnation}
 	if slices.Contains(m.record.Gone, seat) {
-		m.count(errkind.OtherDaemon)
+		m.count(errkind.WrongDaemon)
 		m.send(e.From, protocol.Retire{Record: m.record})
 		return false
 	}
-	named, ok := m.record.MemberNamed(seat.Name)
+	named, ok := m.record.Member(seat.Name)
 	if !ok || named == seat {
 		return true
 	}
 	if place, known := m.roster.Node(seat.Name); known && place.Incarnation == named.Incarnation && m.roster.Live(m.nowMs, seat.Name) {
-		m.count(errkind.OtherDaemon)
+		m.count(errkind.WrongDaemon)
 		return false
 	}
 	return true
@@ -47,7 +47,7 @@
 	}
 	m.retired = true
 	if !m.broken {
-		m.save(storage.Write{Sets: map[string]string{retiredKey: "for good"}}, nil)
+		m.save(storage.Write{Set: map[string]string{retiredKey: "for good"}}, nil)
 	}
 }
 
@@ -59,6 +59,6 @@
 	case HandOver:
 		m.drop(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
 	case Bootstrap:
-		m.answer(in.ID, protocol.Rejection{Kind: errkind.AlreadyFounded, Detail: "this daemon is retired"})
+		m.answer(in.ID, protocol.Rejection{Kind: errkind.AlreadyBootstrapped, Detail: "this daemon is retired"})
 	}
 }
--- a/internal/consensus/witnesses.go
+++ b/internal/consensus/witnesses.go
@@ -81,7 +81,7 @@
 
 // outsider gives a live core peer that holds every change and sits nowhere.
 func (m *Machine) outsider() (protocol.MemberID, bool) {
-	for _, place := range m.roster.NodesOf(protocol.Controller) {
+	for _, place := range m.roster.NodesOf(protocol.RoleController) {
 		seat := protocol.MemberID{Name: place.Name, Incarnation: place.Incarnation}
 		sits := slices.ContainsFunc(m.record.Witnesses, func(w protocol.MemberID) bool { return w.Name == seat.Name })
 		if !sits && m.replication.keepsUp(m.nowMs, seat) && !m.replication.leaves(seat) && m.replication.peers[seat.Name].acked >= m.replication.committed {
--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -12,8 +12,8 @@
 // A controller that is cut off from a majority hands nothing out: no answer to
 // a look-up and no redirect, since what it knows may have been replaced.
 func TestNothingIsHandedOutWithoutContact(t *testing.T) {
-	primary := protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
-	router := protocol.Node{Name: "edge-1", Address: "10.0.1.1:7", Part: protocol.Router}
+	primary := protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.RoleController}
+	router := protocol.Node{Name: "edge-1", Address: "10.0.1.1:7", Part: protocol.RoleRouter}
 	for _, contact := range []bool{true, false} {
 		s := New(Settings{Self: wordSelf, ControlPort: "80"}, wordFormat{})
 		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []protocol.Node{primary}}, primary: primary}
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -133,7 +133,7 @@
 		if !s.serving || !h.Active() {
 			s.notPrimary(h, in.ID)
 		} else if s.maps.current.version == 0 {
-			h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "no map is in force yet"})
+			h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotAccepted, Detail: "no map is in force yet"})
 		} else {
 			h.Answer(in.ID, ConfigText{Version: s.maps.current.version, Text: s.maps.current.text})
 		}
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -52,7 +52,7 @@
 
 // Daemon is a controller as a process: its machine in a shell.
 type Daemon struct {
-	shell *process.Shell
+	shell *process.Runtime
 	// doors are the pages that operators use.
 	doors http.Handler
 	// seeds are those of the settings as they are now.
@@ -63,19 +63,19 @@
 
 // NewDaemon opens the data folder and makes the controller; nothing runs yet.
 // Doors makes the pages that operators use.
-func NewDaemon(set DaemonSettings, format ConfigFormat, exchanger process.Exchanger, doors func(*process.Shell) http.Handler, peers, web net.Listener, logger *log.Logger) (*Daemon, error) {
+func NewDaemon(set DaemonSettings, format ConfigFormat, exchanger process.OutboundCaller, doors func(*process.Runtime) http.Handler, peers, web net.Listener, logger *log.Logger) (*Daemon, error) {
 	clock := process.NewClock()
 	machine, d, err := set.machine(storage.Open, format, clock)
 	if err != nil {
 		return nil, err
 	}
-	set.Self.Part, set.Self.Incarnation = protocol.Controller, d.Keys()["incarnation"]
+	set.Self.Part, set.Self.Incarnation = protocol.RoleController, d.Rows()["incarnation"]
 	o := &Daemon{handOver: time.Duration(ShutdownHandoverMs(set.Bounds)) * time.Millisecond}
 	o.seeds.Store(&set.Seeds)
 	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { o.doors.ServeHTTP(w, r) })
-	o.shell = process.New(process.Settings{
-		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Exchanger: exchanger,
-		Renew: func() (process.Machine, *storage.Store, error) {
+	o.shell = process.New(process.Options{
+		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Caller: exchanger,
+		Reopen: func() (process.Machine, *storage.Store, error) {
 			return o.anew(set).machine(storage.Reopen, format, clock)
 		},
 	}, machine, d, peers, web, handler)
@@ -97,8 +97,8 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	keys := d.Keys()
-	set.Self.Part, set.Self.Incarnation = protocol.Controller, keys["incarnation"]
+	keys := d.Rows()
+	set.Self.Part, set.Self.Incarnation = protocol.RoleController, keys["incarnation"]
 	tenant := New(Settings{
 		Self: set.Self, Bounds: set.Bounds, ListAddress: set.ListAddress, ListPerSec: set.ListPerSec, ControlPort: set.ControlPort,
 	}, format)
@@ -120,14 +120,14 @@
 }
 
 // Join adds the controller's duties to a crew.
-func (o *Daemon) Join(c *threads.Group) { o.shell.Join(c) }
+func (o *Daemon) Join(c *threads.Group) { o.shell.AddTasks(c) }
 
 // Leave hands the copy, the vote and the primacy of this daemon to others
 // before a planned stop, as far as there are any and within LeaveTimeoutMs.
 func (o *Daemon) Leave() {
 	ctx, cancel := context.WithTimeout(context.Background(), o.handOver+leaveWait)
 	defer cancel()
-	o.shell.Ask(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
+	o.shell.Call(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
 	// The last messages, such as the word to the next primary, are on their way.
 	time.Sleep(leaveWait)
 }
@@ -135,5 +135,5 @@
 // Reseed takes the seeds of changed settings.
 func (o *Daemon) Reseed(seeds []string) {
 	o.seeds.Store(&seeds)
-	o.shell.Put(consensus.SetSeeds{Seeds: seeds})
+	o.shell.Submit(consensus.SetSeeds{Seeds: seeds})
 }
--- a/internal/controller/daemon_test.go
+++ b/internal/controller/daemon_test.go
@@ -23,7 +23,7 @@
 		return at
 	}
 	set := DaemonSettings{Site: "s", Self: wordSelf, Seeds: []string{"a:7"}, FirstStart: true, Data: c.TempDir()}
-	doors := func(*process.Shell) http.Handler { return http.NotFoundHandler() }
+	doors := func(*process.Runtime) http.Handler { return http.NotFoundHandler() }
 	o, err := NewDaemon(set, wordFormat{}, nil, doors, listen(), listen(), log.New(io.Discard))
 	c.Assert(err, qt.IsNil)
 	for _, seeds := range [][]string{{"a:7"}, {"b:7", "c:7"}} {
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -208,7 +208,7 @@
 // The copied state stays small enough for a snapshot in one message, beside the
 // largest map.
 func TestHistoryFitsASnapshot(t *testing.T) {
-	row := encode(successor{math.MaxUint64, protocol.Sum("")})
+	row := encode(successor{math.MaxUint64, protocol.Digest("")})
 	bytes := historyMost * (len(successorKey(math.MaxUint64)) + len(row) + len("state/kept/"))
 	t.Logf("%d bytes", bytes)
 	qt.Assert(t, bytes < protocol.MaxFrameBytes/4, qt.IsTrue)
@@ -229,7 +229,7 @@
 		s.HandleInput(h, SubmitConfig{ID: i, BaseVersion: 7, Text: fmt.Sprintf("version 9 of %d", i)})
 		h.end(true)
 	}
-	qt.Assert(t, lastTold(h, s, SubmitConfig{ID: 1, BaseVersion: 7, Text: "version 9"}), qt.Equals, string(errkind.NotTaken))
+	qt.Assert(t, lastTold(h, s, SubmitConfig{ID: 1, BaseVersion: 7, Text: "version 9"}), qt.Equals, string(errkind.NotAccepted))
 	qt.Assert(t, h.writes, qt.HasLen, 0)
 }
 
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -79,7 +79,7 @@
 			s.BecamePrimary(h)
 			writeMs, orderMs, endMs := never, never, never
 			for ; h.nowMs < beganMs+4000; h.nowMs += 50 {
-				s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+				s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 				s.Tick(h)
 				if orders := platformOf(h, s); orders > 0 && orderMs == never {
 					orderMs = h.nowMs - beganMs
@@ -117,7 +117,7 @@
 	s.LostPrimacy(h)
 	orders := 0
 	for endMs := h.nowMs + 2000; h.nowMs < endMs; h.nowMs += 50 {
-		s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.Router}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+		s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 		s.Tick(h)
 		orders += platformOf(h, s)
 	}
--- a/internal/controller/routers.go
+++ b/internal/controller/routers.go
@@ -27,7 +27,7 @@
 	r.routers = s.countRouters(h)
 	// Words that were sent share the list, so a new one is made each time.
 	r.controllers = append(h.Controllers(), h.Self())
-	r.sum = protocol.SumNodes(r.controllers)
+	r.sum = protocol.DigestNodes(r.controllers)
 }
 
 // countRouters is how many routers may spend the budget of second tries.
@@ -49,4 +49,4 @@
 	sum uint64
 }
 
-func (l *leaving) take(ids []string) { l.ids, l.sum = ids, protocol.SumTexts(ids) }
+func (l *leaving) take(ids []string) { l.ids, l.sum = ids, protocol.DigestStrings(ids) }
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -103,7 +103,7 @@
 		h.Logf("the map in force can't be read: %v", err)
 		return
 	}
-	whole, err := protocol.Unpack(kept.Packed)
+	whole, err := protocol.Decompress(kept.Packed)
 	if err != nil {
 		h.Logf("the map in force can't be read: %v", err)
 		return
@@ -113,7 +113,7 @@
 		h.Logf("the map in force can't be read: %s", strings.Join(faults, "; "))
 		return
 	}
-	m.current, m.row = inForce{kept.Version, protocol.Sum(whole), whole, kept.Packed, document}, text
+	m.current, m.row = inForce{kept.Version, protocol.Digest(whole), whole, kept.Packed, document}, text
 }
 
 // begin takes over what earlier releases kept of accepted orders, and then the
@@ -135,7 +135,7 @@
 
 // sum names an operator's order, so that it is known when it comes again.
 func (in SubmitConfig) sum() string {
-	return protocol.Sum(strconv.FormatUint(in.BaseVersion, 10) + strconv.FormatBool(in.Partial) + in.Text)
+	return protocol.Digest(strconv.FormatUint(in.BaseVersion, 10) + strconv.FormatBool(in.Partial) + in.Text)
 }
 
 func (m *maps) handOver(s *Controller, h consensus.Host, in SubmitConfig) {
@@ -143,7 +143,7 @@
 	case !s.serving || !h.Active():
 		s.notPrimary(h, in.ID)
 	case len(m.queue) >= queueMost:
-		h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "too many orders wait"})
+		h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotAccepted, Detail: "too many orders wait"})
 	default:
 		m.queue = append(m.queue, in)
 		m.next(s, h)
@@ -194,7 +194,7 @@
 	}
 	rows, room := refusedRows(h, in.BaseVersion, sum)
 	if !room {
-		h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotTaken, Detail: "too many orders build on versions that have not been in force"})
+		h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotAccepted, Detail: "too many orders build on versions that have not been in force"})
 		return
 	}
 	m.write(s, h, in, rows, func() { m.refuseStale(h, in) })
@@ -272,7 +272,7 @@
 		return inForce{}, []string{fmt.Sprintf("version: is %d; it must be above the one in force (%d)", document.Version, m.current.version)}
 	}
 	whole := string(text)
-	return inForce{document.Version, protocol.Sum(whole), whole, protocol.Pack(whole), document}, nil
+	return inForce{document.Version, protocol.Digest(whole), whole, protocol.Compress(whole), document}, nil
 }
 
 // end gives all that wait their answer at the end of a primacy.
--- a/internal/controller/submissions_test.go
+++ b/internal/controller/submissions_test.go
@@ -134,13 +134,13 @@
 		}, told{1: {gone}}, 0, 0},
 		{"elsewhere", func(x scene) {
 			x.s.LostPrimacy(x.h)
-			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
+			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.RoleController}
 			x.h.controllers = []protocol.Node{x.h.primary}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone + " 10.0.0.2:80"}}, 0, 0},
 		{"elsewhere, and dead as far as is known", func(x scene) {
 			x.s.LostPrimacy(x.h)
-			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.Controller}
+			x.h.primary = protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.RoleController}
 			give(x, put(1, 0, "version 1"))
 		}, told{1: {gone}}, 0, 0},
 		{"a primary that may not speak takes none", func(x scene) {
@@ -183,7 +183,7 @@
 	for id := range uint64(queueMost + 2) {
 		s.HandleInput(h, SubmitConfig{ID: id, Text: "version 1"})
 	}
-	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{queueMost + 1: {string(errkind.NotTaken)}})
+	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{queueMost + 1: {string(errkind.NotAccepted)}})
 	h.end(true)
 	for id := range uint64(queueMost + 1) {
 		c.Assert(h.told[id], qt.DeepEquals, []string{"taken 1"})
--- a/internal/controller/updates_test.go
+++ b/internal/controller/updates_test.go
@@ -37,7 +37,7 @@
 	outOfContact bool
 }
 
-var wordSelf = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.Controller}
+var wordSelf = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.RoleController}
 
 func (h *wordHost) NowMs() int64           { return h.nowMs }
 func (h *wordHost) Active() bool           { return true }
@@ -89,7 +89,7 @@
 }
 
 func begun(routers int) (*wordHost, *Controller) {
-	h := &wordHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(protocol.Controller, 4), routers: placed(protocol.Router, routers)}
+	h := &wordHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(protocol.RoleController, 4), routers: placed(protocol.RoleRouter, routers)}
 	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}}, wordFormat{})
 	s.BecamePrimary(h)
 	s.HandleInput(h, SubmitConfig{ID: 1, Text: "version 1" + strings.Repeat(" model", 10_000)})
@@ -98,7 +98,7 @@
 
 func ask(h *wordHost, s *Controller, in protocol.ConfigPoll) protocol.ConfigUpdate {
 	h.said()
-	s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router}, Body: in})
+	s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.RoleRouter}, Body: in})
 	return h.said()[0]
 }
 
@@ -110,9 +110,9 @@
 	qt.Assert(t, full.EchoMs, qt.Equals, int64(9))
 	qt.Assert(t, full.Leaving, qt.DeepEquals, []string{"p1"})
 	qt.Assert(t, full.Controllers, qt.HasLen, 5)
-	text, err := protocol.Unpack(full.Packed)
+	text, err := protocol.Decompress(full.Packed)
 	qt.Assert(t, err, qt.IsNil)
-	qt.Assert(t, protocol.Sum(text), qt.Equals, full.Sum)
+	qt.Assert(t, protocol.Digest(text), qt.Equals, full.Sum)
 	cases := []struct {
 		about                    string
 		ask                      protocol.ConfigPoll
@@ -173,7 +173,7 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			h, s := begun(0)
-			from := protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.Router, Incarnation: "1"}
+			from := protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.RoleRouter, Incarnation: "1"}
 			sent := func() bool {
 				h.said()
 				s.HandleMessage(h, protocol.Envelope{From: from, Body: protocol.ConfigPoll{EchoMs: h.nowMs}})
--- a/internal/errkind/answer.go
+++ b/internal/errkind/answer.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Answer is the JSON body of every answer that is not the wanted one.
-type Answer struct {
+// ErrorBody is the JSON body of every answer that is not the wanted one.
+type ErrorBody struct {
 	Kind   Kind     `json:"kind"`
 	Detail string   `json:"detail,omitempty"`
 	Faults []string `json:"faults,omitempty"`
@@ -23,18 +23,18 @@
 }
 
 // RetryAfterSec is when a caller may come back, in whole seconds, or nought.
-func (a Answer) RetryAfterSec() int {
+func (a ErrorBody) RetryAfterSec() int {
 	if a.RetryMs > 0 {
 		return int((a.RetryMs + 999) / 1000)
 	}
-	return a.Kind.Reply().RetryAfterSec
+	return a.Kind.Response().RetryAfterSec
 }
 
 // Write sends the answer as its kind says.
-func (a Answer) Write(w http.ResponseWriter) {
-	reply := a.Kind.Reply()
+func (a ErrorBody) Write(w http.ResponseWriter) {
+	reply := a.Kind.Response()
 	a.Ran = "unknown"
-	if reply.Drop {
+	if reply.NotExecuted {
 		a.Ran = "no"
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/errkind/kind_test.go
+++ b/internal/errkind/kind_test.go
@@ -19,15 +19,15 @@
 	page, err := os.ReadFile("../../docs/operators.md")
 	c.Assert(err, qt.IsNil)
 	declared := regexp.MustCompile(`Kind = "([^"]+)"`).FindAllStringSubmatch(string(source), -1)
-	c.Assert(len(declared), qt.Equals, len(Table))
+	c.Assert(len(declared), qt.Equals, len(Responses))
 	for _, match := range declared {
-		reply, ok := Table[Kind(match[1])]
+		reply, ok := Responses[Kind(match[1])]
 		c.Assert(ok, qt.IsTrue, qt.Commentf("%s has no answer", match[1]))
 		after, ran := "", "unknown"
 		if reply.RetryAfterSec > 0 {
 			after = fmt.Sprint(reply.RetryAfterSec)
 		}
-		if reply.Drop {
+		if reply.NotExecuted {
 			ran = "no"
 		}
 		line := strings.Join(strings.Fields(fmt.Sprintf("| %s | %d | %s | %s |", match[1], reply.Status, after, ran)), " ")
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -180,7 +180,7 @@
 // Digest names the list of all places, so that it need not be told again.
 func (r *Detector) Digest() uint64 {
 	if r.sum == 0 {
-		r.sum = protocol.SumNodes(r.Nodes())
+		r.sum = protocol.DigestNodes(r.Nodes())
 	}
 	return r.sum
 }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -10,7 +10,7 @@
 )
 
 func place(name, address string) protocol.Node {
-	return protocol.Node{Name: name, Address: address, Part: protocol.Router, Incarnation: address}
+	return protocol.Node{Name: name, Address: address, Part: protocol.RoleRouter, Incarnation: address}
 }
 
 // A place heard of lately is believed over one that is only told.
@@ -136,13 +136,13 @@
 	for i := range 400 {
 		r.Observe(1000, place(fmt.Sprintf("edge-%d", i), fmt.Sprint(i)))
 	}
-	qt.Assert(t, r.NodesOf(protocol.Router), qt.HasLen, 400)
+	qt.Assert(t, r.NodesOf(protocol.RoleRouter), qt.HasLen, 400)
 }
 
 // Machines that were replaced make room for new ones; those that are there stay.
 func TestAFullRosterForgetsTheSilent(t *testing.T) {
 	place := func(i int) protocol.Node {
-		return protocol.Node{Name: fmt.Sprintf("edge-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Part: protocol.Router}
+		return protocol.Node{Name: fmt.Sprintf("edge-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Part: protocol.RoleRouter}
 	}
 	cases := []struct {
 		about string
--- a/internal/httpclient/transport.go
+++ b/internal/httpclient/client.go
@@ -21,8 +21,8 @@
 
 // Errors of an exchange beside those of the network.
 var (
-	// ErrTooLate says that the caller's check said no before the first byte.
-	ErrTooLate = errors.New("too late to send")
+	// ErrNotAllowed says that the caller's check said no before the first byte.
+	ErrNotAllowed = errors.New("too late to send")
 	// ErrMalformed says that what came is no final response of HTTP/1.1.
 	ErrMalformed = errors.New("malformed response")
 	// ErrHeadTooLarge says that the head of a response is larger than allowed.
@@ -46,25 +46,25 @@
 	clientHeadBytes = 64 << 10
 )
 
-// Transport sends each request once, over connections that it keeps.
-type Transport struct {
+// Client sends each request once, over connections that it keeps.
+type Client struct {
 	// calls are the connections for this process's own calls, clients those
 	// for requests of clients.
 	calls, clients *pool
 }
 
 // New makes a transport.
-func New() *Transport {
-	return &Transport{
+func New() *Client {
+	return &Client{
 		calls:   newPool(dialTimeout, idleTimeout, headBytes),
 		clients: newPool(clientDialTimeout, clientIdleTimeout, clientHeadBytes),
 	}
 }
 
-// Go sends a request once. Wrote says whether any byte may have reached the
+// Do sends a request once. Wrote says whether any byte may have reached the
 // other side; without it the request certainly has not. The response counts as
 // accepted, since these calls bear no id of a client's request.
-func (t *Transport) Go(ctx context.Context, method, url string, body []byte, mayWrite func() bool) (response *http.Response, wrote bool, err error) {
+func (t *Client) Do(ctx context.Context, method, url string, body []byte, mayWrite func() bool) (response *http.Response, wrote bool, err error) {
 	request, err := http.NewRequest(method, url, nil)
 	if err != nil {
 		return nil, false, err
@@ -75,14 +75,14 @@
 	}
 	exchange, err := t.calls.send(ctx, request, body, mayWrite, false)
 	if err != nil {
-		return nil, exchange.Wrote, err
+		return nil, exchange.Written, err
 	}
 	exchange.Accept()
-	return exchange.Response, exchange.Wrote, nil
+	return exchange.Response, exchange.Written, nil
 }
 
 // Close closes the connections that are idle.
-func (t *Transport) Close() {
+func (t *Client) Close() {
 	t.calls.closeIdle()
 	t.clients.closeIdle()
 }
--- a/internal/httpclient/transport_test.go
+++ b/internal/httpclient/client_test.go
@@ -22,13 +22,13 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
 	seen = &atomic.Int64{}
-	threads.Side(func() {
+	threads.Go(func() {
 		for {
 			stream, err := at.Accept()
 			if err != nil {
 				return
 			}
-			threads.Side(func() {
+			threads.Go(func() {
 				defer stream.Close()
 				reader := bufio.NewReader(stream)
 				for {
@@ -81,7 +81,7 @@
 			transport := New()
 			defer transport.Close()
 			send := func(may func() bool) (bool, error) {
-				got, wrote, err := transport.Go(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), may)
+				got, wrote, err := transport.Do(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), may)
 				if err == nil {
 					_, err = io.ReadAll(got.Body)
 					_ = got.Body.Close()
@@ -97,7 +97,7 @@
 			c.Assert(err != nil, qt.Equals, test.fails)
 			c.Assert(seen.Load(), qt.Equals, test.seen)
 			if test.about == "too late" {
-				c.Assert(errors.Is(err, ErrTooLate), qt.IsTrue)
+				c.Assert(errors.Is(err, ErrNotAllowed), qt.IsTrue)
 			}
 		})
 	}
@@ -110,7 +110,7 @@
 	c.Assert(err, qt.IsNil)
 	address := at.Addr().String()
 	c.Assert(at.Close(), qt.IsNil)
-	_, wrote, err := New().Go(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), yes)
+	_, wrote, err := New().Do(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), yes)
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(wrote, qt.IsFalse)
 }
--- a/internal/httpclient/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -32,15 +32,15 @@
 // response.
 type Exchange struct {
 	Response *http.Response
-	// Wrote says whether any byte of the request may have reached the other
+	// Written says whether any byte of the request may have reached the other
 	// side, as of the moment when the response's head or an error was there.
-	Wrote bool
+	Written bool
 
 	conn   *conn
 	writer *requestWriter
-	// written is closed once the request is written or has failed; nil where
+	// writeDone is closed once the request is written or has failed; nil where
 	// that was so before the response was read.
-	written chan struct{}
+	writeDone chan struct{}
 	// keeper takes the connection back if no doubt is left; nil closes it.
 	keeper *pool
 	// stopCancel ends the watch over the context; false says that it was
@@ -79,13 +79,13 @@
 	if err != nil {
 		x.Reject()
 		x.waitWritten()
-		x.Wrote, x.refused = x.writer.wrote.Load(), x.writer.refused.Load()
+		x.Written, x.refused = x.writer.wrote.Load(), x.writer.refused.Load()
 		if x.refused {
-			err = ErrTooLate
+			err = ErrNotAllowed
 		}
 		return x, err
 	}
-	x.Wrote = true
+	x.Written = true
 	return x, nil
 }
 
@@ -93,9 +93,9 @@
 	if bodyBytes <= inlineBytes {
 		return x.writeAll(request)
 	}
-	x.written = make(chan struct{})
-	threads.Side(func() {
-		defer close(x.written)
+	x.writeDone = make(chan struct{})
+	threads.Go(func() {
+		defer close(x.writeDone)
 		_ = x.writeAll(request)
 	})
 	return nil
@@ -111,7 +111,7 @@
 	buffer.Reset(nil)
 	writeBuffers.Put(buffer)
 	x.writer.failed.Store(err != nil)
-	if err != nil && x.written != nil {
+	if err != nil && x.writeDone != nil {
 		// Nobody waits for a response to a request that was not sent.
 		_ = x.conn.Close()
 	}
@@ -119,16 +119,16 @@
 }
 
 func (x *Exchange) waitWritten() {
-	if x.written != nil {
-		<-x.written
+	if x.writeDone != nil {
+		<-x.writeDone
 	}
 }
 
 // isWritten says whether the whole request was written.
 func (x *Exchange) isWritten() bool {
-	if x.written != nil {
+	if x.writeDone != nil {
 		select {
-		case <-x.written:
+		case <-x.writeDone:
 		default:
 			return false
 		}
@@ -242,7 +242,7 @@
 	}
 	if !w.mayWrite() {
 		w.refused.Store(true)
-		return 0, ErrTooLate
+		return 0, ErrNotAllowed
 	}
 	w.wrote.Store(true)
 	n, err := w.conn.Write(p)
--- a/internal/httpclient/exchange_test.go
+++ b/internal/httpclient/exchange_test.go
@@ -35,7 +35,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = listener.Close() })
 	p := &scriptedPeer{listener: listener, script: script, closes: closes}
-	threads.Side(p.accept)
+	threads.Go(p.accept)
 	return p
 }
 
@@ -45,7 +45,7 @@
 		if err != nil {
 			return
 		}
-		threads.Side(func() { p.serve(connection, number) })
+		threads.Go(func() { p.serve(connection, number) })
 	}
 }
 
@@ -84,8 +84,8 @@
 }
 
 // use makes one exchange as a caller does.
-func use(t *Transport, r Request, accepts bool) (body string, err error) {
-	x, err := t.Send(context.Background(), r, yes)
+func use(t *Client, r Request, accepts bool) (body string, err error) {
+	x, err := t.Forward(context.Background(), r, yes)
 	if err != nil {
 		return "", err
 	}
@@ -260,7 +260,7 @@
 	c.Assert(err, qt.IsNil)
 	defer listener.Close()
 	done := make(chan struct{})
-	threads.Side(func() {
+	threads.Go(func() {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
@@ -273,11 +273,11 @@
 		<-done
 	})
 	transport := New()
-	x, err := transport.Send(context.Background(), Request{
+	x, err := transport.Forward(context.Background(), Request{
 		Method: http.MethodPost, Address: listener.Addr().String(), Path: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 64<<20),
 	}, yes)
 	c.Assert(err, qt.IsNil)
-	c.Assert(x.Wrote, qt.IsTrue)
+	c.Assert(x.Written, qt.IsTrue)
 	x.Accept()
 	text, err := io.ReadAll(x.Response.Body)
 	c.Assert(err, qt.IsNil)
@@ -302,7 +302,7 @@
 	request.Method, request.Body = http.MethodPost, []byte("the body")
 	// The check runs right before the write, when the connection was found fit.
 	checks := 0
-	x, err := transport.Send(context.Background(), request, func() bool {
+	x, err := transport.Forward(context.Background(), request, func() bool {
 		if checks++; checks == 1 {
 			_ = client.Close()
 		}
@@ -321,7 +321,7 @@
 	transport := New()
 	defer transport.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	x, err := transport.Send(ctx, peer.request(), yes)
+	x, err := transport.Forward(ctx, peer.request(), yes)
 	c.Assert(err, qt.IsNil)
 	x.Accept()
 	_, err = io.ReadAll(x.Response.Body)
--- a/internal/httpclient/send.go
+++ b/internal/httpclient/forward.go
@@ -25,9 +25,9 @@
 	Fresh bool
 }
 
-// Send makes one exchange and never repeats it. The exchange is never nil; its
+// Forward makes one exchange and never repeats it. The exchange is never nil; its
 // response must be closed, and its connection is used again only after Accept.
-func (t *Transport) Send(ctx context.Context, r Request, mayWrite func() bool) (*Exchange, error) {
+func (t *Client) Forward(ctx context.Context, r Request, mayWrite func() bool) (*Exchange, error) {
 	request := &http.Request{
 		Method: r.Method, URL: r.url(), Host: r.Host, Header: r.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		Body: http.NoBody, ContentLength: int64(len(r.Body)),
--- a/internal/httpclient/send_test.go
+++ b/internal/httpclient/forward_test.go
@@ -19,7 +19,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
 	heads = make(chan string, 16)
-	threads.Side(func() {
+	threads.Go(func() {
 		nth := 0
 		for {
 			stream, err := at.Accept()
@@ -68,7 +68,7 @@
 			transport := New()
 			defer transport.Close()
 			test.e.Address, test.e.Header = address, http.Header{}
-			sent, err := transport.Send(context.Background(), test.e, yes)
+			sent, err := transport.Forward(context.Background(), test.e, yes)
 			c.Assert(err, qt.IsNil)
 			_, _ = io.ReadAll(sent.Response.Body)
 			c.Assert(<-heads, qt.Equals, test.want)
@@ -86,14 +86,14 @@
 			transport := New()
 			defer transport.Close()
 			request := Request{Method: method, Address: address, Path: "/", Host: "h", Header: http.Header{}}
-			sent, err := transport.Send(context.Background(), request, yes)
+			sent, err := transport.Forward(context.Background(), request, yes)
 			c.Assert(err, qt.IsNil)
 			sent.Accept()
 			_, _ = io.ReadAll(sent.Response.Body)
 			_ = sent.Response.Body.Close()
-			sent, err = transport.Send(context.Background(), request, yes)
+			sent, err = transport.Forward(context.Background(), request, yes)
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(sent.Wrote, qt.IsTrue)
+			c.Assert(sent.Written, qt.IsTrue)
 			c.Assert(heads, qt.HasLen, 2)
 		})
 	}
--- a/internal/httpclient/fuzz_test.go
+++ b/internal/httpclient/fuzz_test.go
@@ -94,7 +94,7 @@
 		}
 		status, body, failed := read(&pipeSocket{answer: strings.NewReader(text)})
 		client, peer := net.Pipe()
-		threads.Side(func() {
+		threads.Go(func() {
 			defer peer.Close()
 			for rest := text; rest != ""; {
 				n := min(size, len(rest))
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -37,7 +37,7 @@
 	if !fresh {
 		if c := p.take(request.URL.Host); c != nil {
 			exchange, err := c.exchange(ctx, request, body, mayWrite, p)
-			if err == nil || exchange.Wrote || exchange.refused || ctx.Err() != nil {
+			if err == nil || exchange.Written || exchange.refused || ctx.Err() != nil {
 				return exchange, err
 			}
 			// It broke before a byte of the request was written.
--- a/internal/native/ledger/command.go
+++ b/internal/native/ledger/command.go
@@ -23,7 +23,7 @@
 		return
 	}
 	s.Revision.Number += restartStep
-	s.Past = append(s.Past, Past{s.Revision.Number, len(s.Revision.Text), protocol.Sum(s.Revision.Text), c.Epoch})
+	s.Past = append(s.Past, Past{s.Revision.Number, len(s.Revision.Text), protocol.Digest(s.Revision.Text), c.Epoch})
 	s.Past = s.Past[max(0, len(s.Past)-pastMost):]
 	s.dirty["revision"], s.dirty["past"] = true, true
 }
@@ -37,7 +37,7 @@
 // Apply takes the next revision number.
 func (c Accept) Apply(s *State) {
 	s.Revision = Revision{Number: s.Revision.Number + 1, Text: c.Text}
-	s.Past = append(s.Past, Past{s.Revision.Number, len(c.Text), protocol.Sum(c.Text), c.Epoch})
+	s.Past = append(s.Past, Past{s.Revision.Number, len(c.Text), protocol.Digest(c.Text), c.Epoch})
 	if len(s.Past) > pastMost {
 		s.Past = s.Past[len(s.Past)-pastMost:]
 	}
@@ -111,7 +111,7 @@
 	if row == nil || row.Incarnation != c.Incarnation || row.Intent != nil {
 		return
 	}
-	if c.Action == protocol.Load && row.Taken()+c.Size > row.Room {
+	if c.Action == protocol.ActionLoad && row.Taken()+c.Size > row.Room {
 		return
 	}
 	s.Orders++
@@ -135,9 +135,9 @@
 	}
 	item := Item{row.Intent.Model, row.Intent.Adapter}.String()
 	switch {
-	case row.Intent.Action == protocol.Load && c.Done:
+	case row.Intent.Action == protocol.ActionLoad && c.Done:
 		row.Held[item] = Holding{Size: row.Intent.Size}
-	case row.Intent.Action == protocol.Unload && c.Done:
+	case row.Intent.Action == protocol.ActionUnload && c.Done:
 		delete(row.Held, item)
 	}
 	row.Intent = nil
--- a/internal/native/ledger/ledger.go
+++ b/internal/native/ledger/ledger.go
@@ -60,7 +60,7 @@
 	for _, h := range r.Held {
 		taken += h.Size
 	}
-	if r.Intent != nil && r.Intent.Action == protocol.Load {
+	if r.Intent != nil && r.Intent.Action == protocol.ActionLoad {
 		taken += r.Intent.Size
 	}
 	return taken
@@ -75,7 +75,7 @@
 	if _, ok := r.Held[item.String()]; !ok {
 		return false
 	}
-	return r.Intent == nil || r.Intent.Action != protocol.Unload ||
+	return r.Intent == nil || r.Intent.Action != protocol.ActionUnload ||
 		Item{r.Intent.Model, r.Intent.Adapter} != item
 }
 
@@ -91,7 +91,7 @@
 
 // Loading says whether an order to load the item is on its way.
 func (r *Row) Loading(item Item) bool {
-	return r.Intent != nil && r.Intent.Action == protocol.Load && Item{r.Intent.Model, r.Intent.Adapter} == item
+	return r.Intent != nil && r.Intent.Action == protocol.ActionLoad && Item{r.Intent.Model, r.Intent.Adapter} == item
 }
 
 // Revision is a description that was accepted.
--- a/internal/native/ledger/ledger_test.go
+++ b/internal/native/ledger/ledger_test.go
@@ -24,18 +24,18 @@
 		held     int
 		open     bool
 	}{
-		{"intent takes room", []Command{arrive("1"), intend(protocol.Load, "m", 60)}, 60, 0, true},
-		{"no second order while one is open", []Command{arrive("1"), intend(protocol.Load, "m", 60), intend(protocol.Load, "n", 10)}, 60, 0, true},
-		{"no room, no order", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.Load, "m", 41)}, 60, 1, false},
-		{"done", []Command{arrive("1"), intend(protocol.Load, "m", 60), Settle{"r", "1", 1, true}}, 60, 1, false},
-		{"failed", []Command{arrive("1"), intend(protocol.Load, "m", 60), Settle{"r", "1", 1, false}}, 0, 0, false},
-		{"settled by another number", []Command{arrive("1"), intend(protocol.Load, "m", 60), Settle{"r", "1", 2, true}}, 60, 0, true},
-		{"unloading still takes room", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.Unload, "a", 60)}, 60, 1, true},
-		{"unloaded", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.Unload, "a", 60), Settle{"r", "1", 1, true}}, 0, 0, false},
-		{"a new incarnation begins empty", []Command{arrive("1"), intend(protocol.Load, "m", 60), arrive("2")}, 0, 0, false},
+		{"intent takes room", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60)}, 60, 0, true},
+		{"no second order while one is open", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), intend(protocol.ActionLoad, "n", 10)}, 60, 0, true},
+		{"no room, no order", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionLoad, "m", 41)}, 60, 1, false},
+		{"done", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), Settle{"r", "1", 1, true}}, 60, 1, false},
+		{"failed", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), Settle{"r", "1", 1, false}}, 0, 0, false},
+		{"settled by another number", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), Settle{"r", "1", 2, true}}, 60, 0, true},
+		{"unloading still takes room", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60)}, 60, 1, true},
+		{"unloaded", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60), Settle{"r", "1", 1, true}}, 0, 0, false},
+		{"a new incarnation begins empty", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), arrive("2")}, 0, 0, false},
 		{"a runner that dropped something by itself", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), Correct{protocol.RunnerReport{Runner: "r", Incarnation: "1"}}}, 0, 0, false},
-		{"no correction while an order is open", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.Unload, "a", 60), Correct{protocol.RunnerReport{Runner: "r", Incarnation: "1"}}}, 60, 1, true},
-		{"an order for the one before has no effect", []Command{arrive("2"), intend(protocol.Load, "m", 60)}, 0, 0, false},
+		{"no correction while an order is open", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60), Correct{protocol.RunnerReport{Runner: "r", Incarnation: "1"}}}, 60, 1, true},
+		{"an order for the one before has no effect", []Command{arrive("2"), intend(protocol.ActionLoad, "m", 60)}, 0, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -55,7 +55,7 @@
 	primary, follower, imaged := New(), New(), New()
 	steps := [][]Command{
 		{Begin{}, arrive("1")},
-		{intend(protocol.Load, "m", 60), MarkLeaving{protocol.LeavingRunner{Runner: "r", Incarnation: "0"}}},
+		{intend(protocol.ActionLoad, "m", 60), MarkLeaving{protocol.LeavingRunner{Runner: "r", Incarnation: "0"}}},
 		{Settle{"r", "1", 1, true}, Accept{"{}", 1}},
 	}
 	for n, commands := range steps {
--- a/internal/native/router/cache.go
+++ b/internal/native/router/cache.go
@@ -107,7 +107,7 @@
 }
 
 func (m *Machine) sendLookUp(r *request) {
-	if controllers := m.roster.NodesOf(protocol.Controller); len(controllers) > 0 {
+	if controllers := m.roster.NodesOf(protocol.RoleController); len(controllers) > 0 {
 		to := controllers[m.target%len(controllers)]
 		m.silent[r.lookUp] = m.nowMs
 		m.send(to, protocol.LookUp{ID: r.lookUp, Service: r.Service, Model: r.Model, Adapter: r.Adapter})
--- a/internal/native/router/gate.go
+++ b/internal/native/router/gate.go
@@ -41,7 +41,7 @@
 // Gate is a router as a process: its machine in a shell, and the way of a
 // request through it.
 type Gate struct {
-	shell   *process.Shell
+	shell   *process.Runtime
 	machine *Machine
 	set     settings.Settings
 	self    protocol.Node
@@ -59,25 +59,25 @@
 	}
 	clock := process.NewClock()
 	self := protocol.Node{
-		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.Router, Incarnation: hex.EncodeToString(token),
+		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.RoleRouter, Incarnation: hex.EncodeToString(token),
 	}
 	machine := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, clock.NowMs())
 	g := &Gate{machine: machine, set: set, self: self}
-	g.shell = process.New(process.Settings{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, nil, peers, web, g)
+	g.shell = process.New(process.Options{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, nil, peers, web, g)
 	return g, nil
 }
 
-// Join adds the router's duties to a crew.
-func (g *Gate) Join(c *threads.Group) { g.shell.Join(c) }
+// AddTasks adds the router's duties to a crew.
+func (g *Gate) AddTasks(c *threads.Group) { g.shell.AddTasks(c) }
 
-// Halt makes the router stand still until it is released.
-func (g *Gate) Halt() (release func()) { return g.shell.Halt() }
+// Pause makes the router stand still until it is released.
+func (g *Gate) Pause() (release func()) { return g.shell.Pause() }
 
-// Leave takes nothing new and waits for what is under way to end, and for
+// Shutdown takes nothing new and waits for what is under way to end, and for
 // senders to have gone elsewhere.
-func (g *Gate) Leave() {
-	g.shell.Put(Leave{})
-	g.shell.CloseStreams()
+func (g *Gate) Shutdown() {
+	g.shell.Submit(Leave{})
+	g.shell.DisableKeepAlives()
 	clock := g.shell.Clock()
 	endMs := clock.NowMs() + drainMs
 	g.lastMs.Store(clock.NowMs())
@@ -94,7 +94,7 @@
 		g.serve(w, r, service)
 	case asked && service != "":
 		w.Header().Set("Allow", http.MethodPost)
-		errkind.Answer{Kind: errkind.WrongMethod, Detail: r.Method}.Write(w)
+		errkind.ErrorBody{Kind: errkind.WrongMethod, Detail: r.Method}.Write(w)
 	case r.URL.Path == "/status" && r.Method == http.MethodGet:
 		g.status(w, r)
 	case r.URL.Path == "/soundness" && r.Method == http.MethodGet:
@@ -102,7 +102,7 @@
 	case r.URL.Path == "/counters" && r.Method == http.MethodGet:
 		writeJSON(w, g.shell.Counts())
 	default:
-		errkind.Answer{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
+		errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
 	}
 }
 
@@ -121,30 +121,30 @@
 
 const nameMost = 128
 
-func readAsked(w http.ResponseWriter, r *http.Request) (asked, int64, errkind.Answer) {
+func readAsked(w http.ResponseWriter, r *http.Request) (asked, int64, errkind.ErrorBody) {
 	var in asked
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return in, 0, errkind.Answer{Kind: errkind.TooLarge, Detail: fmt.Sprintf("more than %d bytes", bodyMost)}
+			return in, 0, errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("more than %d bytes", bodyMost)}
 		}
-		return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: "the body broke off"}
+		return in, 0, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: "the body broke off"}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&in); err != nil {
-		return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: err.Error()}
+		return in, 0, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: err.Error()}
 	}
 	if len(bytes.TrimSpace(body[decoder.InputOffset():])) > 0 {
-		return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: "text after the end"}
+		return in, 0, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: "text after the end"}
 	}
 	for _, field := range []struct{ name, value string }{{"id", in.ID}, {"model", in.Model}, {"adapter", in.Adapter}} {
 		if len(field.value) > nameMost || strings.ContainsAny(field.value, "/\n") {
-			return in, 0, errkind.Answer{Kind: errkind.BadRequest, Detail: field.name + ": not a plain name"}
+			return in, 0, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: field.name + ": not a plain name"}
 		}
 	}
-	return in, int64(len(body)), errkind.Answer{}
+	return in, int64(len(body)), errkind.ErrorBody{}
 }
 
 func (g *Gate) serve(w http.ResponseWriter, r *http.Request, service string) {
@@ -152,7 +152,7 @@
 	// The bound keeps a crowd from filling the memory before it is dropped.
 	if g.under.Add(1) > requestMost {
 		g.under.Add(-1)
-		errkind.Answer{Kind: errkind.HoldingFull, Detail: "too many requests are under way here"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.QueueFull, Detail: "too many requests are under way here"}.Write(w)
 		return
 	}
 	defer g.under.Add(-1)
@@ -162,17 +162,17 @@
 		return
 	}
 	if strings.Contains(service, "/") {
-		errkind.Answer{Kind: errkind.UnknownService, Detail: service}.Write(w)
+		errkind.ErrorBody{Kind: errkind.UnknownService, Detail: service}.Write(w)
 		return
 	}
 	name := in.ID
 	if name == "" {
 		name = fmt.Sprintf("%s-%s-%d", g.self.Name, g.self.Incarnation, g.names.Add(1))
 	}
-	id, answers := g.shell.Expect()
-	defer g.shell.Forget(id)
-	if !g.shell.Put(Request{ID: id, Service: service, Model: in.Model, Adapter: in.Adapter, Name: name, Given: in.ID != "", Bytes: size}) {
-		errkind.Answer{Kind: errkind.HoldingFull, Detail: "too many requests are under way here", Request: name}.Write(w)
+	id, answers := g.shell.OpenReplies()
+	defer g.shell.CloseReplies(id)
+	if !g.shell.Submit(Request{ID: id, Service: service, Model: in.Model, Adapter: in.Adapter, Name: name, Given: in.ID != "", Bytes: size}) {
+		errkind.ErrorBody{Kind: errkind.QueueFull, Detail: "too many requests are under way here", Request: name}.Write(w)
 		return
 	}
 	for {
@@ -180,21 +180,21 @@
 		case <-r.Context().Done():
 			// A sender that goes away frees its place. It may have closed only
 			// its own half, so returning would give it an empty answer.
-			g.shell.Put(Gone{ID: id})
+			g.shell.Submit(Gone{ID: id})
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
 			case protocol.Rejection:
-				errkind.Answer{Kind: said.Kind, Detail: said.Detail, Request: name, RetryMs: said.RetryMs}.Write(w)
+				errkind.ErrorBody{Kind: said.Kind, Detail: said.Detail, Request: name, RetryMs: said.RetryMs}.Write(w)
 				return
 			case Go:
 				ended, abort := g.goTo(w, r, id, said, in.Input)
 				if r.Context().Err() != nil && (abort || ended.Outcome != Answered) {
 					// For a sender that went away no further go is made.
-					g.shell.Put(Gone{ID: id})
+					g.shell.Submit(Gone{ID: id})
 					panic(http.ErrAbortHandler)
 				}
-				g.shell.Put(ended)
+				g.shell.Submit(ended)
 				// Closing the sender's stream is the one way to end a telling
 				// so that it can't look finished.
 				if abort {
@@ -222,11 +222,11 @@
 	// Each piece of a telling has the time that a whole plain answer has.
 	slow := time.AfterFunc(time.Duration(leftMs)*time.Millisecond, cancel)
 	defer slow.Stop()
-	answer, wrote, err := g.shell.Outward().Go(ctx, http.MethodPost, "http://"+to.Address+"/run", body, g.shell.MaySend(func(nowMs int64) bool {
+	answer, wrote, err := g.shell.HTTPClient().Do(ctx, http.MethodPost, "http://"+to.Address+"/run", body, g.shell.WriteCheck(func(nowMs int64) bool {
 		return g.machine.MaySend(nowMs, to)
 	}))
 	switch {
-	case errors.Is(err, httpclient.ErrTooLate) && !wrote:
+	case errors.Is(err, httpclient.ErrNotAllowed) && !wrote:
 		ended.Outcome = TooLate
 		return ended, false
 	case err != nil && !wrote:
@@ -275,9 +275,9 @@
 		return NotHeld, 0
 	case errkind.StaleRevision:
 		return Stale, said.Revision
-	case errkind.OtherRunner:
+	case errkind.WrongIncarnation:
 		return Other, 0
-	case errkind.AlreadyTaken:
+	case errkind.DuplicateRequest:
 		return Repeated, 0
 	}
 	return Busy, 0
@@ -325,7 +325,7 @@
 func (g *Gate) look(r *http.Request) (Status, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
 	defer cancel()
-	answer, ok := g.shell.Ask(ctx, func(id uint64) any { return Look{ID: id} })
+	answer, ok := g.shell.Call(ctx, func(id uint64) any { return Look{ID: id} })
 	status, right := answer.(Status)
 	return status, ok && right
 }
@@ -333,7 +333,7 @@
 func (g *Gate) status(w http.ResponseWriter, r *http.Request) {
 	status, ok := g.look(r)
 	if !ok {
-		errkind.Answer{Kind: errkind.NoWord, Detail: "no answer in time"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.NoConfig, Detail: "no answer in time"}.Write(w)
 		return
 	}
 	writeJSON(w, status)
@@ -343,7 +343,7 @@
 func (g *Gate) soundness(w http.ResponseWriter, r *http.Request) {
 	status, ok := g.look(r)
 	if !ok || !status.Usable || status.Stopping {
-		errkind.Answer{Kind: errkind.NoWord, Detail: "this router may not send at present"}.Write(w)
+		errkind.ErrorBody{Kind: errkind.NoConfig, Detail: "this router may not send at present"}.Write(w)
 		return
 	}
 	writeJSON(w, map[string]any{"sound": true, "revision": status.Revision})
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -129,7 +129,7 @@
 	}
 }
 
-// MaySend is the check at the socket: a go that was made under an earlier
+// WriteCheck is the check at the socket: a go that was made under an earlier
 // revision, or whose time has passed, may not be written any more.
 func (m *Machine) MaySend(nowMs int64, to Go) bool {
 	return nowMs < to.UntilMs && m.inUse.Load() == to.Revision
@@ -220,12 +220,12 @@
 
 func (m *Machine) receive(e protocol.Envelope) {
 	if e.Site != m.set.Site {
-		m.count(errkind.OtherSite)
+		m.count(errkind.WrongSite)
 		return
 	}
 	// An address may have passed to another daemon.
 	if e.To != "" && e.To != m.set.Self.Name {
-		m.count(errkind.OtherDaemon)
+		m.count(errkind.WrongDaemon)
 		return
 	}
 	m.roster.Observe(m.nowMs, e.From)
@@ -389,7 +389,7 @@
 }
 
 func (m *Machine) answer(id uint64, body any) {
-	m.out.Answers = append(m.out.Answers, protocol.Answer{ID: id, Body: body})
+	m.out.Responses = append(m.out.Responses, protocol.Response{ID: id, Body: body})
 }
 
 func (m *Machine) note(format string, args ...any) {
--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -20,7 +20,7 @@
 	ids   uint64
 }
 
-var core = protocol.Node{Name: "core-1", Address: "c1", Part: protocol.Controller}
+var core = protocol.Node{Name: "core-1", Address: "c1", Part: protocol.RoleController}
 
 func newBench(c *qt.C) *bench {
 	text, err := os.ReadFile("../../../examples/zagreb.json")
@@ -79,7 +79,7 @@
 // goes gives the runners that the last step sent requests to.
 func (b *bench) goes() []string {
 	var runners []string
-	for _, answer := range b.out.Answers {
+	for _, answer := range b.out.Responses {
 		if to, ok := answer.Body.(Go); ok {
 			runners = append(runners, to.Runner)
 		}
@@ -88,7 +88,7 @@
 }
 
 func (b *bench) kind() errkind.Kind {
-	for _, answer := range b.out.Answers {
+	for _, answer := range b.out.Responses {
 		if said, ok := answer.Body.(protocol.Rejection); ok {
 			return said.Kind
 		}
@@ -166,7 +166,7 @@
 	}{
 		{"answered", plain, Answered, 2, false, ""},
 		{"lost, may not be repeated", plain, Lost, 2, false, errkind.OutcomeUnknown},
-		{"nonsense, may not be repeated", plain, Nonsense, 2, false, errkind.BrokenAnswer},
+		{"nonsense, may not be repeated", plain, Nonsense, 2, false, errkind.BrokenResponse},
 		{"lost, repeatable", repeatable, Lost, 2, true, ""},
 		{"lost, repeatable, no other", repeatable, Lost, 1, false, errkind.OutcomeUnknown},
 		{"not sent", plain, NotSent, 2, true, ""},
@@ -175,8 +175,8 @@
 		{"not held, no other", plain, NotHeld, 1, false, errkind.NoRunner},
 		{"another incarnation", plain, Other, 2, true, ""},
 		{"busy", plain, Busy, 2, true, ""},
-		{"busy, no other", plain, Busy, 1, false, errkind.RunnerDropped},
-		{"repeated", plain, Repeated, 2, false, errkind.AlreadyTaken},
+		{"busy, no other", plain, Busy, 1, false, errkind.RunnerRejected},
+		{"repeated", plain, Repeated, 2, false, errkind.DuplicateRequest},
 		{"too late", plain, TooLate, 1, true, ""},
 	}
 	for _, test := range cases {
@@ -219,16 +219,16 @@
 	ask := func() { b.ask("commentary", "commentator-1", "mine") }
 	ask()
 	ask()
-	c.Assert(b.kind(), qt.Equals, errkind.AlreadyTaken, qt.Commentf("while the first waits"))
+	c.Assert(b.kind(), qt.Equals, errkind.DuplicateRequest, qt.Commentf("while the first waits"))
 	b.index("commentary/commentator-1/", 1, "language-1")
 	b.step(Ended{ID: 1, Outcome: Busy})
-	c.Assert(b.kind(), qt.Equals, errkind.RunnerDropped)
+	c.Assert(b.kind(), qt.Equals, errkind.RunnerRejected)
 	ask()
 	c.Assert(b.kind(), qt.Equals, errkind.Kind(""), qt.Commentf("a drop frees the id"))
 	b.step(Ended{ID: b.ids, Outcome: Lost})
 	c.Assert(b.kind(), qt.Equals, errkind.OutcomeUnknown)
 	ask()
-	c.Assert(b.kind(), qt.Equals, errkind.AlreadyTaken, qt.Commentf("what may have run does not"))
+	c.Assert(b.kind(), qt.Equals, errkind.DuplicateRequest, qt.Commentf("what may have run does not"))
 }
 
 func TestSecondGoesAreBounded(t *testing.T) {
@@ -329,7 +329,7 @@
 	b := newBench(c)
 	b.ask("move", "", "a")
 	b.index(moves, 1, "table-1")
-	to := b.out.Answers[0].Body.(Go)
+	to := b.out.Responses[0].Body.(Go)
 	c.Assert(b.m.MaySend(b.nowMs, to), qt.IsTrue)
 	c.Assert(b.m.MaySend(b.nowMs+leaveMs, to), qt.IsFalse, qt.Commentf("a frozen router wakes with an old word"))
 	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Leaving: []protocol.LeavingRunner{{Runner: "table-1", Incarnation: "table-1-1"}}})
@@ -364,24 +364,24 @@
 		{"no description", func(b *bench) {
 			b.m = New(Settings{Site: "zagreb", Self: protocol.Node{Name: "e", Incarnation: "i"}}, b.nowMs)
 			b.ask("move", "", "a")
-		}, errkind.NoWord},
+		}, errkind.NoConfig},
 		{"unknown service", func(b *bench) { b.ask("tea", "", "a") }, errkind.UnknownService},
 		{"unknown model", func(b *bench) { b.ask("narration", "m", "a") }, errkind.UnknownModel},
 		{"model of another service", func(b *bench) { b.ask("narration", "referee-1", "a") }, errkind.ModelNotAllowed},
 		{"model where there is none", func(b *bench) { b.ask("move", "referee-1", "a") }, errkind.ModelNotAllowed},
 		{"too large", func(b *bench) { b.step(Request{ID: 9, Service: "move", Bytes: 1 << 20}) }, errkind.TooLarge},
-		{"stopping", func(b *bench) { b.step(Leave{}); b.ask("move", "", "a") }, errkind.Stopping},
+		{"stopping", func(b *bench) { b.step(Leave{}); b.ask("move", "", "a") }, errkind.ShuttingDown},
 		{"no answer of the index", func(b *bench) {
 			b.ask("move", "", "a")
 			b.nowMs += unansweredMs
 			b.m.leaveWordMs = b.nowMs
 			b.step(protocol.Tick{})
-		}, errkind.NoWord},
+		}, errkind.NoConfig},
 		{"holding full", func(b *bench) {
 			for n := range 65 {
 				b.ask("narration", "narrator-1", fmt.Sprint(n))
 			}
-		}, errkind.HoldingFull},
+		}, errkind.QueueFull},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -401,10 +401,10 @@
 	b.c.Assert(b.goes(), qt.DeepEquals, []string{"language-1"})
 	b.ask("narration", "narrator-7", "waits")
 	b.step(Leave{})
-	b.c.Assert(b.kind(), qt.Equals, errkind.Stopping)
-	b.c.Assert(b.out.Answers, qt.HasLen, 1)
+	b.c.Assert(b.kind(), qt.Equals, errkind.ShuttingDown)
+	b.c.Assert(b.out.Responses, qt.HasLen, 1)
 	b.ask("narration", "narrator-1", "new")
-	b.c.Assert(b.kind(), qt.Equals, errkind.Stopping)
+	b.c.Assert(b.kind(), qt.Equals, errkind.ShuttingDown)
 	b.step(Ended{ID: 1, Outcome: Answered})
 	b.c.Assert(b.m.requests, qt.HasLen, 0)
 }
@@ -438,7 +438,7 @@
 	}{
 		{"no turn is known", 0, ""},
 		{"the turn comes in time", 2000, ""},
-		{"the turn comes too late", 60_000, errkind.NoTurn},
+		{"the turn comes too late", 60_000, errkind.PlacementTimeout},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -446,11 +446,11 @@
 			b.ask("narration", "narrator-7", "q")
 			b.take(protocol.LookUpReply{ID: b.m.asks, Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: test.turnMs})
 			if test.kind == "" {
-				b.c.Assert(b.out.Answers, qt.HasLen, 0)
+				b.c.Assert(b.out.Responses, qt.HasLen, 0)
 				b.take(protocol.LookUpReply{Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: 90_000})
 			}
-			b.c.Assert(b.kind(), qt.Equals, errkind.NoTurn)
-			said := b.out.Answers[0].Body.(protocol.Rejection)
+			b.c.Assert(b.kind(), qt.Equals, errkind.PlacementTimeout)
+			said := b.out.Responses[0].Body.(protocol.Rejection)
 			b.c.Assert(said.RetryMs > 50_000, qt.IsTrue)
 			// It has not run, so the same id may come back at its turn.
 			b.index("narration/narrator-7/", 2, "language-1")
--- a/internal/native/router/policy.go
+++ b/internal/native/router/policy.go
@@ -13,10 +13,10 @@
 // Decide drops what the description does not allow.
 func (namePolicy) Decide(m *Machine, r *request) verdict {
 	if m.leaving {
-		return drop(errkind.Stopping, "this router is stopping")
+		return drop(errkind.ShuttingDown, "this router is stopping")
 	}
 	if m.described == nil {
-		return drop(errkind.NoWord, "this router has no description yet")
+		return drop(errkind.NoConfig, "this router has no description yet")
 	}
 	service, ok := m.described.Service(r.Service)
 	if !ok {
@@ -62,7 +62,7 @@
 		return next
 	}
 	if m.taken.has(r.Service + "/" + r.Name) {
-		return drop(errkind.AlreadyTaken, "this id was taken here before; the first sending may have run")
+		return drop(errkind.DuplicateRequest, "this id was taken here before; the first sending may have run")
 	}
 	// Taken from now on, so that two of one id that wait together are no two.
 	m.taken.add(r.Service + "/" + r.Name)
@@ -77,7 +77,7 @@
 // Decide drops only what would have to wait.
 func (roomPolicy) Decide(m *Machine, r *request) verdict {
 	if m.holding[r.Service] >= int(r.service.Holding) && (m.entry(r.key) == nil || !m.usable()) {
-		return drop(errkind.HoldingFull, "too many requests of this service wait here")
+		return drop(errkind.QueueFull, "too many requests of this service wait here")
 	}
 	return next
 }
@@ -108,7 +108,7 @@
 func (timePolicy) Decide(m *Machine, r *request) verdict {
 	// What waits here can be taken by another router at once.
 	if m.leaving {
-		return drop(errkind.Stopping, "this router is stopping; another takes it")
+		return drop(errkind.ShuttingDown, "this router is stopping; another takes it")
 	}
 	if m.nowMs >= r.deadlineMs {
 		return drop(errkind.DeadlinePassed, "its time passed while it waited")
@@ -116,13 +116,13 @@
 	// What can't be had in time is not waited for: who comes back at its turn
 	// finds it held.
 	if r.turnMs >= r.deadlineMs && m.entry(r.key) == nil {
-		return drop(errkind.NoTurn, "what it needs is not held, and its turn comes after this request's time")
+		return drop(errkind.PlacementTimeout, "what it needs is not held, and its turn comes after this request's time")
 	}
 	if m.nowMs-r.cameMs >= unansweredMs && !m.usable() {
-		return drop(errkind.NoWord, "no word from control")
+		return drop(errkind.NoConfig, "no word from control")
 	}
 	if m.nowMs-r.cameMs >= unansweredMs && !r.answered && m.entry(r.key) == nil {
-		return drop(errkind.NoWord, "the index did not answer")
+		return drop(errkind.NoConfig, "the index did not answer")
 	}
 	if r.missed && !r.held && m.nowMs-r.cameMs >= missMs {
 		r.held = true
--- a/internal/native/router/prolong_test.go
+++ b/internal/native/router/prolong_test.go
@@ -12,7 +12,7 @@
 
 func edge(n int) protocol.Node {
 	name := fmt.Sprintf("edge-%d", n)
-	return protocol.Node{Name: name, Address: name, Part: protocol.Router, Incarnation: name}
+	return protocol.Node{Name: name, Address: name, Part: protocol.RoleRouter, Incarnation: name}
 }
 
 // granted says whether the last step renewed a peer's hold.
--- a/internal/native/router/request.go
+++ b/internal/native/router/request.go
@@ -162,7 +162,7 @@
 		return
 	}
 	if m.holding[r.Service] >= int(r.service.Holding) {
-		m.drop(r, errkind.HoldingFull, "too many requests of this service wait here")
+		m.drop(r, errkind.QueueFull, "too many requests of this service wait here")
 		return
 	}
 	r.holds = true
@@ -170,15 +170,15 @@
 }
 
 func (m *Machine) drop(r *request, kind errkind.Kind, detail string) {
-	if r.mayHaveRun && kind.Reply().Drop {
+	if r.mayHaveRun && kind.Response().NotExecuted {
 		kind, detail = errkind.OutcomeUnknown, "an earlier go may have run; then: "+detail
 	}
-	if r.taken && kind.Reply().Drop {
+	if r.taken && kind.Response().NotExecuted {
 		m.taken.forget(r.Service + "/" + r.Name)
 	}
 	m.Tally.Drops[kind]++
 	said := protocol.Rejection{Kind: kind, Detail: detail}
-	if r.turnMs > m.nowMs && kind.Reply().RetryAfterSec > 0 {
+	if r.turnMs > m.nowMs && kind.Response().RetryAfterSec > 0 {
 		said.RetryMs = r.turnMs - m.nowMs
 	}
 	m.answer(r.ID, said)
@@ -240,19 +240,19 @@
 		r.last = errkind.NoRunner
 	case Stale:
 		m.higher = max(m.higher, in.Revision)
-		r.last = errkind.NoWord
+		r.last = errkind.NoConfig
 		delete(r.tried, mark)
 	case Busy:
-		r.last = errkind.RunnerDropped
+		r.last = errkind.RunnerRejected
 	case Repeated:
-		m.drop(r, errkind.AlreadyTaken, "the runner has seen this id; the first sending may have run")
+		m.drop(r, errkind.DuplicateRequest, "the runner has seen this id; the first sending may have run")
 		return
 	case Lost, Nonsense:
 		m.suspect[r.runner] = m.nowMs + suspectMs
 		r.mayHaveRun = true
 		kind, detail := errkind.OutcomeUnknown, "the runner got the request and gave no whole answer; it may have run"
 		if in.Outcome == Nonsense {
-			kind, detail = errkind.BrokenAnswer, "what came from the runner is no answer to this request; it may have run"
+			kind, detail = errkind.BrokenResponse, "what came from the runner is no answer to this request; it may have run"
 		}
 		// What may have run goes on only if it may run twice.
 		if !r.service.Repeatable {
--- a/internal/native/statediff/comparison.go
+++ b/internal/native/statediff/comparison.go
@@ -43,13 +43,13 @@
 	}
 	b := Belief{Fields: map[string]string{}, AgesMs: map[string]int64{}}
 	switch part.Part {
-	case protocol.Controller:
+	case protocol.RoleController:
 		var s consensus.Status
 		if err := json.Unmarshal(text, &s); err != nil {
 			return b, err
 		}
 		b.controller(s)
-	case protocol.Router:
+	case protocol.RoleRouter:
 		var s router.Status
 		if err := json.Unmarshal(text, &s); err != nil {
 			return b, err
--- a/internal/process/saving.go
+++ b/internal/process/diskwriter.go
@@ -36,7 +36,7 @@
 // save is the disk's own thread. Writes that waited while the disk was at work
 // go to the platter together: one by one, a slow disk would fall behind by a
 // sync for each.
-func (s *Shell) save() error {
+func (s *Runtime) save() error {
 	current := s.disk
 	var failed *storage.Store
 	defer func() { current.Close() }()
@@ -55,13 +55,13 @@
 		}
 		err := current.Save(writes...)
 		for _, next := range batch {
-			s.Put(saved{protocol.DiskWriteDone{Number: next.Number, Ok: err == nil}, current})
+			s.Submit(saved{protocol.DiskWriteDone{Number: next.Number, Ok: err == nil}, current})
 		}
 		if err != nil && failed != current {
 			failed = current
 			s.set.Log.Error("the disk failed", "cause", err)
-			if s.set.Renew != nil {
-				threads.Side(func() { s.renew(failed) })
+			if s.set.Reopen != nil {
+				threads.Go(func() { s.renew(failed) })
 			}
 		}
 	}
@@ -69,17 +69,17 @@
 
 // takeSaves gives the writes that wait for one disk, at least one, and a write
 // for the next disk that was taken with them. False ends the thread.
-func (s *Shell) takeSaves(held []saving) (batch, rest []saving, ok bool) {
+func (s *Runtime) takeSaves(held []saving) (batch, rest []saving, ok bool) {
 	batch = held
 	if len(batch) == 0 {
-		first, ok := s.saves.Take()
+		first, ok := s.saves.Pop()
 		if !ok {
 			return nil, nil, false
 		}
 		batch = []saving{first}
 	}
-	for waiting, _ := s.saves.Burden(); waiting > 0 && len(batch) < savesMost; waiting-- {
-		next, ok := s.saves.Take()
+	for waiting, _ := s.saves.Stats(); waiting > 0 && len(batch) < savesMost; waiting-- {
+		next, ok := s.saves.Pop()
 		if !ok {
 			break
 		}
@@ -94,7 +94,7 @@
 // renew waits until the disk takes writes again and begins anew from it. A
 // daemon that stayed deaf would be one loss more for good, and one that ended
 // by itself would be counted as one that can't be relied on.
-func (s *Shell) renew(failed *storage.Store) {
+func (s *Runtime) renew(failed *storage.Store) {
 	for {
 		select {
 		case <-s.ended:
@@ -102,16 +102,16 @@
 		case <-time.After(probeMs * time.Millisecond):
 		}
 		s.halt.wait()
-		if failed.Probe() != nil {
+		if failed.CheckWritable() != nil {
 			continue
 		}
 		failed.Close()
-		machine, d, err := s.set.Renew()
+		machine, d, err := s.set.Reopen()
 		if err != nil {
 			s.set.Log.Error("the disk can't be read", "cause", err)
 			continue
 		}
-		if !s.inputs.Put(renewed{machine, d}) {
+		if !s.inputs.Push(renewed{machine, d}) {
 			d.Close()
 		}
 		return
--- a/internal/process/saving_test.go
+++ b/internal/process/diskwriter_test.go
@@ -29,7 +29,7 @@
 			w.ended <- w.name
 			return protocol.Effects{}
 		}
-		return protocol.Effects{DiskWrites: []protocol.DiskWrite{{Number: 1, Write: storage.Write{Sets: map[string]string{"key": in}}}}}
+		return protocol.Effects{DiskWrites: []protocol.DiskWrite{{Number: 1, Write: storage.Write{Set: map[string]string{"key": in}}}}}
 	case protocol.DiskWriteDone:
 		if in.Ok {
 			w.ended <- w.name + " wrote"
@@ -54,32 +54,32 @@
 		return at
 	}
 	made := make(chan struct{})
-	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000, Renew: func() (Machine, *storage.Store, error) {
+	s := New(Options{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000, Reopen: func() (Machine, *storage.Store, error) {
 		defer close(made)
 		again, err := storage.Reopen(folder, "s")
 		return &writer{"second", ended}, again, err
 	}}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
 	done, over := make(chan struct{}), make(chan struct{})
 	var group threads.Group
-	s.Join(&group)
-	group.Until(done)
-	threads.Side(func() { _ = group.Run(); close(over) })
-	d.Spoil(func(*os.File) error { return os.ErrInvalid })
-	c.Assert(s.Put("one"), qt.IsTrue)
+	s.AddTasks(&group)
+	group.StopWhen(done)
+	threads.Go(func() { _ = group.Run(); close(over) })
+	d.OverrideSync(func(*os.File) error { return os.ErrInvalid })
+	c.Assert(s.Submit("one"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first failed")
-	d.Spoil((*os.File).Sync)
+	d.OverrideSync((*os.File).Sync)
 	<-made
 	for said := ""; said != "second"; said = <-ended {
-		c.Assert(s.Put("who"), qt.IsTrue)
+		c.Assert(s.Submit("who"), qt.IsTrue)
 	}
-	c.Assert(s.Put("two"), qt.IsTrue)
+	c.Assert(s.Submit("two"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "second wrote")
 	close(done)
 	<-over
 	again, err := storage.Open(folder, "s")
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
-	c.Assert(again.Keys()["key"], qt.Equals, "two")
+	c.Assert(again.Rows()["key"], qt.Equals, "two")
 }
 
 // What waits while the disk is at work goes to the platter with one sync, and
@@ -95,25 +95,25 @@
 		return at
 	}
 	ended := make(chan string, 16)
-	s := New(Settings{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
+	s := New(Options{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
 	done, over := make(chan struct{}), make(chan struct{})
 	var group threads.Group
-	s.Join(&group)
-	group.Until(done)
-	threads.Side(func() { _ = group.Run(); close(over) })
+	s.AddTasks(&group)
+	group.StopWhen(done)
+	threads.Go(func() { _ = group.Run(); close(over) })
 	begun, gate := make(chan struct{}, 16), make(chan struct{})
-	d.Spoil(func(file *os.File) error {
+	d.OverrideSync(func(file *os.File) error {
 		begun <- struct{}{}
 		<-gate
 		return file.Sync()
 	})
-	c.Assert(s.Put("one"), qt.IsTrue)
+	c.Assert(s.Submit("one"), qt.IsTrue)
 	<-begun
 	for _, text := range []string{"two", "three", "four", "five", "six"} {
-		c.Assert(s.Put(text), qt.IsTrue)
+		c.Assert(s.Submit(text), qt.IsTrue)
 	}
 	// The machine has asked for all of them once it answers this.
-	c.Assert(s.Put("who"), qt.IsTrue)
+	c.Assert(s.Submit("who"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first")
 	close(gate)
 	for range 6 {
@@ -125,7 +125,7 @@
 	again, err := storage.Open(folder, "s")
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
-	c.Assert(again.Keys()["key"], qt.Equals, "six")
+	c.Assert(again.Rows()["key"], qt.Equals, "six")
 }
 
 // Writes are taken together for one disk alone, up to a bound and in order.
@@ -145,7 +145,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := &Shell{saves: ringbuffer.New[saving](inputsMost)}
+			s := &Runtime{saves: ringbuffer.New[saving](inputsMost)}
 			var held []saving
 			number := uint64(0)
 			next := func(d *storage.Store) saving { number++; return saving{protocol.DiskWrite{Number: number}, d} }
@@ -153,10 +153,10 @@
 				held = append(held, next(first))
 			}
 			for range test.first {
-				s.saves.Put(next(first))
+				s.saves.Push(next(first))
 			}
 			for range test.then {
-				s.saves.Put(next(second))
+				s.saves.Push(next(second))
 			}
 			batch, rest, ok := s.takeSaves(held)
 			c.Assert(ok, qt.IsTrue)
--- a/internal/process/door.go
+++ b/internal/process/listener.go
@@ -12,7 +12,7 @@
 )
 
 // Door is where peers' messages come in.
-type Door struct{ shell *Shell }
+type Door struct{ shell *Runtime }
 
 // Take puts a batch before the machine.
 func (d *Door) Take(batch []protocol.Envelope, _ *Ack) error {
@@ -25,7 +25,7 @@
 			d.shell.Count("malformed")
 			continue
 		}
-		d.shell.Put(e)
+		d.shell.Submit(e)
 	}
 	return nil
 }
@@ -40,7 +40,7 @@
 
 const streamsMost = 1024
 
-func (s *Shell) listen() error {
+func (s *Runtime) listen() error {
 	server := rpc.NewServer()
 	if err := server.RegisterName("Door", &Door{s}); err != nil {
 		return err
@@ -58,7 +58,7 @@
 			s.Count("streams too many")
 			continue
 		}
-		threads.Side(func() {
+		threads.Go(func() {
 			codec := protocol.NewServerCodec(stream)
 			server.ServeCodec(codec)
 			if codec.Fault != nil {
--- a/internal/process/peers.go
+++ b/internal/process/peers.go
@@ -55,9 +55,9 @@
 		}
 		line = ringbuffer.New[protocol.Envelope](lineMost)
 		l.open[address] = line
-		threads.Side(func() { l.carry(address, line) })
+		threads.Go(func() { l.carry(address, line) })
 	}
-	if !line.Put(e) {
+	if !line.Push(e) {
 		l.count("peer line full")
 	}
 }
@@ -123,13 +123,13 @@
 // takeBatch gives what waits in a line, at least one message, up to a number
 // and to the message that makes it large. False says that the line has ended.
 func takeBatch(line *ringbuffer.Buffer[protocol.Envelope]) ([]protocol.Envelope, bool) {
-	first, ok := line.Take()
+	first, ok := line.Pop()
 	if !ok {
 		return nil, false
 	}
 	batch, bytes := []protocol.Envelope{first}, weight(first)
-	for waiting, _ := line.Burden(); waiting > 0 && len(batch) < batchMost && bytes < batchBytesMost; waiting-- {
-		more, ok := line.Take()
+	for waiting, _ := line.Stats(); waiting > 0 && len(batch) < batchMost && bytes < batchBytesMost; waiting-- {
+		more, ok := line.Pop()
 		if !ok {
 			break
 		}
--- a/internal/process/peers_test.go
+++ b/internal/process/peers_test.go
@@ -54,11 +54,11 @@
 			c := qt.New(t)
 			line := ringbuffer.New[protocol.Envelope](lineMost)
 			for _, e := range test.line {
-				c.Assert(line.Put(e), qt.IsTrue)
+				c.Assert(line.Push(e), qt.IsTrue)
 			}
 			var got []int
 			var most time.Duration
-			for waiting, _ := line.Burden(); waiting > 0; waiting, _ = line.Burden() {
+			for waiting, _ := line.Stats(); waiting > 0; waiting, _ = line.Stats() {
 				batch, ok := takeBatch(line)
 				c.Assert(ok, qt.IsTrue)
 				got = append(got, len(batch))
--- a/internal/process/shell.go
+++ b/internal/process/runtime.go
@@ -34,38 +34,38 @@
 	Step(nowMs int64, input any) protocol.Effects
 }
 
-// Settings is what a shell needs beside its machine.
-type Settings struct {
+// Options is what a shell needs beside its machine.
+type Options struct {
 	Site   string
 	Self   protocol.Node
 	Clock  Clock
 	Log    *log.Logger
 	TickMs int64
-	// Exchanger carries calls outward that are not in this project's own
+	// Caller carries calls outward that are not in this project's own
 	// words; nil where there are none.
-	Exchanger Exchanger
-	// Renew makes the machine anew from its disk once that takes writes again
+	Caller OutboundCaller
+	// Reopen makes the machine anew from its disk once that takes writes again
 	// after a defect; nil leaves that to a restart.
-	Renew func() (Machine, *storage.Store, error)
+	Reopen func() (Machine, *storage.Store, error)
 }
 
-// Exchanger carries a call out and gives what it brought, as an input for the
+// OutboundCaller carries a call out and gives what it brought, as an input for the
 // machine; false says that it does not know the call. May makes the check at
 // the socket: no byte may be written once the process's clock shows untilMs.
-type Exchanger interface {
-	Exchange(ctx context.Context, out *httpclient.Transport, call protocol.OutboundCall, may func(untilMs int64) func() bool) (any, bool)
+type OutboundCaller interface {
+	Call(ctx context.Context, out *httpclient.Client, call protocol.OutboundCall, may func(untilMs int64) func() bool) (any, bool)
 }
 
-// Shell runs one machine.
-type Shell struct {
-	set     Settings
+// Runtime runs one machine.
+type Runtime struct {
+	set     Options
 	machine Machine
 	disk    *storage.Store
 	inputs  *ringbuffer.Buffer[any]
 	saves   *ringbuffer.Buffer[saving]
 	lines   *lines
 	doorway doorway
-	out     *httpclient.Transport
+	out     *httpclient.Client
 	calls   atomic.Int64
 	ids     atomic.Uint64
 	mu      sync.Mutex
@@ -78,8 +78,8 @@
 }
 
 // New makes a shell; nothing runs yet. The disk may be nil.
-func New(set Settings, machine Machine, d *storage.Store, peers, web net.Listener, handler http.Handler) *Shell {
-	s := &Shell{
+func New(set Options, machine Machine, d *storage.Store, peers, web net.Listener, handler http.Handler) *Runtime {
+	s := &Runtime{
 		set: set, machine: machine, disk: d,
 		inputs: ringbuffer.New[any](inputsMost), saves: ringbuffer.New[saving](inputsMost),
 		doorway: doorway{listener: peers, streams: map[net.Conn]bool{}},
@@ -94,53 +94,53 @@
 	return s
 }
 
-// Outward is the way out of this process.
-func (s *Shell) Outward() *httpclient.Transport { return s.out }
+// HTTPClient is the way out of this process.
+func (s *Runtime) HTTPClient() *httpclient.Client { return s.out }
 
 // Clock is the process's clock.
-func (s *Shell) Clock() Clock { return s.set.Clock }
+func (s *Runtime) Clock() Clock { return s.set.Clock }
 
-// Put brings an input before the machine; a full ring refuses.
-func (s *Shell) Put(input any) bool {
-	if !s.inputs.Put(input) {
+// Submit brings an input before the machine; a full ring refuses.
+func (s *Runtime) Submit(input any) bool {
+	if !s.inputs.Push(input) {
 		s.Count("ring full")
 		return false
 	}
 	return true
 }
 
-// Halt makes the daemon stand still until it is released: its machine, its
+// Pause makes the daemon stand still until it is released: its machine, its
 // disk, and its calls outward right before they are written.
-func (s *Shell) Halt() (release func()) { return s.halt.begin() }
+func (s *Runtime) Pause() (release func()) { return s.halt.begin() }
 
-// MaySend is the moment before a byte is written: after any standing still.
-func (s *Shell) MaySend(may func(nowMs int64) bool) func() bool {
+// WriteCheck is the moment before a byte is written: after any standing still.
+func (s *Runtime) WriteCheck(may func(nowMs int64) bool) func() bool {
 	return func() bool {
 		s.halt.wait()
 		return may(s.set.Clock.NowMs())
 	}
 }
 
-// CloseStreams lets no caller's stream be used twice from now on, so that a
+// DisableKeepAlives lets no caller's stream be used twice from now on, so that a
 // planned stop finds none in use.
-func (s *Shell) CloseStreams() { s.web.SetKeepAlivesEnabled(false) }
+func (s *Runtime) DisableKeepAlives() { s.web.SetKeepAlivesEnabled(false) }
 
 // Count adds one to a counter.
-func (s *Shell) Count(name string) {
+func (s *Runtime) Count(name string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts[name]++
 }
 
 // Counts copies the counters.
-func (s *Shell) Counts() map[string]uint64 {
+func (s *Runtime) Counts() map[string]uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.counts)
 }
 
-// Expect opens a place for answers to a new id.
-func (s *Shell) Expect() (uint64, <-chan any) {
+// OpenReplies opens a place for answers to a new id.
+func (s *Runtime) OpenReplies() (uint64, <-chan any) {
 	id := s.ids.Add(1)
 	answers := make(chan any, 4)
 	s.mu.Lock()
@@ -149,18 +149,18 @@
 	return id, answers
 }
 
-// Forget closes the place of an id.
-func (s *Shell) Forget(id uint64) {
+// CloseReplies closes the place of an id.
+func (s *Runtime) CloseReplies(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.answers, id)
 }
 
-// Ask brings one input and waits for its answer, for as long as ctx lasts.
-func (s *Shell) Ask(ctx context.Context, input func(id uint64) any) (any, bool) {
-	id, answers := s.Expect()
-	defer s.Forget(id)
-	if !s.Put(input(id)) {
+// Call brings one input and waits for its answer, for as long as ctx lasts.
+func (s *Runtime) Call(ctx context.Context, input func(id uint64) any) (any, bool) {
+	id, answers := s.OpenReplies()
+	defer s.CloseReplies(id)
+	if !s.Submit(input(id)) {
 		return nil, false
 	}
 	select {
@@ -173,14 +173,14 @@
 	}
 }
 
-// Join adds the shell's duties to a crew.
-func (s *Shell) Join(c *threads.Group) {
-	c.Duty(s.work, s.inputs.Close)
+// AddTasks adds the shell's duties to a crew.
+func (s *Runtime) AddTasks(c *threads.Group) {
+	c.Add(s.work, s.inputs.Close)
 	if s.disk != nil {
-		c.Duty(s.save, s.saves.Close)
+		c.Add(s.save, s.saves.Close)
 	}
-	c.Duty(s.listen, s.doorway.close)
-	c.Duty(func() error {
+	c.Add(s.listen, s.doorway.close)
+	c.Add(func() error {
 		if err := s.web.Serve(s.webAt); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
@@ -192,21 +192,21 @@
 			_ = s.web.Close()
 		}
 	})
-	c.Beat(s.set.TickMs, func() {
+	c.Every(s.set.TickMs, func() {
 		// Ticks that pile up after a freeze would say nothing new.
-		if waiting, _ := s.inputs.Burden(); waiting < inputsMost/2 {
-			s.inputs.Put(protocol.Tick{})
+		if waiting, _ := s.inputs.Stats(); waiting < inputsMost/2 {
+			s.inputs.Push(protocol.Tick{})
 		}
 	})
 }
 
 // work is the machine's own thread.
-func (s *Shell) work() error {
+func (s *Runtime) work() error {
 	defer close(s.ended)
 	defer s.lines.close()
 	defer s.out.Close()
 	for {
-		input, ok := s.inputs.Take()
+		input, ok := s.inputs.Pop()
 		if !ok {
 			return nil
 		}
@@ -227,7 +227,7 @@
 	}
 }
 
-func (s *Shell) perform(effects protocol.Effects) {
+func (s *Runtime) perform(effects protocol.Effects) {
 	for _, note := range effects.LogLines {
 		s.set.Log.Info(note)
 	}
@@ -235,15 +235,15 @@
 		s.Count(name)
 	}
 	for _, save := range effects.DiskWrites {
-		if s.disk == nil || !s.saves.Put(saving{save, s.disk}) {
-			s.Put(saved{protocol.DiskWriteDone{Number: save.Number, Ok: false}, s.disk})
+		if s.disk == nil || !s.saves.Push(saving{save, s.disk}) {
+			s.Submit(saved{protocol.DiskWriteDone{Number: save.Number, Ok: false}, s.disk})
 		}
 	}
 	for _, send := range effects.Sends {
 		s.Count("messages sent")
 		s.lines.put(send.Address, protocol.Envelope{Site: s.set.Site, From: s.set.Self, To: send.To, Body: send.Body})
 	}
-	for _, answer := range effects.Answers {
+	for _, answer := range effects.Responses {
 		s.mu.Lock()
 		place := s.answers[answer.ID]
 		s.mu.Unlock()
@@ -256,12 +256,12 @@
 		if s.calls.Add(1) > outwardMost {
 			s.calls.Add(-1)
 			s.Count("calls outward too many")
-			s.Put(lost(call))
+			s.Submit(lost(call))
 			continue
 		}
-		threads.Side(func() {
+		threads.Go(func() {
 			defer s.calls.Add(-1)
-			s.Put(s.exchange(call))
+			s.Submit(s.exchange(call))
 		})
 	}
 }
@@ -283,21 +283,23 @@
 }
 
 // exchange carries a call out to a runner or to the platform.
-func (s *Shell) exchange(call protocol.OutboundCall) any {
+func (s *Runtime) exchange(call protocol.OutboundCall) any {
 	ctx, cancel := context.WithTimeout(context.Background(), outwardMs*time.Millisecond)
 	defer cancel()
-	if s.set.Exchanger != nil {
-		may := func(untilMs int64) func() bool { return s.MaySend(func(nowMs int64) bool { return nowMs < untilMs }) }
-		if brought, known := s.set.Exchanger.Exchange(ctx, s.out, call, may); known {
+	if s.set.Caller != nil {
+		may := func(untilMs int64) func() bool {
+			return s.WriteCheck(func(nowMs int64) bool { return nowMs < untilMs })
+		}
+		if brought, known := s.set.Caller.Call(ctx, s.out, call, may); known {
 			return brought
 		}
 	}
-	always := s.MaySend(func(int64) bool { return true })
+	always := s.WriteCheck(func(int64) bool { return true })
 	switch body := call.Body.(type) {
 	case protocol.OrderCall:
 		text, _ := json.Marshal(body.Order)
 		// The hold is checked again right before the order is written.
-		inTime := s.MaySend(func(nowMs int64) bool { return nowMs < body.UntilMs })
+		inTime := s.WriteCheck(func(nowMs int64) bool { return nowMs < body.UntilMs })
 		reported := protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address}
 		reported.Ok = s.fetch(ctx, http.MethodPost, call.Address, "/orders", text, inTime, &reported.Report)
 		return reported
@@ -313,8 +315,8 @@
 	return lost(call)
 }
 
-func (s *Shell) fetch(ctx context.Context, method, address, path string, body []byte, may func() bool, into any) bool {
-	answer, _, err := s.out.Go(ctx, method, "http://"+address+path, body, may)
+func (s *Runtime) fetch(ctx context.Context, method, address, path string, body []byte, may func() bool, into any) bool {
+	answer, _, err := s.out.Do(ctx, method, "http://"+address+path, body, may)
 	if err != nil {
 		s.Count("calls outward failed")
 		return false
--- a/internal/protocol/bodies.go
+++ b/internal/protocol/bodies.go
@@ -60,7 +60,7 @@
 	Record  EpochRecord
 	Kept    Ballot
 	WaitMs  int64
-	// NotFirstDisk says that the disk can't vote for a first record: it was not
+	// NotInitialDisk says that the disk can't vote for a first record: it was not
 	// there at the first start of the site, or did not live to note it.
 	NotFirstDisk bool
 	// At is what this daemon's own copy of the state goes up to.
@@ -186,8 +186,8 @@
 	Rows    map[string]string
 }
 
-// Sum names a text.
-func Sum(text string) string {
+// Digest names a text.
+func Digest(text string) string {
 	sum := sha256.Sum256([]byte(text))
 	return hex.EncodeToString(sum[:8])
 }
--- a/internal/protocol/effects.go
+++ b/internal/protocol/effects.go
@@ -25,8 +25,8 @@
 	Ok     bool
 }
 
-// Answer ends something a caller or an operator asked.
-type Answer struct {
+// Response ends something a caller or an operator asked.
+type Response struct {
 	ID   uint64
 	Body any
 }
@@ -52,7 +52,7 @@
 type Effects struct {
 	Sends      []Send
 	DiskWrites []DiskWrite
-	Answers    []Answer
+	Responses  []Response
 	Calls      []OutboundCall
 	// LogLines are short sentences for the log.
 	LogLines []string
--- a/internal/protocol/outward.go
+++ b/internal/protocol/outward.go
@@ -15,8 +15,8 @@
 
 // The two actions of an order.
 const (
-	Load   = "load"
-	Unload = "unload"
+	ActionLoad   = "load"
+	ActionUnload = "unload"
 )
 
 // OrderCall sends an order; it may not be written to the socket once the
--- a/internal/protocol/pack.go
+++ b/internal/protocol/pack.go
@@ -12,8 +12,8 @@
 // MaxTextBytes bounds a packed text once it is unpacked.
 const MaxTextBytes = MaxFrameBytes
 
-// Pack makes a text small for links and disks.
-func Pack(text string) []byte {
+// Compress makes a text small for links and disks.
+func Compress(text string) []byte {
 	var packed bytes.Buffer
 	// A map goes to hundreds of routers for one packing.
 	w, err := flate.NewWriter(&packed, flate.DefaultCompression)
@@ -25,8 +25,8 @@
 	return packed.Bytes()
 }
 
-// Unpack gives the text back.
-func Unpack(packed []byte) (string, error) {
+// Decompress gives the text back.
+func Decompress(packed []byte) (string, error) {
 	var text strings.Builder
 	n, err := io.Copy(&text, io.LimitReader(flate.NewReader(bytes.NewReader(packed)), MaxTextBytes+1))
 	if err != nil {
--- a/internal/protocol/pack_test.go
+++ b/internal/protocol/pack_test.go
@@ -10,7 +10,7 @@
 // What was packed comes back, and what is not whole or too large does not.
 func TestPack(t *testing.T) {
 	text := strings.Repeat(`{"name":"pubo309c7c","weights_mb":65099.9},`, 1000)
-	packed := Pack(text)
+	packed := Compress(text)
 	qt.Assert(t, len(packed) < len(text)/5, qt.IsTrue)
 	cases := []struct {
 		about  string
@@ -19,15 +19,15 @@
 		ok     bool
 	}{
 		{"whole", packed, text, true},
-		{"empty text", Pack(""), "", true},
+		{"empty text", Compress(""), "", true},
 		{"nothing", nil, "", false},
 		{"torn", packed[:len(packed)/2], "", false},
 		{"no packed text", []byte("version: 1"), "", false},
-		{"too large", Pack(strings.Repeat(" ", MaxTextBytes+1)), "", false},
+		{"too large", Compress(strings.Repeat(" ", MaxTextBytes+1)), "", false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			got, err := Unpack(test.packed)
+			got, err := Decompress(test.packed)
 			qt.Assert(t, err == nil, qt.Equals, test.ok)
 			qt.Assert(t, got == test.want, qt.IsTrue)
 		})
--- a/internal/protocol/place.go
+++ b/internal/protocol/place.go
@@ -15,22 +15,22 @@
 
 // The parts of a site.
 const (
-	Controller = "controller"
-	Router     = "router"
+	RoleController = "controller"
+	RoleRouter     = "router"
 )
 
-// SumNodes names a list of places in its order; it is never nought.
-func SumNodes(places []Node) uint64 {
+// DigestNodes names a list of places in its order; it is never nought.
+func DigestNodes(places []Node) uint64 {
 	texts := make([]string, 0, 5*len(places))
 	for _, p := range places {
 		texts = append(texts, p.Name, p.Address, p.Zone, p.Part, p.Incarnation)
 	}
-	return SumTexts(texts)
+	return DigestStrings(texts)
 }
 
-// SumTexts names a list of texts in its order; it is never nought, which says
+// DigestStrings names a list of texts in its order; it is never nought, which says
 // that nothing was told yet.
-func SumTexts(texts []string) uint64 {
+func DigestStrings(texts []string) uint64 {
 	sum := fnv.New64a()
 	for _, text := range texts {
 		_, _ = sum.Write([]byte(text))
--- a/internal/protocol/record.go
+++ b/internal/protocol/record.go
@@ -38,14 +38,14 @@
 
 const goneMost = 16
 
-// Replaced gives the list of the gone with one more.
-func (r EpochRecord) Replaced(seat MemberID) []MemberID {
+// GoneWith gives the list of the gone with one more.
+func (r EpochRecord) GoneWith(seat MemberID) []MemberID {
 	gone := append(slices.Clone(r.Gone), seat)
 	return gone[max(0, len(gone)-goneMost):]
 }
 
-// MemberNamed gives the disk that the record names for a daemon, if it does.
-func (r EpochRecord) MemberNamed(name string) (MemberID, bool) {
+// Member gives the disk that the record names for a daemon, if it does.
+func (r EpochRecord) Member(name string) (MemberID, bool) {
 	for _, seat := range append(slices.Clone(r.Replicas), r.Witnesses...) {
 		if seat.Name == name {
 			return seat, true
@@ -57,8 +57,8 @@
 // HasReplica says whether the disk is one of the pair.
 func (r EpochRecord) HasReplica(seat MemberID) bool { return slices.Contains(r.Replicas, seat) }
 
-// Peer gives the other disk of the pair.
-func (r EpochRecord) Peer(name string) (MemberID, bool) {
+// OtherReplica gives the other disk of the pair.
+func (r EpochRecord) OtherReplica(name string) (MemberID, bool) {
 	for _, seat := range r.Replicas {
 		if seat.Name != name {
 			return seat, true
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -68,7 +68,7 @@
 			_, _ = io.WriteString(w, "ok")
 		})
 		done := make(chan struct{})
-		threads.Side(func() { defer close(done); _ = server.Serve(listener) })
+		threads.Go(func() { defer close(done); _ = server.Serve(listener) })
 		play(b)
 		_ = client.Close()
 		close(front.connections)
@@ -253,11 +253,11 @@
 		document.Limits.MaxHeaderBytes = test.bytes
 		text, err := json.Marshal(document)
 		c.Assert(err, qt.IsNil)
-		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.ConfigUpdate{
+		g.shell.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.ConfigUpdate{
 			EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
 		}})
 		// The machine takes one input after the other, so this one is behind.
-		_, ok := g.shell.Ask(context.Background(), func(id uint64) any { return Look{ID: id} })
+		_, ok := g.shell.Call(context.Background(), func(id uint64) any { return Look{ID: id} })
 		c.Assert(ok, qt.IsTrue)
 		connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 		c.Assert(err, qt.IsNil)
--- a/internal/proxy/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -103,7 +103,7 @@
 	m.open[listener] = true
 	m.mu.Unlock()
 	m.served.Add(1)
-	threads.Side(func() {
+	threads.Go(func() {
 		defer m.served.Done()
 		for {
 			connection, err := listener.Accept()
@@ -114,7 +114,7 @@
 			m.open[connection] = true
 			m.mu.Unlock()
 			m.served.Add(1)
-			threads.Side(func() {
+			threads.Go(func() {
 				defer m.served.Done()
 				(&modelConn{runners: m, id: id, connection: connection, reader: bufio.NewReader(connection)}).serve()
 			})
@@ -446,7 +446,7 @@
 	answered := make(chan struct{})
 	watched := make(chan bool)
 	connection := m.connection
-	threads.Side(func() {
+	threads.Go(func() {
 		select {
 		case <-m.runners.silence(o.try):
 			_ = connection.Close()
@@ -535,7 +535,7 @@
 	var group sync.WaitGroup
 	for _, requests := range clients {
 		group.Add(1)
-		threads.Side(func() {
+		threads.Go(func() {
 			defer group.Done()
 			(&modelClient{address: strings.TrimPrefix(url, "http://"), log: log, runners: runners}).run(requests)
 		})
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -48,7 +48,7 @@
 		if err != nil {
 			return
 		}
-		threads.Side(func() { serve(connection) })
+		threads.Go(func() { serve(connection) })
 	}
 }
 
@@ -75,7 +75,7 @@
 	}
 	f.Cleanup(func() { _ = listener.Close() })
 	runner := &fixedRunner{}
-	threads.Side(func() { acceptAll(listener, runner.serve) })
+	threads.Go(func() { acceptAll(listener, runner.serve) })
 	document := exampleMap(1)
 	document.BuildIndex()
 	g, _, stop, err := startGate(plainTongue{}, document, nil, io.Discard)
@@ -174,7 +174,7 @@
 	// so all are counted together.
 	var mu sync.Mutex
 	arrived, sent := map[sentRequest]int{}, map[sentRequest]int{}
-	threads.Side(func() {
+	threads.Go(func() {
 		acceptAll(listener, func(connection net.Conn) {
 			defer connection.Close()
 			reader := bufio.NewReader(connection)
--- a/internal/proxy/gate.go
+++ b/internal/proxy/gate.go
@@ -45,7 +45,7 @@
 // Gate is a router as a process: its machine in a shell, and the way of a
 // request through it.
 type Gate struct {
-	shell   *process.Shell
+	shell   *process.Runtime
 	machine *Machine
 	set     Settings
 	tongue  Tongue
@@ -63,7 +63,7 @@
 
 // NewGate makes the router; nothing runs yet. Clients come to front, and
 // whoever asks whether this router takes any comes to ready.
-func NewGate(set Settings, tongue Tongue, format Format, exchanger process.Exchanger, peers, front, ready net.Listener, logger *log.Logger) (*Gate, error) {
+func NewGate(set Settings, tongue Tongue, format Format, exchanger process.OutboundCaller, peers, front, ready net.Listener, logger *log.Logger) (*Gate, error) {
 	clock := process.NewClock()
 	g := &Gate{machine: New(set, format, clock.NowMs()), set: set, tongue: tongue, front: front, most: requestMost}
 	if set.OpenFiles > 0 {
@@ -74,8 +74,8 @@
 		g.bodiesMost = int64(set.MemoryMb) << 20 / 5
 		g.most = min(g.most, int64(max(64, set.MemoryMb*1024/2/eachKb)))
 	}
-	g.shell = process.New(process.Settings{
-		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Exchanger: exchanger,
+	g.shell = process.New(process.Options{
+		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Caller: exchanger,
 	}, g.machine, nil, peers, ready, http.HandlerFunc(g.page))
 	g.server = &http.Server{
 		// How long a connection may rest and a head may take, clientConn knows.
@@ -85,10 +85,10 @@
 	return g, nil
 }
 
-// Join adds the router's duties to a crew.
-func (g *Gate) Join(c *threads.Group) {
-	g.shell.Join(c)
-	c.Duty(func() error {
+// AddTasks adds the router's duties to a crew.
+func (g *Gate) AddTasks(c *threads.Group) {
+	g.shell.AddTasks(c)
+	c.Add(func() error {
 		if err := g.server.Serve(clientListener{g.front, g.limits}); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
@@ -106,18 +106,18 @@
 func (g *Gate) limits() clientLimits { return limitsOf(g.machine.Map()) }
 
 // Reseed gives the seeds anew.
-func (g *Gate) Reseed(seeds []string) { g.shell.Put(Reseed{Seeds: seeds}) }
+func (g *Gate) Reseed(seeds []string) { g.shell.Submit(Reseed{Seeds: seeds}) }
 
-// Halt makes the router stand still until it is released.
-func (g *Gate) Halt() (release func()) { return g.shell.Halt() }
+// Pause makes the router stand still until it is released.
+func (g *Gate) Pause() (release func()) { return g.shell.Pause() }
 
-// Leave says not ready, ends what was read, and returns when no one comes any
+// Shutdown says not ready, ends what was read, and returns when no one comes any
 // more or the grace is nearly over.
-func (g *Gate) Leave() {
+func (g *Gate) Shutdown() {
 	clock := g.shell.Clock()
 	beganMs := clock.NowMs()
 	g.leaving.Store(true)
-	g.shell.Put(Leave{})
+	g.shell.Submit(Leave{})
 	lastMs := beganMs + max(goneMs, g.set.Bounds.GraceMs-endMs)
 	closed := false
 	for nowMs := beganMs; nowMs < lastMs; nowMs = clock.NowMs() {
@@ -144,7 +144,7 @@
 	case "/status":
 		ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
 		defer cancel()
-		answer, ok := g.shell.Ask(ctx, func(id uint64) any { return Look{ID: id} })
+		answer, ok := g.shell.Call(ctx, func(id uint64) any { return Look{ID: id} })
 		if !ok {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -177,7 +177,7 @@
 	// The bound keeps a crowd from filling the memory.
 	if under > g.most {
 		g.shell.Count("requests too many")
-		g.tongue.Refuse(w, errkind.HoldingFull, 300)
+		g.tongue.Refuse(w, errkind.QueueFull, 300)
 		return
 	}
 	if headBytes(r) > g.limits().headBytes {
@@ -199,7 +199,7 @@
 		defer g.bodies.Add(-large)
 		if g.bodies.Add(large) > g.bodiesMost {
 			g.shell.Count("bodies too large together")
-			g.tongue.Refuse(w, errkind.HoldingFull, 300)
+			g.tongue.Refuse(w, errkind.QueueFull, 300)
 			return
 		}
 	}
@@ -282,18 +282,18 @@
 // serve asks the machine what to do with a request, until it has its answer.
 func (p *passage) serve() {
 	g := p.gate
-	id, answers := g.shell.Expect()
-	defer g.shell.Forget(id)
+	id, answers := g.shell.OpenReplies()
+	defer g.shell.CloseReplies(id)
 	p.id = id
-	if !g.shell.Put(Request{ID: id, Host: host(p.r.Host), Path: p.path, Asked: p.asked}) {
-		g.tongue.Refuse(p.w, errkind.HoldingFull, 300)
+	if !g.shell.Submit(Request{ID: id, Host: host(p.r.Host), Path: p.path, Asked: p.asked}) {
+		g.tongue.Refuse(p.w, errkind.QueueFull, 300)
 		return
 	}
 	// Whatever ends this, the place that a send took is free again.
 	over := false
 	defer func() {
 		if !over {
-			g.shell.Put(Gone{ID: id})
+			g.shell.Submit(Gone{ID: id})
 		}
 	}()
 	for {
@@ -320,7 +320,7 @@
 					panic(http.ErrAbortHandler)
 				}
 				over = ended.Outcome == Answered
-				g.shell.Put(ended)
+				g.shell.Submit(ended)
 				if over {
 					return
 				}
--- a/internal/proxy/gate_test.go
+++ b/internal/proxy/gate_test.go
@@ -64,7 +64,7 @@
 
 func (plainTongue) Refuse(w http.ResponseWriter, kind errkind.Kind, retryMs int64) {
 	w.Header().Set("Kind", string(kind))
-	w.WriteHeader(kind.Reply().Status)
+	w.WriteHeader(kind.Response().Status)
 }
 
 func (plainTongue) Piece(event []byte) (string, int64) {
@@ -96,7 +96,7 @@
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
 	p := &played{at: at, scripts: scripts}
-	threads.Side(func() {
+	threads.Go(func() {
 		for {
 			stream, err := at.Accept()
 			if err != nil {
@@ -104,7 +104,7 @@
 			}
 			number := p.accepted
 			p.accepted++
-			threads.Side(func() { p.serve(stream, number) })
+			threads.Go(func() { p.serve(stream, number) })
 		}
 	})
 	return p
@@ -200,15 +200,15 @@
 		return nil, "", nil, err
 	}
 	group := &threads.Group{}
-	g.Join(group)
+	g.AddTasks(group)
 	stopped, done := make(chan struct{}), make(chan struct{})
-	group.Until(stopped)
-	threads.Side(func() {
+	group.StopWhen(stopped)
+	threads.Go(func() {
 		defer close(done)
 		_ = group.Run()
 	})
 	put := func(body any) {
-		g.shell.Put(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
+		g.shell.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
 	}
 	text, _ := json.Marshal(document)
 	put(protocol.ConfigUpdate{EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 1, Sum: "1", Text: string(text), Routers: 1})
--- a/internal/proxy/lookup.go
+++ b/internal/proxy/lookup.go
@@ -136,7 +136,7 @@
 
 // nextController names the one after another, a live one if there is one.
 func (m *Machine) nextController(than string) string {
-	places := m.roster.NodesOf(protocol.Controller)
+	places := m.roster.NodesOf(protocol.RoleController)
 	at := slices.IndexFunc(places, func(p protocol.Node) bool { return p.Name > than })
 	first := ""
 	for i := range places {
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -234,7 +234,7 @@
 
 // answer adds an answer to the request or question with this id to the effects.
 func (m *Machine) answer(id uint64, body any) {
-	m.out.Answers = append(m.out.Answers, protocol.Answer{ID: id, Body: body})
+	m.out.Responses = append(m.out.Responses, protocol.Response{ID: id, Body: body})
 }
 
 // note adds a log line to the effects.
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -46,9 +46,9 @@
 }
 
 var (
-	selfPlace    = protocol.Node{Name: "router-1", Address: "r:1", Zone: "z1", Part: protocol.Router}
-	primaryPlace = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.Controller}
-	otherPlace   = protocol.Node{Name: "core-2", Address: "c:2", Part: protocol.Controller}
+	selfPlace    = protocol.Node{Name: "router-1", Address: "r:1", Zone: "z1", Part: protocol.RoleRouter}
+	primaryPlace = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.RoleController}
+	otherPlace   = protocol.Node{Name: "core-2", Address: "c:2", Part: protocol.RoleController}
 )
 
 // bed is a machine with a hand on its clock.
@@ -128,7 +128,7 @@
 	for end := b.nowMs + ms; b.nowMs < end; {
 		b.nowMs += min(25, end-b.nowMs)
 		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.version})} {
-			all.Answers = append(all.Answers, out.Answers...)
+			all.Responses = append(all.Responses, out.Responses...)
 			all.Sends = append(all.Sends, out.Sends...)
 		}
 	}
@@ -145,9 +145,9 @@
 }
 
 func answered[T any](c *qt.C, out protocol.Effects) T {
-	c.Assert(out.Answers, qt.HasLen, 1)
-	body, ok := out.Answers[0].Body.(T)
-	c.Assert(ok, qt.IsTrue, qt.Commentf("%#v", out.Answers[0].Body))
+	c.Assert(out.Responses, qt.HasLen, 1)
+	body, ok := out.Responses[0].Body.(T)
+	c.Assert(ok, qt.IsTrue, qt.Commentf("%#v", out.Responses[0].Body))
 	return body
 }
 
@@ -169,7 +169,7 @@
 	out := b.ask("/safe/x")
 	c.Assert(lookUps(out), qt.HasLen, 1)
 	c.Assert(lookUps(out)[0].Waits, qt.IsTrue)
-	c.Assert(out.Answers, qt.HasLen, 0)
+	c.Assert(out.Responses, qt.HasLen, 0)
 	b.later(25)
 	c.Assert(b.m.Tally.MissesHeld, qt.Equals, uint64(0))
 	b.later(50)
@@ -226,9 +226,9 @@
 		{"no text", func(w *protocol.ConfigUpdate) { w.Text = "" }, 9, 5},
 		{"a text that can't be read", func(w *protocol.ConfigUpdate) { w.Text = "{" }, 9, 5},
 		{"a packed text", func(w *protocol.ConfigUpdate) {
-			w.Packed, w.Sum, w.Text = protocol.Pack(w.Text), protocol.Sum(w.Text), ""
+			w.Packed, w.Sum, w.Text = protocol.Compress(w.Text), protocol.Digest(w.Text), ""
 		}, 9, 9},
-		{"a packed text of another sum", func(w *protocol.ConfigUpdate) { w.Packed, w.Text = protocol.Pack(w.Text), "" }, 9, 5},
+		{"a packed text of another sum", func(w *protocol.ConfigUpdate) { w.Packed, w.Text = protocol.Compress(w.Text), "" }, 9, 5},
 		{"a packed text that can't be read", func(w *protocol.ConfigUpdate) { w.Packed, w.Text = []byte("{"), "" }, 9, 5},
 		{"a question from before its life", func(w *protocol.ConfigUpdate) { w.EchoMs = 1 << 50 }, 9, 5},
 	}
@@ -281,7 +281,7 @@
 		b.step(protocol.Tick{})
 	}
 	c.Assert(b.m.isLeaving("p1"), qt.IsTrue)
-	c.Assert(b.m.roster.NodesOf(protocol.Controller), qt.HasLen, 2)
+	c.Assert(b.m.roster.NodesOf(protocol.RoleController), qt.HasLen, 2)
 	b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
 	c.Assert(asked().LeavingSum, qt.Equals, uint64(9))
 }
@@ -289,8 +289,8 @@
 // Look-ups that need not wait go to a live controller of the own zone; what a
 // request can't go on without, and all while the primary is silent, does not.
 func TestWhomLookUpsGoTo(t *testing.T) {
-	near := protocol.Node{Name: "core-3", Address: "c:3", Zone: "z1", Part: protocol.Controller}
-	far := protocol.Node{Name: "core-4", Address: "c:4", Zone: "z2", Part: protocol.Controller}
+	near := protocol.Node{Name: "core-3", Address: "c:3", Zone: "z1", Part: protocol.RoleController}
+	far := protocol.Node{Name: "core-4", Address: "c:4", Zone: "z2", Part: protocol.RoleController}
 	cases := []struct {
 		about   string
 		live    []protocol.Node
@@ -342,7 +342,7 @@
 		{"safe, nonsense", "/safe/", Ended{Outcome: Nonsense}, send},
 		{"safe, failed", "/safe/", Ended{Outcome: Failed}, send},
 		{"unsafe, lost", "/unsafe/", Ended{Outcome: Lost}, string(errkind.OutcomeUnknown)},
-		{"unsafe, nonsense", "/unsafe/", Ended{Outcome: Nonsense}, string(errkind.BrokenAnswer)},
+		{"unsafe, nonsense", "/unsafe/", Ended{Outcome: Nonsense}, string(errkind.BrokenResponse)},
 		{"unsafe, turned away", "/unsafe/", Ended{Outcome: TurnedAway}, send},
 		{"unsafe, not held", "/unsafe/", Ended{Outcome: NotHeld}, send},
 		{"unsafe, not sent", "/unsafe/", Ended{Outcome: NotSent}, send},
@@ -361,8 +361,8 @@
 			c.Assert(first.Single, qt.Equals, test.path == "/unsafe/" || test.path == "/once/")
 			test.ended.ID = b.id
 			out := b.step(test.ended)
-			c.Assert(out.Answers, qt.HasLen, 1)
-			switch got := out.Answers[0].Body.(type) {
+			c.Assert(out.Responses, qt.HasLen, 1)
+			switch got := out.Responses[0].Body.(type) {
 			case Send:
 				c.Assert(test.want, qt.Equals, send)
 				c.Assert(got.Go.After, qt.Equals, test.ended.After)
@@ -373,7 +373,7 @@
 				c.Assert(test.want, qt.Equals, broken)
 			case protocol.Rejection:
 				c.Assert(test.want, qt.Equals, string(got.Kind))
-				c.Assert(got.Kind.Reply().Drop, qt.IsFalse)
+				c.Assert(got.Kind.Response().NotExecuted, qt.IsFalse)
 			}
 		})
 	}
@@ -397,8 +397,8 @@
 	b.index(protocol.IndexReply{Service: "pages", Change: 1, Holders: []protocol.IndexHolder{holder("p1"), holder("p2"), holder("p3"), holder("p4"), holder("p5")}})
 	out := b.ask("/unsafe/")
 	sends := 0
-	for len(out.Answers) == 1 {
-		if _, ok := out.Answers[0].Body.(Send); !ok {
+	for len(out.Responses) == 1 {
+		if _, ok := out.Responses[0].Body.(Send); !ok {
 			break
 		}
 		sends++
@@ -406,7 +406,7 @@
 	}
 	c.Assert(sends, qt.Equals, 3)
 	dropped := answered[protocol.Rejection](c, out)
-	c.Assert(dropped.Kind, qt.Equals, errkind.RunnerDropped)
+	c.Assert(dropped.Kind, qt.Equals, errkind.RunnerRejected)
 	c.Assert(dropped.RetryMs > 0, qt.IsTrue)
 }
 
@@ -415,7 +415,7 @@
 	b := ready(c)
 	b.ask("/unsafe/")
 	b.m.budget("pages").tokens = 0.5
-	c.Assert(answered[protocol.Rejection](c, b.step(Ended{ID: b.id, Outcome: TurnedAway})).Kind, qt.Equals, errkind.RunnerDropped)
+	c.Assert(answered[protocol.Rejection](c, b.step(Ended{ID: b.id, Outcome: TurnedAway})).Kind, qt.Equals, errkind.RunnerRejected)
 	// A runner that could not be reached has cost nothing.
 	b = ready(c)
 	b.ask("/unsafe/")
@@ -433,17 +433,17 @@
 		fromMs  int64
 		untilMs int64
 	}{
-		{"its turn is too late", "/stream/", protocol.IndexReply{TurnMs: 2500}, 2000, errkind.NoTurn, 0, 0},
-		{"its turn comes, and it does not", "/stream/", protocol.IndexReply{TurnMs: 500}, 2000, errkind.NoTurn, 950, 1100},
-		{"its turn comes late, and it does not", "/stream/", protocol.IndexReply{TurnMs: 1200}, 2000, errkind.NoTurn, 1450, 1550},
-		{"it is being loaded", "/stream/", protocol.IndexReply{Loading: true}, 2000, errkind.NoTurn, 800, 1000},
+		{"its turn is too late", "/stream/", protocol.IndexReply{TurnMs: 2500}, 2000, errkind.PlacementTimeout, 0, 0},
+		{"its turn comes, and it does not", "/stream/", protocol.IndexReply{TurnMs: 500}, 2000, errkind.PlacementTimeout, 950, 1100},
+		{"its turn comes late, and it does not", "/stream/", protocol.IndexReply{TurnMs: 1200}, 2000, errkind.PlacementTimeout, 1450, 1550},
+		{"it is being loaded", "/stream/", protocol.IndexReply{Loading: true}, 2000, errkind.PlacementTimeout, 800, 1000},
 		{"nobody knows", "/stream/", protocol.IndexReply{}, 2000, errkind.NoRunner, 800, 1000},
 		// A client gives a stream up after two seconds of silence, whatever time it names.
 		{"nobody knows, with much time", "/stream/", protocol.IndexReply{}, 8000, errkind.NoRunner, 800, 1000},
-		{"its turn is too late for a silent stream", "/stream/", protocol.IndexReply{TurnMs: 2500}, 8000, errkind.NoTurn, 0, 0},
-		{"nobody knows, and the client bears silence", "/patient/", protocol.IndexReply{}, 20_000, errkind.NoWord, 5300, 5500},
+		{"its turn is too late for a silent stream", "/stream/", protocol.IndexReply{TurnMs: 2500}, 8000, errkind.PlacementTimeout, 0, 0},
+		{"nobody knows, and the client bears silence", "/patient/", protocol.IndexReply{}, 20_000, errkind.NoConfig, 5300, 5500},
 		// What was told of a turn is not believed for ever.
-		{"its turn is in time for one that bears silence", "/patient/", protocol.IndexReply{TurnMs: 6000}, 20_000, errkind.NoWord, 5300, 5500},
+		{"its turn is in time for one that bears silence", "/patient/", protocol.IndexReply{TurnMs: 6000}, 20_000, errkind.NoConfig, 5300, 5500},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -454,7 +454,7 @@
 			beganMs := b.nowMs
 			test.line.Service, test.line.Model, test.line.ID = "reader", "m", lookUps(out)[0].ID
 			out = b.index(test.line)
-			for len(out.Answers) == 0 && b.nowMs < beganMs+10_000 {
+			for len(out.Responses) == 0 && b.nowMs < beganMs+10_000 {
 				out = b.later(25)
 			}
 			dropped := answered[protocol.Rejection](c, out)
@@ -478,7 +478,7 @@
 func TestNoMapHoldsALittle(t *testing.T) {
 	c := qt.New(t)
 	b := newBed(c)
-	c.Assert(b.ask("/safe/").Answers, qt.HasLen, 0)
+	c.Assert(b.ask("/safe/").Responses, qt.HasLen, 0)
 	out := b.word(1)
 	c.Assert(lookUps(out), qt.HasLen, 1)
 
@@ -486,10 +486,10 @@
 	b.ask("/safe/")
 	for range 11 {
 		b.nowMs += 25
-		c.Assert(b.step(protocol.Tick{}).Answers, qt.HasLen, 0)
+		c.Assert(b.step(protocol.Tick{}).Responses, qt.HasLen, 0)
 	}
 	b.nowMs += 25
-	c.Assert(answered[protocol.Rejection](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoWord)
+	c.Assert(answered[protocol.Rejection](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoConfig)
 }
 
 func TestNoRoute(t *testing.T) {
@@ -501,7 +501,7 @@
 		b.nowMs += 25
 		b.step(protocol.Tick{})
 	}
-	c.Assert(answered[protocol.Rejection](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.NoWord)
+	c.Assert(answered[protocol.Rejection](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.NoConfig)
 }
 
 // While places are free nobody is refused; then the more urgent goes first,
@@ -514,17 +514,17 @@
 		answered[Send](c, b.ask("/safe/"))
 		away = append(away, b.id)
 	}
-	c.Assert(b.ask("/later/").Answers, qt.HasLen, 0)
+	c.Assert(b.ask("/later/").Responses, qt.HasLen, 0)
 	laterID := b.id
-	c.Assert(b.ask("/urgent/").Answers, qt.HasLen, 0)
+	c.Assert(b.ask("/urgent/").Responses, qt.HasLen, 0)
 	urgentID := b.id
 	out := b.step(Ended{ID: away[0], Outcome: Answered})
 	answered[Send](c, out)
-	c.Assert(out.Answers[0].ID, qt.Equals, urgentID)
+	c.Assert(out.Responses[0].ID, qt.Equals, urgentID)
 	out = b.later(100)
 	dropped := answered[protocol.Rejection](c, out)
-	c.Assert(out.Answers[0].ID, qt.Equals, laterID)
-	c.Assert(dropped.Kind, qt.Equals, errkind.NoTurn)
+	c.Assert(out.Responses[0].ID, qt.Equals, laterID)
+	c.Assert(dropped.Kind, qt.Equals, errkind.PlacementTimeout)
 	c.Assert(dropped.RetryMs > 0 && dropped.RetryMs <= 1000, qt.IsTrue)
 }
 
@@ -538,7 +538,7 @@
 	waiting := b.id
 	out := b.step(Gone{ID: 1})
 	answered[Send](c, out)
-	c.Assert(out.Answers[0].ID, qt.Equals, waiting)
+	c.Assert(out.Responses[0].ID, qt.Equals, waiting)
 	for id := uint64(1); id <= b.id; id++ {
 		b.step(Gone{ID: id})
 	}
@@ -560,7 +560,7 @@
 	b.nowMs = b.m.nowMs
 	b.m.heardMs = b.nowMs
 	out := b.ask("/safe/")
-	c.Assert(out.Answers, qt.HasLen, 0)
+	c.Assert(out.Responses, qt.HasLen, 0)
 	c.Assert(lookUps(out), qt.HasLen, 1)
 	// The answer says that another holds it now.
 	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Change: 9, Holders: []protocol.IndexHolder{{ID: "p9", Address: "p9:80", Adapter: true, Slots: 4}}})
@@ -577,17 +577,17 @@
 	askedMs := b.nowMs
 	b.nowMs += 5000
 	out := b.ask("/safe/")
-	c.Assert(out.Answers, qt.HasLen, 0)
+	c.Assert(out.Responses, qt.HasLen, 0)
 	c.Assert(slices.ContainsFunc(out.Sends, func(s protocol.Send) bool { _, ok := s.Body.(protocol.ConfigPoll); return ok }), qt.IsTrue)
 	// An answer from before it stood still tells nothing of what was missed.
-	c.Assert(b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Answers, qt.HasLen, 0)
+	c.Assert(b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Responses, qt.HasLen, 0)
 	// The line is from before it stood still too; its look-up may renew it.
-	c.Assert(b.word(2).Answers, qt.HasLen, 0)
+	c.Assert(b.word(2).Responses, qt.HasLen, 0)
 	answered[Send](c, b.later(missMs))
 
 	b = ready(c)
 	b.nowMs += 5000
-	c.Assert(b.ask("/safe/").Answers, qt.HasLen, 0)
+	c.Assert(b.ask("/safe/").Responses, qt.HasLen, 0)
 	b.nowMs += thawMs
 	answered[Send](c, b.step(protocol.Tick{}))
 }
@@ -628,8 +628,8 @@
 	answered[Send](c, b.ask("/safe/"))
 	b.index(protocol.IndexReply{Service: "reader", Model: "m", Change: 4, Loading: true})
 	b.ask("/patient/", func(a *Asked) { a.LeftMs = 20_000 })
-	c.Assert(b.later(1950).Answers, qt.HasLen, 0)
-	c.Assert(answered[protocol.Rejection](c, b.later(50)).Kind, qt.Equals, errkind.Stopping)
+	c.Assert(b.later(1950).Responses, qt.HasLen, 0)
+	c.Assert(answered[protocol.Rejection](c, b.later(50)).Kind, qt.Equals, errkind.ShuttingDown)
 }
 
 func TestANewPrimaryIsAskedAtOnce(t *testing.T) {
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -72,7 +72,7 @@
 	case TurnedAway:
 		known.fill(m.nowMs)
 		r.refused = append(r.refused, r.runner)
-		r.last = errkind.RunnerDropped
+		r.last = errkind.RunnerRejected
 	case NotHeld:
 		if e := m.cache[r.key]; e != nil && !r.passed {
 			e.shun(m.nowMs, r.runner)
@@ -82,7 +82,7 @@
 			m.leaves(r.runner)
 		}
 		r.refused = append(r.refused, r.runner)
-		r.last = errkind.RunnerDropped
+		r.last = errkind.RunnerRejected
 	case Failed, Lost, Nonsense, Cut:
 		if in.Outcome != Failed {
 			known.fail(m.nowMs)
@@ -92,7 +92,7 @@
 		r.failed = append(r.failed, r.runner)
 		r.last = errkind.OutcomeUnknown
 		if in.Outcome == Nonsense {
-			r.last = errkind.BrokenAnswer
+			r.last = errkind.BrokenResponse
 		}
 		// What may have run goes on only if it may run twice.
 		if !r.route.Retryable() || r.goes >= max(1, r.route.MaxAttempts) || r.passed && r.after == "" {
--- a/internal/proxy/passage.go
+++ b/internal/proxy/passage.go
@@ -66,14 +66,14 @@
 	s.Go.LeftMs = max(1, s.DeadlineMs-nowMs)
 	header := http.Header{}
 	g.tongue.Dress(header, p.r.Header, s.Go)
-	sent, err := g.shell.Outward().Send(ctx, httpclient.Request{
+	sent, err := g.shell.HTTPClient().Forward(ctx, httpclient.Request{
 		Method: p.r.Method, Address: s.Address, Path: p.path, Query: p.query, HasQuery: p.hasQuery,
 		Host: p.r.Host, Header: header, Body: p.body, Fresh: s.Single,
-	}, g.shell.MaySend(func(nowMs int64) bool { return nowMs < s.UntilMs }))
+	}, g.shell.WriteCheck(func(nowMs int64) bool { return nowMs < s.UntilMs }))
 	switch {
-	case errors.Is(err, httpclient.ErrTooLate) && !sent.Wrote:
+	case errors.Is(err, httpclient.ErrNotAllowed) && !sent.Written:
 		return p.ended(TooLate)
-	case err != nil && !sent.Wrote:
+	case err != nil && !sent.Written:
 		var failed net.Error
 		if errors.As(err, &failed) && failed.Timeout() {
 			for range g.hearing.unreached(g.shell.Clock().NowMs(), s.Go.Runner) {
@@ -97,7 +97,7 @@
 	}
 	sent.Accept()
 	if heard.HasLoad || s.Route.Kind == config.Stream {
-		g.shell.Put(Told{ID: p.id, Runner: s.Go.Runner, Heard: heard})
+		g.shell.Submit(Told{ID: p.id, Runner: s.Go.Runner, Heard: heard})
 	}
 	switch status := answer.StatusCode; {
 	case status == http.StatusMisdirectedRequest:
--- a/internal/proxy/primary.go
+++ b/internal/proxy/primary.go
@@ -28,7 +28,7 @@
 	for _, seed := range m.seeds {
 		m.out.Sends = append(m.out.Sends, protocol.Send{Address: seed, Body: protocol.PeersRequest{}})
 	}
-	known := m.roster.NodesOf(protocol.Controller)
+	known := m.roster.NodesOf(protocol.RoleController)
 	known = slices.DeleteFunc(known, func(p protocol.Node) bool { return slices.Contains(m.seeds, p.Address) })
 	if len(known) > 0 {
 		m.send(known[int(m.nowMs/helloMs)%len(known)], protocol.PeersRequest{})
@@ -39,12 +39,12 @@
 // daemon is counted and ignored.
 func (m *Machine) receive(e protocol.Envelope) {
 	if e.Site != m.set.Site {
-		m.count(errkind.OtherSite)
+		m.count(errkind.WrongSite)
 		return
 	}
 	// An address may have passed to another daemon.
 	if e.To != "" && e.To != m.set.Self.Name {
-		m.count(errkind.OtherDaemon)
+		m.count(errkind.WrongDaemon)
 		return
 	}
 	m.roster.Observe(m.nowMs, e.From)
@@ -130,8 +130,8 @@
 		return
 	}
 	if len(w.Packed) > 0 {
-		text, err := protocol.Unpack(w.Packed)
-		if err != nil || protocol.Sum(text) != w.Sum {
+		text, err := protocol.Decompress(w.Packed)
+		if err != nil || protocol.Digest(text) != w.Sum {
 			m.count(errkind.Malformed)
 			return
 		}
--- a/internal/proxy/rejection.go
+++ b/internal/proxy/rejection.go
@@ -24,7 +24,7 @@
 		m.giveUp(r)
 		return
 	}
-	m.drop(r, errkind.NoTurn, m.placeMs(r))
+	m.drop(r, errkind.PlacementTimeout, m.placeMs(r))
 }
 
 // placeMs says when a place may be free for one that is refused, by the pace
@@ -56,18 +56,18 @@
 	case e == nil || len(e.holders) == 0 && e.turnMs < 0 && !e.loading && !r.answered:
 		// While control is settling, what can bear it waits for its word.
 		if r.service.Engine == nil && waitedMs >= unknownMs || usedMs >= halfMs {
-			m.drop(r, errkind.NoWord, 500)
+			m.drop(r, errkind.NoConfig, 500)
 		}
 	case e.turnMs >= 0:
 		// What can't be had in time is refused at once.
 		serviceMs := min(m.lasts(r.route.Name), totalMs/4)
 		turnMs := max(e.turnMs, m.nowMs)
 		if e.turnMs > r.cameMs+totalMs-serviceMs || usedMs >= totalMs*3/4 || usedMs >= halfMs && m.nowMs > e.turnMs+turnSlackMs {
-			m.drop(r, errkind.NoTurn, turnMs-m.nowMs+50)
+			m.drop(r, errkind.PlacementTimeout, turnMs-m.nowMs+50)
 		}
 	case e.loading:
 		if usedMs >= halfMs {
-			m.drop(r, errkind.NoTurn, 500)
+			m.drop(r, errkind.PlacementTimeout, 500)
 		}
 	case r.service.Engine == nil:
 		if waitedMs >= max(50, r.route.LatencyTargetMs/4) {
@@ -110,7 +110,7 @@
 	case r.kept:
 		m.answer(r.ID, Keep{})
 		return
-	case r.mayHaveRun && kind.Reply().Drop:
+	case r.mayHaveRun && kind.Response().NotExecuted:
 		kind, retryMs = errkind.OutcomeUnknown, 0
 	}
 	m.Tally.Drops[kind]++
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -125,7 +125,7 @@
 	if !ok {
 		// Without word the route may be there and this map an old one.
 		if m.silent() {
-			m.drop(r, errkind.NoWord, 500)
+			m.drop(r, errkind.NoConfig, 500)
 		} else {
 			m.drop(r, errkind.UnknownPage, 0)
 		}
@@ -208,13 +208,13 @@
 	if r.route == nil {
 		if !m.begin(r) {
 			if m.requests[r.ID] != nil && m.nowMs-r.cameMs >= mapWaitMs {
-				m.drop(r, errkind.NoWord, 500)
+				m.drop(r, errkind.NoConfig, 500)
 			}
 			return
 		}
 	}
 	if m.leaving && m.nowMs >= m.leaveMs+m.set.Bounds.GraceMs/2 {
-		m.drop(r, errkind.Stopping, 200)
+		m.drop(r, errkind.ShuttingDown, 200)
 		return
 	}
 	// After standing still the map may be an old one, and the runners others.
--- a/internal/ringbuffer/ring.go
+++ b/internal/ringbuffer/buffer.go
@@ -27,8 +27,8 @@
 	return r
 }
 
-// Put adds one, or says that there is no place.
-func (r *Buffer[T]) Put(item T) bool {
+// Push adds one, or says that there is no place.
+func (r *Buffer[T]) Push(item T) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed || r.count == r.most {
@@ -51,8 +51,8 @@
 	r.slots, r.head = slots, 0
 }
 
-// Take waits for the next one; false means closed and empty.
-func (r *Buffer[T]) Take() (T, bool) {
+// Pop waits for the next one; false means closed and empty.
+func (r *Buffer[T]) Pop() (T, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for r.count == 0 && !r.closed {
@@ -77,8 +77,8 @@
 	r.filled.Broadcast()
 }
 
-// Burden says how many wait and how many were refused so far.
-func (r *Buffer[T]) Burden() (count int, dropped uint64) {
+// Stats says how many wait and how many were refused so far.
+func (r *Buffer[T]) Stats() (count int, dropped uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.count, r.dropped
--- a/internal/ringbuffer/ring_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -9,23 +9,23 @@
 func TestRing(t *testing.T) {
 	c := qt.New(t)
 	r := New[int](2)
-	c.Assert(r.Put(1), qt.IsTrue)
-	c.Assert(r.Put(2), qt.IsTrue)
-	c.Assert(r.Put(3), qt.IsFalse, qt.Commentf("a full ring refuses"))
-	got, ok := r.Take()
+	c.Assert(r.Push(1), qt.IsTrue)
+	c.Assert(r.Push(2), qt.IsTrue)
+	c.Assert(r.Push(3), qt.IsFalse, qt.Commentf("a full ring refuses"))
+	got, ok := r.Pop()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(got, qt.Equals, 1)
-	c.Assert(r.Put(4), qt.IsTrue)
+	c.Assert(r.Push(4), qt.IsTrue)
 	r.Close()
-	c.Assert(r.Put(5), qt.IsFalse, qt.Commentf("a closed ring refuses"))
+	c.Assert(r.Push(5), qt.IsFalse, qt.Commentf("a closed ring refuses"))
 	for _, want := range []int{2, 4} {
-		got, ok = r.Take()
+		got, ok = r.Pop()
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(got, qt.Equals, want)
 	}
-	_, ok = r.Take()
+	_, ok = r.Pop()
 	c.Assert(ok, qt.IsFalse)
-	_, dropped := r.Burden()
+	_, dropped := r.Stats()
 	c.Assert(dropped, qt.Equals, uint64(2))
 }
 
@@ -38,17 +38,17 @@
 		r := New[int](most)
 		next := 0
 		for range taken {
-			c.Assert(r.Put(-1), qt.IsTrue)
-			_, ok := r.Take()
+			c.Assert(r.Push(-1), qt.IsTrue)
+			_, ok := r.Pop()
 			c.Assert(ok, qt.IsTrue)
 		}
 		c.Assert(len(r.slots), qt.Equals, firstSlots)
-		for r.Put(next) {
+		for r.Push(next) {
 			next++
 		}
 		c.Assert(next, qt.Equals, most)
 		for want := range most {
-			got, ok := r.Take()
+			got, ok := r.Pop()
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(got, qt.Equals, want)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -36,8 +36,8 @@
 	given Settings
 }
 
-// Add puts the flags on the default parser.
-func (f *Flags) Add(data bool) {
+// Register puts the flags on the default parser.
+func (f *Flags) Register(data bool) {
 	flaggy.String(&f.file, "s", "settings", "settings file (JSON); flags go before it")
 	flaggy.String(&f.given.Site, "", "site", "name of the site")
 	flaggy.String(&f.given.Name, "", "name", "name of this daemon, alone of its kind at the site")
@@ -75,7 +75,7 @@
 	if f.seeds != "" {
 		s.Seeds = strings.Split(f.seeds, ",")
 	}
-	return s, s.Check(data)
+	return s, s.Validate(data)
 }
 
 // Parse reads a settings file; an unknown field is named.
@@ -89,8 +89,8 @@
 	return s, nil
 }
 
-// Check names the first bad field.
-func (s Settings) Check(data bool) error {
+// Validate names the first bad field.
+func (s Settings) Validate(data bool) error {
 	for _, field := range []struct{ name, value string }{{"site", s.Site}, {"name", s.Name}, {"zone", s.Zone}} {
 		if field.value == "" {
 			return errors.Newf("%s: must be given", field.name)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -30,7 +30,7 @@
 		t.Run(test.about, func(t *testing.T) {
 			s := good
 			test.spoil(&s)
-			err := s.Check(true)
+			err := s.Validate(true)
 			if test.want == "" {
 				qt.Assert(t, err, qt.IsNil)
 				return
--- a/internal/simulation/endurance/site_test.go
+++ b/internal/simulation/endurance/site_test.go
@@ -161,7 +161,7 @@
 }
 
 func (s *site) place(m *member) protocol.Node {
-	return protocol.Node{Name: m.name, Address: m.address, Zone: m.name, Part: protocol.Controller, Incarnation: m.incarnation}
+	return protocol.Node{Name: m.name, Address: m.address, Zone: m.name, Part: protocol.RoleController, Incarnation: m.incarnation}
 }
 
 func (s *site) start(m *member, keys map[string]string, first bool) {
@@ -237,7 +237,7 @@
 			})
 		}
 	}
-	for _, answer := range out.Answers {
+	for _, answer := range out.Responses {
 		s.answered(m, answer)
 	}
 }
@@ -291,7 +291,7 @@
 	s.step(primary, controller.SubmitConfig{ID: s.ids, BaseVersion: version - 1, Text: s.text(version)})
 }
 
-func (s *site) answered(m *member, answer protocol.Answer) {
+func (s *site) answered(m *member, answer protocol.Response) {
 	switch said := answer.Body.(type) {
 	case controller.ConfigText:
 		s.read++
--- a/internal/simulation/endurance/wire_test.go
+++ b/internal/simulation/endurance/wire_test.go
@@ -68,7 +68,7 @@
 	} {
 		c := qt.New(t)
 		_, text := newRouteTable(1, test.routes).next()
-		packed := len(protocol.Pack(text))
+		packed := len(protocol.Compress(text))
 		t.Logf("%d routes: %d bytes, packed %d", test.routes, len(text), packed)
 		c.Check(len(text) <= test.text && len(text) > test.text*9/10, qt.IsTrue)
 		c.Check(packed <= test.packed && packed > test.packed*9/10, qt.IsTrue)
--- a/internal/simulation/faultsim/buggy_application.go
+++ b/internal/simulation/faultsim/buggy_application.go
@@ -35,7 +35,7 @@
 	if json.Unmarshal([]byte(h.Row("map")), &kept) != nil {
 		return 0, ""
 	}
-	text, err := protocol.Unpack(kept.Packed)
+	text, err := protocol.Decompress(kept.Packed)
 	if err != nil {
 		return 0, ""
 	}
--- a/internal/simulation/faultsim/checker.go
+++ b/internal/simulation/faultsim/checker.go
@@ -180,7 +180,7 @@
 // recordRejection notes an answer of a router's own.
 func (b *Checker) recordRejection(r *clientRequest, kind errkind.Kind) {
 	sim := b.sim
-	if kind.Reply().Drop {
+	if kind.Response().NotExecuted {
 		b.rejected[r.id] = kind
 		if b.runs[r.id] > 0 && (r.path == "/unsafe/x" || r.path == "/once/x") {
 			b.report("REFUSED", sim.NowMs(), "%s (%s) has run and was refused as %q", r.id, r.path, kind)
--- a/internal/simulation/faultsim/clients.go
+++ b/internal/simulation/faultsim/clients.go
@@ -163,7 +163,7 @@
 		return
 	}
 	r.complete("refused: " + string(kind))
-	reply := kind.Reply()
+	reply := kind.Response()
 	r.sim.Checker.recordRejection(r, kind)
 	if reply.Status != 503 {
 		return
--- a/internal/simulation/faultsim/faults.go
+++ b/internal/simulation/faultsim/faults.go
@@ -19,19 +19,19 @@
 
 // primary names the daemon that speaks for the site, if one does.
 func (sim *Simulation) primary() *node {
-	for _, name := range sim.nodeNames(protocol.Controller) {
+	for _, name := range sim.nodeNames(protocol.RoleController) {
 		n := sim.nodes[name]
 		if !n.up || n.frozen {
 			continue
 		}
 		out := n.machine.Step(n.clock(sim.NowMs()), controller.ReadStatus{})
 		active := false
-		for _, answer := range out.Answers {
+		for _, answer := range out.Responses {
 			if said, is := answer.Body.(controller.Status); is {
 				active = said.Active
 			}
 		}
-		out.Answers = slices.DeleteFunc(out.Answers, func(a protocol.Answer) bool { _, is := a.Body.(controller.Status); return is })
+		out.Responses = slices.DeleteFunc(out.Responses, func(a protocol.Response) bool { _, is := a.Body.(controller.Status); return is })
 		sim.apply(n, out)
 		if active {
 			return n
@@ -61,7 +61,7 @@
 // counts until it has caught up.
 func (sim *Simulation) losable(n *node) *node {
 	lost := 0
-	for _, name := range sim.nodeNames(protocol.Controller) {
+	for _, name := range sim.nodeNames(protocol.RoleController) {
 		lastMs, ever := sim.connectivity.disturbedMs[name]
 		if sim.nodes[name] != n && (!sim.nodes[name].isHealthy() || ever && sim.NowMs()-lastMs < sim.Bounds.CatchUpMs) {
 			lost++
@@ -86,7 +86,7 @@
 }
 
 func (sim *Simulation) randomRouter() *node {
-	names := sim.nodeNames(protocol.Router)
+	names := sim.nodeNames(protocol.RoleRouter)
 	return sim.nodes[names[sim.random.Intn(len(names))]]
 }
 
@@ -102,7 +102,7 @@
 var disasters = []fault{
 	{"all killed", func(sim *Simulation) { sim.killAll(nil) }},
 	{"core killed", func(sim *Simulation) {
-		for _, name := range sim.nodeNames(protocol.Controller) {
+		for _, name := range sim.nodeNames(protocol.RoleController) {
 			sim.killAndRestart(sim.nodes[name], 700+sim.random.Int63n(300))
 		}
 	}},
@@ -181,7 +181,7 @@
 	}},
 	{"core stopped in turn", func(sim *Simulation) {
 		atMs := int64(0)
-		for _, name := range sim.nodeNames(protocol.Controller) {
+		for _, name := range sim.nodeNames(protocol.RoleController) {
 			n := sim.nodes[name]
 			sim.after(atMs, func() { sim.ifLosable(n, sim.stopGracefully) })
 			atMs += sim.Bounds.CatchUpMs + 1500
@@ -234,7 +234,7 @@
 	}},
 	{"router killed", func(sim *Simulation) { sim.killAndRestart(sim.randomRouter(), sim.randomDelayMs()) }},
 	{"all routers killed", func(sim *Simulation) {
-		for _, name := range sim.nodeNames(protocol.Router) {
+		for _, name := range sim.nodeNames(protocol.RoleRouter) {
 			sim.killAndRestart(sim.nodes[name], 500+sim.random.Int63n(700))
 		}
 	}},
@@ -244,7 +244,7 @@
 		sim.after(sim.randomDelayMs(), func() { sim.thaw(n) })
 	}},
 	{"routers stopped in turn", func(sim *Simulation) {
-		for i, name := range sim.nodeNames(protocol.Router) {
+		for i, name := range sim.nodeNames(protocol.RoleRouter) {
 			sim.after(int64(i)*9000, func() { sim.stopGracefully(sim.nodes[name]) })
 		}
 	}},
@@ -267,15 +267,15 @@
 		})
 	}},
 	{"core in pieces", func(sim *Simulation) {
-		sim.cut(sim.nodeNames(protocol.Controller), sim.nodeNames(protocol.Controller), false)
+		sim.cut(sim.nodeNames(protocol.RoleController), sim.nodeNames(protocol.RoleController), false)
 		sim.healAfter(sim.randomDelayMs())
 	}},
 	{"core cut off from routers", func(sim *Simulation) {
-		sim.cut(sim.nodeNames(protocol.Controller), sim.nodeNames(protocol.Router), sim.random.Intn(2) == 0)
+		sim.cut(sim.nodeNames(protocol.RoleController), sim.nodeNames(protocol.RoleRouter), sim.random.Intn(2) == 0)
 		sim.healAfter(sim.randomDelayMs() + sim.randomDelayMs())
 	}},
 	{"router cut off", func(sim *Simulation) {
-		sim.cut([]string{sim.randomRouter().name}, sim.nodeNames(protocol.Controller), sim.random.Intn(2) == 0)
+		sim.cut([]string{sim.randomRouter().name}, sim.nodeNames(protocol.RoleController), sim.random.Intn(2) == 0)
 		sim.healAfter(sim.randomDelayMs() + sim.randomDelayMs())
 	}},
 	{"router cut off from runners", func(sim *Simulation) {
@@ -383,12 +383,12 @@
 	sim.kill(gone)
 	gone.removed = true
 	sim.controllersMade++
-	n := sim.addNode(fmt.Sprintf("core-%d", sim.controllersMade), fmt.Sprintf("10.0.0.%d", sim.controllersMade), gone.zone, protocol.Controller)
+	n := sim.addNode(fmt.Sprintf("core-%d", sim.controllersMade), fmt.Sprintf("10.0.0.%d", sim.controllersMade), gone.zone, protocol.RoleController)
 	sim.logf("%s takes the place of %s", n.name, gone.name)
 	sim.after(sim.random.Int63n(1500), func() {
 		// The seeds are exchanged for the newest machines.
 		sim.seeds = nil
-		names := sim.nodeNames(protocol.Controller)
+		names := sim.nodeNames(protocol.RoleController)
 		slices.SortFunc(names, func(a, b string) int { return len(b)*1000 + int(b[len(b)-1]) - len(a)*1000 - int(a[len(a)-1]) })
 		for _, name := range names[:3] {
 			sim.seeds = append(sim.seeds, sim.nodes[name].address+":7")
--- a/internal/simulation/faultsim/history.go
+++ b/internal/simulation/faultsim/history.go
@@ -83,7 +83,7 @@
 }
 
 func (h *history) recordRead(sentMs, atMs int64, version uint64, text string) {
-	h.reads = append(h.reads, readRecord{sentMs, atMs, version, protocol.Sum(text)})
+	h.reads = append(h.reads, readRecord{sentMs, atMs, version, protocol.Digest(text)})
 }
 
 // check lists what does not fit one register with compare-and-set.
--- a/internal/simulation/faultsim/history_test.go
+++ b/internal/simulation/faultsim/history_test.go
@@ -110,8 +110,8 @@
 	first.answers = append(first.answers, answerRecord{0, 10, outcomeAccepted, 0})
 	second := h.recordSubmission(20, submissionKey{builtOn: 1, isChange: true, text: part}, 2)
 	second.answers = append(second.answers, answerRecord{20, 30, outcomeAccepted, 0})
-	h.reads = append(h.reads, readRecord{40, 50, 2, protocol.Sum(string(after))})
+	h.reads = append(h.reads, readRecord{40, 50, 2, protocol.Digest(string(after))})
 	qt.Assert(t, h.check(), qt.HasLen, 0)
-	h.reads = append(h.reads, readRecord{60, 70, 2, protocol.Sum(whole)})
+	h.reads = append(h.reads, readRecord{60, 70, 2, protocol.Digest(whole)})
 	qt.Assert(t, h.check(), qt.HasLen, 1)
 }
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -49,7 +49,7 @@
 	deferred []protocol.DiskWrite
 }
 
-func (n *node) isController() bool { return n.role == protocol.Controller }
+func (n *node) isController() bool { return n.role == protocol.RoleController }
 
 // isHealthy says that it runs and nothing is the matter with it.
 func (n *node) isHealthy() bool {
@@ -69,7 +69,7 @@
 
 func (sim *Simulation) addNode(name, address, zone, part string) *node {
 	n := &node{name: name, address: address, zone: zone, role: part, requests: map[uint64]*proxiedRequest{}}
-	if part == protocol.Controller {
+	if part == protocol.RoleController {
 		n.disk = &disk{keys: map[string]string{}, incarnation: name + "-disk-0"}
 	}
 	sim.nodes[name] = n
@@ -211,7 +211,7 @@
 	for _, call := range effects.Calls {
 		sim.outboundCall(n, life, call)
 	}
-	for _, answer := range effects.Answers {
+	for _, answer := range effects.Responses {
 		if _, is := answer.Body.(consensus.LeaveResult); is {
 			sim.after(exitDelayMs, func() { sim.exitAndRestart(n, life) })
 		} else if n.isController() {
--- a/internal/simulation/faultsim/operators.go
+++ b/internal/simulation/faultsim/operators.go
@@ -109,7 +109,7 @@
 }
 
 func (sim *Simulation) randomController() *node {
-	names := sim.nodeNames(protocol.Controller)
+	names := sim.nodeNames(protocol.RoleController)
 	return sim.nodes[names[sim.random.Intn(len(names))]]
 }
 
@@ -226,7 +226,7 @@
 }
 
 // receiveAnswer takes the answer of a controller; it may get lost on its way.
-func (o *operators) receiveAnswer(sim *Simulation, n *node, answer protocol.Answer) {
+func (o *operators) receiveAnswer(sim *Simulation, n *node, answer protocol.Response) {
 	a := o.calls[answer.ID]
 	if a == nil {
 		return
@@ -283,7 +283,7 @@
 		switch said.Kind {
 		case errkind.NotPrimary:
 			var to *node
-			for _, name := range sim.nodeNames(protocol.Controller) {
+			for _, name := range sim.nodeNames(protocol.RoleController) {
 				if sim.nodes[name].address+":80" == said.Primary && sim.nodes[name] != a.node {
 					to = sim.nodes[name]
 				}
--- a/internal/simulation/faultsim/register.go
+++ b/internal/simulation/faultsim/register.go
@@ -170,7 +170,7 @@
 	if len(faults) > 0 || read.Version <= on.version {
 		return appliedSubmission{on, false}
 	}
-	next := configuration{read.Version, protocol.Sum(string(text))}
+	next := configuration{read.Version, protocol.Digest(string(text))}
 	r.texts[next.sum] = string(text)
 	return appliedSubmission{next, true}
 }
--- a/internal/simulation/faultsim/register_test.go
+++ b/internal/simulation/faultsim/register_test.go
@@ -134,7 +134,7 @@
 	} else if len(h.reads) > 0 {
 		r := &h.reads[rapid.IntRange(0, len(h.reads)-1).Draw(t, "spoilt")]
 		r.version = rapid.Uint64Range(1, 6).Draw(t, "version")
-		r.sum = protocol.Sum(configText(r.version, rapid.Int64Range(0, 3).Draw(t, "variant")))
+		r.sum = protocol.Digest(configText(r.version, rapid.Int64Range(0, 3).Draw(t, "variant")))
 	}
 }
 
--- a/internal/simulation/faultsim/simulation.go
+++ b/internal/simulation/faultsim/simulation.go
@@ -130,14 +130,14 @@
 	sim.clients = newClients()
 	sim.operators = newOperators()
 	for i := range count {
-		n := sim.addNode(fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.0.0.%d", i+1), fmt.Sprintf("zone-%d", i%3), protocol.Controller)
+		n := sim.addNode(fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.0.0.%d", i+1), fmt.Sprintf("zone-%d", i%3), protocol.RoleController)
 		if i < 3 {
 			sim.seeds = append(sim.seeds, n.address+":7")
 		}
 	}
 	sim.controllersMade = count
 	for i := range 3 {
-		sim.addNode(fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("zone-%d", i), protocol.Router)
+		sim.addNode(fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("zone-%d", i), protocol.RoleRouter)
 	}
 	for _, name := range sim.nodeNames() {
 		sim.startNode(sim.nodes[name], true)
--- a/internal/simulation/faultsim/workload.go
+++ b/internal/simulation/faultsim/workload.go
@@ -86,7 +86,7 @@
 		sim.resend(r, sim.randomController())
 		sim.Run(20)
 	}
-	for _, name := range sim.nodeNames(protocol.Controller) {
+	for _, name := range sim.nodeNames(protocol.RoleController) {
 		sim.readBack(sim.nodes[name])
 	}
 	sim.Run(submissionTimeoutMs)
@@ -122,7 +122,7 @@
 		}
 	case workloadResend:
 		r := o.history.submissions[sim.random.Intn(len(o.history.submissions))]
-		for _, name := range sim.nodeNames(protocol.Controller) {
+		for _, name := range sim.nodeNames(protocol.RoleController) {
 			sim.resend(r, sim.nodes[name])
 		}
 	case workloadFault:
--- a/internal/simulation/faultsim/workload_test.go
+++ b/internal/simulation/faultsim/workload_test.go
@@ -137,7 +137,7 @@
 func resendAndCheck(t *testing.T, sim *Simulation) {
 	sim.Run(submissionTimeoutMs)
 	for _, r := range sim.operators.history.submissions {
-		for _, name := range sim.nodeNames(protocol.Controller) {
+		for _, name := range sim.nodeNames(protocol.RoleController) {
 			sim.resend(r, sim.nodes[name])
 		}
 		sim.readBack(nil)
@@ -189,7 +189,7 @@
 
 // slowOtherDisks makes the disks of all other core machines slower.
 func (sim *Simulation) slowOtherDisks(n *node, ms int64) {
-	for _, name := range sim.nodeNames(protocol.Controller) {
+	for _, name := range sim.nodeNames(protocol.RoleController) {
 		if other := sim.nodes[name]; other != n {
 			other.disk.slowMs = ms
 		}
@@ -199,7 +199,7 @@
 // isConfigOnlyOn says whether a disk holds another map than all other disks.
 func (sim *Simulation) isConfigOnlyOn(n *node) bool {
 	const key = "state/kept/map"
-	for _, name := range sim.nodeNames(protocol.Controller) {
+	for _, name := range sim.nodeNames(protocol.RoleController) {
 		if other := sim.nodes[name]; other != n && other.disk.keys[key] == n.disk.keys[key] {
 			return false
 		}
