--- a/internal/simulation/localcluster/bad_input_test.go
+++ b/internal/simulation/localcluster/bad_input_test.go
@@ -43,13 +43,13 @@
 		{"wrong method", "GET", edge, "/services/page", "", ``, 405, errkind.WrongMethod, ""},
 		{"no such page", "GET", edge, "/tea", "", ``, 404, errkind.UnknownPage, ""},
 		{"stale base", "PUT", core, "/description", "7", whole, 412, errkind.StaleBase, ""},
-		{"no base", "PUT", core, "/description", "", whole, 428, errkind.NoBase, "If-Match"},
+		{"no base", "PUT", core, "/description", "", whole, 428, errkind.MissingBase, "If-Match"},
 		{"odd base", "PUT", core, "/description", "x", whole, 400, errkind.BadRequest, "x"},
 		{"faulty", "PUT", core, "/description", "1", strings.Replace(whole, `"size": 22`, `"size": 0, "colour": 1`, 1), 422, errkind.FaultyDescription, ""},
 		{"faulty daemon", "PATCH", core, "/description", "1", `{"store":{"loadsPer10s":0}}`, 422, errkind.FaultyDescription, ""},
 		{"too large", "PUT", core, "/description", "1", whole + strings.Repeat(" ", 1<<20), 413, errkind.TooLarge, ""},
 		{"not the primary", "PUT", cluster.Controllers[1].Settings.HTTP, "/description", "1", whole, 421, errkind.NotPrimary, ""},
-		{"founded already", "POST", core, "/found", "", `{"witnesses":["core-1","core-2","core-3"],"backup":"core-2"}`, 409, errkind.AlreadyFounded, ""},
+		{"founded already", "POST", core, "/found", "", `{"witnesses":["core-1","core-2","core-3"],"backup":"core-2"}`, 409, errkind.AlreadyBootstrapped, ""},
 		{"wrong method at the core", "DELETE", core, "/description", "", ``, 405, errkind.WrongMethod, ""},
 	}
 	for _, test := range cases {
@@ -58,7 +58,7 @@
 			status, text, err := Call(test.method, test.address, test.path, test.base, []byte(test.body))
 			c.Assert(err, qt.IsNil)
 			c.Assert(status, qt.Equals, test.status, qt.Commentf("%s", text))
-			var said errkind.Answer
+			var said errkind.ErrorBody
 			c.Assert(json.Unmarshal(text, &said), qt.IsNil)
 			c.Assert(said.Kind, qt.Equals, test.kind)
 			c.Assert(said.Detail, qt.Contains, test.detail)
@@ -124,7 +124,7 @@
 	c.Assert(err, qt.IsNil)
 	server := &http.Server{Handler: odd}
 	served := make(chan error, 1)
-	threads.Side(func() { served <- server.Serve(at) })
+	threads.Go(func() { served <- server.Serve(at) })
 	c.Cleanup(func() { _ = server.Close(); <-served })
 	odd.answer = func(w http.ResponseWriter, request string) {
 		fmt.Fprintf(w, `{"request":"another","incarnation":"first-scan-1","answer":"secret"}`)
@@ -150,23 +150,23 @@
 		answer func(w http.ResponseWriter, request string)
 		kind   errkind.Kind
 	}{
-		{"for another request", odd.answer, errkind.BrokenAnswer},
-		{"no JSON", func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "<html>secret</html>") }, errkind.BrokenAnswer},
+		{"for another request", odd.answer, errkind.BrokenResponse},
+		{"no JSON", func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "<html>secret</html>") }, errkind.BrokenResponse},
 		{"of another incarnation", func(w http.ResponseWriter, request string) {
 			fmt.Fprintf(w, `{"request":%q,"incarnation":"x","answer":"secret"}`, request)
-		}, errkind.BrokenAnswer},
+		}, errkind.BrokenResponse},
 		{"too much", func(w http.ResponseWriter, request string) {
 			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret%s"}`, request, strings.Repeat("x", 9<<20))
-		}, errkind.BrokenAnswer},
+		}, errkind.BrokenResponse},
 		{"torn", func(w http.ResponseWriter, request string) {
 			w.Header().Set("Content-Length", "5000")
 			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret`, request)
 		}, errkind.OutcomeUnknown},
-		{"an odd status", func(w http.ResponseWriter, _ string) { w.WriteHeader(500) }, errkind.BrokenAnswer},
+		{"an odd status", func(w http.ResponseWriter, _ string) { w.WriteHeader(500) }, errkind.BrokenResponse},
 		{"a redirect", func(w http.ResponseWriter, _ string) {
 			w.Header().Set("Location", "http://"+cluster.Runners[0].Address+"/run")
 			w.WriteHeader(307)
-		}, errkind.BrokenAnswer},
+		}, errkind.BrokenResponse},
 		{"a stream that breaks", func(http.ResponseWriter, string) { panic(http.ErrAbortHandler) }, errkind.OutcomeUnknown},
 	}
 	for _, test := range cases {
@@ -174,7 +174,7 @@
 		status, text, err := ask()
 		c.Assert(err, qt.IsNil)
 		c.Assert(status, qt.Equals, 502, qt.Commentf("%s: %s", test.about, text))
-		var said errkind.Answer
+		var said errkind.ErrorBody
 		c.Assert(json.Unmarshal([]byte(text), &said), qt.IsNil)
 		c.Assert(said.Kind, qt.Equals, test.kind, qt.Commentf(test.about))
 		c.Assert(said.Ran, qt.Equals, "unknown")
--- a/internal/simulation/localcluster/cluster.go
+++ b/internal/simulation/localcluster/cluster.go
@@ -88,7 +88,7 @@
 		return nil, err
 	}
 	c.platformHTTP = &http.Server{Handler: c.Platform}
-	threads.Side(func() { _ = c.platformHTTP.Serve(c.platform) })
+	threads.Go(func() { _ = c.platformHTTP.Serve(c.platform) })
 	for _, r := range d.Runners {
 		if err := c.startRunner(r); err != nil {
 			return nil, err
@@ -108,7 +108,7 @@
 	runner := testbackend.NewRunner(r.Name, incarnation, r.Room, c.options.LoadMs, c.Checker)
 	started := &Runner{Name: r.Name, Address: at.Addr().String(), Server: testbackend.NewRunnerServer(runner, c.Clock.NowMs, c.options.WorkMs, c.options.Pieces)}
 	started.http = &http.Server{Handler: started.Server}
-	threads.Side(func() { _ = started.http.Serve(at) })
+	threads.Go(func() { _ = started.http.Serve(at) })
 	c.Runners = append(c.Runners, started)
 	c.Platform.Put(protocol.ListedRunner{Name: r.Name, Address: started.Address, Incarnation: incarnation})
 	return nil
@@ -178,8 +178,8 @@
 	daemon := &Daemon{Settings: set, shell: made, stop: make(chan struct{}), ended: make(chan error, 1)}
 	var group threads.Group
 	made.Join(&group)
-	group.Until(daemon.stop)
-	threads.Side(func() { daemon.ended <- group.Run() })
+	group.StopWhen(daemon.stop)
+	threads.Go(func() { daemon.ended <- group.Run() })
 	return daemon, nil
 }
 
@@ -199,7 +199,9 @@
 func (p *Daemon) Pause() (release func()) { return p.shell.Halt() }
 
 // InjectDiskFault makes a controller's disk behave as a full, failing or stalling one.
-func (p *Daemon) InjectDiskFault(sync func(*os.File) error) { p.shell.(*consensus.Office).Spoil(sync) }
+func (p *Daemon) InjectDiskFault(sync func(*os.File) error) {
+	p.shell.(*consensus.Office).OverrideSync(sync)
+}
 
 // Restart starts a daemon again at its addresses, after Kill.
 func (c *Cluster) Restart(p *Daemon) error {
--- a/internal/simulation/localcluster/cut_streams_test.go
+++ b/internal/simulation/localcluster/cut_streams_test.go
@@ -25,7 +25,7 @@
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(func() { _ = listener.Close() })
 		cutter := testbackend.NewConnectionCutter(listener, listed.Address)
-		threads.Side(cutter.Serve)
+		threads.Go(cutter.Serve)
 		cutters = append(cutters, cutter)
 		listed.Address = listener.Addr().String()
 		cluster.Platform.Put(listed)
--- a/internal/simulation/localcluster/faults_test.go
+++ b/internal/simulation/localcluster/faults_test.go
@@ -110,7 +110,7 @@
 		{"the backup's disk fails to sync", func(c *qt.C) {
 			var status consensus.Status
 			c.Assert(readStatus(s.primary(), &status), qt.IsNil)
-			peer, _ := status.Record.Peer(status.Name)
+			peer, _ := status.Record.OtherReplica(status.Name)
 			at := slices.IndexFunc(s.Controllers, func(p *Daemon) bool { return p.Settings.Name == peer.Name })
 			s.Controllers[at].InjectDiskFault(func(*os.File) error { return syscall.EIO })
 			s.submitNext()
@@ -163,7 +163,7 @@
 			p := s.primary()
 			said := make(chan int, 1)
 			next := strings.Replace(s.text, `"secondGoes": 10`, `"secondGoes": 1`, 1)
-			threads.Side(func() {
+			threads.Go(func() {
 				status, _, err := Call(http.MethodPut, p.Settings.HTTP, "/description", fmt.Sprint(s.revision), []byte(next))
 				if err != nil {
 					status = 0
--- a/internal/simulation/localcluster/rolling_test.go
+++ b/internal/simulation/localcluster/rolling_test.go
@@ -20,8 +20,8 @@
 	var asking threads.Group
 	client.Join(&asking)
 	done, ended := make(chan struct{}), make(chan error, 1)
-	asking.Until(done)
-	threads.Side(func() { ended <- asking.Run() })
+	asking.StopWhen(done)
+	threads.Go(func() { ended <- asking.Run() })
 	return client, func() {
 		close(done)
 		c.Assert(<-ended, qt.IsNil)
@@ -45,7 +45,7 @@
 	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
 	for service, kinds := range client.Outcomes() {
 		for kind, count := range kinds {
-			well := kind == "answered" || errkind.Kind(kind).Reply().Drop
+			well := kind == "answered" || errkind.Kind(kind).Response().NotExecuted
 			c.Assert(well, qt.IsTrue, qt.Commentf("%s: %d of %s", service, count, kind))
 		}
 	}
--- a/internal/simulation/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -103,7 +103,7 @@
 	for i := range scope.Members {
 		place := protocol.Node{
 			Name: fmt.Sprintf("member-%d", i+1), Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3),
-			Part: protocol.Controller, Incarnation: fmt.Sprintf("member-%d-disk", i+1),
+			Part: protocol.RoleController, Incarnation: fmt.Sprintf("member-%d-disk", i+1),
 		}
 		c.members = append(c.members, &member{node: place})
 		if i < seedCount {
@@ -253,7 +253,7 @@
 		envelope := protocol.Envelope{Site: site, From: m.node, To: send.To, Body: send.Body}
 		c.push(&event{atMs: c.nowMs + messageMs, kind: messageEvent, member: to, from: i, envelope: envelope})
 	}
-	for _, answer := range effects.Answers {
+	for _, answer := range effects.Responses {
 		if _, departs := answer.Body.(consensus.LeaveResult); departs && m.stopping {
 			c.scheduleExit(i)
 		}
@@ -355,7 +355,7 @@
 // apply takes over the keys that a write sets; others stay as they were.
 func (k *diskState) apply(w storage.Write) {
 	read := func(key string, into any) {
-		if text := w.Sets[key]; text != "" {
+		if text := w.Set[key]; text != "" {
 			if err := json.Unmarshal([]byte(text), into); err != nil {
 				panic(fmt.Sprintf("modelcheck: key %s on a disk: %v", key, err))
 			}
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -88,7 +88,7 @@
 	var workers sync.WaitGroup
 	for range x.scope.Workers {
 		workers.Add(1)
-		threads.Side(func() {
+		threads.Go(func() {
 			defer workers.Done()
 			for {
 				i := int(taken.Add(1)) - 1
--- a/internal/simulation/modelcheck/invariants.go
+++ b/internal/simulation/modelcheck/invariants.go
@@ -91,7 +91,7 @@
 	if c.disks[m.id()] == nil {
 		c.cachedHash = 0
 		c.disks[m.id()] = &diskState{}
-		c.disks[m.id()].apply(storage.Write{Sets: m.disk})
+		c.disks[m.id()].apply(storage.Write{Set: m.disk})
 	}
 }
 
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -49,7 +49,7 @@
 // losingWrites says that writes of the state are durable, and forgets them.
 func losingWrites(member string, machine Stepper) Stepper {
 	return &interceptor{machine: machine, write: func(write storage.Write) storage.Write {
-		if write.Sets["state/position"] != "" {
+		if write.Set["state/position"] != "" {
 			return storage.Write{}
 		}
 		return write
@@ -62,7 +62,7 @@
 		var early *storage.Write
 		written := 0
 		return &interceptor{machine: machine, write: func(write storage.Write) storage.Write {
-			if write.Sets[key] == "" {
+			if write.Set[key] == "" {
 				return write
 			}
 			if written++; early == nil {
@@ -195,7 +195,7 @@
 		}
 		return hashOf(c.members[0].machine)
 	}
-	other := protocol.Node{Name: "member-2", Address: "10.0.0.2:7", Part: protocol.Controller, Incarnation: "member-2-disk"}
+	other := protocol.Node{Name: "member-2", Address: "10.0.0.2:7", Part: protocol.RoleController, Incarnation: "member-2-disk"}
 	from := func(body any) protocol.Envelope {
 		return protocol.Envelope{Site: site, From: other, To: "member-1", Body: body}
 	}
--- a/internal/simulation/modelcheck/trace.go
+++ b/internal/simulation/modelcheck/trace.go
@@ -16,7 +16,7 @@
 	case actionEvent:
 		c.logf("%s", e.description)
 	case writeEvent:
-		c.logf("%s: write %d complete %v", c.members[e.member].node.Name, e.write.Number, e.write.Write.Sets)
+		c.logf("%s: write %d complete %v", c.members[e.member].node.Name, e.write.Number, e.write.Write.Set)
 	case messageEvent:
 		switch e.envelope.Body.(type) {
 		case protocol.Heartbeat, protocol.HeartbeatReports, protocol.PeersRequest:
--- a/internal/simulation/nativesim/bootstrap_test.go
+++ b/internal/simulation/nativesim/bootstrap_test.go
@@ -21,7 +21,7 @@
 		w.Run(2000)
 		w.Bootstrap()
 		w.Run(3 + w.Random.Int63n(20))
-		names := w.nodeNames(protocol.Controller)
+		names := w.nodeNames(protocol.RoleController)
 		// All three are hit, so that each may or may not have kept the record.
 		for _, name := range names[:3] {
 			w.Kill(name)
@@ -47,7 +47,7 @@
 			w.Run(3000)
 			said, ok := w.operator.bootstrapResult.(protocol.Rejection)
 			qt.Assert(t, ok, qt.IsTrue, qt.Commentf("seed %d: %+v", seed, w.operator.bootstrapResult))
-			qt.Assert(t, said.Kind, qt.Equals, errkind.AlreadyFounded, qt.Commentf("seed %d", seed))
+			qt.Assert(t, said.Kind, qt.Equals, errkind.AlreadyBootstrapped, qt.Commentf("seed %d", seed))
 			refused++
 		}
 		for range 5 {
--- a/internal/simulation/nativesim/bugs_test.go
+++ b/internal/simulation/nativesim/bugs_test.go
@@ -36,14 +36,14 @@
 			w.Burst("narration", 400)
 			for range 20 {
 				w.Run(7)
-				for _, name := range w.nodeNames(protocol.Router) {
+				for _, name := range w.nodeNames(protocol.RoleRouter) {
 					w.Freeze(name)
 				}
 				for _, r := range w.Description.Runners {
 					w.MarkLeaving(r.Name)
 				}
 				w.Run(8000)
-				for _, name := range w.nodeNames(protocol.Router) {
+				for _, name := range w.nodeNames(protocol.RoleRouter) {
 					w.Thaw(name)
 				}
 			}
@@ -117,7 +117,7 @@
 			for i := range 4 {
 				w.Burst("move", 200)
 				w.Run(100)
-				frozen := w.nodeNames(protocol.Router)[:4]
+				frozen := w.nodeNames(protocol.RoleRouter)[:4]
 				for _, name := range frozen {
 					w.Freeze(name)
 				}
@@ -142,7 +142,7 @@
 	for _, r := range w.runners {
 		r.backend.AcceptOldRevisions = true
 	}
-	w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router)[:2], false)
+	w.Cut(w.nodeNames(protocol.RoleController), w.nodeNames(protocol.RoleRouter)[:2], false)
 	w.Run(4500)
 	w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 	for range 40 {
--- a/internal/simulation/nativesim/burst_test.go
+++ b/internal/simulation/nativesim/burst_test.go
@@ -29,7 +29,7 @@
 	for service, kinds := range r.World.clients.outcomes {
 		out[service] = [2]int{
 			kinds["answered"],
-			kinds[string(errkind.DeadlinePassed)] + kinds[string(errkind.NoTurn)] + kinds[string(errkind.HoldingFull)],
+			kinds[string(errkind.DeadlinePassed)] + kinds[string(errkind.PlacementTimeout)] + kinds[string(errkind.QueueFull)],
 		}
 	}
 	return out
--- a/internal/simulation/nativesim/campaign.go
+++ b/internal/simulation/nativesim/campaign.go
@@ -28,7 +28,7 @@
 // need survive only one of them at a time.
 func (w *World) unhealthyControllers() int {
 	down := 0
-	for _, name := range w.nodeNames(protocol.Controller) {
+	for _, name := range w.nodeNames(protocol.RoleController) {
 		n := w.nodes[name]
 		if !n.up || n.frozen || n.disk.full || n.disk.stalled || w.recovering[name] {
 			down++
@@ -68,7 +68,7 @@
 	if p := w.Primary(); p != "" && w.Random.Intn(2) == 0 {
 		return p
 	}
-	return w.randomNode(protocol.Controller)
+	return w.randomNode(protocol.RoleController)
 }
 
 var faults = []fault{
@@ -118,7 +118,7 @@
 		})
 	}},
 	{"slow a core disk", func(w *World) {
-		name := w.randomNode(protocol.Controller)
+		name := w.randomNode(protocol.RoleController)
 		w.nodes[name].disk.slowMs = 50 + w.Random.Int63n(200)
 		w.events.After(w.randomDurationMs(), func() { w.nodes[name].disk.slowMs = 0 })
 	}},
@@ -129,14 +129,14 @@
 		})
 	}},
 	{"cut the core off from routers", func(w *World) {
-		w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router), w.Random.Intn(3) == 0)
+		w.Cut(w.nodeNames(protocol.RoleController), w.nodeNames(protocol.RoleRouter), w.Random.Intn(3) == 0)
 		w.events.After(w.randomDurationMs(), w.Heal)
 	}},
 	{"cut some routers off from the core, with descriptions", func(w *World) {
-		names := w.nodeNames(protocol.Router)
+		names := w.nodeNames(protocol.RoleRouter)
 		w.Random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		cut := names[:1+w.Random.Intn(len(names))]
-		w.Cut(w.nodeNames(protocol.Controller), cut, w.Random.Intn(3) == 0)
+		w.Cut(w.nodeNames(protocol.RoleController), cut, w.Random.Intn(3) == 0)
 		for range 3 {
 			w.events.After(w.Random.Int63n(8000), func() { w.submitNext() })
 		}
@@ -152,12 +152,12 @@
 		w.events.After(w.randomDurationMs(), w.Heal)
 	}},
 	{"kill a router", func(w *World) {
-		name := w.randomNode(protocol.Router)
+		name := w.randomNode(protocol.RoleRouter)
 		w.Kill(name)
 		w.events.After(w.randomDurationMs(), func() { w.Start(name) })
 	}},
 	{"freeze a router", func(w *World) {
-		name := w.randomNode(protocol.Router)
+		name := w.randomNode(protocol.RoleRouter)
 		w.Freeze(name)
 		w.events.After(w.randomDurationMs(), func() { w.Thaw(name) })
 	}},
@@ -168,7 +168,7 @@
 		})
 	}},
 	{"kill two core daemons", func(w *World) {
-		names := w.nodeNames(protocol.Controller)
+		names := w.nodeNames(protocol.RoleController)
 		w.Random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
 		w.faultTwoControllers(names[0], names[1], func(name string) {
 			w.Kill(name)
@@ -182,7 +182,7 @@
 		case 1:
 			w.faultController(w.Primary(), func(name string) { w.Kill(name); w.repairLater(name, func() { w.Start(name) }) })
 		case 2:
-			w.faultController(w.randomNode(protocol.Controller), func(name string) {
+			w.faultController(w.randomNode(protocol.RoleController), func(name string) {
 				w.Kill(name)
 				w.Wipe(name)
 				w.Start(name)
@@ -204,7 +204,7 @@
 		w.events.After(w.randomDurationMs(), func() { w.delayRate = 0 })
 	}},
 	{"freeze all routers", func(w *World) {
-		names := w.nodeNames(protocol.Router)
+		names := w.nodeNames(protocol.RoleRouter)
 		for _, name := range names {
 			w.Freeze(name)
 			w.events.After(w.randomDurationMs(), func() { w.Thaw(name) })
@@ -275,7 +275,7 @@
 	w.submissions++
 	name := w.Primary()
 	if name == "" || w.Random.Intn(8) == 0 {
-		name = w.randomNode(protocol.Controller)
+		name = w.randomNode(protocol.RoleController)
 	}
 	base := w.operator.newestAccepted
 	if n := w.nodes[name]; n.up && !n.frozen {
@@ -299,7 +299,7 @@
 	n.address = fmt.Sprintf("%s:%d", name, 1+w.moves)
 	w.nodeAt[n.address] = name
 	n.seeds = nil
-	for _, core := range w.nodeNames(protocol.Controller) {
+	for _, core := range w.nodeNames(protocol.RoleController) {
 		if core != name && len(n.seeds) < 3 {
 			n.seeds = append(n.seeds, w.nodes[core].address)
 		}
--- a/internal/simulation/nativesim/clients.go
+++ b/internal/simulation/nativesim/clients.go
@@ -99,7 +99,7 @@
 		w.clients.requestsByModel[model]++
 	}
 	first := clientRequest{name: fmt.Sprintf("q-%d", w.clients.requests), service: name, model: model, adapter: adapter}
-	edge, odd := w.randomNode(protocol.Router), w.Random.Intn(50)
+	edge, odd := w.randomNode(protocol.RoleRouter), w.Random.Intn(50)
 	if odd == 0 {
 		// An impatient sender sends the same at once through the same router;
 		// then neither comes back, since the other may still wait.
@@ -111,7 +111,7 @@
 		w.events.After(w.Random.Int63n(100), func() { w.submitTo(edge, first) })
 	case 1:
 		if service.Repeatable {
-			w.events.After(w.Random.Int63n(100), func() { w.submitTo(w.randomNode(protocol.Router), first) })
+			w.events.After(w.Random.Int63n(100), func() { w.submitTo(w.randomNode(protocol.RoleRouter), first) })
 		}
 	}
 }
@@ -143,19 +143,19 @@
 // scheduleRetry is a sender that sends a dropped request again, with its id, when
 // it was told to, through any router.
 func (a *clientRequest) scheduleRetry(kind string, drop bool) {
-	reply := errkind.Kind(kind).Reply()
+	reply := errkind.Kind(kind).Response()
 	if !drop || reply.RetryAfterSec == 0 || a.retries >= maxClientRetries || a.world.clients.stopped {
 		return
 	}
 	next := clientRequest{name: a.name, service: a.service, model: a.model, adapter: a.adapter, retries: a.retries + 1}
-	told := errkind.Answer{Kind: errkind.Kind(kind), RetryMs: a.retryMs}
-	a.world.events.After(int64(told.RetryAfterSec())*1000, func() { a.world.submitTo(a.world.randomNode(protocol.Router), next) })
+	told := errkind.ErrorBody{Kind: errkind.Kind(kind), RetryMs: a.retryMs}
+	a.world.events.After(int64(told.RetryAfterSec())*1000, func() { a.world.submitTo(a.world.randomNode(protocol.RoleRouter), next) })
 }
 
 // StartProbes keeps asking every router for the services that only one handed over
 // description has, so that it shows which texts take effect.
 func (w *World) StartProbes() {
-	for _, name := range w.nodeNames(protocol.Router) {
+	for _, name := range w.nodeNames(protocol.RoleRouter) {
 		w.scheduleProbe(name)
 	}
 }
--- a/internal/simulation/nativesim/measure.go
+++ b/internal/simulation/nativesim/measure.go
@@ -127,7 +127,7 @@
 
 func (w *World) routerTally() router.Tally {
 	var sum router.Tally
-	for _, name := range w.nodeNames(protocol.Router) {
+	for _, name := range w.nodeNames(protocol.RoleRouter) {
 		tally := w.nodes[name].machine.(*router.Machine).Tally
 		sum.Requests += tally.Requests
 		sum.LookUps += tally.LookUps
@@ -160,7 +160,7 @@
 		{"small service without an answer, zone of the primary lost", "ms", serviceOutage(loseZone)},
 		{"small service without an answer, every daemon killed and started", "ms", serviceOutage(restartAllDaemons)},
 		{"small service without an answer, core cut off from all routers for 40 s", "ms", serviceOutage(func(w *World) {
-			w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router), false)
+			w.Cut(w.nodeNames(protocol.RoleController), w.nodeNames(protocol.RoleRouter), false)
 			w.Run(40_000)
 			w.Heal()
 		})},
@@ -187,7 +187,7 @@
 		}},
 		{"look-ups a request, all routers cold", "ratio", func(w *World) (float64, error) {
 			w.Begin()
-			for _, name := range w.nodeNames(protocol.Router) {
+			for _, name := range w.nodeNames(protocol.RoleRouter) {
 				w.Kill(name)
 				w.Start(name)
 			}
@@ -211,7 +211,7 @@
 func oldRevisionAge(w *World) (float64, error) {
 	w.Begin()
 	w.Burst(w.smallService(), 400)
-	w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router)[:2], false)
+	w.Cut(w.nodeNames(protocol.RoleController), w.nodeNames(protocol.RoleRouter)[:2], false)
 	w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 	w.Run(15_000)
 	if w.operator.outcomes["accepted"] < 2 {
--- a/internal/simulation/nativesim/nativesim_test.go
+++ b/internal/simulation/nativesim/nativesim_test.go
@@ -100,8 +100,8 @@
 		for service, kinds := range r.World.clients.outcomes {
 			for kind, count := range kinds {
 				// Some senders go away, or send an id twice at once, on their own.
-				own := kind == "sender gone" || kind == string(errkind.AlreadyTaken)
-				lost := kind != "answered" && kind != "no stream" && !own && !errkind.Kind(kind).Reply().Drop
+				own := kind == "sender gone" || kind == string(errkind.DuplicateRequest)
+				lost := kind != "answered" && kind != "no stream" && !own && !errkind.Kind(kind).Response().NotExecuted
 				qt.Assert(t, lost, qt.IsFalse, qt.Commentf("%s: %d of %s", service, count, kind))
 			}
 			qt.Assert(t, kinds["answered"] > 0, qt.IsTrue)
--- a/internal/simulation/nativesim/network.go
+++ b/internal/simulation/nativesim/network.go
@@ -63,7 +63,7 @@
 
 func (w *World) maxDelayBetween(from, to string) int64 {
 	for _, end := range []string{from, to} {
-		if n := w.nodes[end]; n != nil && n.role == protocol.Router && (w.runners[from] != nil || w.runners[to] != nil) {
+		if n := w.nodes[end]; n != nil && n.role == protocol.RoleRouter && (w.runners[from] != nil || w.runners[to] != nil) {
 			return maxRequestDelayMs
 		}
 	}
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -69,7 +69,7 @@
 	n.clockOffsetMs = 3_600_000 + w.Random.Int63n(1_000_000)
 	n.pending = map[uint64]*clientRequest{}
 	self := protocol.Node{Name: n.ownName, Address: n.address, Zone: n.zone, Part: n.role}
-	if n.role == protocol.Controller {
+	if n.role == protocol.RoleController {
 		self.Incarnation = n.disk.incarnation
 		machine, err := consensus.New(consensus.Settings{Site: w.Description.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Bugs.HolderGapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
 		if err != nil {
@@ -162,8 +162,8 @@
 	for _, call := range effects.Calls {
 		w.startCall(n, life, call)
 	}
-	for _, answer := range effects.Answers {
-		if op := w.operator.pending[answer.ID]; op != nil && n.role == protocol.Controller {
+	for _, answer := range effects.Responses {
+		if op := w.operator.pending[answer.ID]; op != nil && n.role == protocol.RoleController {
 			w.operator.answered(w, n, answer)
 			continue
 		}
@@ -179,7 +179,7 @@
 
 // incarnationID is that of the disk, or of the process where there is none.
 func (n *node) incarnationID() string {
-	if n.role == protocol.Controller {
+	if n.role == protocol.RoleController {
 		return n.disk.incarnation
 	}
 	name := n.name
--- a/internal/simulation/nativesim/operator.go
+++ b/internal/simulation/nativesim/operator.go
@@ -36,18 +36,18 @@
 	o.pending, o.accepted, o.outcomes, o.texts = map[uint64]*submission{}, map[uint64]string{}, map[string]int{}, map[string]string{}
 }
 
-func (o *operator) answered(w *World, n *node, answer protocol.Answer) {
+func (o *operator) answered(w *World, n *node, answer protocol.Response) {
 	h := o.pending[answer.ID]
 	delete(o.pending, answer.ID)
 	w.transmit(n.name, "operator", func() { h.then(answer.Body) }, func() { o.outcomes["no answer"]++ })
 }
 
 // Bootstrap founds the site with its first three controllers.
-func (w *World) Bootstrap() { w.bootstrapWith(w.nodeNames(protocol.Controller)[1]) }
+func (w *World) Bootstrap() { w.bootstrapWith(w.nodeNames(protocol.RoleController)[1]) }
 
 // bootstrapWith founds it with a backup; told is how the last founding ended.
 func (w *World) bootstrapWith(backup string) {
-	names := w.nodeNames(protocol.Controller)
+	names := w.nodeNames(protocol.RoleController)
 	w.askController(names[0], "", func(id uint64) any {
 		return consensus.Bootstrap{ID: id, Witnesses: names[:3], Backup: backup}
 	}, func(body any) {
@@ -127,7 +127,7 @@
 		case protocol.Rejection:
 			w.tracef("operator: %s, %s", said.Kind, mark)
 			w.operator.outcomes[string(said.Kind)]++
-			if said.Kind.Reply().Drop {
+			if said.Kind.Response().NotExecuted {
 				w.Checker.DescriptionRejected(w.events.NowMs(), mark)
 			}
 		}
@@ -152,7 +152,7 @@
 func (w *World) opposite(body any) any {
 	switch body.(type) {
 	case consensus.Accepted:
-		return protocol.Rejection{Kind: errkind.NotTaken}
+		return protocol.Rejection{Kind: errkind.NotAccepted}
 	case protocol.Rejection:
 		return consensus.Accepted{Revision: 2}
 	}
@@ -161,7 +161,7 @@
 
 // Primary names a controller that speaks for the site, if there is one.
 func (w *World) Primary() string {
-	for _, name := range w.nodeNames(protocol.Controller) {
+	for _, name := range w.nodeNames(protocol.RoleController) {
 		if n := w.nodes[name]; n.up && !n.frozen && w.status(n).Active {
 			return name
 		}
@@ -173,15 +173,15 @@
 func (w *World) status(n *node) consensus.Status {
 	effects := n.machine.Step(n.clock(w.events.NowMs()), consensus.Look{ID: 1, Page: "status"})
 	var status consensus.Status
-	rest := effects.Answers[:0]
-	for _, answer := range effects.Answers {
+	rest := effects.Responses[:0]
+	for _, answer := range effects.Responses {
 		if s, ok := answer.Body.(consensus.Status); ok {
 			status = s
 			continue
 		}
 		rest = append(rest, answer)
 	}
-	effects.Answers = rest
+	effects.Responses = rest
 	w.applyEffects(n, effects)
 	return status
 }
@@ -195,7 +195,7 @@
 	}
 	n := w.nodes[name]
 	effects := n.machine.Step(n.clock(w.events.NowMs()), consensus.Look{ID: 1, Page: "description"})
-	for _, answer := range effects.Answers {
+	for _, answer := range effects.Responses {
 		said, ok := answer.Body.(consensus.Described)
 		if !ok {
 			continue
@@ -206,7 +206,7 @@
 		}
 		w.checkMarkers(said, sums)
 		for number, text := range w.operator.accepted {
-			if sums[number] != protocol.Sum(text) {
+			if sums[number] != protocol.Digest(text) {
 				w.Checker.DescriptionLost(w.events.NowMs(), fmt.Sprintf("revision %d was accepted and is %q now", number, sums[number]))
 			}
 		}
@@ -221,7 +221,7 @@
 		if number == 0 || len(said.Past) == 0 || number < said.Past[0].Number {
 			continue
 		}
-		if text, whole := w.operator.texts[mark]; whole && sums[number] != protocol.Sum(text) {
+		if text, whole := w.operator.texts[mark]; whole && sums[number] != protocol.Digest(text) {
 			w.Checker.DescriptionLost(w.events.NowMs(), fmt.Sprintf("%s was in effect as revision %d, which is %q now", mark, number, sums[number]))
 		}
 		if number == said.Revision.Number && markerOf(said.Revision.Text) != mark {
--- a/internal/simulation/nativesim/pairs.go
+++ b/internal/simulation/nativesim/pairs.go
@@ -80,7 +80,7 @@
 		}
 		for kind, count := range w.clients.outcomes[s.Name] {
 			switch {
-			case errkind.Kind(kind).Reply().Drop:
+			case errkind.Kind(kind).Response().NotExecuted:
 				cell.Drops[kind] += count
 				cell.Dropped += count
 			case kind == string(errkind.OutcomeUnknown) || kind == "stream broke":
--- a/internal/simulation/nativesim/recovery_test.go
+++ b/internal/simulation/nativesim/recovery_test.go
@@ -21,7 +21,7 @@
 			w.Wipe(name)
 		}
 	}
-	for _, name := range w.nodeNames(protocol.Controller) {
+	for _, name := range w.nodeNames(protocol.RoleController) {
 		if !slices.Contains(lost, name) {
 			left = append(left, name)
 		}
@@ -82,7 +82,7 @@
 			w.Run(500)
 			w.Recover(left[0], []string{left[0], left[1], lost[1]}, left[1])
 			w.Run(2000)
-			qt.Assert(t, w.operator.bootstrapResult.(protocol.Rejection).Kind, qt.Equals, errkind.NotTaken, qt.Commentf("%+v", w.operator.bootstrapResult))
+			qt.Assert(t, w.operator.bootstrapResult.(protocol.Rejection).Kind, qt.Equals, errkind.NotAccepted, qt.Commentf("%+v", w.operator.bootstrapResult))
 			w.Kill(lost[1])
 			// A third machine comes blank in the place of one that is lost.
 			w.Wipe(lost[1])
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -40,7 +40,7 @@
 	switch said := body.(type) {
 	case protocol.Rejection:
 		a.retryMs = said.RetryMs
-		a.world.transmit(a.router.name, "senders", func() { a.finish(string(said.Kind), said.Kind.Reply().Drop) }, func() { a.finish("stream broke", false) })
+		a.world.transmit(a.router.name, "senders", func() { a.finish(string(said.Kind), said.Kind.Response().NotExecuted) }, func() { a.finish("stream broke", false) })
 		delete(a.router.pending, a.id)
 	case router.Go:
 		a.attempting = true
@@ -114,9 +114,9 @@
 		return router.NotHeld
 	case errkind.StaleRevision:
 		return router.Stale
-	case errkind.OtherRunner:
+	case errkind.WrongIncarnation:
 		return router.Other
-	case errkind.AlreadyTaken:
+	case errkind.DuplicateRequest:
 		return router.Repeated
 	}
 	return router.Busy
--- a/internal/simulation/nativesim/scenario.go
+++ b/internal/simulation/nativesim/scenario.go
@@ -82,7 +82,7 @@
 	if w.Primary() == "" {
 		return ""
 	}
-	peer, _ := w.status(w.nodes[w.Primary()]).Record.Peer(w.Primary())
+	peer, _ := w.status(w.nodes[w.Primary()]).Record.OtherReplica(w.Primary())
 	return peer.Name
 }
 
@@ -102,10 +102,10 @@
 
 func (w *World) retired(name string) bool {
 	n := w.nodes[name]
-	if n.role == protocol.Controller {
+	if n.role == protocol.RoleController {
 		return w.status(n).Retired
 	}
-	for _, answer := range n.machine.Step(n.clock(w.events.NowMs()), router.Look{ID: 1}).Answers {
+	for _, answer := range n.machine.Step(n.clock(w.events.NowMs()), router.Look{ID: 1}).Responses {
 		if status, ok := answer.Body.(router.Status); ok {
 			return status.Retired
 		}
@@ -155,14 +155,14 @@
 		w.Thaw(p)
 	}, 20_000},
 	"core cut off from routers for long": {"routers go on by a majority of themselves", func(w *World) {
-		w.Cut(w.nodeNames(protocol.Controller), w.nodeNames(protocol.Router), false)
+		w.Cut(w.nodeNames(protocol.RoleController), w.nodeNames(protocol.RoleRouter), false)
 		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(40_000)
 		w.Heal()
 	}, 15_000},
 	"some routers cut off while descriptions come": {"those cut off stop in time", func(w *World) {
-		names := w.nodeNames(protocol.Router)
-		w.Cut(w.nodeNames(protocol.Controller), names[:2], false)
+		names := w.nodeNames(protocol.RoleRouter)
+		w.Cut(w.nodeNames(protocol.RoleController), names[:2], false)
 		w.Run(w.Random.Int63n(3000))
 		for range 3 {
 			w.submitNext()
@@ -190,7 +190,7 @@
 		}
 	}, 5000},
 	"a core machine stays away, then another goes": {"where there is a fourth, the site outlives the second loss", func(w *World) {
-		names := w.nodeNames(protocol.Controller)
+		names := w.nodeNames(protocol.RoleController)
 		gone := names[w.Random.Intn(3)]
 		w.Kill(gone)
 		w.Run(45_000)
@@ -214,7 +214,7 @@
 		w.checkRecovery()
 	}, 1000},
 	"an old core machine wakes beside its replacement": {"the old one retires for good and disturbs nobody", func(w *World) {
-		name := w.nodeNames(protocol.Controller)[w.Random.Intn(3)]
+		name := w.nodeNames(protocol.RoleController)[w.Random.Intn(3)]
 		ghost := w.StartReplacement(name)
 		w.Run(3000 + w.Random.Int63n(8000))
 		w.Thaw(ghost)
@@ -230,7 +230,7 @@
 		w.checkRetired(ghost, name)
 	}, 3000},
 	"an old router wakes beside its replacement": {"one of the two goes on; no description slips", func(w *World) {
-		name := w.randomNode(protocol.Router)
+		name := w.randomNode(protocol.RoleRouter)
 		ghost := w.StartReplacement(name)
 		w.Run(500 + w.Random.Int63n(4000))
 		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
@@ -305,14 +305,14 @@
 	"leaving while the primary is dead and routers freeze": {"a router that wakes does not send to a leaver", func(w *World) {
 		w.Kill(w.Primary())
 		w.Run(500)
-		for i, name := range w.nodeNames(protocol.Router) {
+		for i, name := range w.nodeNames(protocol.RoleRouter) {
 			if i%2 == 0 {
 				w.Freeze(name)
 			}
 		}
 		w.MarkLeaving("language-1")
 		w.Run(5000)
-		for _, name := range w.nodeNames(protocol.Router) {
+		for _, name := range w.nodeNames(protocol.RoleRouter) {
 			w.Thaw(name)
 		}
 	}, 15_000},
@@ -327,7 +327,7 @@
 		}
 	}, 25_000},
 	"all seed machines swapped, then all lost": {"each comes back empty at a new address; routers' seeds lead nowhere", func(w *World) {
-		for _, name := range w.nodeNames(protocol.Controller)[:3] {
+		for _, name := range w.nodeNames(protocol.RoleController)[:3] {
 			w.Kill(name)
 			w.Wipe(name)
 			w.Move(name)
@@ -347,7 +347,7 @@
 		w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 		w.Run(1000)
 		for range 2 {
-			for _, name := range w.nodeNames(protocol.Controller) {
+			for _, name := range w.nodeNames(protocol.RoleController) {
 				w.Kill(name)
 				w.Wipe(name)
 				w.Run(500)
--- a/internal/simulation/nativesim/shutdown.go
+++ b/internal/simulation/nativesim/shutdown.go
@@ -11,7 +11,7 @@
 func (w *World) Shutdown(name string) {
 	n := w.nodes[name]
 	w.tracef("%s is stopped as planned", name)
-	if n.role == protocol.Controller {
+	if n.role == protocol.RoleController {
 		w.deliver(n, n.incarnation, consensus.Leave{})
 		w.Run(300)
 	} else {
--- a/internal/simulation/nativesim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -105,14 +105,14 @@
 		platform: testbackend.NewPlatform(), cuts: map[[2]string]bool{}, recovering: map[string]bool{}, events: eventqueue.New(startMs),
 	}
 	for i, member := range d.Controllers {
-		n := w.addNode(member, protocol.Controller)
+		n := w.addNode(member, protocol.RoleController)
 		n.disk = &simDisk{keys: map[string]string{}, incarnation: member.Name + "-disk-0"}
 		if i < 3 {
 			w.seeds = append(w.seeds, n.address)
 		}
 	}
 	for _, member := range d.Routers {
-		w.addNode(member, protocol.Router)
+		w.addNode(member, protocol.RoleRouter)
 	}
 	for _, r := range d.Runners {
 		w.runners[r.Name] = &runner{name: r.Name, capacity: r.Room}
--- a/internal/simulation/scalesim/runtime.go
+++ b/internal/simulation/scalesim/runtime.go
@@ -57,7 +57,7 @@
 	for _, call := range out.Calls {
 		s.call(n, call)
 	}
-	for _, answer := range out.Answers {
+	for _, answer := range out.Responses {
 		s.answered(n, answer)
 	}
 }
@@ -141,7 +141,7 @@
 }
 
 // answered plays the runner that a request was sent to.
-func (s *Site) answered(n *node, answer protocol.Answer) {
+func (s *Site) answered(n *node, answer protocol.Response) {
 	switch body := answer.Body.(type) {
 	case controller.ConfigAccepted:
 		s.taken, s.version, s.handedMs = true, body.Version, s.events.NowMs()
@@ -162,7 +162,7 @@
 			s.step(n, proxy.Ended{ID: answer.ID, Outcome: proxy.Answered, Passed: true})
 		})
 	case protocol.Rejection:
-		if n.place.Part == protocol.Router && s.counting {
+		if n.place.Part == protocol.RoleRouter && s.counting {
 			s.dropped++
 		}
 	}
--- a/internal/simulation/scalesim/site.go
+++ b/internal/simulation/scalesim/site.go
@@ -145,7 +145,7 @@
 
 func (s *Site) add(name string, i int, part string) *node {
 	n := &node{lines: map[string]bool{}}
-	n.place = protocol.Node{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7660", map[string]int{protocol.Router: 1, protocol.Controller: 2}[part], i/250, i%250), Zone: s.zone(i), Part: part, Incarnation: fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15)}
+	n.place = protocol.Node{Name: name, Address: fmt.Sprintf("10.%d.%d.%d:7660", map[string]int{protocol.RoleRouter: 1, protocol.RoleController: 2}[part], i/250, i%250), Zone: s.zone(i), Part: part, Incarnation: fmt.Sprintf("%016x", uint64(i+1)*0x9e3779b97f4a7c15)}
 	s.nodes[n.place.Address] = n
 	return n
 }
@@ -154,14 +154,14 @@
 func (s *Site) begin() error {
 	var seeds []string
 	for i := range s.size.Controllers {
-		n := s.add(fmt.Sprintf("core-%s-%d", s.zone(i), i), i, protocol.Controller)
+		n := s.add(fmt.Sprintf("core-%s-%d", s.zone(i), i), i, protocol.RoleController)
 		s.controllers = append(s.controllers, n)
 		if len(seeds) < 3 {
 			seeds = append(seeds, n.place.Address)
 		}
 	}
 	for i := range s.size.Routers {
-		s.routers = append(s.routers, s.add(fmt.Sprintf("edge-%s-%d", s.zone(i), i), i, protocol.Router))
+		s.routers = append(s.routers, s.add(fmt.Sprintf("edge-%s-%d", s.zone(i), i), i, protocol.RoleRouter))
 	}
 	for _, n := range s.controllers {
 		tenant := controller.New(controller.Settings{Self: n.place, Bounds: usualBounds, ListAddress: listAddress, ListPerSec: 47, ControlPort: "8146"}, format{})
--- a/internal/simulation/testbackend/client.go
+++ b/internal/simulation/testbackend/client.go
@@ -59,7 +59,7 @@
 	random       *rand.Rand
 	submitted    int
 	outcomes     map[string]map[string]int
-	transport    *httpclient.Transport
+	transport    *httpclient.Client
 	avoidUntilMs map[string]int64
 	inFlight     sync.WaitGroup
 	stop         chan struct{}
@@ -81,7 +81,7 @@
 	var once sync.Once
 	places := make(chan struct{}, maxInFlight)
 	for _, workload := range c.Workloads {
-		group.Duty(func() error {
+		group.Add(func() error {
 			ticker := time.NewTicker(time.Duration(float64(time.Second) / workload.RequestsPerSec))
 			defer ticker.Stop()
 			for {
@@ -97,7 +97,7 @@
 					continue
 				}
 				c.inFlight.Add(1)
-				threads.Side(func() {
+				threads.Go(func() {
 					defer c.inFlight.Done()
 					defer func() { <-places }()
 					c.SendOne(workload)
@@ -112,11 +112,11 @@
 func (c *Client) RunFor(length time.Duration) {
 	var group threads.Group
 	c.Join(&group)
-	group.Signals(nil)
+	group.StopOnSignal(nil)
 	timeUp := make(chan struct{})
 	timer := time.AfterFunc(length, func() { close(timeUp) })
 	defer timer.Stop()
-	group.Until(timeUp)
+	group.StopWhen(timeUp)
 	_ = group.Run()
 	c.Wait()
 }
@@ -190,7 +190,7 @@
 	for range c.Routers {
 		c.Checker.RequestSubmitted(workload.Service, id)
 		kind = c.send(router, workload, id, body)
-		if kind != string(errkind.Stopping) && kind != outcomeNotReached {
+		if kind != string(errkind.ShuttingDown) && kind != outcomeNotReached {
 			break
 		}
 		router = c.avoidRouter(router)
@@ -230,7 +230,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 90*time.Second)
 	defer cancel()
 	// Sending again is the caller's decision, never the transport'c.
-	answer, wrote, err := c.transport.Go(ctx, http.MethodPost, "http://"+address+"/services/"+workload.Service, body, func() bool { return true })
+	answer, wrote, err := c.transport.Do(ctx, http.MethodPost, "http://"+address+"/services/"+workload.Service, body, func() bool { return true })
 	if err != nil && !wrote {
 		c.Checker.RequestEnded(c.NowMs(), workload.Service, id, outcomeNotReached, true)
 		return outcomeNotReached
@@ -241,13 +241,13 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		var said errkind.Answer
+		var said errkind.ErrorBody
 		text, _ := io.ReadAll(answer.Body)
 		if json.Unmarshal(text, &said) != nil {
 			c.Checker.InvalidAnswer(c.NowMs(), workload.Service, id, "an answer that is neither the runner's nor a kind")
 			return "nonsense"
 		}
-		c.Checker.RequestEnded(c.NowMs(), workload.Service, id, string(said.Kind), said.Kind.Reply().Drop)
+		c.Checker.RequestEnded(c.NowMs(), workload.Service, id, string(said.Kind), said.Kind.Response().NotExecuted)
 		return string(said.Kind)
 	}
 	if workload.Streaming {
--- a/internal/simulation/testbackend/connection_cutter.go
+++ b/internal/simulation/testbackend/connection_cutter.go
@@ -47,8 +47,8 @@
 		}
 		var once sync.Once
 		end := func() { once.Do(func() { _, _ = near.Close(), far.Close() }) }
-		threads.Side(func() { c.copyUpTo(far, near, &c.RequestLimit, end) })
-		threads.Side(func() { c.copyUpTo(near, far, &c.ResponseLimit, end) })
+		threads.Go(func() { c.copyUpTo(far, near, &c.RequestLimit, end) })
+		threads.Go(func() { c.copyUpTo(near, far, &c.ResponseLimit, end) })
 	}
 }
 
--- a/internal/simulation/testbackend/platform.go
+++ b/internal/simulation/testbackend/platform.go
@@ -80,6 +80,6 @@
 		}
 		fallthrough
 	default:
-		writeJSON(w, http.StatusNotFound, errkind.Answer{Kind: errkind.UnknownPage, Detail: r.URL.Path, Ran: "no"})
+		writeJSON(w, http.StatusNotFound, errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: r.URL.Path, Ran: "no"})
 	}
 }
--- a/internal/simulation/testbackend/runner.go
+++ b/internal/simulation/testbackend/runner.go
@@ -49,7 +49,7 @@
 	}
 	r.lastState = protocol.OrderDone
 	item := ledger.Item{Model: r.order.Model, Adapter: r.order.Adapter}.String()
-	if r.order.Action == protocol.Load {
+	if r.order.Action == protocol.ActionLoad {
 		r.held[item] = protocol.HeldItem{Model: r.order.Model, Adapter: r.order.Adapter, Size: r.order.Size}
 		return
 	}
@@ -82,7 +82,7 @@
 	r.completeOrder(nowMs)
 	switch {
 	case o.Incarnation != r.Incarnation:
-		return protocol.RunnerReport{}, errkind.OtherRunner
+		return protocol.RunnerReport{}, errkind.WrongIncarnation
 	case o.Epoch < r.epoch:
 		return protocol.RunnerReport{}, errkind.LowerEpoch
 	}
@@ -94,11 +94,11 @@
 		return r.Report(nowMs), ""
 	}
 	if r.lastState == protocol.OrderUnderWay {
-		return protocol.RunnerReport{}, errkind.RunnerDropped
+		return protocol.RunnerReport{}, errkind.RunnerRejected
 	}
 	r.order, r.lastOrder, r.lastState = o, o.Number, protocol.OrderUnderWay
 	r.orderEndsMs = nowMs + r.LoadMs/10
-	if o.Action == protocol.Load {
+	if o.Action == protocol.ActionLoad {
 		r.orderEndsMs = nowMs + r.LoadMs
 		taken := o.Size
 		for _, held := range r.held {
@@ -126,7 +126,7 @@
 		r.Checker.RequestArrived(nowMs, call.Service, call.Request, r.Name, r.Incarnation)
 	}
 	if call.Incarnation != r.Incarnation {
-		return drop(errkind.OtherRunner)
+		return drop(errkind.WrongIncarnation)
 	}
 	if call.Revision < r.revision && !r.AcceptOldRevisions {
 		return drop(errkind.StaleRevision)
@@ -141,7 +141,7 @@
 	}
 	id := call.Service + "/" + call.Request
 	if r.started[id] && !call.Repeatable {
-		return drop(errkind.AlreadyTaken)
+		return drop(errkind.DuplicateRequest)
 	}
 	r.started[id] = true
 	r.running++
--- a/internal/simulation/testbackend/runner_server.go
+++ b/internal/simulation/testbackend/runner_server.go
@@ -50,7 +50,7 @@
 		report, kind := d.runner.AcceptOrder(d.nowMs(), order)
 		d.mu.Unlock()
 		if kind != "" {
-			writeJSON(w, http.StatusConflict, errkind.Answer{Kind: kind, Ran: "no"})
+			writeJSON(w, http.StatusConflict, errkind.ErrorBody{Kind: kind, Ran: "no"})
 			return
 		}
 		writeJSON(w, http.StatusOK, report)
@@ -60,7 +60,7 @@
 			d.run(w, r, call)
 		}
 	default:
-		writeJSON(w, http.StatusNotFound, errkind.Answer{Kind: errkind.UnknownPage})
+		writeJSON(w, http.StatusNotFound, errkind.ErrorBody{Kind: errkind.UnknownPage})
 	}
 }
 
@@ -118,7 +118,7 @@
 		err = json.Unmarshal(text, into)
 	}
 	if err != nil {
-		writeJSON(w, http.StatusBadRequest, errkind.Answer{Kind: errkind.BadRequest, Detail: err.Error(), Ran: "no"})
+		writeJSON(w, http.StatusBadRequest, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: err.Error(), Ran: "no"})
 	}
 	return err == nil
 }
--- a/internal/storage/growth_test.go
+++ b/internal/storage/growth_test.go
@@ -54,11 +54,11 @@
 			for n := range test.orders {
 				orders[fmt.Sprintf("state/kept/taken/%016d", n)] = strings.Repeat("o", 64)
 			}
-			c.Assert(d.Save(Write{Sets: orders}), qt.IsNil)
+			c.Assert(d.Save(Write{Set: orders}), qt.IsNil)
 			for n := range test.changes {
-				w := Write{Sets: map[string]string{"state/map": row, "state/position": fmt.Sprint(n)}}
+				w := Write{Set: map[string]string{"state/map": row, "state/position": fmt.Sprint(n)}}
 				if test.snapshotsFollowing {
-					w.Clear = "state/"
+					w.ClearPrefix = "state/"
 				}
 				c.Assert(d.Save(w), qt.IsNil)
 				c.Assert(d.logBytes <= max(logBytesMost, 2*d.snapshotBytes), qt.IsTrue)
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -198,7 +198,7 @@
 
 // numbered is the change of a number: all its keys say the number.
 func numbered(n int) Write {
-	return Write{Sets: map[string]string{"state/a": fmt.Sprint(n), "state/b": fmt.Sprint(n), fmt.Sprintf("order/%d", n): "x"}}
+	return Write{Set: map[string]string{"state/a": fmt.Sprint(n), "state/b": fmt.Sprint(n), fmt.Sprintf("order/%d", n): "x"}}
 }
 
 // check opens what a loss of power left: it must open, hold one of the changes
@@ -220,7 +220,7 @@
 		return 0, errors.Wrap(err, "does not open")
 	}
 	defer d.Close()
-	return holds(d.Keys(), s)
+	return holds(d.Rows(), s)
 }
 
 func holds(keys map[string]string, s state) (int, error) {
@@ -252,9 +252,9 @@
 	c.Assert(err, qt.IsNil)
 	d.countMost = 3
 	// What it read and synced may be told to others from now on.
-	n, err := holds(d.Keys(), state{least: r.acknowledged, top: r.begun, incarnation: r.incarnation})
+	n, err := holds(d.Rows(), state{least: r.acknowledged, top: r.begun, incarnation: r.incarnation})
 	c.Assert(err, qt.IsNil)
-	r.incarnation = d.Keys()["incarnation"]
+	r.incarnation = d.Rows()["incarnation"]
 	r.acknowledged, r.begun = n, n
 	for range changes {
 		if r.begun%5 == 4 {
--- a/internal/storage/disk.go
+++ b/internal/storage/store.go
@@ -56,9 +56,9 @@
 	spoil atomic.Pointer[func(*os.File) error]
 }
 
-// Spoil makes the disk behave as a full, failing or stalling one does, for
+// OverrideSync makes the disk behave as a full, failing or stalling one does, for
 // trying how the daemon takes it.
-func (d *Store) Spoil(sync func(*os.File) error) { d.spoil.Store(&sync) }
+func (d *Store) OverrideSync(sync func(*os.File) error) { d.spoil.Store(&sync) }
 
 // Open takes the folder for this process. An empty folder gets a new random
 // incarnation; one of another site or one that can't be read is refused and
@@ -242,8 +242,8 @@
 	return errors.CombineErrors(fault, err)
 }
 
-// Keys gives a copy of what the disk holds.
-func (d *Store) Keys() map[string]string { return maps.Clone(d.keys) }
+// Rows gives a copy of what the disk holds.
+func (d *Store) Rows() map[string]string { return maps.Clone(d.keys) }
 
 // Save brings changes to the platter before it returns, in their order; those
 // that belong together take one sync for all. After a defect the disk takes
@@ -363,9 +363,9 @@
 	}
 }
 
-// Probe says whether the folder takes and syncs writes, apart from the state's
+// CheckWritable says whether the folder takes and syncs writes, apart from the state's
 // own file. It may be called after a defect, on any thread.
-func (d *Store) Probe() error {
+func (d *Store) CheckWritable() error {
 	file, err := os.OpenFile(d.path(probeName), os.O_CREATE|os.O_RDWR|os.O_TRUNC, 0o644)
 	if err != nil {
 		return errors.Wrapf(err, "data folder %s", d.folder)
--- a/internal/storage/disk_test.go
+++ b/internal/storage/store_test.go
@@ -12,7 +12,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func set(key, value string) Write { return Write{Sets: map[string]string{key: value}} }
+func set(key, value string) Write { return Write{Set: map[string]string{key: value}} }
 
 // openNew opens the state of a new folder.
 func openNew(c *qt.C) (*Store, string) {
@@ -26,7 +26,7 @@
 	d, err := Open(folder, "zagreb")
 	c.Assert(err, qt.IsNil)
 	defer d.Close()
-	return d.Keys()
+	return d.Rows()
 }
 
 func TestDiskKeepsWhatItSaved(t *testing.T) {
@@ -34,7 +34,7 @@
 	d, folder := openNew(c)
 	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
 	c.Assert(d.Save(set("witness", "w")), qt.IsNil)
-	c.Assert(d.Save(Write{Clear: "state/", Sets: map[string]string{"state/b": "2"}}), qt.IsNil)
+	c.Assert(d.Save(Write{ClearPrefix: "state/", Set: map[string]string{"state/b": "2"}}), qt.IsNil)
 	_, err := Open(folder, "zagreb")
 	c.Assert(err, qt.ErrorMatches, ".*in use.*")
 	d.Close()
@@ -54,7 +54,7 @@
 	path := filepath.Join(folder, fileName)
 	sizes := []int64{fileSize(c, path)}
 	for n := range 2 {
-		w := Write{Sets: map[string]string{"state/a": fmt.Sprint(n + 1), "state/b": fmt.Sprint(n + 1)}}
+		w := Write{Set: map[string]string{"state/a": fmt.Sprint(n + 1), "state/b": fmt.Sprint(n + 1)}}
 		c.Assert(d.Save(w), qt.IsNil)
 		sizes = append(sizes, fileSize(c, path))
 	}
@@ -96,7 +96,7 @@
 	d.sync = (*os.File).Sync
 	// Once a sync failed nothing that follows may be believed.
 	c.Assert(d.Save(set("state/a", "2")), qt.ErrorMatches, ".*platter gone")
-	c.Assert(d.Keys()["state/a"], qt.Equals, "")
+	c.Assert(d.Rows()["state/a"], qt.Equals, "")
 }
 
 func TestDiskFull(t *testing.T) {
@@ -148,7 +148,7 @@
 	d, folder := openNew(c)
 	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
 	// Reach the bound without thousands of syncs.
-	c.Assert(d.rewrite(d.Keys()), qt.IsNil)
+	c.Assert(d.rewrite(d.Rows()), qt.IsNil)
 	c.Assert(d.count, qt.Equals, 0)
 	c.Assert(d.Save(set("state/b", "2")), qt.IsNil)
 	d.Close()
--- a/internal/storage/write.go
+++ b/internal/storage/write.go
@@ -7,22 +7,22 @@
 
 // Write is one change of the disk: all of it lasts or none.
 type Write struct {
-	// Clear names a prefix whose keys are forgotten first, for a snapshot.
-	Clear string `json:"clear,omitempty"`
-	// Sets holds the new values; an empty value forgets the key.
-	Sets map[string]string `json:"sets"`
+	// ClearPrefix names a prefix whose keys are forgotten first, for a snapshot.
+	ClearPrefix string `json:"clear,omitempty"`
+	// Set holds the new values; an empty value forgets the key.
+	Set map[string]string `json:"sets"`
 }
 
 // Apply brings the change into a table of keys.
 func (w Write) Apply(keys map[string]string) {
-	if w.Clear != "" {
+	if w.ClearPrefix != "" {
 		for key := range keys {
-			if strings.HasPrefix(key, w.Clear) {
+			if strings.HasPrefix(key, w.ClearPrefix) {
 				delete(keys, key)
 			}
 		}
 	}
-	for key, value := range w.Sets {
+	for key, value := range w.Set {
 		if value == "" {
 			delete(keys, key)
 			continue
@@ -34,20 +34,20 @@
 // merged gives one change that does what w and then next do, where there is
 // one: a change can name only one prefix to clear.
 func (w Write) merged(next Write) (Write, bool) {
-	out := Write{Clear: w.Clear, Sets: make(map[string]string, len(w.Sets)+len(next.Sets))}
+	out := Write{ClearPrefix: w.ClearPrefix, Set: make(map[string]string, len(w.Set)+len(next.Set))}
 	switch {
-	case next.Clear == "" || w.Clear != "" && strings.HasPrefix(next.Clear, w.Clear):
-	case w.Clear == "":
-		out.Clear = next.Clear
+	case next.ClearPrefix == "" || w.ClearPrefix != "" && strings.HasPrefix(next.ClearPrefix, w.ClearPrefix):
+	case w.ClearPrefix == "":
+		out.ClearPrefix = next.ClearPrefix
 	default:
 		return Write{}, false
 	}
-	for key, value := range w.Sets {
-		if next.Clear == "" || !strings.HasPrefix(key, next.Clear) {
-			out.Sets[key] = value
+	for key, value := range w.Set {
+		if next.ClearPrefix == "" || !strings.HasPrefix(key, next.ClearPrefix) {
+			out.Set[key] = value
 		}
 	}
-	maps.Copy(out.Sets, next.Sets)
+	maps.Copy(out.Set, next.Set)
 	return out, true
 }
 
--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -20,9 +20,9 @@
 			return []string{"state/", "state/order/", "other/", ""}[random.Intn(4)] + fmt.Sprint(random.Intn(3))
 		}
 		draw := func() Write {
-			w := Write{Clear: prefixes[random.Intn(len(prefixes))], Sets: map[string]string{}}
+			w := Write{ClearPrefix: prefixes[random.Intn(len(prefixes))], Set: map[string]string{}}
 			for range random.Intn(4) {
-				w.Sets[key()] = []string{"", "x", "y"}[random.Intn(3)]
+				w.Set[key()] = []string{"", "x", "y"}[random.Intn(3)]
 			}
 			return w
 		}
@@ -56,9 +56,9 @@
 		{"one", []Write{set("state/a", "1")}, 1, "1"},
 		{"many", []Write{set("state/a", "1"), set("state/b", "2"), set("state/a", "3")}, 1, "32"},
 		{"forgotten", []Write{set("state/a", "1"), set("state/a", "")}, 1, ""},
-		{"a snapshot after changes", []Write{set("state/a", "1"), set("witness", "w"), {Clear: "state/", Sets: map[string]string{"state/b": "2"}}}, 1, "2w"},
-		{"changes after a snapshot", []Write{{Clear: "state/", Sets: map[string]string{"state/b": "2"}}, set("state/a", "1")}, 1, "12"},
-		{"snapshots of two kinds", []Write{{Clear: "state/", Sets: map[string]string{"state/b": "2"}}, {Clear: "other/", Sets: map[string]string{"other/x": "2"}}}, 2, "2"},
+		{"a snapshot after changes", []Write{set("state/a", "1"), set("witness", "w"), {ClearPrefix: "state/", Set: map[string]string{"state/b": "2"}}}, 1, "2w"},
+		{"changes after a snapshot", []Write{{ClearPrefix: "state/", Set: map[string]string{"state/b": "2"}}, set("state/a", "1")}, 1, "12"},
+		{"snapshots of two kinds", []Write{{ClearPrefix: "state/", Set: map[string]string{"state/b": "2"}}, {ClearPrefix: "other/", Set: map[string]string{"other/x": "2"}}}, 2, "2"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
--- a/internal/threads/crew.go
+++ b/internal/threads/group.go
@@ -15,16 +15,16 @@
 // Group gathers the duties of one process.
 type Group struct{ group run.Group }
 
-// Duty adds a thread that works until stop is called.
-func (c *Group) Duty(work func() error, stop func()) {
+// Add adds a thread that works until stop is called.
+func (c *Group) Add(work func() error, stop func()) {
 	var once sync.Once
 	c.group.Add(work, func(error) { once.Do(stop) })
 }
 
-// Beat adds a thread that calls beat at each interval.
-func (c *Group) Beat(everyMs int64, beat func()) {
+// Every adds a thread that calls beat at each interval.
+func (c *Group) Every(everyMs int64, beat func()) {
 	done := make(chan struct{})
-	c.Duty(func() error {
+	c.Add(func() error {
 		ticker := time.NewTicker(time.Duration(everyMs) * time.Millisecond)
 		defer ticker.Stop()
 		for {
@@ -38,11 +38,11 @@
 	}, func() { close(done) })
 }
 
-// Signals adds the thread that ends the crew on SIGTERM or SIGINT. Leave is
+// StopOnSignal adds the thread that ends the crew on SIGTERM or SIGINT. Leave is
 // called first, so that a planned stop can hand work back.
-func (c *Group) Signals(leave func()) {
+func (c *Group) StopOnSignal(leave func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c.Duty(func() error {
+	c.Add(func() error {
 		noted, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
 		<-noted.Done()
@@ -53,10 +53,10 @@
 	}, cancel)
 }
 
-// Until adds a thread that ends the crew when done is closed.
-func (c *Group) Until(done <-chan struct{}) {
+// StopWhen adds a thread that ends the crew when done is closed.
+func (c *Group) StopWhen(done <-chan struct{}) {
 	stop := make(chan struct{})
-	c.Duty(func() error {
+	c.Add(func() error {
 		select {
 		case <-done:
 		case <-stop:
@@ -68,6 +68,6 @@
 // Run starts all duties and waits until all have ended.
 func (c *Group) Run() error { return c.group.Run() }
 
-// Side starts one short errand beside the duties, such as a call outward.
+// Go starts one short errand beside the duties, such as a call outward.
 // The caller bounds how many run at once.
-func Side(errand func()) { go errand() }
+func Go(errand func()) { go errand() }
