--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -119,12 +119,12 @@
 	return machine, d, nil
 }
 
-// Join adds the controller's duties to a crew.
-func (o *Daemon) Join(c *threads.Group) { o.shell.AddTasks(c) }
+// AddTasks adds the controller's duties to a crew.
+func (o *Daemon) AddTasks(c *threads.Group) { o.shell.AddTasks(c) }
 
-// Leave hands the copy, the vote and the primacy of this daemon to others
+// Shutdown hands the copy, the vote and the primacy of this daemon to others
 // before a planned stop, as far as there are any and within LeaveTimeoutMs.
-func (o *Daemon) Leave() {
+func (o *Daemon) Shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), o.handOver+leaveWait)
 	defer cancel()
 	o.shell.Call(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
--- a/internal/simulation/localcluster/cluster.go
+++ b/internal/simulation/localcluster/cluster.go
@@ -116,9 +116,9 @@
 
 // daemonShell is a daemon that has not begun.
 type daemonShell interface {
-	Join(*threads.Group)
-	Leave()
-	Halt() (release func())
+	AddTasks(*threads.Group)
+	Shutdown()
+	Pause() (release func())
 }
 
 func (c *Cluster) startDaemons() error {
@@ -177,7 +177,7 @@
 	}
 	daemon := &Daemon{Settings: set, shell: made, stop: make(chan struct{}), ended: make(chan error, 1)}
 	var group threads.Group
-	made.Join(&group)
+	made.AddTasks(&group)
 	group.StopWhen(daemon.stop)
 	threads.Go(func() { daemon.ended <- group.Run() })
 	return daemon, nil
@@ -191,12 +191,12 @@
 
 // Shutdown stops a daemon as planned.
 func (p *Daemon) Shutdown() {
-	p.shell.Leave()
+	p.shell.Shutdown()
 	p.Kill()
 }
 
 // Pause makes a daemon stand still until it is released.
-func (p *Daemon) Pause() (release func()) { return p.shell.Halt() }
+func (p *Daemon) Pause() (release func()) { return p.shell.Pause() }
 
 // InjectDiskFault makes a controller's disk behave as a full, failing or stalling one.
 func (p *Daemon) InjectDiskFault(sync func(*os.File) error) {
--- a/internal/simulation/localcluster/rolling_test.go
+++ b/internal/simulation/localcluster/rolling_test.go
@@ -18,7 +18,7 @@
 		workload.Models, workload.Adapters = workload.Models[:min(2, len(workload.Models))], nil
 	}
 	var asking threads.Group
-	client.Join(&asking)
+	client.AddTasks(&asking)
 	done, ended := make(chan struct{}), make(chan error, 1)
 	asking.StopWhen(done)
 	threads.Go(func() { ended <- asking.Run() })
--- a/internal/simulation/testbackend/client.go
+++ b/internal/simulation/testbackend/client.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// Join adds a thread for each service to the crew.
-func (c *Client) Join(group *threads.Group) {
+// AddTasks adds a thread for each service to the crew.
+func (c *Client) AddTasks(group *threads.Group) {
 	var once sync.Once
 	places := make(chan struct{}, maxInFlight)
 	for _, workload := range c.Workloads {
@@ -111,7 +111,7 @@
 // every answer has come.
 func (c *Client) RunFor(length time.Duration) {
 	var group threads.Group
-	c.Join(&group)
+	c.AddTasks(&group)
 	group.StopOnSignal(nil)
 	timeUp := make(chan struct{})
 	timer := time.AfterFunc(length, func() { close(timeUp) })
