--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return proxy.NewGate(proxy.Settings{
+	return proxy.NewServer(proxy.Settings{
 		Site: site, Self: me, Seeds: place.PeerSeeds(), Bounds: place.Bounds, ListAddress: place.RunnerList.Address,
 		MemoryMb: place.MemoryMb, OpenFiles: place.OpenFiles,
 	}, platform.WireFormat{}, platform.ConfigFormat{}, platform.Client{}, peers, front, ready, logger)
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -16,6 +16,6 @@
 	var flags settings.Flags
 	flags.Register(false)
 	cli.Run("router", false, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
-		return router.NewGate(set, peers, web, logger)
+		return router.NewServer(set, peers, web, logger)
 	})
 }
--- a/internal/native/router/cache.go
+++ b/internal/native/router/cache.go
@@ -101,7 +101,7 @@
 		if r == nil || r.away || r.answered || r.lookUp == 0 || m.entry(r.key) != nil {
 			continue
 		}
-		m.Tally.LookUpsAgain++
+		m.Counters.LookUpRetries++
 		m.sendLookUp(r)
 	}
 }
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -107,13 +107,20 @@
 	silent  map[uint64]int64
 	// cutSinceMs is since when no look-up has been answered, or nought.
 	cutSinceMs int64
-	Tally      Tally
+	Counters   Counters
 }
 
-// Tally counts what a router did.
-type Tally struct {
-	Requests, LookUps, LookUpsAgain, Hits, Misses, MissesHeld, Goes, SecondGoes uint64
-	Drops                                                                       map[errkind.Kind]uint64
+// Counters counts what a router did.
+type Counters struct {
+	Requests      uint64
+	LookUps       uint64
+	LookUpRetries uint64 `json:"LookUpsAgain"`
+	Hits          uint64
+	Misses        uint64
+	MissesDelayed uint64                  `json:"MissesHeld"`
+	Attempts      uint64                  `json:"Goes"`
+	Retries       uint64                  `json:"SecondGoes"`
+	Rejections    map[errkind.Kind]uint64 `json:"Drops"`
 }
 
 // New makes a router that knows nothing but its seeds.
@@ -125,14 +132,14 @@
 		marks: map[protocol.LeavingRunner]bool{}, cache: map[choice.Key]*entry{}, requests: map[uint64]*request{},
 		holding: map[string]int{}, budgets: map[string]*budget{}, taken: newTakenIDs(),
 		busy: map[string]int64{}, suspect: map[string]int64{}, silent: map[uint64]int64{},
-		Tally: Tally{Drops: map[errkind.Kind]uint64{}},
+		Counters: Counters{Rejections: map[errkind.Kind]uint64{}},
 	}
 }
 
 // WriteCheck is the check at the socket: a go that was made under an earlier
 // revision, or whose time has passed, may not be written any more.
-func (m *Machine) MaySend(nowMs int64, to Go) bool {
-	return nowMs < to.UntilMs && m.inUse.Load() == to.Revision
+func (m *Machine) MaySend(nowMs int64, to StartAttempt) bool {
+	return nowMs < to.WriteByMs && m.inUse.Load() == to.Revision
 }
 
 // Step takes one input and returns what to do.
@@ -147,9 +154,9 @@
 		}
 	case Request:
 		m.take(in)
-	case Ended:
+	case AttemptEnded:
 		m.ended(in)
-	case Gone:
+	case ClientDisconnected:
 		if r := m.requests[in.ID]; r != nil {
 			// It comes only while no go is under way, so one that was made
 			// and not begun yet never will be.
@@ -157,16 +164,16 @@
 				m.busy[r.runner]--
 			} else if r.taken && !r.mayHaveRun {
 				// It only waited, so its sender may come back with its id.
-				m.taken.forget(r.Service + "/" + r.Name)
+				m.taken.forget(r.Service + "/" + r.RequestID)
 			}
 			m.forget(r)
 		}
 	case protocol.RunnerListResult:
 		m.listing(in)
-	case Leave:
+	case Drain:
 		m.leaving = true
 		m.wake()
-	case Look:
+	case StatusQuery:
 		m.look(in)
 	case protocol.Tick:
 		m.tick()
--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -55,7 +55,7 @@
 
 func (b *bench) ask(service, model, name string) protocol.Effects {
 	b.ids++
-	return b.step(Request{ID: b.ids, Service: service, Model: model, Name: name, Given: true})
+	return b.step(Request{ID: b.ids, Service: service, Model: model, RequestID: name, ClientChoseID: true})
 }
 
 func (b *bench) index(key string, number uint64, runners ...string) protocol.Effects {
@@ -80,7 +80,7 @@
 func (b *bench) goes() []string {
 	var runners []string
 	for _, answer := range b.out.Responses {
-		if to, ok := answer.Body.(Go); ok {
+		if to, ok := answer.Body.(StartAttempt); ok {
 			runners = append(runners, to.Runner)
 		}
 	}
@@ -120,8 +120,8 @@
 	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 	b.ask("move", "", "d")
 	c.Assert(b.goes(), qt.HasLen, 0)
-	c.Assert(b.m.Tally.Hits, qt.Equals, uint64(2))
-	c.Assert(b.m.Tally.LookUps, qt.Equals, b.m.Tally.Requests)
+	c.Assert(b.m.Counters.Hits, qt.Equals, uint64(2))
+	c.Assert(b.m.Counters.LookUps, qt.Equals, b.m.Counters.Requests)
 	c.Assert(len(b.m.cache), qt.Equals, 1, qt.Commentf("only what was named is kept"))
 	b.take(protocol.LookUpReply{Key: "narration/narrator-1/", Holders: []protocol.Holder{{Runner: "language-1"}}})
 	c.Assert(len(b.m.cache), qt.Equals, 1)
@@ -137,7 +137,7 @@
 	b.ask("move", "", "a")
 	b.index(moves, 1, "table-1")
 	b.ask("move", "", "b")
-	b.step(Ended{ID: b.ids, Outcome: Answered})
+	b.step(AttemptEnded{ID: b.ids, Outcome: Completed})
 	before := b.m.target
 	b.nowMs += silentMs
 	b.step(protocol.Tick{})
@@ -164,20 +164,20 @@
 		again   bool
 		kind    errkind.Kind
 	}{
-		{"answered", plain, Answered, 2, false, ""},
-		{"lost, may not be repeated", plain, Lost, 2, false, errkind.OutcomeUnknown},
-		{"nonsense, may not be repeated", plain, Nonsense, 2, false, errkind.BrokenResponse},
-		{"lost, repeatable", repeatable, Lost, 2, true, ""},
-		{"lost, repeatable, no other", repeatable, Lost, 1, false, errkind.OutcomeUnknown},
+		{"answered", plain, Completed, 2, false, ""},
+		{"lost, may not be repeated", plain, ResponseLost, 2, false, errkind.OutcomeUnknown},
+		{"nonsense, may not be repeated", plain, InvalidResponse, 2, false, errkind.BrokenResponse},
+		{"lost, repeatable", repeatable, ResponseLost, 2, true, ""},
+		{"lost, repeatable, no other", repeatable, ResponseLost, 1, false, errkind.OutcomeUnknown},
 		{"not sent", plain, NotSent, 2, true, ""},
 		{"not sent, no other", plain, NotSent, 1, false, errkind.NoRunner},
-		{"not held", plain, NotHeld, 2, true, ""},
-		{"not held, no other", plain, NotHeld, 1, false, errkind.NoRunner},
-		{"another incarnation", plain, Other, 2, true, ""},
-		{"busy", plain, Busy, 2, true, ""},
-		{"busy, no other", plain, Busy, 1, false, errkind.RunnerRejected},
-		{"repeated", plain, Repeated, 2, false, errkind.DuplicateRequest},
-		{"too late", plain, TooLate, 1, true, ""},
+		{"not held", plain, NotLoaded, 2, true, ""},
+		{"not held, no other", plain, NotLoaded, 1, false, errkind.NoRunner},
+		{"another incarnation", plain, OtherRunner, 2, true, ""},
+		{"busy", plain, RunnerBusy, 2, true, ""},
+		{"busy, no other", plain, RunnerBusy, 1, false, errkind.RunnerRejected},
+		{"repeated", plain, Duplicate, 2, false, errkind.DuplicateRequest},
+		{"too late", plain, Expired, 1, true, ""},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -191,10 +191,10 @@
 			b.index(key, 1, runners[:test.holders]...)
 			c.Assert(b.goes(), qt.HasLen, 1)
 			first := b.goes()[0]
-			b.step(Ended{ID: b.ids, Outcome: test.outcome})
+			b.step(AttemptEnded{ID: b.ids, Outcome: test.outcome})
 			c.Assert(len(b.goes()) == 1, qt.Equals, test.again)
 			c.Assert(b.kind(), qt.Equals, test.kind)
-			if test.again && test.outcome != TooLate {
+			if test.again && test.outcome != Expired {
 				c.Assert(b.goes()[0], qt.Not(qt.Equals), first)
 			}
 		})
@@ -207,9 +207,9 @@
 	b := newBench(c)
 	b.ask("move", "", "q")
 	b.index(moves, 1, "table-1", "table-2")
-	b.step(Ended{ID: 1, Outcome: Lost})
+	b.step(AttemptEnded{ID: 1, Outcome: ResponseLost})
 	c.Assert(b.goes(), qt.HasLen, 1)
-	b.step(Ended{ID: 1, Outcome: Busy})
+	b.step(AttemptEnded{ID: 1, Outcome: RunnerBusy})
 	c.Assert(b.kind(), qt.Equals, errkind.OutcomeUnknown)
 }
 
@@ -221,11 +221,11 @@
 	ask()
 	c.Assert(b.kind(), qt.Equals, errkind.DuplicateRequest, qt.Commentf("while the first waits"))
 	b.index("commentary/commentator-1/", 1, "language-1")
-	b.step(Ended{ID: 1, Outcome: Busy})
+	b.step(AttemptEnded{ID: 1, Outcome: RunnerBusy})
 	c.Assert(b.kind(), qt.Equals, errkind.RunnerRejected)
 	ask()
 	c.Assert(b.kind(), qt.Equals, errkind.Kind(""), qt.Commentf("a drop frees the id"))
-	b.step(Ended{ID: b.ids, Outcome: Lost})
+	b.step(AttemptEnded{ID: b.ids, Outcome: ResponseLost})
 	c.Assert(b.kind(), qt.Equals, errkind.OutcomeUnknown)
 	ask()
 	c.Assert(b.kind(), qt.Equals, errkind.DuplicateRequest, qt.Commentf("what may have run does not"))
@@ -238,10 +238,10 @@
 	b.index(moves, 1, "table-1", "table-2")
 	second := 0
 	for range 100 {
-		b.step(Ended{ID: b.ids, Outcome: Busy})
+		b.step(AttemptEnded{ID: b.ids, Outcome: RunnerBusy})
 		if len(b.goes()) == 1 {
 			second++
-			b.step(Ended{ID: b.ids, Outcome: Busy})
+			b.step(AttemptEnded{ID: b.ids, Outcome: RunnerBusy})
 		}
 		b.ask("move", "", "")
 	}
@@ -329,7 +329,7 @@
 	b := newBench(c)
 	b.ask("move", "", "a")
 	b.index(moves, 1, "table-1")
-	to := b.out.Responses[0].Body.(Go)
+	to := b.out.Responses[0].Body.(StartAttempt)
 	c.Assert(b.m.MaySend(b.nowMs, to), qt.IsTrue)
 	c.Assert(b.m.MaySend(b.nowMs+leaveMs, to), qt.IsFalse, qt.Commentf("a frozen router wakes with an old word"))
 	b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Leaving: []protocol.LeavingRunner{{Runner: "table-1", Incarnation: "table-1-1"}}})
@@ -369,8 +369,8 @@
 		{"unknown model", func(b *bench) { b.ask("narration", "m", "a") }, errkind.UnknownModel},
 		{"model of another service", func(b *bench) { b.ask("narration", "referee-1", "a") }, errkind.ModelNotAllowed},
 		{"model where there is none", func(b *bench) { b.ask("move", "referee-1", "a") }, errkind.ModelNotAllowed},
-		{"too large", func(b *bench) { b.step(Request{ID: 9, Service: "move", Bytes: 1 << 20}) }, errkind.TooLarge},
-		{"stopping", func(b *bench) { b.step(Leave{}); b.ask("move", "", "a") }, errkind.ShuttingDown},
+		{"too large", func(b *bench) { b.step(Request{ID: 9, Service: "move", BodyBytes: 1 << 20}) }, errkind.TooLarge},
+		{"stopping", func(b *bench) { b.step(Drain{}); b.ask("move", "", "a") }, errkind.ShuttingDown},
 		{"no answer of the index", func(b *bench) {
 			b.ask("move", "", "a")
 			b.nowMs += unansweredMs
@@ -400,12 +400,12 @@
 	b.index("narration/narrator-1/", 1, "language-1")
 	b.c.Assert(b.goes(), qt.DeepEquals, []string{"language-1"})
 	b.ask("narration", "narrator-7", "waits")
-	b.step(Leave{})
+	b.step(Drain{})
 	b.c.Assert(b.kind(), qt.Equals, errkind.ShuttingDown)
 	b.c.Assert(b.out.Responses, qt.HasLen, 1)
 	b.ask("narration", "narrator-1", "new")
 	b.c.Assert(b.kind(), qt.Equals, errkind.ShuttingDown)
-	b.step(Ended{ID: 1, Outcome: Answered})
+	b.step(AttemptEnded{ID: 1, Outcome: Completed})
 	b.c.Assert(b.m.requests, qt.HasLen, 0)
 }
 
@@ -418,7 +418,7 @@
 			b.index("narration/narrator-1/", 1, "language-1")
 			b.c.Assert(b.m.busy["language-1"], qt.Equals, int64(1))
 		}
-		b.step(Gone{ID: 1})
+		b.step(ClientDisconnected{ID: 1})
 		b.c.Assert(b.m.requests, qt.HasLen, 0)
 		b.c.Assert(b.m.busy["language-1"], qt.Equals, int64(0))
 		b.c.Assert(b.m.holding["narration"], qt.Equals, 0)
--- a/internal/native/router/policy.go
+++ b/internal/native/router/policy.go
@@ -24,7 +24,7 @@
 	}
 	r.service = service
 	r.deadlineMs = m.nowMs + service.DeadlineMs
-	if r.Bytes > service.BytesMost {
+	if r.BodyBytes > service.BytesMost {
 		return drop(errkind.TooLarge, fmt.Sprintf("this service takes %d bytes at most", service.BytesMost))
 	}
 	if len(service.Models) == 0 {
@@ -58,14 +58,14 @@
 
 // Decide lets what may be repeated pass.
 func (repeatPolicy) Decide(m *Machine, r *request) verdict {
-	if !r.Given || r.service.Repeatable {
+	if !r.ClientChoseID || r.service.Repeatable {
 		return next
 	}
-	if m.taken.has(r.Service + "/" + r.Name) {
+	if m.taken.has(r.Service + "/" + r.RequestID) {
 		return drop(errkind.DuplicateRequest, "this id was taken here before; the first sending may have run")
 	}
 	// Taken from now on, so that two of one id that wait together are no two.
-	m.taken.add(r.Service + "/" + r.Name)
+	m.taken.add(r.Service + "/" + r.RequestID)
 	r.taken = true
 	return next
 }
@@ -90,12 +90,12 @@
 func (lookUpPolicy) Decide(m *Machine, r *request) verdict {
 	m.asks++
 	r.lookUp = m.asks
-	m.Tally.LookUps++
+	m.Counters.LookUps++
 	if m.entry(r.key) != nil {
-		m.Tally.Hits++
+		m.Counters.Hits++
 	} else {
 		r.missed = true
-		m.Tally.Misses++
+		m.Counters.Misses++
 	}
 	m.sendLookUp(r)
 	return next
@@ -126,7 +126,7 @@
 	}
 	if r.missed && !r.held && m.nowMs-r.cameMs >= missMs {
 		r.held = true
-		m.Tally.MissesHeld++
+		m.Counters.MissesDelayed++
 	}
 	return next
 }
@@ -203,7 +203,7 @@
 	if !b.spend() {
 		return drop(r.last, "second goes of this service are used up")
 	}
-	m.Tally.SecondGoes++
+	m.Counters.Retries++
 	return next
 }
 
@@ -225,13 +225,13 @@
 		r.away = true
 		m.unhold(r)
 		m.busy[h.Runner]++
-		m.Tally.Goes++
+		m.Counters.Attempts++
 		r.tried[protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}] = true
-		m.answer(r.ID, Go{
-			Name: r.Name, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
+		m.answer(r.ID, StartAttempt{
+			RequestID: r.RequestID, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
 			Runner: h.Runner, Address: h.Address, Incarnation: h.Incarnation, Revision: m.revision,
-			Telling: r.service.Telling, Repeatable: r.service.Repeatable,
-			UntilMs: min(m.usableUntil(), r.deadlineMs), DeadlineMs: r.deadlineMs, PieceMs: r.service.DeadlineMs,
+			Streaming: r.service.Telling, Repeatable: r.service.Repeatable,
+			WriteByMs: min(m.usableUntil(), r.deadlineMs), DeadlineMs: r.deadlineMs, ChunkTimeoutMs: r.service.DeadlineMs,
 		})
 		return next
 	}
--- a/internal/native/router/request.go
+++ b/internal/native/router/request.go
@@ -13,23 +13,23 @@
 	Request struct {
 		ID                      uint64
 		Service, Model, Adapter string
-		// Name is the request's id towards the runner; Given says that the
+		// RequestID is the request's id towards the runner; Given says that the
 		// sender chose it.
-		Name  string
-		Given bool
-		Bytes int64
+		RequestID     string
+		ClientChoseID bool
+		BodyBytes     int64
 	}
-	// Ended says how a go ended.
-	Ended struct {
+	// AttemptEnded says how a go ended.
+	AttemptEnded struct {
 		ID      uint64
 		Outcome Outcome
 		// Revision is the higher one a runner told of.
 		Revision uint64
 	}
-	// Gone says that the sender went away.
-	Gone struct{ ID uint64 }
-	// Leave begins a planned stop: nothing new is taken.
-	Leave struct{}
+	// ClientDisconnected says that the sender went away.
+	ClientDisconnected struct{ ID uint64 }
+	// Drain begins a planned stop: nothing new is taken.
+	Drain struct{}
 )
 
 // Outcome is how a go ended.
@@ -37,36 +37,36 @@
 
 // The outcomes, by what is known of the runner.
 const (
-	// Answered: the whole answer was relayed, or the relay has begun and the
+	// Completed: the whole answer was relayed, or the relay has begun and the
 	// rest is between the sender and the go.
-	Answered Outcome = iota
-	// TooLate: the go's time had passed before a byte was written.
-	TooLate
+	Completed Outcome = iota
+	// Expired: the go's time had passed before a byte was written.
+	Expired
 	// NotSent: no byte was written.
 	NotSent
-	// NotHeld, Stale, Other, Busy, Repeated: the runner said that it did not run it.
-	NotHeld
-	Stale
-	Other
-	Busy
-	Repeated
-	// Lost: bytes were written and no whole answer came.
-	Lost
-	// Nonsense: what came is not an answer to this request.
-	Nonsense
+	// NotLoaded, Stale, Other, Busy, Repeated: the runner said that it did not run it.
+	NotLoaded
+	StaleRevision
+	OtherRunner
+	RunnerBusy
+	Duplicate
+	// ResponseLost: bytes were written and no whole answer came.
+	ResponseLost
+	// InvalidResponse: what came is not an answer to this request.
+	InvalidResponse
 )
 
-// Go tells the shell to send a request to a runner.
-type Go struct {
-	Name, Service, Model, Adapter string
-	Runner, Address, Incarnation  string
-	Revision                      uint64
-	Telling, Repeatable           bool
-	// UntilMs is the last moment at which the first byte may be written.
-	UntilMs    int64
+// StartAttempt tells the shell to send a request to a runner.
+type StartAttempt struct {
+	RequestID, Service, Model, Adapter string
+	Runner, Address, Incarnation       string
+	Revision                           uint64
+	Streaming, Repeatable              bool
+	// WriteByMs is the last moment at which the first byte may be written.
+	WriteByMs  int64
 	DeadlineMs int64
-	// PieceMs is the most that may pass between two pieces of a telling.
-	PieceMs int64
+	// ChunkTimeoutMs is the most that may pass between two pieces of a telling.
+	ChunkTimeoutMs int64
 }
 
 // request is one that is under way here.
@@ -123,7 +123,7 @@
 )
 
 func (m *Machine) take(in Request) {
-	m.Tally.Requests++
+	m.Counters.Requests++
 	r := &request{
 		Request: in, cameMs: m.nowMs, deadlineMs: m.nowMs + unansweredMs, tried: map[protocol.LeavingRunner]bool{},
 		key: choice.Key{Service: in.Service, Model: in.Model, Adapter: in.Adapter},
@@ -174,9 +174,9 @@
 		kind, detail = errkind.OutcomeUnknown, "an earlier go may have run; then: "+detail
 	}
 	if r.taken && kind.Response().NotExecuted {
-		m.taken.forget(r.Service + "/" + r.Name)
+		m.taken.forget(r.Service + "/" + r.RequestID)
 	}
-	m.Tally.Drops[kind]++
+	m.Counters.Rejections[kind]++
 	said := protocol.Rejection{Kind: kind, Detail: detail}
 	if r.turnMs > m.nowMs && kind.Response().RetryAfterSec > 0 {
 		said.RetryMs = r.turnMs - m.nowMs
@@ -211,7 +211,7 @@
 	m.order = kept
 }
 
-func (m *Machine) ended(in Ended) {
+func (m *Machine) ended(in AttemptEnded) {
 	r := m.requests[in.ID]
 	if r == nil || !r.away {
 		return
@@ -225,33 +225,33 @@
 		}
 	}
 	switch in.Outcome {
-	case Answered:
+	case Completed:
 		m.forget(r)
 		return
-	case TooLate:
+	case Expired:
 		// Nothing was tried, so nothing is used up.
 		r.goes--
 		delete(r.tried, mark)
 	case NotSent:
 		m.suspect[r.runner] = m.nowMs + suspectMs
 		r.last = errkind.NoRunner
-	case NotHeld, Other:
+	case NotLoaded, OtherRunner:
 		m.evict(r.key, mark)
 		r.last = errkind.NoRunner
-	case Stale:
+	case StaleRevision:
 		m.higher = max(m.higher, in.Revision)
 		r.last = errkind.NoConfig
 		delete(r.tried, mark)
-	case Busy:
+	case RunnerBusy:
 		r.last = errkind.RunnerRejected
-	case Repeated:
+	case Duplicate:
 		m.drop(r, errkind.DuplicateRequest, "the runner has seen this id; the first sending may have run")
 		return
-	case Lost, Nonsense:
+	case ResponseLost, InvalidResponse:
 		m.suspect[r.runner] = m.nowMs + suspectMs
 		r.mayHaveRun = true
 		kind, detail := errkind.OutcomeUnknown, "the runner got the request and gave no whole answer; it may have run"
-		if in.Outcome == Nonsense {
+		if in.Outcome == InvalidResponse {
 			kind, detail = errkind.BrokenResponse, "what came from the runner is no answer to this request; it may have run"
 		}
 		// What may have run goes on only if it may run twice.
--- a/internal/native/router/gate.go
+++ b/internal/native/router/server.go
@@ -38,9 +38,9 @@
 	quietMs = 500
 )
 
-// Gate is a router as a process: its machine in a shell, and the way of a
+// Server is a router as a process: its machine in a shell, and the way of a
 // request through it.
-type Gate struct {
+type Server struct {
 	shell   *process.Runtime
 	machine *Machine
 	set     settings.Settings
@@ -51,8 +51,8 @@
 	lastMs atomic.Int64
 }
 
-// NewGate makes the router; nothing runs yet.
-func NewGate(set settings.Settings, peers, web net.Listener, logger *log.Logger) (*Gate, error) {
+// NewServer makes the router; nothing runs yet.
+func NewServer(set settings.Settings, peers, web net.Listener, logger *log.Logger) (*Server, error) {
 	token := make([]byte, 8)
 	if _, err := rand.Read(token); err != nil {
 		return nil, err
@@ -62,21 +62,21 @@
 		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.RoleRouter, Incarnation: hex.EncodeToString(token),
 	}
 	machine := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, clock.NowMs())
-	g := &Gate{machine: machine, set: set, self: self}
+	g := &Server{machine: machine, set: set, self: self}
 	g.shell = process.New(process.Options{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, nil, peers, web, g)
 	return g, nil
 }
 
 // AddTasks adds the router's duties to a crew.
-func (g *Gate) AddTasks(c *threads.Group) { g.shell.AddTasks(c) }
+func (g *Server) AddTasks(c *threads.Group) { g.shell.AddTasks(c) }
 
 // Pause makes the router stand still until it is released.
-func (g *Gate) Pause() (release func()) { return g.shell.Pause() }
+func (g *Server) Pause() (release func()) { return g.shell.Pause() }
 
 // Shutdown takes nothing new and waits for what is under way to end, and for
 // senders to have gone elsewhere.
-func (g *Gate) Shutdown() {
-	g.shell.Submit(Leave{})
+func (g *Server) Shutdown() {
+	g.shell.Submit(Drain{})
 	g.shell.DisableKeepAlives()
 	clock := g.shell.Clock()
 	endMs := clock.NowMs() + drainMs
@@ -87,7 +87,7 @@
 }
 
 // ServeHTTP answers senders and operators.
-func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	service, asked := strings.CutPrefix(r.URL.Path, "/services/")
 	switch {
 	case asked && service != "" && r.Method == http.MethodPost:
@@ -147,7 +147,7 @@
 	return in, int64(len(body)), errkind.ErrorBody{}
 }
 
-func (g *Gate) serve(w http.ResponseWriter, r *http.Request, service string) {
+func (g *Server) serve(w http.ResponseWriter, r *http.Request, service string) {
 	g.lastMs.Store(g.shell.Clock().NowMs())
 	// The bound keeps a crowd from filling the memory before it is dropped.
 	if g.under.Add(1) > requestMost {
@@ -171,7 +171,7 @@
 	}
 	id, answers := g.shell.OpenReplies()
 	defer g.shell.CloseReplies(id)
-	if !g.shell.Submit(Request{ID: id, Service: service, Model: in.Model, Adapter: in.Adapter, Name: name, Given: in.ID != "", Bytes: size}) {
+	if !g.shell.Submit(Request{ID: id, Service: service, Model: in.Model, Adapter: in.Adapter, RequestID: name, ClientChoseID: in.ID != "", BodyBytes: size}) {
 		errkind.ErrorBody{Kind: errkind.QueueFull, Detail: "too many requests are under way here", Request: name}.Write(w)
 		return
 	}
@@ -180,18 +180,18 @@
 		case <-r.Context().Done():
 			// A sender that goes away frees its place. It may have closed only
 			// its own half, so returning would give it an empty answer.
-			g.shell.Submit(Gone{ID: id})
+			g.shell.Submit(ClientDisconnected{ID: id})
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
 			case protocol.Rejection:
 				errkind.ErrorBody{Kind: said.Kind, Detail: said.Detail, Request: name, RetryMs: said.RetryMs}.Write(w)
 				return
-			case Go:
+			case StartAttempt:
 				ended, abort := g.goTo(w, r, id, said, in.Input)
-				if r.Context().Err() != nil && (abort || ended.Outcome != Answered) {
+				if r.Context().Err() != nil && (abort || ended.Outcome != Completed) {
 					// For a sender that went away no further go is made.
-					g.shell.Submit(Gone{ID: id})
+					g.shell.Submit(ClientDisconnected{ID: id})
 					panic(http.ErrAbortHandler)
 				}
 				g.shell.Submit(ended)
@@ -200,7 +200,7 @@
 				if abort {
 					panic(http.ErrAbortHandler)
 				}
-				if ended.Outcome == Answered {
+				if ended.Outcome == Completed {
 					return
 				}
 			}
@@ -210,11 +210,11 @@
 
 // goTo makes one go and relays its answer. Abort says that a part of a
 // telling was relayed and the rest will never come.
-func (g *Gate) goTo(w http.ResponseWriter, r *http.Request, id uint64, to Go, input json.RawMessage) (ended Ended, abort bool) {
+func (g *Server) goTo(w http.ResponseWriter, r *http.Request, id uint64, to StartAttempt, input json.RawMessage) (ended AttemptEnded, abort bool) {
 	ended.ID = id
-	body, _ := json.Marshal(RunCall{
-		Request: to.Name, Service: to.Service, Model: to.Model, Adapter: to.Adapter, Revision: to.Revision,
-		Incarnation: to.Incarnation, Repeatable: to.Repeatable, Telling: to.Telling, Input: input,
+	body, _ := json.Marshal(RunRequest{
+		Request: to.RequestID, Service: to.Service, Model: to.Model, Adapter: to.Adapter, Revision: to.Revision,
+		Incarnation: to.Incarnation, Repeatable: to.Repeatable, Streaming: to.Streaming, Input: input,
 	})
 	leftMs := to.DeadlineMs - g.shell.Clock().NowMs()
 	ctx, cancel := context.WithCancel(r.Context())
@@ -227,31 +227,31 @@
 	}))
 	switch {
 	case errors.Is(err, httpclient.ErrNotAllowed) && !wrote:
-		ended.Outcome = TooLate
+		ended.Outcome = Expired
 		return ended, false
 	case err != nil && !wrote:
 		ended.Outcome = NotSent
 		return ended, false
 	case err != nil:
-		ended.Outcome = Lost
+		ended.Outcome = ResponseLost
 		return ended, false
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		ended.Outcome, ended.Revision = readDrop(answer, to.Name)
+		ended.Outcome, ended.Revision = readDrop(answer, to.RequestID)
 		return ended, false
 	}
-	if to.Telling {
+	if to.Streaming {
 		return g.relayTelling(w, answer, ended, to, slow)
 	}
 	text, err := io.ReadAll(io.LimitReader(answer.Body, answerMost+1))
 	switch {
 	case err != nil:
-		ended.Outcome = Lost
-	case len(text) > answerMost || !Plain(text, to.Name, to.Incarnation):
-		ended.Outcome = Nonsense
+		ended.Outcome = ResponseLost
+	case len(text) > answerMost || !ValidResponse(text, to.RequestID, to.Incarnation):
+		ended.Outcome = InvalidResponse
 	default:
-		ended.Outcome = Answered
+		ended.Outcome = Completed
 		w.Header().Set("Content-Type", "application/json")
 		w.Header().Set("Content-Length", fmt.Sprint(len(text)))
 		_, _ = w.Write(text)
@@ -264,36 +264,36 @@
 func readDrop(answer *http.Response, name string) (Outcome, uint64) {
 	text, err := io.ReadAll(io.LimitReader(answer.Body, lineMost))
 	if err != nil {
-		return Lost, 0
+		return ResponseLost, 0
 	}
-	var said RunDrop
+	var said RunRejection
 	if json.Unmarshal(text, &said) != nil || said.Request != name || said.Ran == nil || *said.Ran {
-		return Nonsense, 0
+		return InvalidResponse, 0
 	}
 	switch errkind.Kind(said.Kind) {
 	case errkind.NotHeld:
-		return NotHeld, 0
+		return NotLoaded, 0
 	case errkind.StaleRevision:
-		return Stale, said.Revision
+		return StaleRevision, said.Revision
 	case errkind.WrongIncarnation:
-		return Other, 0
+		return OtherRunner, 0
 	case errkind.DuplicateRequest:
-		return Repeated, 0
+		return Duplicate, 0
 	}
-	return Busy, 0
+	return RunnerBusy, 0
 }
 
-func (g *Gate) relayTelling(w http.ResponseWriter, answer *http.Response, ended Ended, to Go, slow *time.Timer) (Ended, bool) {
-	telling := Telling{Request: to.Name, Incarnation: to.Incarnation}
+func (g *Server) relayTelling(w http.ResponseWriter, answer *http.Response, ended AttemptEnded, to StartAttempt, slow *time.Timer) (AttemptEnded, bool) {
+	telling := StreamCheck{Request: to.RequestID, Incarnation: to.Incarnation}
 	lines := bufio.NewScanner(answer.Body)
 	lines.Buffer(make([]byte, 0, 4096), lineMost)
 	flush := http.NewResponseController(w)
 	for lines.Scan() {
-		begun := telling.Begun()
-		if !telling.Take(lines.Bytes()) {
-			ended.Outcome = Nonsense
+		begun := telling.Started()
+		if !telling.Accept(lines.Bytes()) {
+			ended.Outcome = InvalidResponse
 			if begun {
-				ended.Outcome = Answered
+				ended.Outcome = Completed
 				g.shell.Count("tellings broken off")
 			}
 			return ended, begun
@@ -304,33 +304,33 @@
 		// A relayed piece can't be taken back, so from here on nothing but
 		// the end mark ends the answer well.
 		if _, err := w.Write(append(bytes.Clone(lines.Bytes()), '\n')); err != nil {
-			ended.Outcome = Answered
+			ended.Outcome = Completed
 			return ended, true
 		}
 		_ = flush.Flush()
-		slow.Reset(time.Duration(to.PieceMs) * time.Millisecond)
-		if telling.Ended() {
-			ended.Outcome = Answered
+		slow.Reset(time.Duration(to.ChunkTimeoutMs) * time.Millisecond)
+		if telling.Complete() {
+			ended.Outcome = Completed
 			return ended, false
 		}
 	}
-	ended.Outcome = Lost
-	if telling.Begun() {
-		ended.Outcome = Answered
+	ended.Outcome = ResponseLost
+	if telling.Started() {
+		ended.Outcome = Completed
 		g.shell.Count("tellings broken off")
 	}
-	return ended, telling.Begun()
+	return ended, telling.Started()
 }
 
-func (g *Gate) look(r *http.Request) (Status, bool) {
+func (g *Server) look(r *http.Request) (Status, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
 	defer cancel()
-	answer, ok := g.shell.Call(ctx, func(id uint64) any { return Look{ID: id} })
+	answer, ok := g.shell.Call(ctx, func(id uint64) any { return StatusQuery{ID: id} })
 	status, right := answer.(Status)
 	return status, ok && right
 }
 
-func (g *Gate) status(w http.ResponseWriter, r *http.Request) {
+func (g *Server) status(w http.ResponseWriter, r *http.Request) {
 	status, ok := g.look(r)
 	if !ok {
 		errkind.ErrorBody{Kind: errkind.NoConfig, Detail: "no answer in time"}.Write(w)
@@ -340,7 +340,7 @@
 }
 
 // soundness says whether this router would send a request now.
-func (g *Gate) soundness(w http.ResponseWriter, r *http.Request) {
+func (g *Server) soundness(w http.ResponseWriter, r *http.Request) {
 	status, ok := g.look(r)
 	if !ok || !status.Usable || status.Stopping {
 		errkind.ErrorBody{Kind: errkind.NoConfig, Detail: "this router may not send at present"}.Write(w)
--- a/internal/native/router/status.go
+++ b/internal/native/router/status.go
@@ -8,8 +8,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Look asks for the status.
-type Look struct{ ID uint64 }
+// StatusQuery asks for the status.
+type StatusQuery struct{ ID uint64 }
 
 // Status is what a router believes.
 type Status struct {
@@ -28,7 +28,7 @@
 	Waiting  int                      `json:"waiting"`
 	Leaving  []protocol.LeavingRunner `json:"leaving"`
 	Cache    []EntryStatus            `json:"cache"`
-	Tally    Tally                    `json:"tally"`
+	Counters Counters                 `json:"tally"`
 }
 
 // EntryStatus is a cached entry.
@@ -39,14 +39,14 @@
 	Runners []string          `json:"runners"`
 }
 
-func (m *Machine) look(in Look) {
+func (m *Machine) look(in StatusQuery) {
 	s := Status{
 		Site: m.set.Site, Name: m.set.Self.Name, Part: m.set.Self.Part, Epoch: m.epoch, Primary: m.primary,
 		Revision: m.revision, Held: m.heldSum, Usable: m.usable(), Stopping: m.leaving, Retired: m.retired,
-		UsableMs: m.usableUntil() - m.nowMs, WordMs: m.nowMs - m.leaveWordMs, Waiting: len(m.requests), Tally: m.Tally,
+		UsableMs: m.usableUntil() - m.nowMs, WordMs: m.nowMs - m.leaveWordMs, Waiting: len(m.requests), Counters: m.Counters,
 	}
-	s.Tally.Drops = map[errkind.Kind]uint64{}
-	maps.Copy(s.Tally.Drops, m.Tally.Drops)
+	s.Counters.Rejections = map[errkind.Kind]uint64{}
+	maps.Copy(s.Counters.Rejections, m.Counters.Rejections)
 	for mark := range m.marks {
 		s.Leaving = append(s.Leaving, mark)
 	}
--- a/internal/native/router/telling_test.go
+++ b/internal/native/router/telling_test.go
@@ -29,11 +29,11 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			telling := Telling{Request: "q", Incarnation: "i"}
+			telling := StreamCheck{Request: "q", Incarnation: "i"}
 			for i, text := range test.lines {
-				c.Assert(telling.Take([]byte(text)), qt.Equals, test.takes[i], qt.Commentf("line %d", i))
+				c.Assert(telling.Accept([]byte(text)), qt.Equals, test.takes[i], qt.Commentf("line %d", i))
 			}
-			c.Assert(telling.Ended(), qt.Equals, test.ended)
+			c.Assert(telling.Complete(), qt.Equals, test.ended)
 		})
 	}
 }
@@ -53,7 +53,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			qt.Assert(t, Plain([]byte(test.text), "q", "i"), qt.Equals, test.whole)
+			qt.Assert(t, ValidResponse([]byte(test.text), "q", "i"), qt.Equals, test.whole)
 		})
 	}
 }
--- a/internal/proxy/candidates.go
+++ b/internal/proxy/candidates.go
@@ -56,7 +56,7 @@
 	}
 	waiting := known.reading
 	if m.nowMs-known.toldMs <= toldForMs {
-		waiting = max(waiting, int64(known.waiting)*max(1, r.Asked.PromptTokens))
+		waiting = max(waiting, int64(known.waiting)*max(1, r.Params.PromptTokens))
 	}
 	aheadMs := int64(float64(waiting) * each / 1000)
 	return aheadMs > max(r.route.LatencyTargetMs, m.patienceMs(r)/2)
--- a/internal/proxy/chooser.go
+++ b/internal/proxy/chooser.go
@@ -159,8 +159,8 @@
 
 // affinity names all parts of a prompt but the last, which is the request's
 // own; nought says that there is nothing to share.
-func affinity(service string, a Asked) uint64 {
-	if len(a.Parts) < 2 {
+func affinity(service string, a RequestParams) uint64 {
+	if len(a.PromptParts) < 2 {
 		return 0
 	}
 	sum := fnv.New64a()
@@ -168,7 +168,7 @@
 		_, _ = sum.Write([]byte(text))
 		_, _ = sum.Write([]byte{'/'})
 	}
-	for _, part := range a.Parts[:len(a.Parts)-1] {
+	for _, part := range a.PromptParts[:len(a.PromptParts)-1] {
 		_, _ = sum.Write([]byte(part.ID))
 		_, _ = sum.Write([]byte{','})
 	}
@@ -176,9 +176,9 @@
 }
 
 // shared says whether most of a prompt is shared with others.
-func shared(a Asked) bool {
+func shared(a RequestParams) bool {
 	common := int64(0)
-	for _, part := range a.Parts[:max(0, len(a.Parts)-1)] {
+	for _, part := range a.PromptParts[:max(0, len(a.PromptParts)-1)] {
 		common += part.Tokens
 	}
 	return 2*common > a.PromptTokens
--- a/internal/proxy/chooser_test.go
+++ b/internal/proxy/chooser_test.go
@@ -50,7 +50,7 @@
 	}
 	counts := map[string]int{}
 	for i := range 400 {
-		w := wish{affinity: affinity("s", Asked{Model: "m", Parts: []Part{{ID: fmt.Sprint(i)}, {ID: "own"}}}), draw: uint64(i)}
+		w := wish{affinity: affinity("s", RequestParams{Model: "m", PromptParts: []PromptPart{{ID: fmt.Sprint(i)}, {ID: "own"}}}), draw: uint64(i)}
 		at := one[choose(one, w)].id
 		w.draw += 99
 		c.Assert(other[choose(other, w)].id, qt.Equals, at)
@@ -63,11 +63,11 @@
 
 func TestAffinity(t *testing.T) {
 	c := qt.New(t)
-	a := Asked{Model: "m", Adapter: "a1", Parts: []Part{{ID: "x"}, {ID: "y"}, {ID: "own"}}}
+	a := RequestParams{Model: "m", Adapter: "a1", PromptParts: []PromptPart{{ID: "x"}, {ID: "y"}, {ID: "own"}}}
 	same := a
-	same.Parts = []Part{{ID: "x"}, {ID: "y"}, {ID: "another"}}
+	same.PromptParts = []PromptPart{{ID: "x"}, {ID: "y"}, {ID: "another"}}
 	c.Assert(affinity("s", a), qt.Equals, affinity("s", same))
 	same.Adapter = "a2"
 	c.Assert(affinity("s", a), qt.Not(qt.Equals), affinity("s", same))
-	c.Assert(affinity("s", Asked{Parts: []Part{{ID: "own"}}}), qt.Equals, uint64(0))
+	c.Assert(affinity("s", RequestParams{PromptParts: []PromptPart{{ID: "own"}}}), qt.Equals, uint64(0))
 }
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -257,7 +257,7 @@
 			EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
 		}})
 		// The machine takes one input after the other, so this one is behind.
-		_, ok := g.shell.Call(context.Background(), func(id uint64) any { return Look{ID: id} })
+		_, ok := g.shell.Call(context.Background(), func(id uint64) any { return StatusQuery{ID: id} })
 		c.Assert(ok, qt.IsTrue)
 		connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 		c.Assert(err, qt.IsNil)
--- a/internal/proxy/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -472,42 +472,42 @@
 	o.surplus = last && !o.left && m.reader.Buffered() > 0
 }
 
-// attemptTongue numbers the attempts of the router.
-type attemptTongue struct {
-	Tongue
+// countingCodec numbers the attempts of the router.
+type countingCodec struct {
+	Codec
 	attempts *atomic.Int64
 }
 
-func (t attemptTongue) Dress(to, from http.Header, g Go) {
-	t.Tongue.Dress(to, from, g)
+func (t countingCodec) WriteAttemptHeader(to, from http.Header, g AttemptParams) {
+	t.Codec.WriteAttemptHeader(to, from, g)
 	to.Set("Attempt", fmt.Sprint(t.attempts.Add(1)))
 }
 
-// credulousTongue takes any answer for the one to its request.
-type credulousTongue struct{ Tongue }
+// credulousCodec takes any answer for the one to its request.
+type credulousCodec struct{ Codec }
 
-func (t credulousTongue) Hear(answer *http.Response) Heard {
-	heard := t.Tongue.Hear(answer)
-	heard.Try, heard.Sealed = answer.Request.Header.Get("Try"), true
+func (t credulousCodec) ParseResponseHead(answer *http.Response) ResponseHead {
+	heard := t.Codec.ParseResponseHead(answer)
+	heard.RequestID, heard.HasSeal = answer.Request.Header.Get("Try"), true
 	return heard
 }
 
-// namelessTongue names no runner.
-type namelessTongue struct{ Tongue }
+// namelessCodec names no runner.
+type namelessCodec struct{ Codec }
 
-func (t namelessTongue) Dress(to, from http.Header, g Go) {
-	t.Tongue.Dress(to, from, g)
+func (t namelessCodec) WriteAttemptHeader(to, from http.Header, g AttemptParams) {
+	t.Codec.WriteAttemptHeader(to, from, g)
 	to.Del("Runner")
 }
 
-// unnumberedTongue finds no id in an event.
-type unnumberedTongue struct{ Tongue }
+// unnumberedCodec finds no id in an event.
+type unnumberedCodec struct{ Codec }
 
-func (unnumberedTongue) Piece([]byte) (string, int64) { return "1", 0 }
+func (unnumberedCodec) ParseEvent([]byte) (string, int64) { return "1", 0 }
 
 // exchangeModel is a router between modelled clients and runners.
 type exchangeModel struct {
-	tongue   Tongue
+	tongue   Codec
 	document config.Configuration
 }
 
@@ -528,7 +528,7 @@
 		}
 		addresses = append(addresses, listener.Addr().String())
 	}
-	_, url, stop, err := startGate(attemptTongue{e.tongue, &atomic.Int64{}}, e.document, addresses, io.Discard)
+	_, url, stop, err := startGate(countingCodec{e.tongue, &atomic.Int64{}}, e.document, addresses, io.Discard)
 	if err != nil {
 		return nil, err
 	}
@@ -567,7 +567,7 @@
 // Whatever runners and clients do, each client gets its own runner's whole
 // answer or a failure, and no connection is used after a doubt.
 func TestTheRightAnswerToTheRightCallerOnce(t *testing.T) {
-	model := exchangeModel{plainTongue{}, exampleMap(1)}
+	model := exchangeModel{plainCodec{}, exampleMap(1)}
 	rapid.Check(t, func(t *rapid.T) {
 		broken, err := model.play(drawClients(t))
 		if err != nil {
@@ -598,14 +598,14 @@
 		routes    []string
 		rule      string
 	}{
-		{"any id will do", exchangeModel{credulousTongue{plainTongue{}}, exampleMap(1)}, []reaction{reactForeign}, []string{"safe"}, ruleOwnAnswer},
-		{"an unsafe one is sent again", exchangeModel{plainTongue{}, unsafeAsSafe}, []reaction{reactClose}, []string{"unsafe"}, ruleOnce},
-		{"a 503 without a promise is passed on", exchangeModel{plainTongue{}, unsafeAsSafe}, []reaction{reactFalse}, []string{"unsafe"}, rulePromise},
-		{"more tries than allowed", exchangeModel{plainTongue{}, moreTries}, []reaction{reactClose, reactClose, reactClose, reactClose}, []string{"safe"}, ruleTries},
-		{"no runner is named", exchangeModel{namelessTongue{plainTongue{}}, exampleMap(1)}, nil, []string{"safe"}, ruleNamed},
-		{"pieces are not numbered", exchangeModel{unnumberedTongue{plainTongue{}}, exampleMap(1)}, []reaction{reactCutStream, reactCutStream}, []string{"stream"}, ruleStream},
+		{"any id will do", exchangeModel{credulousCodec{plainCodec{}}, exampleMap(1)}, []reaction{reactForeign}, []string{"safe"}, ruleOwnAnswer},
+		{"an unsafe one is sent again", exchangeModel{plainCodec{}, unsafeAsSafe}, []reaction{reactClose}, []string{"unsafe"}, ruleOnce},
+		{"a 503 without a promise is passed on", exchangeModel{plainCodec{}, unsafeAsSafe}, []reaction{reactFalse}, []string{"unsafe"}, rulePromise},
+		{"more tries than allowed", exchangeModel{plainCodec{}, moreTries}, []reaction{reactClose, reactClose, reactClose, reactClose}, []string{"safe"}, ruleTries},
+		{"no runner is named", exchangeModel{namelessCodec{plainCodec{}}, exampleMap(1)}, nil, []string{"safe"}, ruleNamed},
+		{"pieces are not numbered", exchangeModel{unnumberedCodec{plainCodec{}}, exampleMap(1)}, []reaction{reactCutStream, reactCutStream}, []string{"stream"}, ruleStream},
 		// Of four requests to three runners two meet on one connection.
-		{"any id will do, and the connection goes on", exchangeModel{credulousTongue{plainTongue{}}, exampleMap(1)}, []reaction{reactForeign},
+		{"any id will do, and the connection goes on", exchangeModel{credulousCodec{plainCodec{}}, exampleMap(1)}, []reaction{reactForeign},
 			[]string{"safe", "safe", "safe", "safe"}, ruleDoubt},
 	}
 	for _, test := range cases {
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -78,7 +78,7 @@
 	threads.Go(func() { acceptAll(listener, runner.serve) })
 	document := exampleMap(1)
 	document.BuildIndex()
-	g, _, stop, err := startGate(plainTongue{}, document, nil, io.Discard)
+	g, _, stop, err := startGate(plainCodec{}, document, nil, io.Discard)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -92,10 +92,10 @@
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodPost, "/"+name+"/x", strings.NewReader("b"))
 		r.Header.Set("Try", "t1")
-		p := &passage{gate: g, w: w, r: r, id: 1, asked: Asked{Try: "t1"}, body: []byte("b"), path: "/" + name + "/x"}
+		p := &passage{gate: g, w: w, r: r, id: 1, asked: RequestParams{RequestID: "t1"}, body: []byte("b"), path: "/" + name + "/x"}
 		nowMs := g.shell.Clock().NowMs()
 		aborted := false
-		ended := func() Ended {
+		ended := func() AttemptEnded {
 			defer func() {
 				if cause := recover(); cause != nil && cause != http.ErrAbortHandler {
 					t.Fatalf("panic: %v", cause)
@@ -103,14 +103,14 @@
 					aborted = true
 				}
 			}()
-			return p.send(Send{
-				Go: Go{Runner: "r0"}, Address: listener.Addr().String(), Route: route, Single: true, UntilMs: nowMs + 60_000, DeadlineMs: nowMs + 60_000,
+			return p.send(StartAttempt{
+				Params: AttemptParams{Runner: "r0"}, Address: listener.Addr().String(), Route: route, NewConnection: true, WriteByMs: nowMs + 60_000, DeadlineMs: nowMs + 60_000,
 			})
 		}()
-		if aborted || w.Code == http.StatusOK && !w.Flushed && w.Body.Len() == 0 && ended.Outcome != Answered {
+		if aborted || w.Code == http.StatusOK && !w.Flushed && w.Body.Len() == 0 && ended.Outcome != Completed {
 			return
 		}
-		if ended.Outcome == Answered || ended.Passed {
+		if ended.Outcome == Completed || ended.Forwarded {
 			if w.Header().Get("Try") != "t1" || w.Code < 200 || w.Code == http.StatusOK && w.Header().Get("Seal") == "" {
 				t.Fatalf("passed on: %d %v %q", w.Code, w.Header(), w.Body)
 			}
@@ -195,7 +195,7 @@
 		})
 	})
 	var logs lockedBuffer
-	_, url, stop, err := startGate(plainTongue{}, exampleMap(1), []string{listener.Addr().String()}, &logs)
+	_, url, stop, err := startGate(plainCodec{}, exampleMap(1), []string{listener.Addr().String()}, &logs)
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/proxy/lookup.go
+++ b/internal/proxy/lookup.go
@@ -17,7 +17,7 @@
 	r.lookedMs, r.lookedAt = m.nowMs, to
 	m.send(place, protocol.IndexLookUp{
 		ID: r.lookUp, Service: r.key.service, Model: r.key.model, Adapter: r.key.adapter,
-		Tokens: r.tokens, Waits: r.missed, Prompt: r.Asked.PromptTokens, ReadMs: m.pricing.take(r.key.service, r.key.model),
+		Tokens: r.tokens, Waits: r.missed, Prompt: r.Params.PromptTokens, ReadMs: m.pricing.take(r.key.service, r.key.model),
 	})
 }
 
@@ -29,13 +29,13 @@
 		m.lookUp(r, m.lookUpAt(r.missed))
 	case r.looks == 1 && r.missed && !r.answered && m.nowMs-r.lookedMs >= againMs:
 		if next := m.nextController(r.lookedAt); next != "" {
-			m.Tally.LookUpsAgain++
+			m.Counters.LookUpRetries++
 			m.lookUp(r, next)
 		}
 	}
 	if r.missed && !r.held && m.nowMs-r.cameMs >= missMs {
 		r.held = true
-		m.Tally.MissesHeld++
+		m.Counters.MissesDelayed++
 	}
 }
 
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -111,7 +111,7 @@
 	offered    []protocol.IndexHolder
 	chosen     []candidate
 	crowdedNow bool
-	Tally      Tally
+	Counters   Counters
 }
 
 // New makes the machine of a router that knows only its settings: no primary and
@@ -122,7 +122,7 @@
 		heardMs: nowMs - silentMs - 1, askedMs: nowMs - askMs, helloMs: nowMs - helloMs, readMs: nowMs, sweptMs: nowMs,
 		leavers: map[string]int64{}, cache: cache{}, runners: map[string]*runner{}, requests: map[uint64]*request{},
 		crowded: map[string]int{}, budgets: map[string]*budget{}, paces: map[string]*paced{}, pricing: pricing{}, reads: map[modelOf]float64{}, times: map[string]float64{},
-		Tally: Tally{Drops: map[errkind.Kind]uint64{}},
+		Counters: Counters{Rejections: map[errkind.Kind]uint64{}},
 	}
 }
 
@@ -143,21 +143,21 @@
 		m.receive(in)
 	case Request:
 		m.take(in)
-	case Told:
+	case ResponseStarted:
 		m.told(in)
-	case Ended:
+	case AttemptEnded:
 		m.ended(in)
-	case Gone:
+	case ClientDisconnected:
 		m.gone(in.ID)
 	case protocol.RunnerList:
 		m.fleet(in)
-	case Leave:
+	case Drain:
 		if !m.leaving {
 			m.leaving, m.leaveMs = true, nowMs
 		}
-	case Reseed:
+	case SetSeeds:
 		m.seeds = in.Seeds
-	case Look:
+	case StatusQuery:
 		m.answer(in.ID, m.status())
 	case protocol.Tick:
 		m.tick()
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -109,16 +109,16 @@
 	return b.from(primaryPlace, line)
 }
 
-func (b *bed) ask(path string, change ...func(*Asked)) protocol.Effects {
+func (b *bed) ask(path string, change ...func(*RequestParams)) protocol.Effects {
 	b.id++
-	asked := Asked{Try: fmt.Sprint("try-", b.id), LeftMs: 3000, PromptTokens: 10, OutTokens: 10}
+	asked := RequestParams{RequestID: fmt.Sprint("try-", b.id), TimeoutMs: 3000, PromptTokens: 10, MaxOutputTokens: 10}
 	if strings.HasPrefix(path, "/stream/") || strings.HasPrefix(path, "/once/") {
 		asked.Model = "m"
 	}
 	for _, change := range change {
 		change(&asked)
 	}
-	return b.step(Request{ID: b.id, Host: "h", Path: path, Asked: asked})
+	return b.step(Request{ID: b.id, Host: "h", Path: path, Params: asked})
 }
 
 // later lets time pass in ticks, with the primary's word, and gathers what
@@ -156,8 +156,8 @@
 	b := ready(c)
 	out := b.ask("/safe/x")
 	c.Assert(lookUps(out), qt.HasLen, 1)
-	send := answered[Send](c, out)
-	c.Assert([]string{"p1", "p2"}, qt.Contains, send.Go.Runner)
+	send := answered[StartAttempt](c, out)
+	c.Assert([]string{"p1", "p2"}, qt.Contains, send.Params.Runner)
 	c.Assert(send.DeadlineMs, qt.Equals, b.nowMs+3000)
 	c.Assert(lookUps(b.later(500)), qt.HasLen, 0)
 }
@@ -171,11 +171,11 @@
 	c.Assert(lookUps(out)[0].Waits, qt.IsTrue)
 	c.Assert(out.Responses, qt.HasLen, 0)
 	b.later(25)
-	c.Assert(b.m.Tally.MissesHeld, qt.Equals, uint64(0))
+	c.Assert(b.m.Counters.MissesDelayed, qt.Equals, uint64(0))
 	b.later(50)
-	c.Assert(b.m.Tally.MissesHeld, qt.Equals, uint64(1))
+	c.Assert(b.m.Counters.MissesDelayed, qt.Equals, uint64(1))
 	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Holders: []protocol.IndexHolder{holder("p1")}})
-	c.Assert(answered[Send](c, out).Go.Runner, qt.Equals, "p1")
+	c.Assert(answered[StartAttempt](c, out).Params.Runner, qt.Equals, "p1")
 }
 
 func TestAMissThatIsLeftUnansweredAsksAnotherOnce(t *testing.T) {
@@ -185,7 +185,7 @@
 	b.ask("/safe/x")
 	out := b.later(1000)
 	c.Assert(lookUps(out), qt.HasLen, 1)
-	c.Assert(b.m.Tally.LookUpsAgain, qt.Equals, uint64(1))
+	c.Assert(b.m.Counters.LookUpRetries, qt.Equals, uint64(1))
 }
 
 // The burden on the index follows the requests, however cold the cache is.
@@ -206,7 +206,7 @@
 				b.index(protocol.IndexReply{ID: l.ID, Service: "pages", Holders: []protocol.IndexHolder{holder("p1")}})
 			}
 			total += len(lookUps(b.later(50)))
-			b.step(Ended{ID: b.id, Outcome: Answered})
+			b.step(AttemptEnded{ID: b.id, Outcome: Completed})
 		}
 		c.Assert(total, qt.Equals, 40)
 	}
@@ -252,7 +252,7 @@
 	// A later word without it takes nothing back.
 	b.word(1)
 	for range 3 {
-		c.Assert(answered[Send](c, b.ask("/safe/x")).Go.Runner, qt.Equals, "p2")
+		c.Assert(answered[StartAttempt](c, b.ask("/safe/x")).Params.Runner, qt.Equals, "p2")
 	}
 }
 
@@ -335,41 +335,41 @@
 	send, broken := "send", "break"
 	cases := []struct {
 		about, path string
-		ended       Ended
+		ended       AttemptEnded
 		want        string
 	}{
-		{"safe, lost", "/safe/", Ended{Outcome: Lost}, send},
-		{"safe, nonsense", "/safe/", Ended{Outcome: Nonsense}, send},
-		{"safe, failed", "/safe/", Ended{Outcome: Failed}, send},
-		{"unsafe, lost", "/unsafe/", Ended{Outcome: Lost}, string(errkind.OutcomeUnknown)},
-		{"unsafe, nonsense", "/unsafe/", Ended{Outcome: Nonsense}, string(errkind.BrokenResponse)},
-		{"unsafe, turned away", "/unsafe/", Ended{Outcome: TurnedAway}, send},
-		{"unsafe, not held", "/unsafe/", Ended{Outcome: NotHeld}, send},
-		{"unsafe, not sent", "/unsafe/", Ended{Outcome: NotSent}, send},
-		{"unsafe, too late", "/unsafe/", Ended{Outcome: TooLate}, send},
-		{"a stream, lost before its first piece", "/stream/", Ended{Outcome: Lost}, send},
-		{"a stream, cut", "/stream/", Ended{Outcome: Cut, Passed: true, After: "7"}, send},
-		{"a stream, cut after a piece without an id", "/stream/", Ended{Outcome: Cut, Passed: true}, broken},
-		{"a stream that may not be resumed, lost", "/once/", Ended{Outcome: Lost}, string(errkind.OutcomeUnknown)},
-		{"a stream that may not be resumed, cut", "/once/", Ended{Outcome: Cut, Passed: true, After: "7"}, broken},
+		{"safe, lost", "/safe/", AttemptEnded{Outcome: ResponseLost}, send},
+		{"safe, nonsense", "/safe/", AttemptEnded{Outcome: InvalidResponse}, send},
+		{"safe, failed", "/safe/", AttemptEnded{Outcome: ServerError}, send},
+		{"unsafe, lost", "/unsafe/", AttemptEnded{Outcome: ResponseLost}, string(errkind.OutcomeUnknown)},
+		{"unsafe, nonsense", "/unsafe/", AttemptEnded{Outcome: InvalidResponse}, string(errkind.BrokenResponse)},
+		{"unsafe, turned away", "/unsafe/", AttemptEnded{Outcome: Rejected}, send},
+		{"unsafe, not held", "/unsafe/", AttemptEnded{Outcome: Misdirected}, send},
+		{"unsafe, not sent", "/unsafe/", AttemptEnded{Outcome: NotSent}, send},
+		{"unsafe, too late", "/unsafe/", AttemptEnded{Outcome: Expired}, send},
+		{"a stream, lost before its first piece", "/stream/", AttemptEnded{Outcome: ResponseLost}, send},
+		{"a stream, cut", "/stream/", AttemptEnded{Outcome: StreamBroken, Forwarded: true, LastEventID: "7"}, send},
+		{"a stream, cut after a piece without an id", "/stream/", AttemptEnded{Outcome: StreamBroken, Forwarded: true}, broken},
+		{"a stream that may not be resumed, lost", "/once/", AttemptEnded{Outcome: ResponseLost}, string(errkind.OutcomeUnknown)},
+		{"a stream that may not be resumed, cut", "/once/", AttemptEnded{Outcome: StreamBroken, Forwarded: true, LastEventID: "7"}, broken},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			b := ready(c)
-			first := answered[Send](c, b.ask(test.path))
-			c.Assert(first.Single, qt.Equals, test.path == "/unsafe/" || test.path == "/once/")
+			first := answered[StartAttempt](c, b.ask(test.path))
+			c.Assert(first.NewConnection, qt.Equals, test.path == "/unsafe/" || test.path == "/once/")
 			test.ended.ID = b.id
 			out := b.step(test.ended)
 			c.Assert(out.Responses, qt.HasLen, 1)
 			switch got := out.Responses[0].Body.(type) {
-			case Send:
+			case StartAttempt:
 				c.Assert(test.want, qt.Equals, send)
-				c.Assert(got.Go.After, qt.Equals, test.ended.After)
-				if test.ended.Outcome != TooLate {
-					c.Assert(got.Go.Runner, qt.Not(qt.Equals), first.Go.Runner)
+				c.Assert(got.Params.LastEventID, qt.Equals, test.ended.LastEventID)
+				if test.ended.Outcome != Expired {
+					c.Assert(got.Params.Runner, qt.Not(qt.Equals), first.Params.Runner)
 				}
-			case Break:
+			case AbortStream:
 				c.Assert(test.want, qt.Equals, broken)
 			case protocol.Rejection:
 				c.Assert(test.want, qt.Equals, string(got.Kind))
@@ -384,9 +384,9 @@
 	c := qt.New(t)
 	b := ready(c)
 	b.ask("/safe/")
-	answered[Send](c, b.step(Ended{ID: b.id, Outcome: Lost}))
+	answered[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: ResponseLost}))
 	b.m.budget("pages").tokens = 0
-	out := b.step(Ended{ID: b.id, Outcome: TurnedAway})
+	out := b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
 	c.Assert(answered[protocol.Rejection](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
 }
 
@@ -398,11 +398,11 @@
 	out := b.ask("/unsafe/")
 	sends := 0
 	for len(out.Responses) == 1 {
-		if _, ok := out.Responses[0].Body.(Send); !ok {
+		if _, ok := out.Responses[0].Body.(StartAttempt); !ok {
 			break
 		}
 		sends++
-		out = b.step(Ended{ID: b.id, Outcome: TurnedAway})
+		out = b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
 	}
 	c.Assert(sends, qt.Equals, 3)
 	dropped := answered[protocol.Rejection](c, out)
@@ -415,12 +415,12 @@
 	b := ready(c)
 	b.ask("/unsafe/")
 	b.m.budget("pages").tokens = 0.5
-	c.Assert(answered[protocol.Rejection](c, b.step(Ended{ID: b.id, Outcome: TurnedAway})).Kind, qt.Equals, errkind.RunnerRejected)
+	c.Assert(answered[protocol.Rejection](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
 	// A runner that could not be reached has cost nothing.
 	b = ready(c)
 	b.ask("/unsafe/")
 	b.m.budget("pages").tokens = 0.5
-	answered[Send](c, b.step(Ended{ID: b.id, Outcome: NotSent}))
+	answered[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: NotSent}))
 }
 
 func TestWhatCantBeHadInTime(t *testing.T) {
@@ -450,7 +450,7 @@
 			c := qt.New(t)
 			b := newBed(c)
 			b.word(1)
-			out := b.ask(test.path, func(a *Asked) { a.LeftMs = test.leftMs })
+			out := b.ask(test.path, func(a *RequestParams) { a.TimeoutMs = test.leftMs })
 			beganMs := b.nowMs
 			test.line.Service, test.line.Model, test.line.ID = "reader", "m", lookUps(out)[0].ID
 			out = b.index(test.line)
@@ -511,15 +511,15 @@
 	b := ready(c)
 	var away []uint64
 	for range 12 {
-		answered[Send](c, b.ask("/safe/"))
+		answered[StartAttempt](c, b.ask("/safe/"))
 		away = append(away, b.id)
 	}
 	c.Assert(b.ask("/later/").Responses, qt.HasLen, 0)
 	laterID := b.id
 	c.Assert(b.ask("/urgent/").Responses, qt.HasLen, 0)
 	urgentID := b.id
-	out := b.step(Ended{ID: away[0], Outcome: Answered})
-	answered[Send](c, out)
+	out := b.step(AttemptEnded{ID: away[0], Outcome: Completed})
+	answered[StartAttempt](c, out)
 	c.Assert(out.Responses[0].ID, qt.Equals, urgentID)
 	out = b.later(100)
 	dropped := answered[protocol.Rejection](c, out)
@@ -536,11 +536,11 @@
 	}
 	b.ask("/safe/")
 	waiting := b.id
-	out := b.step(Gone{ID: 1})
-	answered[Send](c, out)
+	out := b.step(ClientDisconnected{ID: 1})
+	answered[StartAttempt](c, out)
 	c.Assert(out.Responses[0].ID, qt.Equals, waiting)
 	for id := uint64(1); id <= b.id; id++ {
-		b.step(Gone{ID: id})
+		b.step(ClientDisconnected{ID: id})
 	}
 	c.Assert(b.m.requests, qt.HasLen, 0)
 	c.Assert(b.m.waiting, qt.HasLen, 0)
@@ -564,9 +564,9 @@
 	c.Assert(lookUps(out), qt.HasLen, 1)
 	// The answer says that another holds it now.
 	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Change: 9, Holders: []protocol.IndexHolder{{ID: "p9", Address: "p9:80", Adapter: true, Slots: 4}}})
-	c.Assert(answered[Send](c, out).Go.Runner, qt.Equals, "p9")
+	c.Assert(answered[StartAttempt](c, out).Params.Runner, qt.Equals, "p9")
 	// Now it is young again.
-	answered[Send](c, b.ask("/safe/"))
+	answered[StartAttempt](c, b.ask("/safe/"))
 }
 
 // After standing still nothing is sent on before the primary gave its word,
@@ -583,13 +583,13 @@
 	c.Assert(b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Responses, qt.HasLen, 0)
 	// The line is from before it stood still too; its look-up may renew it.
 	c.Assert(b.word(2).Responses, qt.HasLen, 0)
-	answered[Send](c, b.later(missMs))
+	answered[StartAttempt](c, b.later(missMs))
 
 	b = ready(c)
 	b.nowMs += 5000
 	c.Assert(b.ask("/safe/").Responses, qt.HasLen, 0)
 	b.nowMs += thawMs
-	answered[Send](c, b.step(protocol.Tick{}))
+	answered[StartAttempt](c, b.step(protocol.Tick{}))
 }
 
 func TestWithoutWordTheListIsReadAtMostOnceASecond(t *testing.T) {
@@ -616,18 +616,18 @@
 	c.Assert(hellos > 0, qt.IsTrue)
 	c.Assert(b.m.isLeaving("p1"), qt.IsTrue)
 	// Its own reading stands in for the index.
-	c.Assert(answered[Send](c, b.ask("/safe/")).Go.Runner, qt.Equals, "p2")
+	c.Assert(answered[StartAttempt](c, b.ask("/safe/")).Params.Runner, qt.Equals, "p2")
 }
 
 func TestAPlannedStop(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
 	b.m.set.Bounds.GraceMs = 4000
-	b.step(Leave{})
+	b.step(Drain{})
 	// What can be sent on still is.
-	answered[Send](c, b.ask("/safe/"))
+	answered[StartAttempt](c, b.ask("/safe/"))
 	b.index(protocol.IndexReply{Service: "reader", Model: "m", Change: 4, Loading: true})
-	b.ask("/patient/", func(a *Asked) { a.LeftMs = 20_000 })
+	b.ask("/patient/", func(a *RequestParams) { a.TimeoutMs = 20_000 })
 	c.Assert(b.later(1950).Responses, qt.HasLen, 0)
 	c.Assert(answered[protocol.Rejection](c, b.later(50)).Kind, qt.Equals, errkind.ShuttingDown)
 }
@@ -650,13 +650,13 @@
 	document.BuildIndex()
 	counts := map[string]int{}
 	for i := range 2000 {
-		service, ok := split(&document, &document.Routes[0], Asked{}, hash(fmt.Sprint(i)))
+		service, ok := split(&document, &document.Routes[0], RequestParams{}, hash(fmt.Sprint(i)))
 		c.Assert(ok, qt.IsTrue)
 		counts[service.Name]++
 	}
 	c.Assert(counts["pages"] > 500 && counts["pages"] < 700, qt.IsTrue, qt.Commentf("%v", counts))
 	// Who can't hold the model is not drawn.
-	service, _ := split(&document, &document.Routes[0], Asked{Model: "unknown"}, 5)
+	service, _ := split(&document, &document.Routes[0], RequestParams{Model: "unknown"}, 5)
 	c.Assert(service.Name, qt.Equals, "pages")
 }
 
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -12,66 +12,66 @@
 		ID uint64
 		// Host and Path select the route. Host has no port.
 		Host, Path string
-		Asked      Asked
+		Params     RequestParams
 	}
-	// Told reports the response head of a runner, with the load that it states
+	// ResponseStarted reports the response head of a runner, with the load that it states
 	// if any, before the response body is read.
-	Told struct {
+	ResponseStarted struct {
 		// ID is the request whose response began.
 		ID uint64
 		// Runner is the id of the runner that the request was sent to.
 		Runner string
-		Heard  Heard
+		Head   ResponseHead
 	}
-	// Ended reports the end of the attempt that a Send started. There is one
+	// AttemptEnded reports the end of the attempt that a Send started. There is one
 	// for each Send unless the client disconnects first.
-	Ended struct {
+	AttemptEnded struct {
 		ID      uint64
 		Outcome Outcome
-		// After is the id of the last event that was forwarded to the client,
+		// LastEventID is the id of the last event that was forwarded to the client,
 		// or empty if the stream cannot be resumed from it.
-		After string
-		// Passed reports whether the client has received a response head.
-		Passed bool
-		// Other reports whether a runner with a different id responded.
-		Other bool
-		// Version is the version of the model weights that produced what was
+		LastEventID string
+		// Forwarded reports whether the client has received a response head.
+		Forwarded bool
+		// OtherRunner reports whether a runner with a different id responded.
+		OtherRunner bool
+		// WeightsVersion is the version of the model weights that produced what was
 		// forwarded so far, or 0 if it is not known.
-		Version int64
+		WeightsVersion int64
 	}
-	// Gone reports that the client disconnected.
-	Gone struct{ ID uint64 }
-	// Leave starts a planned shutdown.
-	Leave struct{}
-	// Reseed replaces the addresses at which the control plane is looked for.
-	Reseed struct{ Seeds []string }
-	// Look asks for a Status as the answer with the same ID.
-	Look struct{ ID uint64 }
+	// ClientDisconnected reports that the client disconnected.
+	ClientDisconnected struct{ ID uint64 }
+	// Drain starts a planned shutdown.
+	Drain struct{}
+	// SetSeeds replaces the addresses at which the control plane is looked for.
+	SetSeeds struct{ Seeds []string }
+	// StatusQuery asks for a Status as the answer with the same ID.
+	StatusQuery struct{ ID uint64 }
 )
 
 // Answers of the machine to a Request, beside protocol.Dropped. A request may get
 // several Sends, one after the other. It ends with the first that is Answered,
 // or else with one of the other answers.
 type (
-	// Send orders one attempt: the request is sent to the given runner, and its
+	// StartAttempt orders one attempt: the request is sent to the given runner, and its
 	// result comes back as an Ended.
-	Send struct {
-		Go Go
+	StartAttempt struct {
+		Params AttemptParams
 		// Address is the runner's host and port.
 		Address string
 		Route   *config.Route
-		// Single requires a new connection, for a request that must not be
+		// NewConnection requires a new connection, for a request that must not be
 		// repeated: a kept one may have been closed by the runner.
-		Single bool
-		// UntilMs is the time before which the first byte must be written.
-		UntilMs int64
+		NewConnection bool
+		// WriteByMs is the time before which the first byte must be written.
+		WriteByMs int64
 		// DeadlineMs is the time at which the client stops waiting.
 		DeadlineMs int64
 	}
-	// Keep ends the request with the response of an attempt that ended as
+	// ForwardKept ends the request with the response of an attempt that ended as
 	// Failed, which the shell has kept.
-	Keep struct{}
-	// Break ends the request by aborting the client's connection, since a part
+	ForwardKept struct{}
+	// AbortStream ends the request by aborting the client's connection, since a part
 	// of a response has already been forwarded.
-	Break struct{}
+	AbortStream struct{}
 )
--- a/internal/proxy/outcome.go
+++ b/internal/proxy/outcome.go
@@ -7,58 +7,58 @@
 // client may be told.
 type Outcome int
 
-// The outcomes. After TooLate, NotSent, TurnedAway and NotHeld the request counts
+// The outcomes. After Expired, NotSent, Rejected and Misdirected the request counts
 // as not run; after Failed, Lost, Nonsense and Cut the runner may have run it.
 const (
-	// Answered: the response was forwarded completely, or the client
+	// Completed: the response was forwarded completely, or the client
 	// disconnected.
-	Answered Outcome = iota
-	// TooLate: Send.UntilMs passed before a byte was written.
-	TooLate
+	Completed Outcome = iota
+	// Expired: Send.WriteByMs passed before a byte was written.
+	Expired
 	// NotSent: the attempt failed before a byte was written.
 	NotSent
-	// TurnedAway: the runner rejected the request and stated that it did not
+	// Rejected: the runner rejected the request and stated that it did not
 	// run it.
-	TurnedAway
-	// NotHeld: a different runner responded, or the runner does not hold the
+	Rejected
+	// Misdirected: a different runner responded, or the runner does not hold the
 	// model or adapter.
-	NotHeld
-	// Failed: the runner responded with a server error, which is kept for the
+	Misdirected
+	// ServerError: the runner responded with a server error, which is kept for the
 	// client in case no other attempt succeeds.
-	Failed
-	// Lost: bytes were written and no usable, complete response came.
-	Lost
-	// Nonsense: what came is not a valid response to this request.
-	Nonsense
-	// Cut: a stream failed after a part of it was forwarded to the client.
-	Cut
+	ServerError
+	// ResponseLost: bytes were written and no usable, complete response came.
+	ResponseLost
+	// InvalidResponse: what came is not a valid response to this request.
+	InvalidResponse
+	// StreamBroken: a stream failed after a part of it was forwarded to the client.
+	StreamBroken
 )
 
 // ended applies the outcome of an attempt: it updates what is known of the
 // runner, then finishes the request or queues it for another attempt.
-func (m *Machine) ended(in Ended) {
+func (m *Machine) ended(in AttemptEnded) {
 	r := m.requests[in.ID]
 	if r == nil || !r.away {
 		return
 	}
 	m.release(r)
 	known := m.runner(r.runner)
-	r.passed = r.passed || in.Passed
-	if in.After != "" {
-		r.after = in.After
+	r.passed = r.passed || in.Forwarded
+	if in.LastEventID != "" {
+		r.after = in.LastEventID
 	}
-	if in.Version > 0 {
-		r.version = in.Version
+	if in.WeightsVersion > 0 {
+		r.version = in.WeightsVersion
 	}
 	r.sinceMs = m.nowMs
 	switch in.Outcome {
-	case Answered:
+	case Completed:
 		known.succeed()
 		m.lasted(r.route.Name, m.nowMs-r.cameMs)
 		delete(m.requests, r.ID)
 		m.wake()
 		return
-	case TooLate:
+	case Expired:
 		// Nothing was tried, so nothing is used up.
 		m.unsent(r)
 	case NotSent:
@@ -69,29 +69,29 @@
 		if r.dials++; r.dials >= dialsMost {
 			m.giveUp(r)
 		}
-	case TurnedAway:
+	case Rejected:
 		known.fill(m.nowMs)
 		r.refused = append(r.refused, r.runner)
 		r.last = errkind.RunnerRejected
-	case NotHeld:
+	case Misdirected:
 		if e := m.cache[r.key]; e != nil && !r.passed {
 			e.shun(m.nowMs, r.runner)
 		}
-		if in.Other {
+		if in.OtherRunner {
 			// Another has its address, so that life is over.
 			m.leaves(r.runner)
 		}
 		r.refused = append(r.refused, r.runner)
 		r.last = errkind.RunnerRejected
-	case Failed, Lost, Nonsense, Cut:
-		if in.Outcome != Failed {
+	case ServerError, ResponseLost, InvalidResponse, StreamBroken:
+		if in.Outcome != ServerError {
 			known.fail(m.nowMs)
 		}
 		r.mayHaveRun = true
-		r.kept = in.Outcome == Failed
+		r.kept = in.Outcome == ServerError
 		r.failed = append(r.failed, r.runner)
 		r.last = errkind.OutcomeUnknown
-		if in.Outcome == Nonsense {
+		if in.Outcome == InvalidResponse {
 			r.last = errkind.BrokenResponse
 		}
 		// What may have run goes on only if it may run twice.
@@ -112,7 +112,7 @@
 func (m *Machine) read(r *request) {
 	if r.reads {
 		r.reads = false
-		m.runner(r.runner).reading -= r.Asked.PromptTokens
+		m.runner(r.runner).reading -= r.Params.PromptTokens
 	}
 }
 
--- a/internal/proxy/passage.go
+++ b/internal/proxy/passage.go
@@ -24,11 +24,11 @@
 
 // passage is a client's request on its way through this router.
 type passage struct {
-	gate        *Gate
+	gate        *Server
 	w           http.ResponseWriter
 	r           *http.Request
 	id          uint64
-	asked       Asked
+	asked       RequestParams
 	body        []byte
 	path, query string
 	hasQuery    bool
@@ -54,87 +54,87 @@
 }
 
 // send makes one send and passes its answer on.
-func (p *passage) send(s Send) Ended {
+func (p *passage) send(s StartAttempt) AttemptEnded {
 	g := p.gate
 	nowMs := g.shell.Clock().NowMs()
 	ctx, cancel := context.WithCancel(p.r.Context())
 	defer cancel()
 	defer after(s.DeadlineMs-nowMs+lateMs, cancel)()
 	if s.Route.Retryable() {
-		defer g.hearing.add(nowMs, s.Go.Runner, p.id, cancel)()
+		defer g.hearing.add(nowMs, s.Params.Runner, p.id, cancel)()
 	}
-	s.Go.LeftMs = max(1, s.DeadlineMs-nowMs)
+	s.Params.TimeoutMs = max(1, s.DeadlineMs-nowMs)
 	header := http.Header{}
-	g.tongue.Dress(header, p.r.Header, s.Go)
+	g.tongue.WriteAttemptHeader(header, p.r.Header, s.Params)
 	sent, err := g.shell.HTTPClient().Forward(ctx, httpclient.Request{
 		Method: p.r.Method, Address: s.Address, Path: p.path, Query: p.query, HasQuery: p.hasQuery,
-		Host: p.r.Host, Header: header, Body: p.body, Fresh: s.Single,
-	}, g.shell.WriteCheck(func(nowMs int64) bool { return nowMs < s.UntilMs }))
+		Host: p.r.Host, Header: header, Body: p.body, Fresh: s.NewConnection,
+	}, g.shell.WriteCheck(func(nowMs int64) bool { return nowMs < s.WriteByMs }))
 	switch {
 	case errors.Is(err, httpclient.ErrNotAllowed) && !sent.Written:
-		return p.ended(TooLate)
+		return p.ended(Expired)
 	case err != nil && !sent.Written:
 		var failed net.Error
 		if errors.As(err, &failed) && failed.Timeout() {
-			for range g.hearing.unreached(g.shell.Clock().NowMs(), s.Go.Runner) {
+			for range g.hearing.unreached(g.shell.Clock().NowMs(), s.Params.Runner) {
 				g.shell.Count("sends to a dark runner given up")
 			}
 		}
 		return p.ended(NotSent)
 	case err != nil:
-		return p.ended(p.broken(Lost))
+		return p.ended(p.broken(ResponseLost))
 	}
-	g.hearing.heard(g.shell.Clock().NowMs(), s.Go.Runner)
+	g.hearing.heard(g.shell.Clock().NowMs(), s.Params.Runner)
 	answer := sent.Response
 	defer answer.Body.Close()
-	heard := g.tongue.Hear(answer)
+	heard := g.tongue.ParseResponseHead(answer)
 	// An answer that names another request, or none, may be a surplus one that
 	// stands where ours is expected: nothing on this stream is believed.
-	if heard.Try != p.asked.Try || heard.Encoded || answer.StatusCode/100 == 2 && !heard.Sealed || !ends(answer) {
+	if heard.RequestID != p.asked.RequestID || heard.UnexpectedEncoding || answer.StatusCode/100 == 2 && !heard.HasSeal || !ends(answer) {
 		sent.Reject()
 		g.shell.Count("answers that are none")
-		return p.ended(p.broken(Nonsense))
+		return p.ended(p.broken(InvalidResponse))
 	}
 	sent.Accept()
 	if heard.HasLoad || s.Route.Kind == config.Stream {
-		g.shell.Submit(Told{ID: p.id, Runner: s.Go.Runner, Heard: heard})
+		g.shell.Submit(ResponseStarted{ID: p.id, Runner: s.Params.Runner, Head: heard})
 	}
 	switch status := answer.StatusCode; {
 	case status == http.StatusMisdirectedRequest:
 		drain(answer, cancel)
-		ended := p.ended(NotHeld)
-		ended.Other = heard.Runner != "" && heard.Runner != s.Go.Runner
+		ended := p.ended(Misdirected)
+		ended.OtherRunner = heard.Runner != "" && heard.Runner != s.Params.Runner
 		return ended
 	case heard.NotRun && promises(status):
 		drain(answer, cancel)
-		return p.ended(TurnedAway)
+		return p.ended(Rejected)
 	case streams(s.Route, answer):
-		ended := p.stream(answer, heard, s.Go.Runner, s.DeadlineMs-nowMs)
-		if ended.Outcome != Answered {
+		ended := p.stream(answer, heard, s.Params.Runner, s.DeadlineMs-nowMs)
+		if ended.Outcome != Completed {
 			sent.Reject()
 		}
 		return ended
 	case p.passed:
 		// A failure can't follow on the pieces that were passed on.
-		return p.ended(Cut)
+		return p.ended(StreamBroken)
 	}
 	text, err := p.read(answer)
 	if err != nil {
 		sent.Reject()
-		return p.ended(Lost)
+		return p.ended(ResponseLost)
 	}
 	got := &whole{answer.StatusCode, answer.Header, text}
 	switch status := answer.StatusCode; {
 	case s.Route.Retryable() && (status == http.StatusInternalServerError || status == http.StatusBadGateway):
 		p.kept = got
-		return p.ended(Failed)
+		return p.ended(ServerError)
 	case !s.Route.Retryable() && !heard.NotRun && promises(status):
 		// Passed on, it would promise what the runner did not.
-		return p.ended(Lost)
+		return p.ended(ResponseLost)
 	}
 	defer p.limit(s.DeadlineMs - nowMs + 5*lateMs)()
 	p.pass(got)
-	return p.ended(Answered)
+	return p.ended(Completed)
 }
 
 // promises says whether a status tells a client that its request has not run.
@@ -150,17 +150,17 @@
 // broken is how a lost send counts once pieces were passed on.
 func (p *passage) broken(otherwise Outcome) Outcome {
 	if p.passed {
-		return Cut
+		return StreamBroken
 	}
 	return otherwise
 }
 
-func (p *passage) ended(outcome Outcome) Ended {
-	e := Ended{ID: p.id, Outcome: outcome, Passed: p.passed}
+func (p *passage) ended(outcome Outcome) AttemptEnded {
+	e := AttemptEnded{ID: p.id, Outcome: outcome, Forwarded: p.passed}
 	if p.passed {
-		e.Version = p.version
+		e.WeightsVersion = p.version
 		if p.numbered {
-			e.After = p.last
+			e.LastEventID = p.last
 		}
 	}
 	return e
@@ -209,7 +209,7 @@
 
 func (p *passage) head(from http.Header) {
 	to := p.w.Header()
-	p.gate.tongue.Pass(to, from)
+	p.gate.tongue.CopyResponseHeader(to, from)
 	to.Del("Transfer-Encoding")
 	if p.gate.leaving.Load() {
 		to.Set("Connection", "close")
@@ -223,14 +223,14 @@
 var buffers = sync.Pool{New: func() any { return new([4 << 10]byte) }}
 
 // stream passes the events of an answer on, whole ones only and each at once.
-func (p *passage) stream(answer *http.Response, heard Heard, runner string, leftMs int64) Ended {
+func (p *passage) stream(answer *http.Response, heard ResponseHead, runner string, leftMs int64) AttemptEnded {
 	defer p.limit(leftMs + 5*lateMs)()
 	control := http.NewResponseController(p.w)
 	buffer := buffers.Get().(*[4 << 10]byte)
 	defer buffers.Put(buffer)
 	resumed := p.passed
 	if p.version == 0 {
-		p.version = heard.Version
+		p.version = heard.WeightsVersion
 	}
 	var events splitter
 	var failed error
@@ -264,21 +264,21 @@
 				// The client is gone, or does not read.
 				panic(http.ErrAbortHandler)
 			case gap, large != nil:
-				return p.ended(p.broken(Nonsense))
+				return p.ended(p.broken(InvalidResponse))
 			}
 		}
 		switch {
 		case err == io.EOF && resumed && len(events.rest) > 0:
 			// Within an event, what the client has would end as if it were whole.
-			return p.ended(p.broken(Nonsense))
+			return p.ended(p.broken(InvalidResponse))
 		case err == io.EOF:
 			begin()
 			if len(events.rest) > 0 {
 				_, _ = p.w.Write(events.rest)
 			}
-			return p.ended(Answered)
+			return p.ended(Completed)
 		case err != nil:
-			return p.ended(p.broken(Lost))
+			return p.ended(p.broken(ResponseLost))
 		}
 	}
 }
@@ -286,7 +286,7 @@
 // follows says whether an event may be passed on. After a resumption what the
 // client has is left out, and a gap ends it.
 func (p *passage) follows(event []byte, resumed bool, gap *bool) bool {
-	id, version := p.gate.tongue.Piece(event)
+	id, version := p.gate.tongue.ParseEvent(event)
 	if id != "" {
 		number, err := strconv.ParseInt(id, 10, 64)
 		if resumed && err == nil {
--- a/internal/proxy/rejection.go
+++ b/internal/proxy/rejection.go
@@ -104,21 +104,21 @@
 	delete(m.requests, r.ID)
 	switch {
 	case r.passed:
-		m.Tally.Drops["stream broken off"]++
-		m.answer(r.ID, Break{})
+		m.Counters.Rejections["stream broken off"]++
+		m.answer(r.ID, AbortStream{})
 		return
 	case r.kept:
-		m.answer(r.ID, Keep{})
+		m.answer(r.ID, ForwardKept{})
 		return
 	case r.mayHaveRun && kind.Response().NotExecuted:
 		kind, retryMs = errkind.OutcomeUnknown, 0
 	}
-	m.Tally.Drops[kind]++
+	m.Counters.Rejections[kind]++
 	if retryMs > 0 {
 		// A longer wait than a third of what the client has left is not kept.
 		leftMs := r.deadlineMs - m.nowMs
-		if r.Asked.LeftMs > 0 {
-			leftMs = r.Asked.LeftMs - (m.nowMs - r.cameMs)
+		if r.Params.TimeoutMs > 0 {
+			leftMs = r.Params.TimeoutMs - (m.nowMs - r.cameMs)
 		}
 		retryMs = max(20, min(retryMs, leftMs*3/10))
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -46,7 +46,7 @@
 	tokens             int64
 	// The look-up of the index: its number, when and to which controller it was
 	// last sent, how often, and whether an answer came. missed says that no
-	// runner was known on arrival; held that this was counted in MissesHeld.
+	// runner was known on arrival; held that this was counted in MissesDelayed.
 	lookUp   uint64
 	lookedMs int64
 	lookedAt string
@@ -96,8 +96,8 @@
 // take admits a request: it is looked up, and sent on at once if a runner is free
 // and no more urgent request waits for a place.
 func (m *Machine) take(in Request) {
-	m.Tally.Requests++
-	r := &request{Request: in, cameMs: m.nowMs, sinceMs: m.nowMs, deadlineMs: m.nowMs + plainMs, draw: hash(in.Asked.Try)}
+	m.Counters.Requests++
+	r := &request{Request: in, cameMs: m.nowMs, sinceMs: m.nowMs, deadlineMs: m.nowMs + plainMs, draw: hash(in.Params.RequestID)}
 	m.requests[in.ID] = r
 	m.wait(r)
 	if !m.begin(r) {
@@ -131,7 +131,7 @@
 		}
 		return false
 	}
-	r.service, ok = split(document, route, r.Asked, r.draw)
+	r.service, ok = split(document, route, r.Params, r.draw)
 	if !ok {
 		m.drop(r, errkind.UnknownModel, 0)
 		return false
@@ -139,28 +139,28 @@
 	r.route = route
 	r.key = key{service: r.service.Name}
 	if r.service.Engine != nil {
-		r.key.model, r.key.adapter = r.Asked.Model, r.Asked.Adapter
-		r.tokens = r.Asked.PromptTokens + r.Asked.OutTokens
+		r.key.model, r.key.adapter = r.Params.Model, r.Params.Adapter
+		r.tokens = r.Params.PromptTokens + r.Params.MaxOutputTokens
 	}
-	if route.PrefixCacheAffinity || len(r.Asked.Parts) > 0 {
-		r.affinity = affinity(r.service.Name, r.Asked)
+	if route.PrefixCacheAffinity || len(r.Params.PromptParts) > 0 {
+		r.affinity = affinity(r.service.Name, r.Params)
 	}
 	leftMs := int64(plainMs)
 	if route.TimeoutMs > 0 {
 		leftMs = route.TimeoutMs
 	}
-	if r.Asked.LeftMs > 0 {
-		leftMs = min(leftMs, r.Asked.LeftMs)
+	if r.Params.TimeoutMs > 0 {
+		leftMs = min(leftMs, r.Params.TimeoutMs)
 	}
 	r.deadlineMs = r.cameMs + leftMs
-	m.Tally.LookUps++
+	m.Counters.LookUps++
 	m.asks++
 	r.lookUp = m.asks
 	if len(m.candidates(r)) > 0 || m.crowdedNow {
-		m.Tally.Hits++
+		m.Counters.Hits++
 	} else {
 		r.missed = true
-		m.Tally.Misses++
+		m.Counters.Misses++
 	}
 	m.lookUp(r, m.lookUpAt(r.missed))
 	return true
@@ -168,7 +168,7 @@
 
 // split draws the service of a request. One that can't hold the model is not
 // drawn where another can.
-func split(document *config.Configuration, route *config.Route, a Asked, draw uint64) (*config.Service, bool) {
+func split(document *config.Configuration, route *config.Route, a RequestParams, draw uint64) (*config.Service, bool) {
 	var able []*config.Service
 	var weights []int64
 	total := int64(0)
@@ -236,7 +236,7 @@
 			return
 		}
 	}
-	holder := m.offered[choose(candidates, wish{r.affinity, shared(r.Asked), r.draw + uint64(r.goes+r.dials)})]
+	holder := m.offered[choose(candidates, wish{r.affinity, shared(r.Params), r.draw + uint64(r.goes+r.dials)})]
 	m.goTo(r, holder)
 }
 
@@ -247,23 +247,23 @@
 		m.budget(r.service.Name).earn(m.set.Bounds.RetryRatio)
 	}
 	if r.goes++; r.goes > 1 {
-		m.Tally.SecondGoes++
+		m.Counters.Retries++
 	}
-	m.Tally.Goes++
+	m.Counters.Attempts++
 	if r.passed {
-		m.Tally.Resumes++
+		m.Counters.Resumes++
 	}
 	r.away, r.runner = true, h.ID
 	m.unwait(r)
 	m.runner(h.ID).change(m.nowMs, 1, r.tokens)
 	r.goneMs, r.reads = m.nowMs, true
-	m.runner(h.ID).reading += r.Asked.PromptTokens
-	m.answer(r.ID, Send{
-		Go: Go{
-			Runner: h.ID, Urgency: urgency(r.route.Priority), After: r.after, Version: r.version,
+	m.runner(h.ID).reading += r.Params.PromptTokens
+	m.answer(r.ID, StartAttempt{
+		Params: AttemptParams{
+			Runner: h.ID, Urgency: urgency(r.route.Priority), LastEventID: r.after, WeightsVersion: r.version,
 		},
-		Address: h.Address, Route: r.route, Single: !r.route.Retryable(),
-		UntilMs: min(m.nowMs+writeMs, r.deadlineMs), DeadlineMs: r.deadlineMs,
+		Address: h.Address, Route: r.route, NewConnection: !r.route.Retryable(),
+		WriteByMs: min(m.nowMs+writeMs, r.deadlineMs), DeadlineMs: r.deadlineMs,
 	})
 }
 
--- a/internal/proxy/runners.go
+++ b/internal/proxy/runners.go
@@ -50,17 +50,17 @@
 }
 
 // told takes what a runner says of its load in the head of an answer.
-func (m *Machine) told(in Told) {
+func (m *Machine) told(in ResponseStarted) {
 	if r := m.requests[in.ID]; r != nil && r.reads && r.runner == in.Runner {
 		m.read(r)
 		// The first piece is there once the prompt has been read.
-		if r.service.Engine != nil && !in.Heard.NotRun {
-			m.priced(modelOf{r.key.service, r.key.model}, r.Asked.PromptTokens, m.nowMs-r.goneMs)
+		if r.service.Engine != nil && !in.Head.NotRun {
+			m.priced(modelOf{r.key.service, r.key.model}, r.Params.PromptTokens, m.nowMs-r.goneMs)
 		}
 	}
-	if in.Heard.HasLoad {
-		m.runner(in.Runner).tell(m.nowMs, in.Heard.Running+in.Heard.Waiting, in.Heard.Slots)
-		m.runner(in.Runner).waiting = in.Heard.Waiting
+	if in.Head.HasLoad {
+		m.runner(in.Runner).tell(m.nowMs, in.Head.Running+in.Head.Waiting, in.Head.Slots)
+		m.runner(in.Runner).waiting = in.Head.Waiting
 	}
 	m.wake()
 }
--- a/internal/proxy/gate.go
+++ b/internal/proxy/server.go
@@ -42,13 +42,13 @@
 	lateMs = 1000
 )
 
-// Gate is a router as a process: its machine in a shell, and the way of a
+// Server is a router as a process: its machine in a shell, and the way of a
 // request through it.
-type Gate struct {
+type Server struct {
 	shell   *process.Runtime
 	machine *Machine
 	set     Settings
-	tongue  Tongue
+	tongue  Codec
 	front   net.Listener
 	server  *http.Server
 	under   atomic.Int64
@@ -61,11 +61,11 @@
 	bodiesMost int64
 }
 
-// NewGate makes the router; nothing runs yet. Clients come to front, and
+// NewServer makes the router; nothing runs yet. Clients come to front, and
 // whoever asks whether this router takes any comes to ready.
-func NewGate(set Settings, tongue Tongue, format Format, exchanger process.OutboundCaller, peers, front, ready net.Listener, logger *log.Logger) (*Gate, error) {
+func NewServer(set Settings, tongue Codec, format Format, exchanger process.OutboundCaller, peers, front, ready net.Listener, logger *log.Logger) (*Server, error) {
 	clock := process.NewClock()
-	g := &Gate{machine: New(set, format, clock.NowMs()), set: set, tongue: tongue, front: front, most: requestMost}
+	g := &Server{machine: New(set, format, clock.NowMs()), set: set, tongue: tongue, front: front, most: requestMost}
 	if set.OpenFiles > 0 {
 		g.most = min(g.most, int64(max(64, (set.OpenFiles-spareFiles)/2)))
 	}
@@ -86,7 +86,7 @@
 }
 
 // AddTasks adds the router's duties to a crew.
-func (g *Gate) AddTasks(c *threads.Group) {
+func (g *Server) AddTasks(c *threads.Group) {
 	g.shell.AddTasks(c)
 	c.Add(func() error {
 		if err := g.server.Serve(clientListener{g.front, g.limits}); !errors.Is(err, http.ErrServerClosed) {
@@ -103,21 +103,21 @@
 }
 
 // limits are those of the map in use.
-func (g *Gate) limits() clientLimits { return limitsOf(g.machine.Map()) }
+func (g *Server) limits() clientLimits { return limitsOf(g.machine.Map()) }
 
 // Reseed gives the seeds anew.
-func (g *Gate) Reseed(seeds []string) { g.shell.Submit(Reseed{Seeds: seeds}) }
+func (g *Server) Reseed(seeds []string) { g.shell.Submit(SetSeeds{Seeds: seeds}) }
 
 // Pause makes the router stand still until it is released.
-func (g *Gate) Pause() (release func()) { return g.shell.Pause() }
+func (g *Server) Pause() (release func()) { return g.shell.Pause() }
 
 // Shutdown says not ready, ends what was read, and returns when no one comes any
 // more or the grace is nearly over.
-func (g *Gate) Shutdown() {
+func (g *Server) Shutdown() {
 	clock := g.shell.Clock()
 	beganMs := clock.NowMs()
 	g.leaving.Store(true)
-	g.shell.Submit(Leave{})
+	g.shell.Submit(Drain{})
 	lastMs := beganMs + max(goneMs, g.set.Bounds.GraceMs-endMs)
 	closed := false
 	for nowMs := beganMs; nowMs < lastMs; nowMs = clock.NowMs() {
@@ -134,7 +134,7 @@
 }
 
 // page answers whoever asks whether this router is ready.
-func (g *Gate) page(w http.ResponseWriter, r *http.Request) {
+func (g *Server) page(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", http.MethodGet)
 		w.WriteHeader(http.StatusMethodNotAllowed)
@@ -144,7 +144,7 @@
 	case "/status":
 		ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
 		defer cancel()
-		answer, ok := g.shell.Call(ctx, func(id uint64) any { return Look{ID: id} })
+		answer, ok := g.shell.Call(ctx, func(id uint64) any { return StatusQuery{ID: id} })
 		if !ok {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -167,7 +167,7 @@
 }
 
 // ServeHTTP answers clients.
-func (g *Gate) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (g *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// The count goes first, so that a stop never misses one.
 	under := g.under.Add(1)
 	defer g.under.Add(-1)
@@ -177,35 +177,35 @@
 	// The bound keeps a crowd from filling the memory.
 	if under > g.most {
 		g.shell.Count("requests too many")
-		g.tongue.Refuse(w, errkind.QueueFull, 300)
+		g.tongue.WriteRejection(w, errkind.QueueFull, 300)
 		return
 	}
 	if headBytes(r) > g.limits().headBytes {
 		w.Header().Set("Connection", "close")
-		g.tongue.Refuse(w, errkind.HeadTooLarge, 0)
+		g.tongue.WriteRejection(w, errkind.HeadTooLarge, 0)
 		return
 	}
 	path, query, hasQuery := strings.Cut(r.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
-		g.tongue.Refuse(w, errkind.BadRequest, 0)
+		g.tongue.WriteRejection(w, errkind.BadRequest, 0)
 		return
 	}
-	asked, err := g.tongue.Ask(r)
+	asked, err := g.tongue.ParseRequest(r)
 	if err != nil {
-		g.tongue.Refuse(w, errkind.BadRequest, 0)
+		g.tongue.WriteRejection(w, errkind.BadRequest, 0)
 		return
 	}
 	if large := max(0, r.ContentLength-smallBody); large > 0 {
 		defer g.bodies.Add(-large)
 		if g.bodies.Add(large) > g.bodiesMost {
 			g.shell.Count("bodies too large together")
-			g.tongue.Refuse(w, errkind.QueueFull, 300)
+			g.tongue.WriteRejection(w, errkind.QueueFull, 300)
 			return
 		}
 	}
 	body, kind := g.readBody(w, r)
 	if kind != "" {
-		g.tongue.Refuse(w, kind, 0)
+		g.tongue.WriteRejection(w, kind, 0)
 		return
 	}
 	p := &passage{
@@ -217,7 +217,7 @@
 
 // readBody reads the whole body before anything is sent on: a body that broke
 // off halfway must reach no runner.
-func (g *Gate) readBody(w http.ResponseWriter, r *http.Request) ([]byte, errkind.Kind) {
+func (g *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, errkind.Kind) {
 	if r.ContentLength == 0 {
 		return nil, ""
 	}
@@ -285,15 +285,15 @@
 	id, answers := g.shell.OpenReplies()
 	defer g.shell.CloseReplies(id)
 	p.id = id
-	if !g.shell.Submit(Request{ID: id, Host: host(p.r.Host), Path: p.path, Asked: p.asked}) {
-		g.tongue.Refuse(p.w, errkind.QueueFull, 300)
+	if !g.shell.Submit(Request{ID: id, Host: host(p.r.Host), Path: p.path, Params: p.asked}) {
+		g.tongue.WriteRejection(p.w, errkind.QueueFull, 300)
 		return
 	}
 	// Whatever ends this, the place that a send took is free again.
 	over := false
 	defer func() {
 		if !over {
-			g.shell.Submit(Gone{ID: id})
+			g.shell.Submit(ClientDisconnected{ID: id})
 		}
 	}()
 	for {
@@ -304,22 +304,22 @@
 			switch said := answer.(type) {
 			case protocol.Rejection:
 				over = true
-				g.tongue.Refuse(p.w, said.Kind, said.RetryMs)
+				g.tongue.WriteRejection(p.w, said.Kind, said.RetryMs)
 				return
-			case Break:
+			case AbortStream:
 				over = true
 				g.shell.Count("streams broken off")
 				panic(http.ErrAbortHandler)
-			case Keep:
+			case ForwardKept:
 				over = true
 				p.pass(p.kept)
 				return
-			case Send:
+			case StartAttempt:
 				ended := p.send(said)
 				if p.r.Context().Err() != nil {
 					panic(http.ErrAbortHandler)
 				}
-				over = ended.Outcome == Answered
+				over = ended.Outcome == Completed
 				g.shell.Submit(ended)
 				if over {
 					return
@@ -329,7 +329,7 @@
 	}
 }
 
-var _ http.Handler = (*Gate)(nil)
+var _ http.Handler = (*Server)(nil)
 
 // streams says whether an answer of the route comes piece by piece.
 func streams(route *config.Route, answer *http.Response) bool {
--- a/internal/proxy/gate_test.go
+++ b/internal/proxy/server_test.go
@@ -24,37 +24,37 @@
 	"myrtlewinch/internal/threads"
 )
 
-// plainTongue speaks in headers of its own.
-type plainTongue struct{}
+// plainCodec speaks in headers of its own.
+type plainCodec struct{}
 
-func (plainTongue) Ask(r *http.Request) (Asked, error) {
+func (plainCodec) ParseRequest(r *http.Request) (RequestParams, error) {
 	left, _ := strconv.ParseInt(r.Header.Get("Left"), 10, 64)
-	return Asked{Try: r.Header.Get("Try"), Model: r.Header.Get("Model"), LeftMs: left}, nil
+	return RequestParams{RequestID: r.Header.Get("Try"), Model: r.Header.Get("Model"), TimeoutMs: left}, nil
 }
 
-func (plainTongue) Dress(to, from http.Header, g Go) {
+func (plainCodec) WriteAttemptHeader(to, from http.Header, g AttemptParams) {
 	for name, values := range from {
 		to[name] = values
 	}
 	to.Del("Connection")
 	to.Set("Runner", g.Runner)
-	to.Set("Left", fmt.Sprint(g.LeftMs))
-	if g.After != "" {
-		to.Set("After", g.After)
+	to.Set("Left", fmt.Sprint(g.TimeoutMs))
+	if g.LastEventID != "" {
+		to.Set("After", g.LastEventID)
 	}
 }
 
-func (plainTongue) Hear(answer *http.Response) Heard {
+func (plainCodec) ParseResponseHead(answer *http.Response) ResponseHead {
 	h := answer.Header
-	heard := Heard{NotRun: h.Get("Not-Run") != "", Sealed: h.Get("Seal") != "", Encoded: h.Get("Content-Encoding") != ""}
+	heard := ResponseHead{NotRun: h.Get("Not-Run") != "", HasSeal: h.Get("Seal") != "", UnexpectedEncoding: h.Get("Content-Encoding") != ""}
 	// Two ids name no request.
 	if ids := h["Try"]; len(ids) == 1 {
-		heard.Try = ids[0]
+		heard.RequestID = ids[0]
 	}
 	return heard
 }
 
-func (plainTongue) Pass(to, from http.Header) {
+func (plainCodec) CopyResponseHeader(to, from http.Header) {
 	for name, values := range from {
 		if name != "Connection" {
 			to[name] = values
@@ -62,12 +62,12 @@
 	}
 }
 
-func (plainTongue) Refuse(w http.ResponseWriter, kind errkind.Kind, retryMs int64) {
+func (plainCodec) WriteRejection(w http.ResponseWriter, kind errkind.Kind, retryMs int64) {
 	w.Header().Set("Kind", string(kind))
 	w.WriteHeader(kind.Response().Status)
 }
 
-func (plainTongue) Piece(event []byte) (string, int64) {
+func (plainCodec) ParseEvent(event []byte) (string, int64) {
 	for _, line := range strings.Split(string(event), "\n") {
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
 			return id, 0
@@ -173,19 +173,19 @@
 }
 
 // gateBed is a router with stand-in runners, all of which hold all.
-func gateBed(c *qt.C, runners ...*played) (*Gate, *httptest.Server) {
+func gateBed(c *qt.C, runners ...*played) (*Server, *httptest.Server) {
 	var addresses []string
 	for _, r := range runners {
 		addresses = append(addresses, r.at.Addr().String())
 	}
-	g, url, stop, err := startGate(plainTongue{}, exampleMap(1), addresses, io.Discard)
+	g, url, stop, err := startGate(plainCodec{}, exampleMap(1), addresses, io.Discard)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(stop)
 	return g, &httptest.Server{URL: url}
 }
 
 // startGate runs a router for runners that all hold all.
-func startGate(tongue Tongue, document config.Configuration, addresses []string, logs io.Writer) (g *Gate, url string, stop func(), err error) {
+func startGate(tongue Codec, document config.Configuration, addresses []string, logs io.Writer) (g *Server, url string, stop func(), err error) {
 	var listeners [3]net.Listener
 	for i := range listeners {
 		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -193,7 +193,7 @@
 		}
 	}
 	peers, front, page := listeners[0], listeners[1], listeners[2]
-	g, err = NewGate(Settings{
+	g, err = NewServer(Settings{
 		Site: "site", Self: selfPlace, Bounds: bounds.Bounds{GraceMs: 3000, RetryRatio: 0.2, ExtraTries: 400},
 	}, tongue, plainFormat{}, nil, peers, front, page, log.NewWithOptions(logs, log.Options{Level: log.DebugLevel}))
 	if err != nil {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -2,18 +2,25 @@
 
 import "myrtlewinch/internal/errkind"
 
-// Tally holds the counters of a router since its start.
-type Tally struct {
+// Counters holds the counters of a router since its start.
+type Counters struct {
 	// Of the requests that were looked up, on arrival Hits had a runner, be it
-	// a full one, and Misses had none. MissesHeld counts the misses
-	// that waited for at least missMs, LookUpsAgain the look-ups repeated at
+	// a full one, and Misses had none. MissesDelayed counts the misses
+	// that waited for at least missMs, LookUpRetries the look-ups repeated at
 	// another controller.
-	Requests, LookUps, LookUpsAgain, Hits, Misses, MissesHeld uint64
-	// Goes counts attempts, SecondGoes those after the first of a request, and
+	Requests      uint64
+	LookUps       uint64
+	LookUpRetries uint64 `json:"LookUpsAgain"`
+	Hits          uint64
+	Misses        uint64
+	MissesDelayed uint64 `json:"MissesHeld"`
+	// Attempts counts attempts, Retries those after the first of a request, and
 	// Resumes those that continue a stream the client has a part of.
-	Goes, SecondGoes, Resumes uint64
-	// Drops counts the rejected requests by error kind, and broken-off streams.
-	Drops map[errkind.Kind]uint64
+	Attempts uint64 `json:"Goes"`
+	Retries  uint64 `json:"SecondGoes"`
+	Resumes  uint64
+	// Rejections counts the rejected requests by error kind, and broken-off streams.
+	Rejections map[errkind.Kind]uint64 `json:"Drops"`
 }
 
 // Status is the status page of a router, as it is encoded to JSON.
@@ -31,23 +38,23 @@
 	Leaving bool `json:"leaving"`
 	// Entries, Runners, Requests and Waiting are the sizes of the cache, of the
 	// runners' states, of all requests under way and of their waiting part.
-	Entries  int   `json:"entries"`
-	Runners  int   `json:"runners"`
-	Requests int   `json:"requests"`
-	Waiting  int   `json:"waiting"`
-	Tally    Tally `json:"tally"`
+	Entries  int      `json:"entries"`
+	Runners  int      `json:"runners"`
+	Requests int      `json:"requests"`
+	Waiting  int      `json:"waiting"`
+	Counters Counters `json:"tally"`
 }
 
 // status returns the status page; it shares nothing with the machine.
 func (m *Machine) status() Status {
-	tally := m.Tally
-	tally.Drops = map[errkind.Kind]uint64{}
-	for kind, count := range m.Tally.Drops {
-		tally.Drops[kind] = count
+	tally := m.Counters
+	tally.Rejections = map[errkind.Kind]uint64{}
+	for kind, count := range m.Counters.Rejections {
+		tally.Rejections[kind] = count
 	}
 	return Status{
 		Name: m.set.Self.Name, Version: m.version, Epoch: m.epoch, Primary: m.primary, HeardMs: m.nowMs - m.heardMs,
 		Routers: m.routers, Leaving: m.leaving, Entries: len(m.cache), Runners: len(m.runners),
-		Requests: len(m.requests), Waiting: len(m.waiting), Tally: tally,
+		Requests: len(m.requests), Waiting: len(m.waiting), Counters: tally,
 	}
 }
--- a/internal/simulation/faultsim/attempt.go
+++ b/internal/simulation/faultsim/attempt.go
@@ -13,7 +13,7 @@
 // attempt is one send of a request at a runner.
 type attempt struct {
 	request *proxiedRequest
-	send    proxy.Send
+	send    proxy.StartAttempt
 	runner  *runner
 	// started says that it runs, and so has run whatever comes.
 	started, cancelled, finished bool
@@ -26,16 +26,16 @@
 	if r.silent {
 		return
 	}
-	if r.entry.ID != j.send.Go.Runner {
-		j.reply(func() { p.reportOutcome(proxy.Ended{Outcome: proxy.NotHeld, Other: true}) })
+	if r.entry.ID != j.send.Params.Runner {
+		j.reply(func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Misdirected, OtherRunner: true}) })
 		return
 	}
 	there, wait := r.canRun(p.attributes.Model, p.attributes.Adapter)
 	switch {
 	case wait || there && len(r.running) >= slots && len(r.queue) >= maxQueued:
-		j.reply(func() { p.reportOutcome(proxy.Ended{Outcome: proxy.TurnedAway}) })
+		j.reply(func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Rejected}) })
 	case !there:
-		j.reply(func() { p.reportOutcome(proxy.Ended{Outcome: proxy.NotHeld}) })
+		j.reply(func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Misdirected}) })
 	case len(r.running) >= slots:
 		r.queue = append(r.queue, j)
 	default:
@@ -74,8 +74,8 @@
 		return
 	}
 	next := 1
-	if j.send.Go.After != "" {
-		next = parseChunk(j.send.Go.After) + 1
+	if j.send.Params.LastEventID != "" {
+		next = parseChunk(j.send.Params.LastEventID) + 1
 	}
 	j.produceChunk(next)
 }
--- a/internal/simulation/faultsim/checker.go
+++ b/internal/simulation/faultsim/checker.go
@@ -96,7 +96,7 @@
 }
 
 // recordSend notes that a router wrote a request.
-func (b *Checker) recordSend(p *proxiedRequest, s proxy.Send) {
+func (b *Checker) recordSend(p *proxiedRequest, s proxy.StartAttempt) {
 	if b.sent[incarnationName(p.router)] == nil {
 		b.sent[incarnationName(p.router)] = map[string]bool{}
 	}
@@ -104,13 +104,13 @@
 }
 
 // recordArrival notes that a request reached a runner, run or not.
-func (b *Checker) recordArrival(p *proxiedRequest, s proxy.Send, r *runner) {
+func (b *Checker) recordArrival(p *proxiedRequest, s proxy.StartAttempt, r *runner) {
 	sim := b.sim
 	further := b.reachedRunner[p.client.id]
 	b.reachedRunner[p.client.id] = true
 	b.arrivals[r.entry.Service] = append(b.arrivals[r.entry.Service], arrival{sim.NowMs(), further})
 	shownMs, leaving := b.listedDrainingMs[r.entry.ID]
-	if leaving && r.entry.ID == s.Go.Runner {
+	if leaving && r.entry.ID == s.Params.Runner {
 		fromMs := max(shownMs, sim.connectivity.connectedFromMs(p.router.name), sim.connectivity.linkFaultMs+sim.Bounds.InTouchMs)
 		if sim.NowMs()-fromMs > sim.Bounds.DrainMs {
 			b.report("DRAIN", sim.NowMs(), "%s reached %s %d ms after it was listed as leaving", p.client.id, r.entry.ID, sim.NowMs()-fromMs)
@@ -126,7 +126,7 @@
 }
 
 // recordStart notes that a runner began to run a request.
-func (b *Checker) recordStart(p *proxiedRequest, s proxy.Send, r *runner) {
+func (b *Checker) recordStart(p *proxiedRequest, s proxy.StartAttempt, r *runner) {
 	sim, try := b.sim, p.client.id
 	b.Runs++
 	b.runs[try]++
--- a/internal/simulation/faultsim/clients.go
+++ b/internal/simulation/faultsim/clients.go
@@ -30,7 +30,7 @@
 	incarnation int
 	sentMs      int64
 	timeoutMs   int64
-	attributes  proxy.Asked
+	attributes  proxy.RequestParams
 	// retries counts the refusals before it; ended is how it ended.
 	retries int
 	outcome string
@@ -86,17 +86,17 @@
 	r := &clientRequest{
 		sim: sim, id: fmt.Sprintf("t%d", c.lastID), path: path, router: router, incarnation: n.incarnation, sentMs: sim.NowMs(), timeoutMs: 2500, retries: again,
 	}
-	r.attributes = proxy.Asked{Try: r.id}
+	r.attributes = proxy.RequestParams{RequestID: r.id}
 	if r.isStream() {
 		r.timeoutMs = 5000
 		r.attributes.Model = modelName(c.chooseModel(sim))
 		if r.attributes.Model == modelName(0) && sim.random.Intn(2) == 0 {
 			r.attributes.Adapter = fmt.Sprintf("a%d", 1+sim.random.Intn(adapterCount))
 		}
-		r.attributes.PromptTokens, r.attributes.OutTokens = 200+sim.random.Int63n(1500), 50
-		r.attributes.Parts = []proxy.Part{{ID: fmt.Sprint("p", sim.random.Intn(5)), Tokens: 100}, {ID: r.id, Tokens: 100}}
+		r.attributes.PromptTokens, r.attributes.MaxOutputTokens = 200+sim.random.Int63n(1500), 50
+		r.attributes.PromptParts = []proxy.PromptPart{{ID: fmt.Sprint("p", sim.random.Intn(5)), Tokens: 100}, {ID: r.id, Tokens: 100}}
 	}
-	r.attributes.LeftMs = r.timeoutMs
+	r.attributes.TimeoutMs = r.timeoutMs
 	c.requests = append(c.requests, r)
 	sim.Checker.recordRequest(r)
 	life := n.incarnation
@@ -109,7 +109,7 @@
 		p := &proxiedRequest{sim: sim, router: n, incarnation: life, id: n.lastRequestID, client: r, attributes: r.attributes}
 		r.proxied = p
 		n.requests[p.id] = p
-		sim.deliver(n, life, proxy.Request{ID: p.id, Host: requestHost, Path: path, Asked: r.attributes})
+		sim.deliver(n, life, proxy.Request{ID: p.id, Host: requestHost, Path: path, Params: r.attributes})
 	}, func() { r.complete("connection broke") })
 	sim.after(r.timeoutMs+400, r.timeOut)
 }
--- a/internal/simulation/faultsim/faults.go
+++ b/internal/simulation/faultsim/faults.go
@@ -402,7 +402,7 @@
 			if to.isController() {
 				sim.deliver(to, to.incarnation, consensus.SetSeeds{Seeds: slices.Clone(sim.seeds)})
 			} else {
-				sim.deliver(to, to.incarnation, proxy.Reseed{Seeds: slices.Clone(sim.seeds)})
+				sim.deliver(to, to.incarnation, proxy.SetSeeds{Seeds: slices.Clone(sim.seeds)})
 			}
 		}
 	})
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -297,7 +297,7 @@
 		sim.after(sim.Bounds.GraceMs, func() { sim.exitAndRestart(n, life) })
 		return
 	}
-	sim.deliver(n, life, proxy.Leave{})
+	sim.deliver(n, life, proxy.Drain{})
 	sim.after(sim.Bounds.GraceMs-700, func() { sim.exitAndRestart(n, life) })
 }
 
--- a/internal/simulation/faultsim/proxied_request.go
+++ b/internal/simulation/faultsim/proxied_request.go
@@ -17,7 +17,7 @@
 	incarnation int
 	id          uint64
 	client      *clientRequest
-	attributes  proxy.Asked
+	attributes  proxy.RequestParams
 	// finished says that the machine gave its last answer or was told that none is
 	// wanted.
 	finished bool
@@ -69,16 +69,16 @@
 		if sim.Bugs.AnswerTwice {
 			p.client.deliver(p.router.name, func() { p.client.complete("broken off") })
 		}
-	case proxy.Break:
+	case proxy.AbortStream:
 		p.finish()
 		p.client.deliver(p.router.name, func() { p.client.complete("broken off") })
-	case proxy.Keep:
+	case proxy.ForwardKept:
 		if !p.keptFailure {
 			sim.Checker.report("ANSWER", sim.NowMs(), "%s: there is no failed answer to pass on", p.client.id)
 		}
 		p.finish()
 		p.client.deliver(p.router.name, func() { p.client.complete("failed") })
-	case proxy.Send:
+	case proxy.StartAttempt:
 		if p.isSending {
 			sim.Checker.report("ANSWER", sim.NowMs(), "%s is sent on while a send is under way", p.client.id)
 		}
@@ -91,11 +91,11 @@
 		if sim.Bugs.WrongService && sim.random.Intn(10) == 0 {
 			for _, r := range sim.fleet.activeRunners("") {
 				if r.entry.Service != said.Route.Split[0].Service {
-					said.Address, said.Go.Runner = r.entry.Address, r.entry.ID
+					said.Address, said.Params.Runner = r.entry.Address, r.entry.ID
 				}
 			}
 		}
-		sim.writeToSocket(p.router, p.incarnation, said.UntilMs, func() { p.sendAttempt(said) }, func() { p.reportOutcome(proxy.Ended{Outcome: proxy.TooLate}) })
+		sim.writeToSocket(p.router, p.incarnation, said.WriteByMs, func() { p.sendAttempt(said) }, func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Expired}) })
 	}
 }
 
@@ -111,7 +111,7 @@
 const dialMs = 300
 
 // sendAttempt writes the request to whoever has the address.
-func (p *proxiedRequest) sendAttempt(s proxy.Send) {
+func (p *proxiedRequest) sendAttempt(s proxy.StartAttempt) {
 	if p.finished {
 		return
 	}
@@ -122,7 +122,7 @@
 		if r == nil && sim.random.Intn(2) == 0 {
 			tookMs = 1
 		}
-		sim.after(tookMs, func() { p.whenRouterRuns(func() { p.reportOutcome(proxy.Ended{Outcome: proxy.NotSent}) }) })
+		sim.after(tookMs, func() { p.whenRouterRuns(func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.NotSent}) }) })
 		return
 	}
 	j := &attempt{request: p, send: s, runner: r}
@@ -148,7 +148,7 @@
 }
 
 // reportOutcome tells the machine how the send ended.
-func (p *proxiedRequest) reportOutcome(e proxy.Ended) {
+func (p *proxiedRequest) reportOutcome(e proxy.AttemptEnded) {
 	if p.finished {
 		return
 	}
@@ -156,11 +156,11 @@
 		p.attempt.finished = true
 	}
 	p.isSending = false
-	e.ID, e.Passed = p.id, p.headSent
+	e.ID, e.Forwarded = p.id, p.headSent
 	if p.headSent && p.lastChunk > 0 {
-		e.After = strconv.Itoa(p.lastChunk)
+		e.LastEventID = strconv.Itoa(p.lastChunk)
 	}
-	if e.Outcome == proxy.Answered {
+	if e.Outcome == proxy.Completed {
 		p.finish()
 	}
 	p.sim.deliver(p.router, p.incarnation, e)
@@ -169,14 +169,14 @@
 // connectionLost is a send that was written and brought no whole answer.
 func (p *proxiedRequest) connectionLost(j *attempt) {
 	sim := p.sim
-	outcome := proxy.Lost
+	outcome := proxy.ResponseLost
 	if p.headSent {
-		outcome = proxy.Cut
+		outcome = proxy.StreamBroken
 	}
 	switch {
 	case sim.Bugs.RejectLost && !p.headSent:
 		p.finish()
-		p.sim.deliver(p.router, p.incarnation, proxy.Gone{ID: p.id})
+		p.sim.deliver(p.router, p.incarnation, proxy.ClientDisconnected{ID: p.id})
 		p.client.rejected(errkind.NoRunner, 200)
 		return
 	case sim.Bugs.ResendUnsafe && !p.headSent:
@@ -184,22 +184,22 @@
 	case sim.Bugs.RetryWithoutBudget && !p.headSent && j.send.Route.Kind == config.Safe && p.extraSends < 5:
 		p.extraSends++
 		again := j.send
-		again.DeadlineMs, again.UntilMs = again.DeadlineMs+1000, again.UntilMs+2000
+		again.DeadlineMs, again.WriteByMs = again.DeadlineMs+1000, again.WriteByMs+2000
 		p.sendAttempt(again)
 		return
 	}
-	p.reportOutcome(proxy.Ended{Outcome: outcome})
+	p.reportOutcome(proxy.AttemptEnded{Outcome: outcome})
 }
 
 // serverError is a runner's own 500: kept where it may be tried elsewhere.
 func (p *proxiedRequest) serverError() {
 	if p.attempt.send.Route.Retryable() && !p.headSent {
 		p.keptFailure = true
-		p.reportOutcome(proxy.Ended{Outcome: proxy.Failed})
+		p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.ServerError})
 		return
 	}
 	p.client.deliver(p.router.name, func() { p.client.complete("failed") })
-	p.reportOutcome(proxy.Ended{Outcome: proxy.Answered})
+	p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Completed})
 }
 
 // complete is a plain answer.
@@ -208,7 +208,7 @@
 		return
 	}
 	p.client.deliver(p.router.name, func() { p.client.complete("answered") })
-	p.reportOutcome(proxy.Ended{Outcome: proxy.Answered})
+	p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Completed})
 }
 
 // forwardChunk passes the next piece of a stream on.
@@ -222,7 +222,7 @@
 		return
 	}
 	p.headSent, p.lastChunk = true, piece
-	if p.sim.Bugs.SkipChunk && j.send.Go.After != "" {
+	if p.sim.Bugs.SkipChunk && j.send.Params.LastEventID != "" {
 		p.lastChunk = piece + 1
 	}
 	p.client.receiveChunk(p.lastChunk)
@@ -230,7 +230,7 @@
 		return
 	}
 	p.client.deliver(p.router.name, func() { p.client.complete("answered") })
-	p.reportOutcome(proxy.Ended{Outcome: proxy.Answered})
+	p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Completed})
 }
 
 // clientGone is the client going away.
@@ -239,7 +239,7 @@
 		return
 	}
 	p.finish()
-	p.sim.deliver(p.router, p.incarnation, proxy.Gone{ID: p.id})
+	p.sim.deliver(p.router, p.incarnation, proxy.ClientDisconnected{ID: p.id})
 }
 
 // routerCrashed is the router's process ending under it.
--- a/internal/simulation/faultsim/runner.go
+++ b/internal/simulation/faultsim/runner.go
@@ -46,7 +46,7 @@
 		Models: r.loadedModels(), Busy: r.busy, Calls: r.acceptedOrders, Queued: len(r.queue), Active: len(r.running), CacheTotal: cacheTokens,
 	}
 	for _, j := range r.running {
-		state.CacheUsed += j.request.attributes.PromptTokens + j.request.attributes.OutTokens
+		state.CacheUsed += j.request.attributes.PromptTokens + j.request.attributes.MaxOutputTokens
 	}
 	r.snapshots = append(r.snapshots, snapshot{nowMs, state})
 	if len(r.snapshots) > 10 {
--- a/internal/simulation/localcluster/cluster.go
+++ b/internal/simulation/localcluster/cluster.go
@@ -170,7 +170,7 @@
 	if core {
 		made, err = consensus.NewOffice(set, peers, web, logger)
 	} else {
-		made, err = router.NewGate(set, peers, web, logger)
+		made, err = router.NewServer(set, peers, web, logger)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/simulation/localcluster/report.go
+++ b/internal/simulation/localcluster/report.go
@@ -17,19 +17,19 @@
 	for _, line := range client.OutcomeLines() {
 		fmt.Fprintln(out, "  "+line)
 	}
-	var sum router.Tally
+	var sum router.Counters
 	for _, daemon := range c.Routers {
 		var s router.Status
 		if err := readStatus(daemon, &s); err != nil {
 			return 0, err
 		}
-		sum.Requests += s.Tally.Requests
-		sum.LookUps += s.Tally.LookUps
-		sum.Hits += s.Tally.Hits
-		sum.Misses += s.Tally.Misses
-		sum.MissesHeld += s.Tally.MissesHeld
-		sum.Goes += s.Tally.Goes
-		sum.SecondGoes += s.Tally.SecondGoes
+		sum.Requests += s.Counters.Requests
+		sum.LookUps += s.Counters.LookUps
+		sum.Hits += s.Counters.Hits
+		sum.Misses += s.Counters.Misses
+		sum.MissesDelayed += s.Counters.MissesDelayed
+		sum.Attempts += s.Counters.Attempts
+		sum.Retries += s.Counters.Retries
 	}
 	var answered uint64
 	for _, daemon := range c.Controllers {
@@ -43,8 +43,8 @@
 	if sum.Requests > 0 {
 		fmt.Fprintf(out, " (%.3f a request)", float64(answered)/float64(sum.Requests))
 	}
-	fmt.Fprintf(out, "\nhits %d, misses %d, held beyond the miss wait %d\n", sum.Hits, sum.Misses, sum.MissesHeld)
-	fmt.Fprintf(out, "goes %d, second goes %d, orders %d, runs %d\n", sum.Goes, sum.SecondGoes, c.Checker.OrderCount(), c.Checker.Executions)
+	fmt.Fprintf(out, "\nhits %d, misses %d, held beyond the miss wait %d\n", sum.Hits, sum.Misses, sum.MissesDelayed)
+	fmt.Fprintf(out, "goes %d, second goes %d, orders %d, runs %d\n", sum.Attempts, sum.Retries, c.Checker.OrderCount(), c.Checker.Executions)
 	breaches := c.Checker.Violations()
 	fmt.Fprintf(out, "rules broken: %d\n", len(breaches))
 	for _, breach := range breaches {
--- a/internal/simulation/nativesim/clients.go
+++ b/internal/simulation/nativesim/clients.go
@@ -130,7 +130,7 @@
 		}
 		a.routerIncarnation = n.incarnation
 		n.pending[a.id] = a
-		w.deliver(n, n.incarnation, router.Request{ID: a.id, Service: a.service, Model: a.model, Adapter: a.adapter, Name: a.name, Given: true, Bytes: 100})
+		w.deliver(n, n.incarnation, router.Request{ID: a.id, Service: a.service, Model: a.model, Adapter: a.adapter, RequestID: a.name, ClientChoseID: true, BodyBytes: 100})
 		if !a.probe && w.Random.Intn(50) == 0 {
 			w.events.After(w.Random.Int63n(3000), a.disconnect)
 		}
--- a/internal/simulation/nativesim/measure.go
+++ b/internal/simulation/nativesim/measure.go
@@ -125,10 +125,10 @@
 	return float64(w.Network.LookUps-sent) / float64(requests), nil
 }
 
-func (w *World) routerTally() router.Tally {
-	var sum router.Tally
+func (w *World) routerTally() router.Counters {
+	var sum router.Counters
 	for _, name := range w.nodeNames(protocol.RoleRouter) {
-		tally := w.nodes[name].machine.(*router.Machine).Tally
+		tally := w.nodes[name].machine.(*router.Machine).Counters
 		sum.Requests += tally.Requests
 		sum.LookUps += tally.LookUps
 		sum.Hits += tally.Hits
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -42,7 +42,7 @@
 		a.retryMs = said.RetryMs
 		a.world.transmit(a.router.name, "senders", func() { a.finish(string(said.Kind), said.Kind.Response().NotExecuted) }, func() { a.finish("stream broke", false) })
 		delete(a.router.pending, a.id)
-	case router.Go:
+	case router.StartAttempt:
 		a.attempting = true
 		if a.world.Bugs.SendOldRevision && a.world.Random.Intn(10) == 0 {
 			said.Revision = 1
@@ -53,21 +53,21 @@
 		machine := a.router.machine.(*router.Machine)
 		a.world.atSocketWrite(a.router, a.routerIncarnation, func() bool {
 			return a.world.Bugs.SendOldRevision || machine.MaySend(a.router.clock(a.world.events.NowMs()), said)
-		}, func() { a.forward(said) }, func() { a.attemptEnded(router.TooLate, 0) })
+		}, func() { a.forward(said) }, func() { a.attemptEnded(router.Expired, 0) })
 	}
 }
 
 func (a *clientRequest) attemptEnded(outcome router.Outcome, revision uint64) {
 	a.attempting = false
 	if a.disconnected {
-		a.world.deliver(a.router, a.routerIncarnation, router.Gone{ID: a.id})
+		a.world.deliver(a.router, a.routerIncarnation, router.ClientDisconnected{ID: a.id})
 		return
 	}
-	a.world.deliver(a.router, a.routerIncarnation, router.Ended{ID: a.id, Outcome: outcome, Revision: revision})
+	a.world.deliver(a.router, a.routerIncarnation, router.AttemptEnded{ID: a.id, Outcome: outcome, Revision: revision})
 }
 
 // forward takes a go to the runner, and what comes of it back.
-func (a *clientRequest) forward(to router.Go) {
+func (a *clientRequest) forward(to router.StartAttempt) {
 	w := a.world
 	r := w.runners[to.Runner]
 	cut := w.cuts[[2]string{a.router.name, to.Runner}]
@@ -81,11 +81,11 @@
 			a.attemptEnded(router.NotSent, 0)
 			return
 		}
-		a.attemptEnded(router.Lost, 0)
+		a.attemptEnded(router.ResponseLost, 0)
 	}
 	deadline := func() { w.events.After(max(1, to.DeadlineMs-a.router.clock(w.events.NowMs())), lost) }
 	runnerLife := r.incarnation
-	w.Checker.RequestSent(w.events.NowMs(), a.router.name, to.Service, to.Name, to.Revision)
+	w.Checker.RequestSent(w.events.NowMs(), a.router.name, to.Service, to.RequestID, to.Revision)
 	w.transmit(a.router.name, to.Runner, func() {
 		if !r.up || r.incarnation != runnerLife {
 			lost()
@@ -95,37 +95,37 @@
 			deadline()
 			return
 		}
-		drop := r.backend.StartRequest(w.events.NowMs(), router.RunCall{
-			Request: to.Name, Service: to.Service, Model: to.Model, Adapter: to.Adapter, Revision: to.Revision,
-			Incarnation: to.Incarnation, Repeatable: to.Repeatable, Telling: to.Telling,
+		drop := r.backend.StartRequest(w.events.NowMs(), router.RunRequest{
+			Request: to.RequestID, Service: to.Service, Model: to.Model, Adapter: to.Adapter, Revision: to.Revision,
+			Incarnation: to.Incarnation, Repeatable: to.Repeatable, Streaming: to.Streaming,
 		}, a.router.name)
 		if drop != nil {
 			w.transmit(to.Runner, a.router.name, func() { a.attemptEnded(outcomeOf(drop), drop.Revision) }, deadline)
 			return
 		}
-		a.streaming = to.Telling
+		a.streaming = to.Streaming
 		a.execute(r, runnerLife, to, 1, lost, deadline)
 	}, deadline)
 }
 
-func outcomeOf(drop *router.RunDrop) router.Outcome {
+func outcomeOf(drop *router.RunRejection) router.Outcome {
 	switch errkind.Kind(drop.Kind) {
 	case errkind.NotHeld:
-		return router.NotHeld
+		return router.NotLoaded
 	case errkind.StaleRevision:
-		return router.Stale
+		return router.StaleRevision
 	case errkind.WrongIncarnation:
-		return router.Other
+		return router.OtherRunner
 	case errkind.DuplicateRequest:
-		return router.Repeated
+		return router.Duplicate
 	}
-	return router.Busy
+	return router.RunnerBusy
 }
 
 const streamPieces = 5
 
 // execute is the running of a request: a piece at a time for a telling.
-func (a *clientRequest) execute(r *runner, life int, to router.Go, piece int, lost, deadline func()) {
+func (a *clientRequest) execute(r *runner, life int, to router.StartAttempt, piece int, lost, deadline func()) {
 	w := a.world
 	w.events.After(20+w.Random.Int63n(120), func() {
 		broken := func() {
@@ -134,7 +134,7 @@
 					w.Checker.InvalidAnswer(w.events.NowMs(), a.service, a.name, "a telling looked finished without its end mark")
 				}
 				// The router closes the sender's stream without an end.
-				a.attemptEnded(router.Answered, 0)
+				a.attemptEnded(router.Completed, 0)
 				a.streamBroke()
 				return
 			}
@@ -148,7 +148,7 @@
 			deadline()
 			return
 		}
-		last := !to.Telling || piece == streamPieces
+		last := !to.Streaming || piece == streamPieces
 		if last {
 			r.backend.FinishRequest()
 		}
@@ -160,7 +160,7 @@
 			if !last {
 				return
 			}
-			a.attemptEnded(router.Answered, 0)
+			a.attemptEnded(router.Completed, 0)
 			delete(a.router.pending, a.id)
 			w.transmit(a.router.name, "senders", func() { a.finish("answered", false) }, func() { a.finish("stream broke", false) })
 		}, broken)
@@ -180,7 +180,7 @@
 	a.finish("sender gone", false)
 	delete(a.router.pending, a.id)
 	if !a.attempting {
-		a.world.deliver(a.router, a.routerIncarnation, router.Gone{ID: a.id})
+		a.world.deliver(a.router, a.routerIncarnation, router.ClientDisconnected{ID: a.id})
 	}
 }
 
--- a/internal/simulation/nativesim/scenario.go
+++ b/internal/simulation/nativesim/scenario.go
@@ -105,7 +105,7 @@
 	if n.role == protocol.RoleController {
 		return w.status(n).Retired
 	}
-	for _, answer := range n.machine.Step(n.clock(w.events.NowMs()), router.Look{ID: 1}).Responses {
+	for _, answer := range n.machine.Step(n.clock(w.events.NowMs()), router.StatusQuery{ID: 1}).Responses {
 		if status, ok := answer.Body.(router.Status); ok {
 			return status.Retired
 		}
--- a/internal/simulation/nativesim/shutdown.go
+++ b/internal/simulation/nativesim/shutdown.go
@@ -15,7 +15,7 @@
 		w.deliver(n, n.incarnation, consensus.Leave{})
 		w.Run(300)
 	} else {
-		w.deliver(n, n.incarnation, router.Leave{})
+		w.deliver(n, n.incarnation, router.Drain{})
 		for end := w.events.NowMs() + 10_000; len(n.pending) > 0 && w.events.NowMs() < end; {
 			w.Run(20)
 		}
--- a/internal/simulation/scalesim/measure.go
+++ b/internal/simulation/scalesim/measure.go
@@ -79,10 +79,10 @@
 	return out, nil
 }
 
-func (s *Site) tally() proxy.Tally {
-	var sum proxy.Tally
+func (s *Site) tally() proxy.Counters {
+	var sum proxy.Counters
 	for _, n := range s.routers {
-		t := n.machine.(*proxy.Machine).Tally
+		t := n.machine.(*proxy.Machine).Counters
 		sum.LookUps += t.LookUps
 		sum.Misses += t.Misses
 	}
@@ -92,7 +92,7 @@
 // split tells the roles apart, and lets go of one after the other to see what
 // each holds.
 func (s *Site) split(out *Result) {
-	s.step(s.routers[0], proxy.Look{})
+	s.step(s.routers[0], proxy.StatusQuery{})
 	primary := s.routers[0].primary
 	leader := slices.IndexFunc(s.controllers, func(n *node) bool { return n.place.Name == primary })
 	followers := slices.Clone(s.controllers)
--- a/internal/simulation/scalesim/runtime.go
+++ b/internal/simulation/scalesim/runtime.go
@@ -40,7 +40,7 @@
 func (s *Site) step(n *node, input any) {
 	to := &n.load.ControlNs
 	switch input.(type) {
-	case proxy.Request, proxy.Told, proxy.Ended:
+	case proxy.Request, proxy.ResponseStarted, proxy.AttemptEnded:
 		to = &n.load.ServingNs
 	}
 	var out protocol.Effects
@@ -148,18 +148,18 @@
 		s.watch()
 	case proxy.Status:
 		n.primary = body.Primary
-	case proxy.Send:
-		r := s.byID[body.Go.Runner]
+	case proxy.StartAttempt:
+		r := s.byID[body.Params.Runner]
 		if r == nil {
 			return
 		}
 		r.active++
 		s.events.After(firstMs, func() {
-			s.step(n, proxy.Told{ID: answer.ID, Runner: body.Go.Runner, Heard: proxy.Heard{HasLoad: true, Running: r.active, Slots: slots}})
+			s.step(n, proxy.ResponseStarted{ID: answer.ID, Runner: body.Params.Runner, Head: proxy.ResponseHead{HasLoad: true, Running: r.active, Slots: slots}})
 		})
 		s.events.After(int64(s.size.LastsMs), func() {
 			r.active--
-			s.step(n, proxy.Ended{ID: answer.ID, Outcome: proxy.Answered, Passed: true})
+			s.step(n, proxy.AttemptEnded{ID: answer.ID, Outcome: proxy.Completed, Forwarded: true})
 		})
 	case protocol.Rejection:
 		if n.place.Part == protocol.RoleRouter && s.counting {
--- a/internal/simulation/scalesim/workload.go
+++ b/internal/simulation/scalesim/workload.go
@@ -42,14 +42,14 @@
 		s.requests++
 		rank, _ := slices.BinarySearch(s.shares, s.random.Float64())
 		model := s.ranks[min(rank, len(s.ranks)-1)]
-		asked := proxy.Asked{
-			Try: fmt.Sprintf("%016x", s.random.Uint64()), Model: modelName(model), PromptTokens: promptTokens, OutTokens: outTokens, LeftMs: 30_000,
+		asked := proxy.RequestParams{
+			RequestID: fmt.Sprintf("%016x", s.random.Uint64()), Model: modelName(model), PromptTokens: promptTokens, MaxOutputTokens: outTokens, TimeoutMs: 30_000,
 		}
 		if of := s.size.adaptersOf(model); of > 0 && s.random.IntN(2) == 0 {
 			asked.Adapter = fmt.Sprintf("a%d", 1+s.random.IntN(of))
 		}
 		n := s.routers[s.random.IntN(len(s.routers))]
-		s.step(n, proxy.Request{ID: uint64(s.requests), Host: host, Path: routeName(s.random.IntN(s.size.Routes)) + "x", Asked: asked})
+		s.step(n, proxy.Request{ID: uint64(s.requests), Host: host, Path: routeName(s.random.IntN(s.size.Routes)) + "x", Params: asked})
 	}
 	s.events.After(1, s.ask)
 }
--- a/internal/simulation/testbackend/client.go
+++ b/internal/simulation/testbackend/client.go
@@ -257,7 +257,7 @@
 	if err != nil {
 		return "stream broke in an answer"
 	}
-	var said router.RunAnswer
+	var said router.RunResponse
 	if json.Unmarshal(text, &said) != nil || said.Request != id || !strings.Contains(string(said.Answer), "answer to "+id+`"`) {
 		c.Checker.InvalidAnswer(c.NowMs(), workload.Service, id, "not the whole answer to this request")
 		return "wrong"
@@ -271,7 +271,7 @@
 	lines := bufio.NewScanner(body)
 	piece, incarnation := 0, ""
 	for lines.Scan() {
-		var said router.RunAnswer
+		var said router.RunResponse
 		if json.Unmarshal(lines.Bytes(), &said) != nil {
 			// The last line of a stream that broke may be torn.
 			break
@@ -290,7 +290,7 @@
 			}
 			return "answered"
 		}
-		if said.Piece != piece+1 {
+		if said.Chunk != piece+1 {
 			c.Checker.InvalidAnswer(c.NowMs(), workload.Service, id, "a piece was skipped or repeated")
 			return "wrong"
 		}
--- a/internal/simulation/testbackend/runner.go
+++ b/internal/simulation/testbackend/runner.go
@@ -116,11 +116,11 @@
 }
 
 // StartRequest starts a request, or says that it did not run it.
-func (r *Runner) StartRequest(nowMs int64, call router.RunCall, routerName string) *router.RunDrop {
+func (r *Runner) StartRequest(nowMs int64, call router.RunRequest, routerName string) *router.RunRejection {
 	r.completeOrder(nowMs)
 	no := false
-	drop := func(kind errkind.Kind) *router.RunDrop {
-		return &router.RunDrop{Kind: string(kind), Request: call.Request, Ran: &no, Revision: r.revision}
+	drop := func(kind errkind.Kind) *router.RunRejection {
+		return &router.RunRejection{Kind: string(kind), Request: call.Request, Ran: &no, Revision: r.revision}
 	}
 	if r.Checker != nil {
 		r.Checker.RequestArrived(nowMs, call.Service, call.Request, r.Name, r.Incarnation)
--- a/internal/simulation/testbackend/runner_server.go
+++ b/internal/simulation/testbackend/runner_server.go
@@ -55,7 +55,7 @@
 		}
 		writeJSON(w, http.StatusOK, report)
 	case "POST /run":
-		var call router.RunCall
+		var call router.RunRequest
 		if readJSON(w, r, &call) {
 			d.run(w, r, call)
 		}
@@ -64,7 +64,7 @@
 	}
 }
 
-func (d *RunnerServer) run(w http.ResponseWriter, r *http.Request, call router.RunCall) {
+func (d *RunnerServer) run(w http.ResponseWriter, r *http.Request, call router.RunRequest) {
 	d.mu.Lock()
 	drop := d.runner.StartRequest(d.nowMs(), call, "")
 	incarnation := d.runner.Incarnation
@@ -78,12 +78,12 @@
 		d.runner.FinishRequest()
 		d.mu.Unlock()
 	}()
-	if !call.Telling {
+	if !call.Streaming {
 		if !d.wait(r) {
 			return
 		}
 		text, _ := json.Marshal(map[string]string{"service": call.Service, "model": call.Model, "said": "answer to " + call.Request})
-		writeJSON(w, http.StatusOK, router.RunAnswer{Request: call.Request, Incarnation: incarnation, Answer: text})
+		writeJSON(w, http.StatusOK, router.RunResponse{Request: call.Request, Incarnation: incarnation, Answer: text})
 		return
 	}
 	encoder := json.NewEncoder(w)
@@ -95,10 +95,10 @@
 		if d.BreakStreams && piece == 2 {
 			panic(http.ErrAbortHandler)
 		}
-		_ = encoder.Encode(router.RunAnswer{Request: call.Request, Incarnation: incarnation, Piece: piece, Text: fmt.Sprintf("piece %d of %s", piece, call.Request)})
+		_ = encoder.Encode(router.RunResponse{Request: call.Request, Incarnation: incarnation, Chunk: piece, Text: fmt.Sprintf("piece %d of %s", piece, call.Request)})
 		_ = flush.Flush()
 	}
-	_ = encoder.Encode(router.RunAnswer{Request: call.Request, Incarnation: incarnation, End: &d.Pieces})
+	_ = encoder.Encode(router.RunResponse{Request: call.Request, Incarnation: incarnation, End: &d.Pieces})
 }
 
 func (d *RunnerServer) wait(r *http.Request) bool {
