--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -4,6 +4,7 @@
 	"encoding/gob"
 
 	"myrtlewinch/internal/placement"
+	"myrtlewinch/internal/placement/demand"
 )
 
 // IndexSnapshot tells the other controllers what the primary's ledger holds. It is a
@@ -31,7 +32,7 @@
 }
 
 // DemandReport tells the primary what look-ups another controller answered.
-type DemandReport struct{ Counts placement.DemandCounts }
+type DemandReport struct{ Counts demand.Counts }
 
 // The names under which the messages of this package are known between daemons.
 // They are not derived from the Go package, so that daemons of the release
--- a/internal/placement/sample_test.go
+++ b/internal/placement/holders_test.go
@@ -7,6 +7,8 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"myrtlewinch/internal/placement/index"
+	"myrtlewinch/internal/placement/runnerstate"
 	"myrtlewinch/internal/protocol"
 )
 
@@ -14,8 +16,8 @@
 // and every fourth the adapter a1 of m000 too.
 func managerWithHolders(t testing.TB, count int) *Manager {
 	s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 	var list []protocol.RunnerEntry
 	for i := range count {
 		e := protocol.RunnerEntry{
@@ -27,14 +29,14 @@
 		}
 		list = append(list, e)
 	}
-	k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: list})
-	return k
+	manager.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: list})
+	return manager
 }
 
-func listedFor(k *Manager, router, zone, model, adapter string) []string {
+func listedFor(manager *Manager, router, zone, model, adapter string) []string {
 	var out []string
 	in := protocol.IndexLookUp{Service: llm, Model: model, Adapter: adapter}
-	for _, h := range k.LookUp(1000, protocol.Node{Name: router, Zone: zone}, in).Holders {
+	for _, h := range manager.LookUp(1000, protocol.Node{Name: router, Zone: zone}, in).Holders {
 		out = append(out, h.ID)
 	}
 	return out
@@ -42,7 +44,7 @@
 
 // A line lists all holders up to a bound, and some of more; those of the
 // router's own zone come first.
-func TestLinesAreBounded(t *testing.T) {
+func TestRepliesAreBounded(t *testing.T) {
 	cases := []struct {
 		holders        int
 		adapter        string
@@ -51,37 +53,37 @@
 		ownLeast, size int
 	}{
 		{10, "", 10, 10, "zone-0", 3, 10},
-		{maxListedHolders, "", maxListedHolders, maxListedHolders, "zone-0", 16, maxListedHolders},
-		{maxListedHolders + 1, "", maxListedHolders, maxListedHolders, "zone-0", 16, maxListedHolders},
-		{1000, "", maxListedHolders, maxListedHolders, "zone-0", 25, maxListedHolders},
+		{index.MaxHolders, "", index.MaxHolders, index.MaxHolders, "zone-0", 16, index.MaxHolders},
+		{index.MaxHolders + 1, "", index.MaxHolders, index.MaxHolders, "zone-0", 16, index.MaxHolders},
+		{1000, "", index.MaxHolders, index.MaxHolders, "zone-0", 25, index.MaxHolders},
 		{100, "a1", 25, 25, "zone-3", 25, 25},
-		{1000, "a1", maxListedHolders, maxListedHolders, "zone-3", maxListedHolders, maxListedHolders},
+		{1000, "a1", index.MaxHolders, index.MaxHolders, "zone-3", index.MaxHolders, index.MaxHolders},
 	}
 	for _, test := range cases {
 		t.Run(fmt.Sprint(test.holders, test.adapter), func(t *testing.T) {
-			k := managerWithHolders(t, test.holders)
-			ids := listedFor(k, "router-1", test.own, "m000", test.adapter)
+			manager := managerWithHolders(t, test.holders)
+			ids := listedFor(manager, "router-1", test.own, "m000", test.adapter)
 			qt.Assert(t, len(ids) >= test.least && len(ids) <= test.most, qt.IsTrue, qt.Commentf("%d", len(ids)))
 			own := 0
 			for _, id := range ids {
-				if k.runners[id].Entry.Zone == test.own {
+				if manager.runners[id].Entry.Zone == test.own {
 					own++
 				}
-				qt.Assert(t, test.adapter == "" || k.runners[id].Offers(Item{"m000", test.adapter}), qt.IsTrue)
+				qt.Assert(t, test.adapter == "" || manager.runners[id].Offers(runnerstate.Item{Model: "m000", Adapter: test.adapter}), qt.IsTrue)
 			}
 			qt.Assert(t, own >= test.ownLeast, qt.IsTrue, qt.Commentf("%d of the own zone", own))
 			// It stays the same while they may be offered.
-			qt.Assert(t, listedFor(k, "router-1", test.own, "m000", test.adapter), qt.DeepEquals, ids)
+			qt.Assert(t, listedFor(manager, "router-1", test.own, "m000", test.adapter), qt.DeepEquals, ids)
 		})
 	}
 }
 
 // Many routers use all holders; what may not be offered makes room for others.
 func TestAllHoldersAreUsed(t *testing.T) {
-	k := managerWithHolders(t, 1000)
+	manager := managerWithHolders(t, 1000)
 	used := map[string]int{}
 	for i := range 100 {
-		for _, id := range listedFor(k, fmt.Sprintf("router-%d", i), fmt.Sprintf("zone-%d", i%4), "m001", "") {
+		for _, id := range listedFor(manager, fmt.Sprintf("router-%d", i), fmt.Sprintf("zone-%d", i%4), "m001", "") {
 			used[id]++
 		}
 	}
@@ -89,67 +91,67 @@
 	for id, count := range used {
 		qt.Assert(t, count <= 25, qt.IsTrue, qt.Commentf("%s: %d", id, count))
 	}
-	before := listedFor(k, "router-1", "zone-0", "m001", "")
-	k.runners[before[0]].Leaving = true
-	after := listedFor(k, "router-1", "zone-0", "m001", "")
-	qt.Assert(t, after, qt.HasLen, maxListedHolders)
+	before := listedFor(manager, "router-1", "zone-0", "m001", "")
+	manager.runners[before[0]].Leaving = true
+	after := listedFor(manager, "router-1", "zone-0", "m001", "")
+	qt.Assert(t, after, qt.HasLen, index.MaxHolders)
 	for _, id := range before[1:] {
 		qt.Assert(t, slices.Contains(after, id), qt.IsTrue)
 	}
 	// Where all but few are gone, those few are offered; silent ones only where
 	// there is no other.
-	for i, r := range k.sortedRunners {
+	for i, r := range manager.sortedRunners {
 		r.Leaving, r.Suspect = i >= 5, i < 3
 	}
-	qt.Assert(t, listedFor(k, "router-1", "zone-0", "m001", ""), qt.DeepEquals, []string{"r00003", "r00004"})
-	k.sortedRunners[3].Suspect, k.sortedRunners[4].Suspect = true, true
-	qt.Assert(t, listedFor(k, "router-1", "zone-0", "m001", ""), qt.HasLen, 5)
+	qt.Assert(t, listedFor(manager, "router-1", "zone-0", "m001", ""), qt.DeepEquals, []string{"r00003", "r00004"})
+	manager.sortedRunners[3].Suspect, manager.sortedRunners[4].Suspect = true, true
+	qt.Assert(t, listedFor(manager, "router-1", "zone-0", "m001", ""), qt.HasLen, 5)
 }
 
 // The questions and the times that go with them fit together at any size: no
 // runner that answers when it is asked is taken for silent.
-func TestPaceOfALargeFleet(t *testing.T) {
+func TestPollRateOfLargeSite(t *testing.T) {
 	for _, count := range []int{10, 450, 1000, 3000} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
-			k := managerWithHolders(t, count)
+			manager := managerWithHolders(t, count)
 			nowMs, asked := int64(1000), 0
-			endMs := nowMs + 2000 + 4*k.usualPollMs()
+			endMs := nowMs + 2000 + 4*manager.usualPollMs()
 			for nowMs < endMs {
 				nowMs += 50
-				calls, _ := k.Tick(nowMs, nowMs+2000)
+				calls, _ := manager.Tick(nowMs, nowMs+2000)
 				for _, call := range calls {
 					body, is := call.Body.(protocol.GetRunnerState)
 					if !is {
 						continue
 					}
-					if nowMs > endMs-2*k.usualPollMs() {
+					if nowMs > endMs-2*manager.usualPollMs() {
 						asked++
 					}
-					r := k.runners[body.Runner]
+					r := manager.runners[body.Runner]
 					var models []protocol.HeldModel
 					for _, name := range sortedKeys(r.Held) {
 						models = append(models, protocol.HeldModel{Name: name, Adapters: sortedKeys(r.Held[name].Adapters)})
 					}
-					k.HandleRunnerState(nowMs, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{Models: models}})
+					manager.HandleRunnerState(nowMs, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{Models: models}})
 				}
 			}
-			qt.Assert(t, int64(asked)*1000/(2*k.usualPollMs()) <= 510, qt.IsTrue, qt.Commentf("%d in %d ms", asked, 2*k.usualPollMs()))
-			for _, r := range k.sortedRunners {
+			qt.Assert(t, int64(asked)*1000/(2*manager.usualPollMs()) <= 510, qt.IsTrue, qt.Commentf("%d in %d ms", asked, 2*manager.usualPollMs()))
+			for _, r := range manager.sortedRunners {
 				qt.Assert(t, r.Suspect, qt.IsFalse, qt.Commentf("%s", r.Entry.ID))
-				qt.Assert(t, k.acceptsLoads(nowMs, r), qt.IsTrue, qt.Commentf("%s, silent for %d ms", r.Entry.ID, nowMs-r.LastReplyMs))
+				qt.Assert(t, manager.acceptsLoads(nowMs, r), qt.IsTrue, qt.Commentf("%s, silent for %d ms", r.Entry.ID, nowMs-r.LastReplyMs))
 			}
 		})
 	}
 }
 
-// BenchmarkLineOfMany is an answer about a model that very many hold.
-func BenchmarkLineOfMany(b *testing.B) {
+// BenchmarkReplyWithManyHolders is an answer about a model that very many hold.
+func BenchmarkReplyWithManyHolders(b *testing.B) {
 	for _, count := range []int{60, 1000, 4000} {
 		for _, adapter := range []string{"", "a1"} {
 			b.Run(fmt.Sprint(count, adapter), func(b *testing.B) {
-				k := managerWithHolders(b, count)
+				manager := managerWithHolders(b, count)
 				for b.Loop() {
-					k.reply(1000, llm, "m000", adapter)
+					manager.reply(1000, llm, "m000", adapter)
 				}
 			})
 		}
@@ -158,13 +160,13 @@
 
 // The lists of the holders of adapters agree with what the runners hold,
 // whatever came and went.
-func TestHoldersOfAdapters(t *testing.T) {
+func TestAdapterHoldersMatchRunners(t *testing.T) {
 	s := newPlatformSim(t, 3, newServiceMap(8, 16, 4.2), 6)
 	s.fill(0)
 	s.requestLoss, s.replyLoss = 0.1, 0.1
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, k)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
 	seen := 0
 	play(s, load, 20, func(ms int64) {
 		if s.poisson(30) {
@@ -179,9 +181,9 @@
 			s.start(fmt.Sprintf("10.0.9.%d:80", ms/1000), "a")
 			s.recordList()
 		}
-		for _, m := range k.services[llm].Models {
+		for _, m := range manager.services[llm].Models {
 			want := map[string][]string{}
-			for _, r := range k.sortedRunners {
+			for _, r := range manager.sortedRunners {
 				if h := r.Held[m.Name]; h != nil {
 					for a := range h.Adapters {
 						want[a] = append(want[a], r.Entry.ID)
--- a/internal/placement/index_test.go
+++ b/internal/placement/lookup_test.go
@@ -9,28 +9,29 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"myrtlewinch/internal/placement/index"
 	"myrtlewinch/internal/protocol"
 )
 
 // A router that asked lately hears of a holder that comes or goes.
-func TestRoutersAreTold(t *testing.T) {
+func TestSubscribersGetUpdates(t *testing.T) {
 	c := qt.New(t)
-	b := harnessWithOrder(c)
-	b.answerOrder(protocol.OutcomeAccepted)
-	b.tick(500)
-	b.answerPoll(4, false, "m001", "m004")
-	_, tells := b.manager.Tick(b.nowMs+10, b.nowMs+2000)
-	c.Assert(tells, qt.HasLen, 1)
-	c.Assert(tells[0].To.Name, qt.Equals, "router")
-	c.Assert(tells[0].Index.Model, qt.Equals, "m004")
-	c.Assert(tells[0].Index.Holders, qt.HasLen, 1)
-	_, tells = b.manager.Tick(b.nowMs+60, b.nowMs+2000)
-	c.Assert(tells, qt.HasLen, 0)
+	h := harnessWithOrder(c)
+	h.answerOrder(protocol.OutcomeAccepted)
+	h.tick(500)
+	h.answerPoll(4, false, "m001", "m004")
+	_, updates := h.manager.Tick(h.nowMs+10, h.nowMs+2000)
+	c.Assert(updates, qt.HasLen, 1)
+	c.Assert(updates[0].To.Name, qt.Equals, "router")
+	c.Assert(updates[0].Index.Model, qt.Equals, "m004")
+	c.Assert(updates[0].Index.Holders, qt.HasLen, 1)
+	_, updates = h.manager.Tick(h.nowMs+60, h.nowMs+2000)
+	c.Assert(updates, qt.HasLen, 0)
 }
 
 // Only those are told to whom a change matters: of one adapter not those who
 // asked for another, and nobody of what he knows already.
-func TestWhoIsTold(t *testing.T) {
+func TestWhichSubscribersGetUpdates(t *testing.T) {
 	held := func(adapters ...string) []protocol.HeldModel {
 		return []protocol.HeldModel{{Name: "m000", Adapters: adapters}}
 	}
@@ -54,137 +55,137 @@
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
-			k := s.manager("one")
-			k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
+			manager := s.manager("one")
+			manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 			e := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: held("a1")}
-			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
+			manager.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
 			for _, adapter := range test.asks {
 				for _, router := range []string{"one", "two"} {
-					index := k.LookUp(s.events.NowMs(), protocol.Node{Name: router}, protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: adapter})
-					for _, h := range index.Holders {
+					reply := manager.LookUp(s.events.NowMs(), protocol.Node{Name: router}, protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: adapter})
+					for _, h := range reply.Holders {
 						c.Assert(h.Adapter, qt.IsTrue)
 					}
 				}
 			}
-			k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
+			manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			s.events.RunFor(test.laterMs)
-			k.runners["r1"].ApplyModels(s.events.NowMs(), test.models, k)
+			manager.runners["r1"].ApplyModels(s.events.NowMs(), test.models, manager)
 			var told []string
-			_, tells := k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
-			for _, tell := range tells {
-				if tell.To.Name == "two" {
-					told = append(told, tell.Index.Adapter)
+			_, updates := manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
+			for _, update := range updates {
+				if update.To.Name == "two" {
+					told = append(told, update.Index.Adapter)
 				}
 			}
 			c.Assert(told, qt.DeepEquals, test.told)
-			c.Assert(tells, qt.HasLen, 2*len(test.told))
+			c.Assert(updates, qt.HasLen, 2*len(test.told))
 			// Nothing is told twice but to those who wait.
-			k.HoldersChanged(k.services[llm].Models["m000"])
-			_, tells = k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
-			for _, tell := range tells {
-				c.Assert(tell.Index.Holders, qt.HasLen, 0)
+			manager.HoldersChanged(manager.services[llm].Models["m000"])
+			_, updates = manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
+			for _, update := range updates {
+				c.Assert(update.Index.Holders, qt.HasLen, 0)
 			}
 		})
 	}
 }
 
 // One more holder is told to those only who ask for the key all the while.
-func TestOneMoreHolderIsToldToTheBusy(t *testing.T) {
+func TestNewHolderIsSentToRecentSubscribers(t *testing.T) {
 	for _, test := range []struct {
 		laterMs int64
 		told    int
-	}{{0, 1}, {gainNotifyMs, 1}, {gainNotifyMs + 1, 0}} {
+	}{{0, 1}, {index.GainNotifyMs, 1}, {index.GainNotifyMs + 1, 0}} {
 		t.Run(fmt.Sprint(test.laterMs), func(t *testing.T) {
 			c := qt.New(t)
 			s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
-			k := s.manager("one")
-			k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
+			manager := s.manager("one")
+			manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 			one := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m000"}}}
 			two := one
 			two.ID, two.Address = "r2", "10.0.0.2:80"
-			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one}})
-			k.LookUp(s.events.NowMs(), protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m000"})
-			k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
+			manager.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one}})
+			manager.LookUp(s.events.NowMs(), protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m000"})
+			manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 			s.events.RunFor(test.laterMs)
-			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one, two}})
-			_, tells := k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
-			c.Assert(tells, qt.HasLen, test.told)
-			k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{two}})
-			_, tells = k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
-			c.Assert(tells, qt.HasLen, 1)
+			manager.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{one, two}})
+			_, updates := manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
+			c.Assert(updates, qt.HasLen, test.told)
+			manager.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{two}})
+			_, updates = manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
+			c.Assert(updates, qt.HasLen, 1)
 		})
 	}
 }
 
 // While something is loaded, the answer says so, and when.
-func TestTurnIsTold(t *testing.T) {
+func TestReplyEstimatesWait(t *testing.T) {
 	c := qt.New(t)
-	b := harnessWithOrder(c)
-	index := b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{ID: 9, Service: llm, Model: "m004"})
-	c.Assert(index.ID, qt.Equals, uint64(9))
-	c.Assert(index.Known, qt.IsTrue)
-	c.Assert(index.Loading, qt.IsTrue)
-	c.Assert(index.TurnMs > 1500 && index.TurnMs < 2500, qt.IsTrue)
-	c.Assert(b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "other"}).Holders, qt.HasLen, 0)
+	h := harnessWithOrder(c)
+	reply := h.manager.LookUp(h.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{ID: 9, Service: llm, Model: "m004"})
+	c.Assert(reply.ID, qt.Equals, uint64(9))
+	c.Assert(reply.Known, qt.IsTrue)
+	c.Assert(reply.Loading, qt.IsTrue)
+	c.Assert(reply.TurnMs > 1500 && reply.TurnMs < 2500, qt.IsTrue)
+	c.Assert(h.manager.LookUp(h.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "other"}).Holders, qt.HasLen, 0)
 }
 
 // Before any list was read, nothing is claimed.
-func TestUnknownBeforeTheList(t *testing.T) {
+func TestIndexUnknownBeforeList(t *testing.T) {
 	c := qt.New(t)
-	k := New(simBounds, "one", "list", 47)
-	c.Assert(k.LookUp(1, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m001"}).Known, qt.IsFalse)
-	c.Assert(k.ListAgeMs(1), qt.Equals, int64(-1))
+	manager := New(simBounds, "one", "list", 47)
+	c.Assert(manager.LookUp(1, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: "m001"}).Known, qt.IsFalse)
+	c.Assert(manager.ListAgeMs(1), qt.Equals, int64(-1))
 }
 
 // A service that holds no models is answered with its runners.
-func TestPlainServiceHasItsRunners(t *testing.T) {
+func TestServiceWithoutModelsListsItsRunners(t *testing.T) {
 	c := qt.New(t)
-	b := newHarness(c)
-	b.manager.HandleRunnerList(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{
+	h := newHarness(c)
+	h.manager.HandleRunnerList(h.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{
 		{ID: "p1", Service: "plain", Address: "10.0.0.8:80", Slots: 6, LeftMs: -1},
 		{ID: "p2", Service: "plain", Address: "10.0.0.9:80", Slots: 6, LeftMs: 2000, Leaving: true},
 	}})
-	index := b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "plain"})
-	c.Assert(index.Holders, qt.HasLen, 1)
-	c.Assert(index.Holders[0].ID, qt.Equals, "p1")
-	c.Assert(index.Holders[0].Adapter, qt.IsTrue)
-	c.Assert(b.manager.LeavingRunners(), qt.DeepEquals, []string{"p2"})
+	reply := h.manager.LookUp(h.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: "plain"})
+	c.Assert(reply.Holders, qt.HasLen, 1)
+	c.Assert(reply.Holders[0].ID, qt.Equals, "p1")
+	c.Assert(reply.Holders[0].Adapter, qt.IsTrue)
+	c.Assert(h.manager.LeavingRunners(), qt.DeepEquals, []string{"p2"})
 }
 
 // A silent runner is not offered unless it is the only holder.
-func TestSilentRunners(t *testing.T) {
+func TestSuspectRunnerIsListedOnlyAlone(t *testing.T) {
 	c := qt.New(t)
-	b := newHarness(c, "m001")
+	h := newHarness(c, "m001")
 	for range 3 {
-		b.tick(1000)
-		b.manager.HandleRunnerState(b.nowMs, protocol.RunnerStateResult{Runner: b.lastPoll.Runner, Number: b.lastPoll.Number})
+		h.tick(1000)
+		h.manager.HandleRunnerState(h.nowMs, protocol.RunnerStateResult{Runner: h.lastPoll.Runner, Number: h.lastPoll.Number})
 	}
-	c.Assert(b.manager.runners["r1"].Suspect, qt.IsTrue)
-	c.Assert(b.offers("m001"), qt.IsTrue)
+	c.Assert(h.manager.runners["r1"].Suspect, qt.IsTrue)
+	c.Assert(h.offers("m001"), qt.IsTrue)
 	e := protocol.RunnerEntry{Service: llm, Slots: 64, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m001"}}}
 	first, second := e, e
 	first.ID, first.Address, second.ID, second.Address = "r1", "10.0.0.1:80", "r2", "10.0.0.2:80"
-	b.manager.HandleRunnerList(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{first, second}})
-	holders := b.manager.reply(b.nowMs, llm, "m001", "").Holders
+	h.manager.HandleRunnerList(h.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{first, second}})
+	holders := h.manager.reply(h.nowMs, llm, "m001", "").Holders
 	c.Assert(holders, qt.HasLen, 1)
 	c.Assert(holders[0].ID, qt.Equals, "r2")
 }
 
 // A follower answers as the primary does, counts, and goes on from there.
-func TestFollowerAnswersFromTheSnapshot(t *testing.T) {
+func TestFollowerAnswersFromSnapshot(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 8, newServiceMap(20, 42, 4.2), 8)
 	s.fill(0, 1)
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, k)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
 	play(s, load, 6, func(int64) {
 		if s.poisson(10) {
 			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(9)))
 		}
 	})
 	var wired bytes.Buffer
-	c.Assert(gob.NewEncoder(&wired).Encode(k.Snapshot()), qt.IsNil)
+	c.Assert(gob.NewEncoder(&wired).Encode(manager.Snapshot()), qt.IsNil)
 	t.Logf("%d bytes", wired.Len())
 	var image IndexSnapshot
 	c.Assert(gob.NewDecoder(&wired).Decode(&image), qt.IsNil)
@@ -201,10 +202,10 @@
 	}
 	for i := range 9 {
 		in := protocol.IndexLookUp{Service: llm, Model: "m000", Adapter: fmt.Sprintf("a%d", i+1), Tokens: 5, Waits: i == 0}
-		index := follower.LookUp(s.events.NowMs(), from, in)
-		c.Assert(index.Known, qt.IsTrue)
-		c.Assert(index.Change, qt.Equals, k.Revision())
-		c.Assert(ids(index), qt.DeepEquals, ids(k.reply(s.events.NowMs(), llm, "m000", in.Adapter)))
+		reply := follower.LookUp(s.events.NowMs(), from, in)
+		c.Assert(reply.Known, qt.IsTrue)
+		c.Assert(reply.Change, qt.Equals, manager.Revision())
+		c.Assert(ids(reply), qt.DeepEquals, ids(manager.reply(s.events.NowMs(), llm, "m000", in.Adapter)))
 	}
 	// Those who only want to be sure of a holder wait for no load.
 	c.Assert(follower.HasWaitingRequests(), qt.IsFalse)
@@ -213,9 +214,9 @@
 	demand := follower.DrainDemand()
 	c.Assert(demand, qt.HasLen, 10)
 	c.Assert(follower.DrainDemand(), qt.HasLen, 0)
-	before := k.services[llm].Models["m000"].Demand.fast
-	k.AddDemand(s.events.NowMs(), demand)
-	c.Assert(k.services[llm].Models["m000"].Demand.fast > before, qt.IsTrue)
+	before := manager.services[llm].Models["m000"].Demand.FastRate()
+	manager.AddDemand(s.events.NowMs(), demand)
+	c.Assert(manager.services[llm].Models["m000"].Demand.FastRate() > before, qt.IsTrue)
 	// A holder that goes is told to those who asked the follower.
 	follower.Tick(s.events.NowMs(), 0)
 	image.Change += 5
@@ -223,9 +224,9 @@
 		image.Runners[i].Models = nil
 	}
 	follower.ApplySnapshot(s.events.NowMs(), image)
-	_, tells := follower.Tick(s.events.NowMs(), 0)
-	c.Assert(tells, qt.HasLen, 10)
-	c.Assert(tells[0].Index.Holders, qt.HasLen, 0)
-	_, err := json.Marshal(k.Status())
+	_, updates := follower.Tick(s.events.NowMs(), 0)
+	c.Assert(updates, qt.HasLen, 10)
+	c.Assert(updates[0].Index.Holders, qt.HasLen, 0)
+	_, err := json.Marshal(manager.Status())
 	c.Assert(err, qt.IsNil)
 }
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -1,252 +1,286 @@
-// Package placement is the holding ledger of a site whose runners come from a
-// platform's list: what each life of a runner holds, which orders are under
-// way, which of them to give next, and the index that look-ups are answered
-// from. It is pure state: it reads no clock and does no I/O.
+// Package placement decides on a primary controller which runner loads and
+// unloads which models, for runners that come from the platform's list. It also
+// answers routers' look-ups, on the primary and on its followers.
+//
+// The Manager polls the list and the runners' states (runnerlist.go, polling.go),
+// measures the demand (demand.go), plans (planning.go) and sends orders
+// (orders.go). Its parts have packages of their own: runnerstate for what each
+// runner holds, planner for the choice of the next orders, index for the replies
+// to look-ups, demand for rates of requests and weightstore for the pace of
+// loads. All of it is pure state: it reads no clock and does no I/O.
 package placement
 
 import (
+	"maps"
+	"slices"
+
 	"myrtlewinch/internal/bounds"
 	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/placement/demand"
+	"myrtlewinch/internal/placement/index"
+	"myrtlewinch/internal/placement/planner"
+	"myrtlewinch/internal/placement/runnerstate"
+	"myrtlewinch/internal/placement/weightstore"
 	"myrtlewinch/internal/protocol"
 )
 
 const (
-	// runnersScannedPerMs runners may be looked through in each ms: inputs come as often as
-	// there are runners, and must not each cost as much as there are runners.
+	// runnersScannedPerMs and maxScanIntervalMs pace the scans over all runners.
+	// Inputs come the more often the more runners there are, and must not each
+	// cost as much as there are runners.
 	runnersScannedPerMs = 100
+	maxScanIntervalMs   = 50
+	// expireIntervalMs is the time between two clean-ups of what nobody requests.
+	expireIntervalMs = 2_000
+	// adapterDemandKeptMs is how long after its last request the demand for an
+	// adapter is forgotten.
+	adapterDemandKeptMs = 120_000
 )
 
-// Manager is the ledger, placement and index.
+// Manager keeps the state of the runners, orders loads and unloads while its
+// daemon is the primary, and answers look-ups.
 type Manager struct {
-	bounds         bounds.Bounds
-	selfName       string
-	listAddress    string
-	listIntervalMs int64
-	serviceMap     *config.Configuration
-
-	// nowMs is when it was last told the time.
-	nowMs         int64
-	active        bool
-	epoch         uint64
-	fencedEpoch   uint64
-	fenced        bool
-	ordersFromMs  int64
+	selfName   string
+	serviceMap *config.Configuration
+	// nowMs is the time of the last tick.
+	nowMs int64
+
+	// active says that this daemon is the primary, epoch its epoch or that of the
+	// last snapshot. Orders carry the epoch as a fencing token.
+	active bool
+	epoch  uint64
+	// fenced says that a runner rejected an order for its low epoch; fencedEpoch
+	// is the epoch of this daemon at that time.
+	fenced      bool
+	fencedEpoch uint64
+	// ordersAllowed says that orders may go out from ordersFromMs on.
 	ordersAllowed bool
+	ordersFromMs  int64
 
-	services      map[string]*Service
-	runners       map[string]*Runner
-	sortedRunners []*Runner
-	// away lists, by id, what is leaving or gone.
-	leavingMs         map[string]int64
-	everLeaving       map[string]bool
-	lastNumber        uint64
-	store             Limiter
-	priorLoadAgesMs   []int64
-	priorLoadAgesAtMs int64
-	pastDisks         map[string]map[string]bool
-	planner           Planner
-
-	listCallOpen             bool
-	listCalledMs, listNextMs int64
-	listPauseMs              int64
-	listReadMs               int64
-	// indexKnown says that there is something to answer from.
-	indexKnown  bool
-	revision    uint64
-	nextScanned int
-	// scannedMs is when all runners were last looked at.
-	scannedMs     int64
-	changedModels []*Model
-	plannedMs     int64
-	replanNeeded  bool
-	prefetchedMs  int64
-	tidiedMs      int64
-	subscriptions subscriptionTable
-	// holderBuffer is for answers that are only looked at.
-	holderBuffer []protocol.IndexHolder
-	// ranks and sampled are room for picking what a router is offered.
-	ranks         []rankedRunner
-	sampled       []*Runner
-	pendingDemand map[DemandKey]*DemandCount
-	counters      counters
-	calls         []protocol.OutboundCall
-	// softLoading is, at a follower, what the primary said of loads.
-	primaryLoads map[string]LoadSnapshot
-}
+	services map[string]*runnerstate.Service
+	runners  map[string]*runnerstate.Runner
+	// sortedRunners are all runners by id.
+	sortedRunners []*runnerstate.Runner
+	// leavingMs holds the ids of runners that drain or are gone, with the time when
+	// the list last showed them draining or they went; everLeaving holds those that
+	// ever drained.
+	leavingMs   map[string]int64
+	everLeaving map[string]bool
+	// pastDisks holds what runners that are gone had on disk, by diskKey.
+	pastDisks map[string]map[string]bool
+	list      listReader
 
-// counters count what happened, for the page.
-type counters struct {
-	Lists, ListFails, States, StateFails                int64
-	Loads, StoreLoads, Unloads, AdapterLoads            int64
-	AdapterUnloads, Taken, Busy, Refused, Unknown, Late int64
-	Plans                                               int64
+	store *weightstore.Limiter
+	// priorLoadAgesMs are, at a follower, the ages of the primary's loads at
+	// snapshotMs, when its last snapshot came; primaryLoads are the loads that it
+	// named, by loadKey.
+	priorLoadAgesMs []int64
+	snapshotMs      int64
+	primaryLoads    map[loadKey]LoadSnapshot
+
+	// indexKnown says that a list or a snapshot was read, so that there is
+	// something to answer from; revision rises with each change of the index.
+	indexKnown    bool
+	revision      uint64
+	lister        index.Lister
+	subscriptions *index.Subscriptions
+	// followerDemand counts look-ups at a follower until they are reported.
+	followerDemand demand.Collector
+
+	planner planner.Planner
+	// plannedMs is when the last plan was made, replanNeeded that something changed
+	// since, and prefetchedMs when what nobody requests was loaded last.
+	plannedMs    int64
+	replanNeeded bool
+	prefetchedMs int64
+	// scannedMs is when all runners were looked at last, and nextScanned with which
+	// of them the next scan begins.
+	scannedMs   int64
+	nextScanned int
+	expiredMs   int64
+	// lastNumber is the number of the last order or poll.
+	lastNumber uint64
+	counters   Counters
+	// calls are the calls to runners and the platform that the next tick returns.
+	calls []protocol.OutboundCall
 }
 
-// New makes a keeper that gives orders as the holder, and reads the list of
-// runners at an address that takes so many calls a second from all daemons.
-func New(b bounds.Bounds, holder, listAddress string, listPerSec float64) *Manager {
-	k := &Manager{
-		bounds: b, selfName: holder, listAddress: listAddress, listIntervalMs: minListIntervalMs,
-		services: map[string]*Service{}, runners: map[string]*Runner{}, leavingMs: map[string]int64{}, everLeaving: map[string]bool{},
-		pastDisks: map[string]map[string]bool{}, pendingDemand: map[DemandKey]*DemandCount{},
-	}
-	if listPerSec > 0 {
-		k.listIntervalMs = max(minListIntervalMs, int64(1500/listPerSec))
-	}
-	k.listPauseMs = k.listIntervalMs
-	k.store = Limiter{windowMs: max(1, b.OriginWindowMs), reserved: map[uint64]bool{}}
-	k.subscriptions = newSubscriptionTable()
-	return k
+// New makes a manager that gives orders under its daemon's name. It reads the
+// list of runners at an address that takes so many calls per second from all
+// daemons, 0 for no limit.
+func New(b bounds.Bounds, selfName, listAddress string, listPerSec float64) *Manager {
+	return &Manager{
+		selfName:       selfName,
+		services:       map[string]*runnerstate.Service{},
+		runners:        map[string]*runnerstate.Runner{},
+		leavingMs:      map[string]int64{},
+		everLeaving:    map[string]bool{},
+		pastDisks:      map[string]map[string]bool{},
+		list:           newListReader(listAddress, listPerSec),
+		store:          weightstore.NewLimiter(b.OriginWindowMs),
+		subscriptions:  index.NewSubscriptions(),
+		followerDemand: demand.NewCollector(),
+	}
 }
 
 // SetMap takes the service map in force.
-func (k *Manager) SetMap(m *config.Configuration) {
-	if m == nil || m == k.serviceMap {
+func (m *Manager) SetMap(serviceMap *config.Configuration) {
+	if serviceMap == nil || serviceMap == m.serviceMap {
 		return
 	}
-	k.serviceMap = m
-	perSec := 0.0
+	m.serviceMap = serviceMap
+	storeRate := 0.0
 	named := map[string]bool{}
-	for i := range m.Services {
-		s := &m.Services[i]
+	for i := range serviceMap.Services {
+		s := &serviceMap.Services[i]
 		named[s.Name] = true
-		k.serviceNamed(s.Name).SetEngine(s.Engine)
-		// One store serves all; the slowest pace that any engine names holds.
-		if e := s.Engine; e != nil && e.LoadsPerSec > 0 && (perSec == 0 || e.LoadsPerSec < perSec) {
-			perSec = e.LoadsPerSec
+		m.serviceNamed(s.Name).SetEngine(s.Engine)
+		// One store serves all services; the slowest rate that any of them names
+		// holds.
+		if e := s.Engine; e != nil && e.LoadsPerSec > 0 && (storeRate == 0 || e.LoadsPerSec < storeRate) {
+			storeRate = e.LoadsPerSec
 		}
 	}
-	for name, s := range k.services {
+	for name, s := range m.services {
 		if !named[name] {
 			s.SetEngine(nil)
 		}
 	}
-	k.store.perSec = perSec
-	k.replanNeeded = true
+	m.store.SetRate(storeRate)
+	m.replanNeeded = true
 }
 
-func (k *Manager) serviceNamed(name string) *Service {
-	s := k.services[name]
+// serviceNamed returns a service and makes it if need be.
+func (m *Manager) serviceNamed(name string) *runnerstate.Service {
+	s := m.services[name]
 	if s == nil {
-		s = NewService(name)
-		k.services[name] = s
+		s = runnerstate.NewService(name)
+		m.services[name] = s
 	}
 	return s
 }
 
-// BecomePrimary says that this daemon became the primary. No order goes out before
-// ordersFromMs. What a follower knew is kept, but no runner takes an order
-// before it has told its state.
-func (k *Manager) BecomePrimary(nowMs int64, epoch uint64, ordersFromMs int64) {
-	k.nowMs = nowMs
-	k.active, k.epoch, k.ordersFromMs, k.ordersAllowed, k.fenced = true, epoch, ordersFromMs, true, false
-	k.listCallOpen, k.listNextMs, k.listPauseMs = false, nowMs, k.listIntervalMs
-	k.listReadMs = 0
-	ages := make([]int64, len(k.priorLoadAgesMs))
-	for i, ageMs := range k.priorLoadAgesMs {
-		ages[i] = ageMs + nowMs - k.priorLoadAgesAtMs
-	}
-	k.store.AssumePriorLoads(nowMs, ages)
-	for _, r := range k.sortedRunners {
-		r.Order, r.Confirmed, r.confirmAfterMs, r.PollNumber, r.FailedPolls = nil, false, nowMs, 0, 0
-		r.LastReplyMs, r.PolledMs, r.ReservedFor, r.Suspect = nowMs, nowMs-callTimeoutMs, Item{}, false
-	}
-	k.primaryLoads = nil
-	for key, c := range k.pendingDemand {
-		k.addDemand(nowMs, key, float64(c.Requests), float64(c.Tokens), float64(c.Waits))
-	}
-	clear(k.pendingDemand)
-	k.replanNeeded = true
+// BecomePrimary starts the duty of the primary. No order goes out before
+// ordersFromMs. What the follower knew is kept, but no runner gets an order
+// before it has shown its state.
+func (m *Manager) BecomePrimary(nowMs int64, epoch uint64, ordersFromMs int64) {
+	m.nowMs = nowMs
+	m.active, m.epoch, m.fenced = true, epoch, false
+	m.AllowOrders(ordersFromMs)
+	m.list.begin(nowMs)
+	agesMs := make([]int64, len(m.priorLoadAgesMs))
+	for i, ageMs := range m.priorLoadAgesMs {
+		agesMs[i] = ageMs + nowMs - m.snapshotMs
+	}
+	m.store.AssumePriorLoads(nowMs, agesMs)
+	for _, r := range m.sortedRunners {
+		r.ResetForPrimary(nowMs, nowMs-callTimeoutMs)
+	}
+	m.primaryLoads = nil
+	for _, count := range m.followerDemand.Drain() {
+		m.addDemand(nowMs, count)
+	}
 }
 
-// AllowOrders says from when on orders may go out.
-func (k *Manager) AllowOrders(fromMs int64) {
-	k.ordersFromMs, k.ordersAllowed, k.replanNeeded = fromMs, true, true
+// AllowOrders lets orders go out from a time on.
+func (m *Manager) AllowOrders(fromMs int64) {
+	m.ordersFromMs, m.ordersAllowed, m.replanNeeded = fromMs, true, true
 }
 
-// ForbidOrders says that none may go out until they are allowed, which should
-// be about risingSinceMs.
-func (k *Manager) ForbidOrders(fromMs int64) { k.ordersFromMs, k.ordersAllowed = fromMs, false }
+// ForbidOrders holds all orders back until AllowOrders, which should come at
+// about fromMs.
+func (m *Manager) ForbidOrders(fromMs int64) { m.ordersFromMs, m.ordersAllowed = fromMs, false }
 
-// SetEpoch says that the record's epoch rose while this daemon stayed primary.
-func (k *Manager) SetEpoch(epoch uint64) {
-	if epoch <= k.epoch {
+// SetEpoch says that the epoch on record rose while this daemon stayed primary.
+// Orders stopped for a low epoch may go on.
+func (m *Manager) SetEpoch(epoch uint64) {
+	if epoch <= m.epoch {
 		return
 	}
-	k.epoch = epoch
-	if k.epoch > k.fencedEpoch {
-		k.fenced = false
+	m.epoch = epoch
+	if m.epoch > m.fencedEpoch {
+		m.fenced = false
 	}
 }
 
-// BecomeFollower says that this daemon is the primary no more: it gives no orders and
-// asks nothing. What it knew goes on answering until a primary's image comes.
-func (k *Manager) BecomeFollower() {
-	k.active, k.listCallOpen = false, false
-	k.priorLoadAgesMs = nil
-	for _, r := range k.sortedRunners {
-		r.Order, r.Confirmed, r.PollNumber = nil, false, 0
+// BecomeFollower ends the duty of the primary: no orders, no polls. What was
+// known goes on answering look-ups until a primary's snapshot comes.
+func (m *Manager) BecomeFollower() {
+	m.active = false
+	m.list.stop()
+	m.priorLoadAgesMs = nil
+	for _, r := range m.sortedRunners {
+		r.ClearOrder()
 	}
-	k.calls = nil
+	m.calls = nil
 }
 
 // HoldersChanged notes that the holders of a model changed.
-func (k *Manager) HoldersChanged(m *Model) {
-	k.revision++
-	k.replanNeeded = true
-	if !m.changed {
-		m.changed = true
-		k.changedModels = append(k.changedModels, m)
-	}
+func (m *Manager) HoldersChanged(model *runnerstate.Model) {
+	m.revision++
+	m.replanNeeded = true
+	m.subscriptions.HoldersChanged(model)
 }
 
 // runnerChanged notes that a runner came, went, or may be offered or not.
-func (k *Manager) runnerChanged(r *Runner) {
-	k.HoldersChanged(r.Service.Plain)
+func (m *Manager) runnerChanged(r *runnerstate.Runner) {
+	m.HoldersChanged(r.Service.Plain)
 	for _, h := range r.Held {
-		k.HoldersChanged(h.Model)
+		m.HoldersChanged(h.Model)
 	}
 }
 
-// Revision rises with each change of the ledger.
-func (k *Manager) Revision() uint64 { return k.revision }
-
-// Tick gives the calls that are due, and what routers that asked lately are
-// to be told. It may be called at any time, best each 50 ms and after inputs
-// that bring an answer nearer.
-func (k *Manager) Tick(nowMs, holdUntilMs int64) (calls []protocol.OutboundCall, tells []IndexUpdate) {
-	k.nowMs = nowMs
-	if k.active {
-		k.tickList(nowMs)
-		if count := len(k.sortedRunners); nowMs-k.scannedMs >= int64(min(50, count/runnersScannedPerMs)) {
-			k.scannedMs = nowMs
-			k.pollRunners(nowMs, holdUntilMs)
+// Revision rises with each change of the index.
+func (m *Manager) Revision() uint64 { return m.revision }
+
+// Tick returns the calls that are due, and the updates for routers that looked a
+// key up lately. It may be called at any time, best every 50 ms and after inputs
+// that someone waits for. The primary's lease ends at leaseUntilMs.
+func (m *Manager) Tick(nowMs, leaseUntilMs int64) (calls []protocol.OutboundCall, updates []index.Update) {
+	m.nowMs = nowMs
+	if m.active {
+		m.tickList(nowMs)
+		if nowMs-m.scannedMs >= m.scanIntervalMs() {
+			m.scannedMs = nowMs
+			m.scanRunners(nowMs, leaseUntilMs)
 		}
-		if k.mayOrder(nowMs, holdUntilMs) && (k.replanNeeded && nowMs-k.plannedMs >= k.planIntervalMs() || nowMs-k.plannedMs >= max(maxPlanIntervalMs, k.planIntervalMs())) {
-			k.planOrders(nowMs, holdUntilMs)
+		if m.mayOrder(nowMs, leaseUntilMs) && m.planDue(nowMs) {
+			m.planOrders(nowMs, leaseUntilMs)
 		}
-		calls, k.calls = k.calls, nil
+		calls, m.calls = m.calls, nil
 	}
-	if nowMs-k.tidiedMs > 2_000 {
-		k.tidiedMs = nowMs
-		k.tidy(nowMs)
+	if nowMs-m.expiredMs > expireIntervalMs {
+		m.expiredMs = nowMs
+		m.expire(nowMs)
 	}
-	return calls, k.indexUpdates(nowMs)
+	return calls, m.subscriptions.Updates(nowMs, m.replyForUpdate)
 }
 
-// tidy forgets what nobody asked for in a long time.
-func (k *Manager) tidy(nowMs int64) {
-	k.subscriptions.expire(nowMs)
-	for _, s := range k.services {
-		for name, m := range s.Models {
-			for a, ad := range m.Adapters {
-				if ad.Demand.SinceRequestMs(nowMs) > 120_000 {
-					delete(m.Adapters, a)
-				}
-			}
-			if !m.Configured && len(m.Holders) == 0 && len(m.subscribers) == 0 {
+func (m *Manager) scanIntervalMs() int64 {
+	return int64(min(maxScanIntervalMs, len(m.sortedRunners)/runnersScannedPerMs))
+}
+
+// expire forgets what nobody requested for a long time.
+func (m *Manager) expire(nowMs int64) {
+	m.subscriptions.Expire(nowMs)
+	for _, s := range m.services {
+		for name, model := range s.Models {
+			maps.DeleteFunc(model.Adapters, func(_ string, a *runnerstate.Adapter) bool {
+				return a.Demand.SinceRequestMs(nowMs) > adapterDemandKeptMs
+			})
+			if !model.Configured && len(model.Holders) == 0 && !m.subscriptions.Has(model) {
 				delete(s.Models, name)
 			}
 		}
 	}
 }
+
+// sortedKeys returns the keys of a map in order.
+func sortedKeys[V any](m map[string]V) []string {
+	keys := make([]string, 0, len(m))
+	for key := range m {
+		keys = append(keys, key)
+	}
+	slices.Sort(keys)
+	return keys
+}
--- a/internal/placement/planner_bench_test.go
+++ b/internal/placement/manager_bench_test.go
@@ -11,9 +11,9 @@
 	m.Services[0].Engine.Slots = 12
 	s := newPlatformSim(b, 1, m, 140)
 	s.fill(0, 1)
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, k)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
 	ask := func(int64) {
 		for range 4 {
 			if s.poisson(40) {
@@ -36,8 +36,8 @@
 		for range 3 {
 			load.ask(fmt.Sprintf("m%03d", s.rnd.IntN(747)), "")
 		}
-		k.replanNeeded = true
-		k.Tick(s.events.NowMs(), s.events.NowMs()+2000)
+		manager.replanNeeded = true
+		manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
 		s.events.Clear()
 		s.events.RunFor(50)
 	}
--- a/internal/placement/manager_test.go
+++ b/internal/placement/manager_test.go
@@ -34,7 +34,7 @@
 
 // Runners take no more than they hold, and the store's pace is kept, whatever
 // is lost or late and however demand jumps, also across a take-over.
-func TestLimitAndCeilingHoldInTrouble(t *testing.T) {
+func TestRoomAndStoreRateHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := qt.New(t)
@@ -42,9 +42,9 @@
 			s := newPlatformSim(t, seed, newServiceMap(39, 42, []float64{4.2, 1.2}[seed%2]), 12)
 			s.fill(0, 1)
 			s.requestLoss, s.replyLoss = 0.15, 0.15
-			k := s.manager("one")
-			k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+500)
-			load := newRouterSim(s, k)
+			manager := s.manager("one")
+			manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+500)
+			load := newRouterSim(s, manager)
 			hot := 0
 			play(s, load, 40, func(ms int64) {
 				if ms%3000 == 0 {
@@ -71,7 +71,7 @@
 				if ms == 21_000 {
 					// Another holder takes over while the first still believes.
 					next := s.manager("two")
-					next.ApplySnapshot(s.events.NowMs(), k.Snapshot())
+					next.ApplySnapshot(s.events.NowMs(), manager.Snapshot())
 					next.BecomePrimary(s.events.NowMs(), 2, s.events.NowMs()+100)
 					load.manager = next
 				}
@@ -102,9 +102,9 @@
 	c := qt.New(t)
 	s := newPlatformSim(t, 3, newServiceMap(39, 42, 4.2), 12)
 	s.fill(0, 1)
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, k)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
 	both := func(a, b string) func(ms int64) {
 		return func(int64) {
 			if s.poisson(47) {
@@ -134,13 +134,13 @@
 }
 
 // Many rare models asked for at once come in turn, none is left out for ever.
-func TestCrowdForRareModels(t *testing.T) {
+func TestBurstOfRareModels(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 4, newServiceMap(39, 0, 4.2), 12)
 	s.fill(0, 1)
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, k)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
 	play(s, load, 30, func(ms int64) {
 		if s.poisson(40) {
 			load.ask("m000", "")
@@ -173,9 +173,9 @@
 		r.held["m000"] = map[string]bool{}
 	}
 	s.recordList()
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, k)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
 	play(s, load, 20, func(ms int64) {
 		if s.poisson(12) {
 			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(42)))
@@ -198,13 +198,13 @@
 }
 
 // What a leaving runner alone holds is loaded elsewhere while it still serves.
-func TestLeavingRunnersThingsMove(t *testing.T) {
+func TestModelsOfDrainingRunnerAreLoadedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 6, newServiceMap(9, 0, 4.2), 5)
 	s.fill()
-	k := s.manager("one")
-	k.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, k)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
 	ask := func(ms int64) {
 		if s.poisson(5) {
 			load.ask(s.engine.Models[s.rnd.IntN(9)].Name, "")
@@ -214,19 +214,44 @@
 	leaver := s.runners[sortedKeys(s.runners)[0]]
 	leaver.entry.Leaving = true
 	play(s, load, 6, ask)
-	c.Assert(k.LeavingRunners(), qt.DeepEquals, []string{leaver.entry.ID})
+	c.Assert(manager.LeavingRunners(), qt.DeepEquals, []string{leaver.entry.ID})
 	for name := range leaver.held {
 		c.Assert(s.copies(name) >= 2, qt.IsTrue, qt.Commentf("%s", name))
-		for _, h := range k.LookUp(s.events.NowMs(), load.from, protocol.IndexLookUp{Service: llm, Model: name}).Holders {
+		for _, h := range manager.LookUp(s.events.NowMs(), load.from, protocol.IndexLookUp{Service: llm, Model: name}).Holders {
 			c.Assert(h.ID, qt.Not(qt.Equals), leaver.entry.ID)
 		}
 	}
 	// Leaving stays, whatever a later list says, and while it is gone.
 	leaver.entry.Leaving = false
 	play(s, load, 2, ask)
-	c.Assert(k.LeavingRunners(), qt.HasLen, 1)
+	c.Assert(manager.LeavingRunners(), qt.HasLen, 1)
 	delete(s.runners, leaver.entry.ID)
 	play(s, load, 3, ask)
-	c.Assert(k.LeavingRunners(), qt.HasLen, 1)
+	c.Assert(manager.LeavingRunners(), qt.HasLen, 1)
 	c.Assert(s.violations, qt.HasLen, 0)
 }
+
+// Where all fits and demand is steady, nothing moves after the start.
+func TestSteadyDemandMovesNothing(t *testing.T) {
+	c := qt.New(t)
+	s := newPlatformSim(t, 9, newServiceMap(12, 8, 4.2), 8)
+	s.fill(0, 1)
+	manager := s.manager("one")
+	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
+	load := newRouterSim(s, manager)
+	ask := func(int64) {
+		if s.poisson(30) {
+			load.ask("m000", "")
+		}
+		if s.poisson(5) {
+			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(8)))
+		}
+		if s.poisson(6) {
+			load.ask(fmt.Sprintf("m%03d", 1+s.rnd.IntN(11)), "")
+		}
+	}
+	play(s, load, 8, ask)
+	before := s.orders
+	play(s, load, 20, ask)
+	c.Assert(s.orders-before <= 2, qt.IsTrue, qt.Commentf("%d orders", s.orders-before))
+}
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -1,95 +1,117 @@
 package placement
 
-import "myrtlewinch/internal/protocol"
+import (
+	"myrtlewinch/internal/placement/planner"
+	"myrtlewinch/internal/placement/runnerstate"
+	"myrtlewinch/internal/protocol"
+)
 
 const (
-	// orderTimeoutMs is the longest an order may wait to be written.
+	// orderTimeoutMs is the longest that an order may wait to be written to its
+	// runner.
 	orderTimeoutMs = 600
-	// leaseMarginMs is kept clear of the end of the hold.
+	// leaseMarginMs is kept clear of the end of the lease.
 	leaseMarginMs = 100
+	// reservationMs is how long the room that an unload makes is kept for what it
+	// was made for.
+	reservationMs = 8_000
 )
 
 // HandleOrderResult takes what became of the call of an order.
-func (k *Manager) HandleOrderResult(nowMs int64, in protocol.RunnerOrderResult) {
-	r := k.runners[in.Runner]
-	if !k.active || r == nil {
+func (m *Manager) HandleOrderResult(nowMs int64, in protocol.RunnerOrderResult) {
+	r := m.runners[in.Runner]
+	if !m.active || r == nil {
 		return
 	}
-	o := r.Order
-	if o == nil || o.Number != in.Number {
-		k.counters.Late++
-		if in.Outcome == protocol.OutcomeFenced {
-			k.stopOrdering()
-		}
-		return
+	if in.Outcome == protocol.OutcomeFenced {
+		m.stopOrdering()
 	}
-	switch in.Outcome {
-	case protocol.OutcomeAccepted:
-		k.counters.Taken++
-	case protocol.OutcomeBusy, protocol.OutcomeAlreadyInEffect, protocol.OutcomeNotSent:
-		k.counters.Busy++
-	case protocol.OutcomeRejected:
-		k.counters.Refused++
-	case protocol.OutcomeUnknown:
-		k.counters.Unknown++
-	case protocol.OutcomeFenced:
-		k.stopOrdering()
+	if r.Order == nil || r.Order.Number != in.Number {
+		m.counters.Late++
+		return
 	}
-	if !r.ApplyOutcome(nowMs, in.Outcome, k) {
-		k.store.Settle(nowMs, in.Number, false)
-	} else if in.Outcome == protocol.OutcomeAccepted {
-		k.store.Settle(nowMs, in.Number, true)
+	m.counters.countOutcome(in.Outcome)
+	mayHaveBegun := r.ApplyOutcome(nowMs, in.Outcome, m)
+	// An order of unknown outcome stays reserved until a state shows what became
+	// of it.
+	if !mayHaveBegun || in.Outcome == protocol.OutcomeAccepted {
+		m.store.Settle(nowMs, in.Number, mayHaveBegun)
 	}
-	k.replanNeeded = true
+	m.replanNeeded = true
 }
 
-// stopOrdering stops all orders: another holder has a higher fence.
-func (k *Manager) stopOrdering() {
-	k.fenced, k.fencedEpoch = true, k.epoch
-}
+// stopOrdering stops all orders, since a runner has seen a higher epoch: another
+// daemon is the primary. They go on only if this one's epoch rises.
+func (m *Manager) stopOrdering() { m.fenced, m.fencedEpoch = true, m.epoch }
 
 // mayOrder says whether orders may go out now.
-func (k *Manager) mayOrder(nowMs, holdUntilMs int64) bool {
-	return k.ordersAllowed && k.active && !k.fenced && k.serviceMap != nil && k.listReadMs > 0 && nowMs >= k.ordersFromMs && nowMs < holdUntilMs-leaseMarginMs
+func (m *Manager) mayOrder(nowMs, leaseUntilMs int64) bool {
+	allowed := m.active && m.ordersAllowed && !m.fenced && nowMs >= m.ordersFromMs
+	informed := m.serviceMap != nil && m.list.readMs > 0
+	return allowed && informed && nowMs < leaseUntilMs-leaseMarginMs
 }
 
-// sendOrder writes an order into the ledger and sends it.
-func (k *Manager) sendOrder(nowMs, holdUntilMs int64, r *Runner, mv Move) {
-	k.lastNumber++
-	o := &Order{Item: mv.Item, Number: k.lastNumber, Load: mv.Load, FromStore: mv.FromStore}
-	r.BeginOrder(nowMs, o, k)
-	switch {
-	case mv.Load && mv.Adapter != "":
-		k.counters.AdapterLoads++
-	case mv.Adapter != "":
-		k.counters.AdapterUnloads++
-	case mv.Load:
-		k.counters.Loads++
-	default:
-		k.counters.Unloads++
-	}
-	if mv.FromStore {
-		k.counters.StoreLoads++
-		k.store.Reserve(o.Number)
+// sendOrder records an order and sends it.
+func (m *Manager) sendOrder(nowMs, leaseUntilMs int64, move planner.Move) {
+	r := move.Runner
+	m.lastNumber++
+	order := &runnerstate.Order{Item: move.Item, Number: m.lastNumber, Load: move.Load, FromStore: move.FromStore}
+	r.BeginOrder(nowMs, order, m)
+	m.counters.countOrder(order)
+	if order.FromStore {
+		m.store.Reserve(order.Number)
 	}
-	if mv.Load && r.ReservedFor == mv.Item {
-		r.ReservedFor = Item{}
+	if move.Load && r.ReservedFor == move.Item {
+		r.ReservedFor = runnerstate.Item{}
 	}
-	if !mv.Load && mv.ReserveFor.Model != "" {
-		r.ReservedFor, r.ReservedUntilMs = mv.ReserveFor, nowMs+reservationMs
+	if !move.Load && move.ReserveFor.Model != "" {
+		r.ReservedFor, r.ReservedUntilMs = move.ReserveFor, nowMs+reservationMs
 	}
-	k.callRunner(nowMs, holdUntilMs, r)
-	if mv.Load && mv.Adapter == "" {
-		// Those who wait learn that it is under way.
-		k.HoldersChanged(r.Service.Model(mv.Model))
+	m.callRunner(nowMs, leaseUntilMs, r)
+	if order.LoadsModel() {
+		// Routers with waiting requests learn that it is under way.
+		m.HoldersChanged(r.Service.Model(move.Model))
 	}
 }
 
-func (k *Manager) callRunner(nowMs, holdUntilMs int64, r *Runner) {
+// callRunner sends a runner its open order.
+func (m *Manager) callRunner(nowMs, leaseUntilMs int64, r *runnerstate.Runner) {
 	o := r.Order
-	o.DeadlineMs = min(nowMs+orderTimeoutMs, holdUntilMs)
-	k.calls = append(k.calls, protocol.OutboundCall{Address: r.Entry.Address, Body: protocol.RunnerOrder{
-		Runner: r.Entry.ID, Number: o.Number, Holder: k.selfName, Fence: k.epoch,
+	o.DeadlineMs = min(nowMs+orderTimeoutMs, leaseUntilMs)
+	m.calls = append(m.calls, protocol.OutboundCall{Address: r.Entry.Address, Body: protocol.RunnerOrder{
+		Runner: r.Entry.ID, Number: o.Number, Holder: m.selfName, Fence: m.epoch,
 		Load: o.Load, Model: o.Model, Adapter: o.Adapter, Expected: o.ExpectedCount, UntilMs: o.DeadlineMs,
 	}})
 }
+
+// followOrder does with a runner's open order what time brings.
+func (m *Manager) followOrder(nowMs, leaseUntilMs int64, r *runnerstate.Runner) {
+	o := r.Order
+	if o == nil {
+		return
+	}
+	accepted := o.Phase == runnerstate.OrderAccepted
+	switch {
+	case o.Phase == runnerstate.OrderSent && nowMs > o.DeadlineMs+callTimeoutMs:
+		// Nothing was heard of the call.
+		o.OutcomeUnknown(nowMs)
+	case accepted && o.LoadsAdapter() && !o.Assumed && nowMs-o.PhaseSinceMs >= assumeLoadedMs:
+		r.AssumeLoaded(nowMs, m)
+	case o.RetryDue(nowMs) && m.mayOrder(nowMs, leaseUntilMs) && !r.Unavailable():
+		m.retryOrder(nowMs, leaseUntilMs, r)
+	}
+}
+
+// retryOrder sends an order again if the weight store permits it: the load may
+// begin only with the retry.
+func (m *Manager) retryOrder(nowMs, leaseUntilMs int64, r *runnerstate.Runner) {
+	o := r.Order
+	if o.FromStore {
+		if !m.store.IsReserved(o.Number) && m.store.Available(nowMs) <= 0 {
+			return
+		}
+		m.store.Reserve(o.Number)
+	}
+	o.Retry(nowMs)
+	m.callRunner(nowMs, leaseUntilMs, r)
+}
--- a/internal/placement/runner_test.go
+++ b/internal/placement/orders_test.go
@@ -5,6 +5,7 @@
 
 	qt "github.com/frankban/quicktest"
 
+	"myrtlewinch/internal/placement/runnerstate"
 	"myrtlewinch/internal/protocol"
 )
 
@@ -19,72 +20,72 @@
 }
 
 func newHarness(c *qt.C, held ...string) *harness {
-	b := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
-	b.manager.SetMap(newServiceMap(6, 42, 4.2))
-	b.manager.BecomePrimary(b.nowMs, 7, b.nowMs)
-	b.list("r1", held...)
-	return b
+	h := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
+	h.manager.SetMap(newServiceMap(6, 42, 4.2))
+	h.manager.BecomePrimary(h.nowMs, 7, h.nowMs)
+	h.list("r1", held...)
+	return h
 }
 
-func (b *harness) list(id string, held ...string) {
+func (h *harness) list(id string, held ...string) {
 	e := protocol.RunnerEntry{ID: id, Service: llm, Address: "10.0.0.1:80", Zone: "a", Slots: 64, LeftMs: -1}
 	for _, name := range held {
 		e.Models = append(e.Models, protocol.HeldModel{Name: name})
 	}
-	b.manager.HandleRunnerList(b.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
+	h.manager.HandleRunnerList(h.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
 }
 
 // tick goes on by so many ms, and takes up what is asked and ordered.
-func (b *harness) tick(ms int64) {
-	for end := b.nowMs + ms; b.nowMs < end; {
-		b.nowMs += 50
-		calls, _ := b.manager.Tick(b.nowMs, b.nowMs+2000)
+func (h *harness) tick(ms int64) {
+	for end := h.nowMs + ms; h.nowMs < end; {
+		h.nowMs += 50
+		calls, _ := h.manager.Tick(h.nowMs, h.nowMs+2000)
 		for _, call := range calls {
 			switch body := call.Body.(type) {
 			case protocol.GetRunnerState:
-				b.lastPoll = body
+				h.lastPoll = body
 			case protocol.RunnerOrder:
-				b.lastOrder = body
-				b.ordersSent++
+				h.lastOrder = body
+				h.ordersSent++
 			}
 		}
 	}
 }
 
-func (b *harness) answerPoll(calls int64, busy bool, held ...string) {
+func (h *harness) answerPoll(calls int64, busy bool, held ...string) {
 	state := protocol.RunnerState{Calls: calls, Busy: busy}
 	for _, name := range held {
 		state.Models = append(state.Models, protocol.HeldModel{Name: name})
 	}
-	b.manager.HandleRunnerState(b.nowMs, protocol.RunnerStateResult{Runner: b.lastPoll.Runner, Number: b.lastPoll.Number, Ok: true, State: state})
+	h.manager.HandleRunnerState(h.nowMs, protocol.RunnerStateResult{Runner: h.lastPoll.Runner, Number: h.lastPoll.Number, Ok: true, State: state})
 }
 
-func (b *harness) answerOrder(o protocol.OrderOutcome) {
-	b.manager.HandleOrderResult(b.nowMs, protocol.RunnerOrderResult{Runner: b.lastOrder.Runner, Number: b.lastOrder.Number, Outcome: o})
+func (h *harness) answerOrder(o protocol.OrderOutcome) {
+	h.manager.HandleOrderResult(h.nowMs, protocol.RunnerOrderResult{Runner: h.lastOrder.Runner, Number: h.lastOrder.Number, Outcome: o})
 }
 
-func (b *harness) lookUpWaiting(model string) {
-	b.manager.LookUp(b.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: model, Waits: true})
+func (h *harness) lookUpWaiting(model string) {
+	h.manager.LookUp(h.nowMs, protocol.Node{Name: "router"}, protocol.IndexLookUp{Service: llm, Model: model, Waits: true})
 }
 
-func (b *harness) offers(model string) bool {
-	return len(b.manager.reply(b.nowMs, llm, model, "").Holders) > 0
+func (h *harness) offers(model string) bool {
+	return len(h.manager.reply(h.nowMs, llm, model, "").Holders) > 0
 }
 
 // harnessWithOrder brings the bench to a first order sent: a load of m004 at count 3.
 func harnessWithOrder(c *qt.C) *harness {
-	b := newHarness(c, "m001")
-	b.tick(50)
-	b.lookUpWaiting("m004")
-	c.Assert(b.ordersSent, qt.Equals, 0)
-	b.answerPoll(3, false, "m001")
-	b.tick(50)
-	c.Assert(b.ordersSent, qt.Equals, 1)
-	c.Assert(b.lastOrder.Model, qt.Equals, "m004")
-	c.Assert(b.lastOrder.Expected, qt.Equals, int64(3))
-	c.Assert(b.lastOrder.Fence, qt.Equals, uint64(7))
-	c.Assert(b.lastOrder.Holder, qt.Equals, "one")
-	return b
+	h := newHarness(c, "m001")
+	h.tick(50)
+	h.lookUpWaiting("m004")
+	c.Assert(h.ordersSent, qt.Equals, 0)
+	h.answerPoll(3, false, "m001")
+	h.tick(50)
+	c.Assert(h.ordersSent, qt.Equals, 1)
+	c.Assert(h.lastOrder.Model, qt.Equals, "m004")
+	c.Assert(h.lastOrder.Expected, qt.Equals, int64(3))
+	c.Assert(h.lastOrder.Fence, qt.Equals, uint64(7))
+	c.Assert(h.lastOrder.Holder, qt.Equals, "one")
+	return h
 }
 
 // What is heard of an order decides whether it is done, open, or may be
@@ -128,70 +129,70 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			b := harnessWithOrder(c)
+			h := harnessWithOrder(c)
 			for _, w := range test.words {
 				if w.state {
-					b.tick(300)
-					b.answerPoll(w.calls, w.busy, w.held...)
+					h.tick(300)
+					h.answerPoll(w.calls, w.busy, w.held...)
 				} else {
-					b.answerOrder(w.outcome)
+					h.answerOrder(w.outcome)
 				}
-				b.tick(100)
+				h.tick(100)
 			}
-			b.tick(250)
-			r := b.manager.runners["r1"]
+			h.tick(250)
+			r := h.manager.runners["r1"]
 			open := r.Order != nil && r.Order.Model == "m004"
 			c.Assert(open, qt.Equals, test.open)
-			c.Assert(b.offers("m004"), qt.Equals, test.holds)
-			if b.lastOrder.Model == "m004" {
-				c.Assert(b.ordersSent, qt.Equals, test.sent)
-				c.Assert(b.lastOrder.Expected, qt.Equals, int64(3))
+			c.Assert(h.offers("m004"), qt.Equals, test.holds)
+			if h.lastOrder.Model == "m004" {
+				c.Assert(h.ordersSent, qt.Equals, test.sent)
+				c.Assert(h.lastOrder.Expected, qt.Equals, int64(3))
 			}
 		})
 	}
 }
 
 // A restart is a new life: empty, with its own counts, under its new id.
-func TestRestartIsANewLife(t *testing.T) {
+func TestRestartIsANewIncarnation(t *testing.T) {
 	c := qt.New(t)
-	b := harnessWithOrder(c)
-	b.answerOrder(protocol.OutcomeAccepted)
-	b.tick(300)
-	b.list("r2")
-	c.Assert(b.offers("m001"), qt.IsFalse)
-	b.list("r2")
-	c.Assert(b.manager.runners["r1"], qt.IsNil)
-	c.Assert(b.manager.LeavingRunners(), qt.DeepEquals, []string{"r1"})
-	b.tick(500)
-	c.Assert(b.lastPoll.Runner, qt.Equals, "r2")
-	b.answerPoll(0, false)
-	b.tick(100)
-	c.Assert(b.lastOrder.Runner, qt.Equals, "r2")
-	c.Assert(b.lastOrder.Expected, qt.Equals, int64(0))
+	h := harnessWithOrder(c)
+	h.answerOrder(protocol.OutcomeAccepted)
+	h.tick(300)
+	h.list("r2")
+	c.Assert(h.offers("m001"), qt.IsFalse)
+	h.list("r2")
+	c.Assert(h.manager.runners["r1"], qt.IsNil)
+	c.Assert(h.manager.LeavingRunners(), qt.DeepEquals, []string{"r1"})
+	h.tick(500)
+	c.Assert(h.lastPoll.Runner, qt.Equals, "r2")
+	h.answerPoll(0, false)
+	h.tick(100)
+	c.Assert(h.lastOrder.Runner, qt.Equals, "r2")
+	c.Assert(h.lastOrder.Expected, qt.Equals, int64(0))
 	// A late word on the old life's order changes nothing.
-	b.manager.HandleOrderResult(b.nowMs, protocol.RunnerOrderResult{Runner: "r1", Number: 1, Outcome: protocol.OutcomeAccepted})
-	c.Assert(b.manager.runners["r2"].Order.Phase, qt.Equals, OrderSent)
+	h.manager.HandleOrderResult(h.nowMs, protocol.RunnerOrderResult{Runner: "r1", Number: 1, Outcome: protocol.OutcomeAccepted})
+	c.Assert(h.manager.runners["r2"].Order.Phase, qt.Equals, runnerstate.OrderSent)
 }
 
 // After a lower fence was refused, orders go on only under a higher one.
-func TestHigherFenceGoesOn(t *testing.T) {
+func TestOrdersResumeAtHigherEpoch(t *testing.T) {
 	c := qt.New(t)
-	b := harnessWithOrder(c)
-	b.answerOrder(protocol.OutcomeFenced)
-	b.manager.SetEpoch(7)
-	b.tick(300)
-	b.answerPoll(3, false, "m001")
-	b.tick(300)
-	c.Assert(b.ordersSent, qt.Equals, 1)
-	b.manager.SetEpoch(8)
-	b.lookUpWaiting("m004")
-	b.tick(300)
-	c.Assert(b.ordersSent, qt.Equals, 2)
-	c.Assert(b.lastOrder.Fence, qt.Equals, uint64(8))
+	h := harnessWithOrder(c)
+	h.answerOrder(protocol.OutcomeFenced)
+	h.manager.SetEpoch(7)
+	h.tick(300)
+	h.answerPoll(3, false, "m001")
+	h.tick(300)
+	c.Assert(h.ordersSent, qt.Equals, 1)
+	h.manager.SetEpoch(8)
+	h.lookUpWaiting("m004")
+	h.tick(300)
+	c.Assert(h.ordersSent, qt.Equals, 2)
+	c.Assert(h.lastOrder.Fence, qt.Equals, uint64(8))
 }
 
 // No order goes out before its time, nor close to the end of the hold.
-func TestOrdersKeepWithinTheHold(t *testing.T) {
+func TestOrdersStayWithinLease(t *testing.T) {
 	for _, test := range []struct {
 		fromMs, holdMs int64
 		sent           bool
@@ -203,19 +204,19 @@
 		{1000, 1300, true, 1300},
 	} {
 		c := qt.New(t)
-		b := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
-		b.manager.SetMap(newServiceMap(6, 0, 4.2))
-		b.manager.BecomePrimary(b.nowMs, 7, test.fromMs)
-		b.list("r1", "m001")
-		calls, _ := b.manager.Tick(1000, test.holdMs)
+		h := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
+		h.manager.SetMap(newServiceMap(6, 0, 4.2))
+		h.manager.BecomePrimary(h.nowMs, 7, test.fromMs)
+		h.list("r1", "m001")
+		calls, _ := h.manager.Tick(1000, test.holdMs)
 		for _, call := range calls {
 			if asked, ok := call.Body.(protocol.GetRunnerState); ok {
-				b.lastPoll = asked
+				h.lastPoll = asked
 			}
 		}
-		b.answerPoll(0, false, "m001")
-		b.lookUpWaiting("m004")
-		calls, _ = b.manager.Tick(1100, test.holdMs)
+		h.answerPoll(0, false, "m001")
+		h.lookUpWaiting("m004")
+		calls, _ = h.manager.Tick(1100, test.holdMs)
 		found := false
 		for _, call := range calls {
 			if order, ok := call.Body.(protocol.RunnerOrder); ok {
--- /dev/null
+++ b/internal/placement/planner/planner_test.go
@@ -0,0 +1,194 @@
+package planner
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/placement/runnerstate"
+	"myrtlewinch/internal/protocol"
+)
+
+// newEngine describes models of two sizes, m000 on, of which m000 and m002 have
+// adapters.
+func newEngine(models int) *config.Engine {
+	e := &config.Engine{Slots: 64, CacheTokens: 150_000, TokensPerEvent: 6, WeightMemoryMb: 220_000, MaxAdapters: 8, LoadsPerSec: 4.2}
+	for i := range models {
+		m := config.Model{Name: fmt.Sprintf("m%03d", i), SizeMb: 65_100, LoadMs: 1900, AdapterSizeMb: 12}
+		if i%2 == 1 {
+			m.SizeMb, m.LoadMs = 72_700, 2100
+		}
+		switch i {
+		case 0:
+			m.AdapterCount = 42
+		case 2:
+			m.AdapterCount, m.AdapterSizeMb = 16, 66
+		}
+		e.Models = append(e.Models, m)
+	}
+	return e
+}
+
+// newService makes a service whose runners hold the given models, one after the
+// other.
+func newService(models int, held ...[]string) *runnerstate.Service {
+	s := runnerstate.NewService("llm")
+	s.SetEngine(newEngine(models))
+	for i, names := range held {
+		entry := protocol.RunnerEntry{ID: fmt.Sprintf("r%d", i+1), Address: fmt.Sprint(i), Zone: string(rune('a' + i%3)), Slots: 64}
+		r := runnerstate.New(entry, 0, s)
+		r.Confirmed = true
+		var models []protocol.HeldModel
+		for _, name := range names {
+			models = append(models, protocol.HeldModel{Name: name})
+		}
+		r.ApplyModels(0, models, noObserver{})
+		s.AddRunner(r)
+	}
+	return s
+}
+
+type noObserver struct{}
+
+func (noObserver) HoldersChanged(*runnerstate.Model) {}
+
+// requestSteadily adds so many requests a second for ten seconds before nowMs.
+func requestSteadily(s *runnerstate.Service, nowMs int64, name string, perSec int) {
+	for atMs := nowMs - 10_000; atMs < nowMs; atMs += 1000 / int64(perSec) {
+		s.Models[name].Demand.Add(atMs, 1, 1000, 0)
+	}
+}
+
+// planNowMs is the time of the plans in the tests.
+const planNowMs = 100_000
+
+func TestPlan(t *testing.T) {
+	full, one := Budget{StoreLoads: 10, Concurrent: 8}, Budget{StoreLoads: 1, Concurrent: 1}
+	for _, test := range []struct {
+		name   string
+		held   [][]string
+		demand func(s *runnerstate.Service)
+		budget Budget
+		want   []string
+	}{
+		{"nothing is asked: nothing moves", [][]string{{"m001"}, {"m002"}}, func(*runnerstate.Service) {}, full, nil},
+		{"a fill takes free room, slowly", [][]string{{"m001"}, {"m000"}}, func(*runnerstate.Service) {}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, []string{"load m002"}},
+		{"a fill leaves the last room that a larger one would need", [][]string{{"m001", "m003"}}, func(s *runnerstate.Service) {
+			s.Engine.WeightMemoryMb = 215_000
+		}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, nil},
+		{"what someone waits for is loaded into free room", [][]string{{"m001", "m002", "m000"}, {"m003"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+		}, full, []string{"r2 load m004"}},
+		{"the store's pace holds it back", [][]string{{"m001"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+		}, Budget{}, nil},
+		{"what the runner held before needs no store", [][]string{{"m001"}, {"m002"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+			s.Runners[1].OnDisk["m004"] = true
+		}, Budget{}, []string{"r2 load m004"}},
+		{"the silent one goes, not the asked one", [][]string{{"m001", "m002", "m003"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+			requestSteadily(s, planNowMs, "m001", 5)
+			requestSteadily(s, planNowMs-20_000, "m002", 5)
+			requestSteadily(s, planNowMs, "m003", 5)
+		}, full, []string{"r1 unload m002"}},
+		{"a surplus copy goes before a last one", [][]string{{"m001", "m002", "m003"}, {"m001", "m005", "m000"}, {"m001", "m006", "m007"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+			requestSteadily(s, planNowMs, "m001", 1)
+			for _, name := range []string{"m002", "m003", "m005", "m000", "m006", "m007"} {
+				requestSteadily(s, planNowMs, name, 1)
+			}
+		}, full, []string{"unload m001"}},
+		{"what is asked for as much does not go", [][]string{{"m001", "m002", "m003"}}, func(s *runnerstate.Service) {
+			for _, name := range []string{"m001", "m002", "m003", "m004"} {
+				requestSteadily(s, planNowMs, name, 1)
+			}
+		}, full, nil},
+		{"a busy model has a second copy in another zone", [][]string{{"m001"}, {"m000"}, {"m002"}}, func(s *runnerstate.Service) {
+			requestSteadily(s, planNowMs, "m001", 10)
+			s.Runners[1].Entry.Zone = "a"
+		}, full, []string{"r3 load m001"}},
+		{"an adapter goes where fewest are", [][]string{{"m000"}, {"m000"}}, func(s *runnerstate.Service) {
+			s.Models["m000"].Demand.Add(planNowMs, 1, 1, 0)
+			s.Models["m000"].Adapter("a5").Demand.Add(planNowMs, 1, 1, 1)
+			s.Runners[0].Held["m000"].Adapters["a1"] = &runnerstate.HeldAdapter{}
+		}, full, []string{"r2 load m000 a5"}},
+		{"a full runner drops the adapter asked for longest ago", [][]string{{"m000"}}, func(s *runnerstate.Service) {
+			s.Models["m000"].Demand.Add(planNowMs, 1, 1, 0)
+			for i := range 8 {
+				name := fmt.Sprintf("a%d", i+1)
+				s.Runners[0].Held["m000"].Adapters[name] = &runnerstate.HeldAdapter{}
+				s.Models["m000"].Adapter(name).Demand.Add(planNowMs-int64(i)*3000-10_000, 1, 1, 0)
+			}
+			s.Models["m000"].Adapter("a9").Demand.Add(planNowMs, 1, 1, 1)
+		}, full, []string{"r1 unload m000 a8"}},
+		{"a runner that leaves counts no more", [][]string{{"m001", "m002", "m003"}, {"m000"}}, func(s *runnerstate.Service) {
+			requestSteadily(s, planNowMs, "m002", 1)
+			s.Runners[0].Leaving = true
+		}, full, []string{"r2 load m002"}},
+		{"a crowd on one copy goes before the first copy of a rare one that someone waits for", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+			requestSteadily(s, planNowMs, "m001", 40)
+		}, one, []string{"r2 load m001"}},
+		{"those who wait for a load go before a crowd, which is only slowed", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 5, 1, 5)
+			requestSteadily(s, planNowMs, "m001", 45)
+		}, one, []string{"r2 load m004"}},
+		{"the second copy of a rising model goes before the fifth of a busy one", [][]string{{"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m001", "m000", "m002"}, {"m003"}, {"m000"}}, func(s *runnerstate.Service) {
+			for atMs := int64(planNowMs - 30_000); atMs < planNowMs; atMs += 10 {
+				s.Models["m001"].Demand.Add(atMs, 1, 1000, 0)
+			}
+			requestSteadily(s, planNowMs, "m003", 50)
+		}, one, []string{"r6 load m003"}},
+		{"a busy runner's own disk goes before the store", [][]string{{}, {}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 0)
+			s.Runners[1].OnDisk["m004"] = true
+			s.Runners[1].State.Active = 64
+		}, full, []string{"r2 load m004"}},
+		{"most of all where someone waits", [][]string{{}, {}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+			s.Runners[1].OnDisk["m004"] = true
+			s.Runners[1].State.Active, s.Runners[1].State.Queued = 64, 115
+		}, full, []string{"r2 load m004"}},
+		{"a last copy that is silent goes before a spare one that has runs to finish", [][]string{{"m001", "m002", "m003"}, {"m005", "m006", "m007"}, {"m001"}}, func(s *runnerstate.Service) {
+			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
+			s.Models["m005"].Demand.Add(planNowMs-20_000, 1, 1, 0)
+			requestSteadily(s, planNowMs, "m001", 1)
+			for _, name := range []string{"m002", "m003", "m006", "m007"} {
+				requestSteadily(s, planNowMs, name, 2)
+			}
+			// It takes no order now.
+			s.Runners[2].Confirmed = false
+		}, full, []string{"r2 unload m005"}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := qt.New(t)
+			s := newService(8, test.held...)
+			test.demand(s)
+			var p Planner
+			moves, _ := p.Plan(Input{
+				NowMs: planNowMs, Service: s, Budget: test.budget,
+				AcceptsLoads: func(r *runnerstate.Runner) bool { return !r.Unavailable() },
+			})
+			var got []string
+			for _, move := range moves {
+				action := " unload "
+				if move.Load {
+					action = " load "
+				}
+				text := move.Runner.Entry.ID + action + move.Model
+				if move.Adapter != "" {
+					text += " " + move.Adapter
+				}
+				got = append(got, text)
+			}
+			c.Assert(got, qt.HasLen, len(test.want), qt.Commentf("%v", got))
+			for _, want := range test.want {
+				c.Assert(slices.ContainsFunc(got, func(text string) bool { return text == want || len(text) > 3 && text[3:] == want }), qt.IsTrue, qt.Commentf("%v", got))
+			}
+		})
+	}
+}
--- a/internal/placement/planning.go
+++ b/internal/placement/planning.go
@@ -1,53 +1,89 @@
 package placement
 
+import (
+	"myrtlewinch/internal/placement/planner"
+	"myrtlewinch/internal/placement/runnerstate"
+)
+
 const (
-	// planRunnersFree runners may be planned for at each change; of more, planRunnersPerMs in
-	// each ms.
-	planRunnersFree, planRunnersPerMs = 20, 10
-	// maxPlanIntervalMs is how often all is planned anew though nothing changed.
+	// maxPlanIntervalMs is the time after which a plan is made though nothing
+	// changed.
 	maxPlanIntervalMs = 300
+	// planRunnersFree runners may be planned for at each change; of more,
+	// planRunnersPerMs in each ms. A plan goes through all runners, and changes come
+	// the more often the more there are.
+	planRunnersFree, planRunnersPerMs = 20, 10
+	// minPrefetchIntervalMs is the least time between two prefetches,
+	// prefetchShareMs over the store's loads per second their interval, and
+	// defaultPrefetchIntervalMs that of a store without a rate.
+	minPrefetchIntervalMs     = 100
+	prefetchShareMs           = 2_000
+	defaultPrefetchIntervalMs = 1_000
 )
 
-// planOrders works out what to order, and orders it.
-func (k *Manager) planOrders(nowMs, holdUntilMs int64) {
-	k.plannedMs, k.replanNeeded = nowMs, false
-	k.counters.Plans++
-	left := k.store.Available(nowMs)
-	for _, name := range sortedKeys(k.services) {
-		s := k.services[name]
+// planDue says whether a plan should be made now.
+func (m *Manager) planDue(nowMs int64) bool {
+	sinceMs, intervalMs := nowMs-m.plannedMs, m.planIntervalMs()
+	return m.replanNeeded && sinceMs >= intervalMs || sinceMs >= max(maxPlanIntervalMs, intervalMs)
+}
+
+// planIntervalMs is the least time between two plans.
+func (m *Manager) planIntervalMs() int64 {
+	return int64(max(0, len(m.sortedRunners)-planRunnersFree) / planRunnersPerMs)
+}
+
+// planOrders works out which orders to give, and gives them.
+func (m *Manager) planOrders(nowMs, leaseUntilMs int64) {
+	m.plannedMs, m.replanNeeded = nowMs, false
+	m.counters.Plans++
+	storeLoads := m.store.Available(nowMs)
+	for _, name := range sortedKeys(m.services) {
+		s := m.services[name]
 		if s.Engine == nil || len(s.Runners) == 0 {
 			continue
 		}
-		loading, longestMs := 0, int64(0)
-		for _, r := range s.Runners {
-			if r.Order != nil && r.Order.FromStore {
-				loading++
+		var moves []planner.Move
+		moves, storeLoads = m.planner.Plan(planner.Input{
+			NowMs:        nowMs,
+			Service:      s,
+			Budget:       m.storeBudget(nowMs, s, storeLoads),
+			AcceptsLoads: func(r *runnerstate.Runner) bool { return m.acceptsLoads(nowMs, r) },
+		})
+		for _, move := range moves {
+			loadsModel := move.Load && move.Adapter == ""
+			if loadsModel && !s.Models[move.Model].Demand.Requested() {
+				m.prefetchedMs = nowMs
 			}
+			m.sendOrder(nowMs, leaseUntilMs, move)
 		}
-		for _, m := range s.Configured {
-			longestMs = max(longestMs, m.Spec.LoadMs)
-		}
-		atOnce := k.store.Concurrency(longestMs)
-		b := Budget{StoreLoads: left, Concurrent: atOnce - loading}
-		// What nobody asks for comes in slowly, while the store has little to do.
-		fillEachMs := int64(1000)
-		if s.Engine.LoadsPerSec > 0 {
-			fillEachMs = max(100, int64(2000/s.Engine.LoadsPerSec))
-		}
-		b.Prefetch = loading*2 < atOnce && left*2 > k.store.Limit() && nowMs-k.prefetchedMs >= fillEachMs
-		k.planner.Plan(nowMs, s, b, func(r *Runner) bool { return k.acceptsLoads(nowMs, r) })
-		for _, mv := range k.planner.Moves {
-			if mv.Load && mv.Adapter == "" && s.Models[mv.Model].Demand.requestedMs == 0 {
-				k.prefetchedMs = nowMs
-			}
-			k.sendOrder(nowMs, holdUntilMs, mv.Runner, mv)
+	}
+}
+
+// storeBudget is what the weight store allows a service's plan, of the loads
+// that may begin now. What nobody requests is loaded slowly, while the store has
+// little to do.
+func (m *Manager) storeBudget(nowMs int64, s *runnerstate.Service, storeLoads int) planner.Budget {
+	loading, longestMs := 0, int64(0)
+	for _, r := range s.Runners {
+		if r.Order != nil && r.Order.FromStore {
+			loading++
 		}
-		left = k.planner.budget.StoreLoads
+	}
+	for _, model := range s.Configured {
+		longestMs = max(longestMs, model.Spec.LoadMs)
+	}
+	concurrent := m.store.Concurrency(longestMs)
+	storeIdle := loading*2 < concurrent && storeLoads*2 > m.store.Limit()
+	return planner.Budget{
+		StoreLoads: storeLoads,
+		Concurrent: concurrent - loading,
+		Prefetch:   storeIdle && nowMs-m.prefetchedMs >= prefetchIntervalMs(s.Engine.LoadsPerSec),
 	}
 }
 
-// planIntervalMs is the least time between two plans. A plan goes through all
-// runners, and changes come the more often the more there are.
-func (k *Manager) planIntervalMs() int64 {
-	return int64(max(0, len(k.sortedRunners)-planRunnersFree) / planRunnersPerMs)
+func prefetchIntervalMs(loadsPerSec float64) int64 {
+	if loadsPerSec <= 0 {
+		return defaultPrefetchIntervalMs
+	}
+	return max(minPrefetchIntervalMs, int64(prefetchShareMs/loadsPerSec))
 }
--- a/internal/placement/polling.go
+++ b/internal/placement/polling.go
@@ -1,200 +1,213 @@
 package placement
 
-import "myrtlewinch/internal/protocol"
+import (
+	"myrtlewinch/internal/placement/runnerstate"
+	"myrtlewinch/internal/protocol"
+)
 
 const (
-	// callTimeoutMs is when a call that brought nothing at all is given up.
+	// callTimeoutMs is when a call of which nothing was heard is given up.
 	callTimeoutMs = 3_000
-	// How often runners are asked for their state: usually, while something
-	// is open, while nothing is asked of them, and when they may be dead.
-	pollMs, openOrderPollMs, idlePollMs, failedPollMs = 400, 100, 800, 900
-	// pollMsPerRunner slows the usual pace for each runner there is, so that the
-	// questions of a large fleet don't take up the primary, and minPollMsPerRunner
-	// bounds them to 500 a second however large it is.
-	pollMsPerRunner, minPollMsPerRunner = 3, 2
-	// stateDelayMs is how old a state is about when it is told.
-	stateDelayMs = 110
-	// pollsPerScan bounds the questions to runners in one tick, with one more for
-	// each so many runners.
+
+	// The intervals of polls for a runner's state: pollMs usually, openOrderPollMs
+	// while an order is open or a poll failed, idlePollMs while nobody requests what
+	// it holds, failedPollMs after several failures, and loadEndPollMs about when
+	// the load of a model should end.
+	pollMs          = 400
+	openOrderPollMs = 100
+	loadEndPollMs   = 80
+	idlePollMs      = 800
+	failedPollMs    = 900
+
+	// pollMsPerRunner slows the usual interval for each runner, up to
+	// maxSlowedPollMs, so that the polls of a large site don't take up the primary.
+	// minPollMsPerRunner bounds them to 500 per second at any size.
+	pollMsPerRunner    = 3
+	maxSlowedPollMs    = 900
+	minPollMsPerRunner = 2
+	// pollsPerScan bounds the polls in one scan, with one more for each
+	// runnersPerExtraPoll runners.
 	pollsPerScan, runnersPerExtraPoll = 25, 200
-	// suspectAfterFailures is how many questions in a row must fail.
+
+	// stateDelayMs is about how old a state is when it arrives.
+	stateDelayMs = 110
+	// suspectAfterFailures is how many polls in a row must fail before a runner is
+	// suspected to be down, and suspectSilenceMs how long beyond silenceLimitMs it
+	// must be silent.
 	suspectAfterFailures = 3
-	// assumeLoadedMs is how long after it was taken an adapter's load counts as done.
+	suspectSilenceMs     = 1_000
+	// minSilenceLimitMs and silenceMarginMs give the silence after which a runner
+	// gets no loads: two polls and a margin.
+	minSilenceLimitMs = 1_500
+	silenceMarginMs   = 300
+	// assumeLoadedMs is how long after its acceptance the load of an adapter counts
+	// as done.
 	assumeLoadedMs = 40
+	// recentRequestMs is how long after a request a model counts as in use.
+	recentRequestMs = 2_000
 )
 
-// HandleRunnerState takes a runner's answer to a question.
-func (k *Manager) HandleRunnerState(nowMs int64, in protocol.RunnerStateResult) {
-	r := k.runners[in.Runner]
-	if r == nil || !k.active || in.Number == 0 || in.Number != r.PollNumber {
+// HandleRunnerState takes a runner's answer to a poll.
+func (m *Manager) HandleRunnerState(nowMs int64, in protocol.RunnerStateResult) {
+	r := m.runners[in.Runner]
+	if r == nil || !m.active || in.Number == 0 || in.Number != r.PollNumber {
 		return
 	}
 	r.PollNumber = 0
-	if !in.Ok {
-		k.counters.StateFails++
+	if in.Ok {
+		m.counters.States++
+		r.FailedPolls = 0
+		m.applyState(nowMs, r, in.State)
+	} else {
+		m.counters.StateFails++
 		r.FailedPolls++
-		k.updateSuspicion(nowMs, r)
-		return
 	}
-	k.counters.States++
-	r.FailedPolls = 0
-	o := r.Order
-	before := r.Confirmed
-	settled := r.ApplyState(nowMs, r.PolledMs, in.State, k)
-	if o != nil && r.Order == nil {
-		k.store.Settle(nowMs, o.Number, true)
-		if o.Load && o.Adapter == "" && settled == OrderDone && r.Held[o.Model] != nil {
-			k.learnWarmLoadTime(nowMs, r, o)
-			r.Held[o.Model].Model.Demand.ClearWaiting()
-		}
-		k.replanNeeded = true
-	}
-	if !before && r.Confirmed {
-		k.replanNeeded = true
-	}
-	k.updateSuspicion(nowMs, r)
+	m.updateSuspicion(nowMs, r)
 }
 
-// learnWarmLoadTime takes the time of a load from a runner's own disk.
-func (k *Manager) learnWarmLoadTime(nowMs int64, r *Runner, o *Order) {
-	m := r.Service.Model(o.Model)
-	tookMs := nowMs - o.FirstSentMs
-	if o.FromStore || tookMs <= 0 || tookMs > 2*m.Spec.LoadMs {
-		return
+// applyState takes a runner's state and settles its open order by it.
+func (m *Manager) applyState(nowMs int64, r *runnerstate.Runner, state protocol.RunnerState) {
+	order, wasConfirmed := r.Order, r.Confirmed
+	result := r.ApplyState(nowMs, r.PolledMs, state, m)
+	if order != nil && r.Order == nil {
+		m.store.Settle(nowMs, order.Number, true)
+		held := r.Held[order.Model]
+		if order.LoadsModel() && result == runnerstate.OrderDone && held != nil {
+			if !order.FromStore {
+				held.Model.AddWarmLoad(nowMs - order.FirstSentMs)
+			}
+			held.Model.Demand.ClearWaiting()
+		}
+		m.replanNeeded = true
 	}
-	if m.warmLoadMs == 0 {
-		m.warmLoadMs = tookMs
-	} else {
-		m.warmLoadMs += (tookMs - m.warmLoadMs) / 4
+	if !wasConfirmed && r.Confirmed {
+		m.replanNeeded = true
 	}
 }
 
-// updateSuspicion works out whether a runner may be offered as a holder.
-func (k *Manager) updateSuspicion(nowMs int64, r *Runner) {
-	suspect := k.pollsState(r) && (r.FailedPolls >= suspectAfterFailures || nowMs-r.LastReplyMs > k.silenceLimitMs(r)+1_000)
+// updateSuspicion works out whether a runner may be down.
+func (m *Manager) updateSuspicion(nowMs int64, r *runnerstate.Runner) {
+	silent := nowMs-r.LastReplyMs > m.silenceLimitMs()+suspectSilenceMs
+	suspect := polled(r) && (r.FailedPolls >= suspectAfterFailures || silent)
 	if suspect != r.Suspect {
 		r.Suspect = suspect
-		k.runnerChanged(r)
+		m.runnerChanged(r)
 	}
 }
 
-// pollsState says whether the runner is one that tells its state.
-func (k *Manager) pollsState(r *Runner) bool { return r.Service.Engine != nil }
+// polled says whether a runner is one that shows its state: those of services
+// without an engine don't.
+func polled(r *runnerstate.Runner) bool { return r.Service.Engine != nil }
 
-// silenceLimitMs is after which silence no load goes to a runner.
-func (k *Manager) silenceLimitMs(r *Runner) int64 { return max(1_500, 2*k.usualPollMs()+300) }
+// silenceLimitMs is the silence after which a runner gets no loads.
+func (m *Manager) silenceLimitMs() int64 {
+	return max(minSilenceLimitMs, 2*m.usualPollMs()+silenceMarginMs)
+}
 
-func (k *Manager) usualPollMs() int64 {
-	count := int64(len(k.sortedRunners))
-	return max(minPollMsPerRunner*count, min(900, pollMs+pollMsPerRunner*count))
+// usualPollMs is the usual interval of polls at the present number of runners.
+func (m *Manager) usualPollMs() int64 {
+	count := int64(len(m.sortedRunners))
+	return max(minPollMsPerRunner*count, min(maxSlowedPollMs, pollMs+pollMsPerRunner*count))
 }
 
 // acceptsLoads says whether loads may go to a runner.
-func (k *Manager) acceptsLoads(nowMs int64, r *Runner) bool {
-	return !r.Unavailable() && !r.Suspect && r.FailedPolls == 0 && nowMs-r.LastReplyMs <= k.silenceLimitMs(r)
+func (m *Manager) acceptsLoads(nowMs int64, r *runnerstate.Runner) bool {
+	return !r.Unavailable() && !r.Suspect && r.FailedPolls == 0 && nowMs-r.LastReplyMs <= m.silenceLimitMs()
 }
 
-// pollRunners looks at every runner. Questions to a large fleet are spread over the
-// ticks, in turn.
-func (k *Manager) pollRunners(nowMs, holdUntilMs int64) {
-	asks := pollsPerScan + len(k.sortedRunners)/runnersPerExtraPoll
-	for i := range k.sortedRunners {
-		at := (k.nextScanned + i) % len(k.sortedRunners)
-		if asks -= k.tickRunner(nowMs, holdUntilMs, k.sortedRunners[at], asks > 0); asks == 0 {
-			k.nextScanned, asks = at+1, -1
+// scanRunners looks at every runner. Polls of a large site are spread over the
+// scans, by turns.
+func (m *Manager) scanRunners(nowMs, leaseUntilMs int64) {
+	pollsLeft := pollsPerScan + len(m.sortedRunners)/runnersPerExtraPoll
+	for i := range m.sortedRunners {
+		at := (m.nextScanned + i) % len(m.sortedRunners)
+		r := m.sortedRunners[at]
+		if !polled(r) {
+			continue
 		}
-	}
-}
-
-// tickRunner says how many questions it asked.
-func (k *Manager) tickRunner(nowMs, holdUntilMs int64, r *Runner, mayAsk bool) (asks int) {
-	if !k.pollsState(r) {
-		return 0
-	}
-	if o := r.Order; o != nil {
-		switch {
-		case o.Phase == OrderSent && nowMs > o.DeadlineMs+callTimeoutMs:
-			// The call brought no word at all.
-			o.Phase, o.PhaseSinceMs = OrderUnknown, nowMs
-		case o.Phase == OrderAccepted && o.Load && o.Adapter != "" && !o.Assumed && nowMs-o.PhaseSinceMs >= assumeLoadedMs:
-			r.AssumeLoaded(nowMs, k)
-		case o.RetryNeeded && o.Phase == OrderUnknown && nowMs-o.LastSentMs >= retryMs && k.mayOrder(nowMs, holdUntilMs) && !r.Unavailable():
-			// A repeat may begin the load only now.
-			if !o.FromStore || k.store.reserved[o.Number] || k.store.Available(nowMs) > 0 {
-				if o.FromStore {
-					k.store.Reserve(o.Number)
-				}
-				o.RetryNeeded, o.LastSentMs, o.Phase = false, nowMs, OrderSent
-				o.Retries++
-				k.callRunner(nowMs, holdUntilMs, r)
+		m.followOrder(nowMs, leaseUntilMs, r)
+		if m.poll(nowMs, r, pollsLeft > 0) {
+			pollsLeft--
+			if pollsLeft == 0 {
+				m.nextScanned = at + 1
 			}
 		}
+		m.updateSuspicion(nowMs, r)
 	}
+}
+
+// poll polls a runner if that is allowed and due, and says whether it did. A
+// poll of which nothing was heard has failed.
+func (m *Manager) poll(nowMs int64, r *runnerstate.Runner, allowed bool) bool {
 	if r.PollNumber != 0 && nowMs-r.PolledMs > callTimeoutMs {
 		r.PollNumber = 0
 		r.FailedPolls++
 	}
-	if mayAsk && r.PollNumber == 0 && nowMs-r.PolledMs >= k.pollIntervalMs(nowMs, r) {
-		asks = 1
-		k.lastNumber++
-		r.PollNumber, r.PolledMs = k.lastNumber, nowMs
-		k.calls = append(k.calls, protocol.OutboundCall{Address: r.Entry.Address, Body: protocol.GetRunnerState{Runner: r.Entry.ID, Number: k.lastNumber}})
+	if !allowed || r.PollNumber != 0 || nowMs-r.PolledMs < m.pollIntervalMs(nowMs, r) {
+		return false
 	}
-	k.updateSuspicion(nowMs, r)
-	return asks
+	m.lastNumber++
+	r.PollNumber, r.PolledMs = m.lastNumber, nowMs
+	m.calls = append(m.calls, protocol.OutboundCall{
+		Address: r.Entry.Address,
+		Body:    protocol.GetRunnerState{Runner: r.Entry.ID, Number: r.PollNumber},
+	})
+	return true
 }
 
-// pollIntervalMs is how often to ask a runner for its state.
-func (k *Manager) pollIntervalMs(nowMs int64, r *Runner) int64 {
-	usual := k.usualPollMs()
-	if r.FailedPolls >= suspectAfterFailures {
+// pollIntervalMs is how often to poll a runner now.
+func (m *Manager) pollIntervalMs(nowMs int64, r *runnerstate.Runner) int64 {
+	usualMs := m.usualPollMs()
+	running := r.State.Active + r.State.Queued
+	switch {
+	case r.FailedPolls >= suspectAfterFailures:
 		return failedPollMs
-	}
-	if r.FailedPolls > 0 {
+	case r.FailedPolls > 0:
+		return openOrderPollMs
+	case r.Order != nil:
+		return orderPollIntervalMs(nowMs, r, usualMs)
+	case !r.Confirmed || r.HasReservation(nowMs):
 		return openOrderPollMs
+	case running == 0 && !recentlyRequested(nowMs, r):
+		return max(idlePollMs, usualMs)
 	}
+	return usualMs
+}
+
+// orderPollIntervalMs is how often to poll a runner that has an open order.
+func orderPollIntervalMs(nowMs int64, r *runnerstate.Runner, usualMs int64) int64 {
 	o := r.Order
 	switch {
-	case o == nil && !r.Confirmed:
+	case o.Phase != runnerstate.OrderAccepted:
 		return openOrderPollMs
-	case o == nil && r.ReservedFor.Model != "" && nowMs < r.ReservedUntilMs:
-		return openOrderPollMs
-	case o != nil && o.Phase == OrderAccepted && (!o.Load || o.Adapter != ""):
-		// It takes some ms only, but a state asked for before this shows none of
-		// it yet.
+	case !o.LoadsModel():
+		// It takes some ms only, but a state that is requested before this shows none
+		// of it yet.
 		return max(openOrderPollMs, o.PhaseSinceMs+stateDelayMs-r.PolledMs)
-	case o != nil && (o.Phase == OrderUnknown || !o.Load || o.Adapter != ""):
-		return openOrderPollMs
-	case o != nil && o.Phase == OrderAccepted:
-		// A load is looked at closely only about when it should end.
-		if nowMs-o.PhaseSinceMs >= k.minLoadMs(r, o)+stateDelayMs {
-			return openOrderPollMs * 4 / 5
-		}
-		return min(usual, pollMs)
-	case o != nil:
-		return openOrderPollMs
-	case r.State.Active+r.State.Queued == 0 && !k.recentlyRequested(nowMs, r):
-		return max(idlePollMs, usual)
+	case nowMs-o.PhaseSinceMs >= minLoadMs(r, o)+stateDelayMs:
+		return loadEndPollMs
 	}
-	return usual
+	return min(usualMs, pollMs)
 }
 
-// minLoadMs is the least time that a model's load should take.
-func (k *Manager) minLoadMs(r *Runner, o *Order) int64 {
-	m := r.Service.Model(o.Model)
-	if warm, known := r.OnDisk[o.Model]; known {
-		if warm {
-			return m.WarmLoadMs() * 3 / 4
-		}
-		return min(m.WarmLoadMs()*3/4, m.Spec.LoadMs/4)
+// minLoadMs is the least time that a model's load should take at a runner.
+func minLoadMs(r *runnerstate.Runner, o *runnerstate.Order) int64 {
+	model := r.Service.Model(o.Model)
+	certain, onDisk := r.OnDisk[o.Model]
+	warmMs := model.WarmLoadMs() * 3 / 4
+	switch {
+	case certain:
+		return warmMs
+	case onDisk:
+		return min(warmMs, model.Spec.LoadMs/4)
 	}
-	return m.Spec.LoadMs * 9 / 10
+	return model.Spec.LoadMs * 9 / 10
 }
 
-// recentlyRequested says whether what the runner holds was asked for lately.
-func (k *Manager) recentlyRequested(nowMs int64, r *Runner) bool {
+// recentlyRequested says whether what a runner holds was requested lately.
+func recentlyRequested(nowMs int64, r *runnerstate.Runner) bool {
 	for _, h := range r.Held {
-		if h.Model.Demand.SinceRequestMs(nowMs) < 2_000 {
+		if h.Model.Demand.SinceRequestMs(nowMs) < recentRequestMs {
 			return true
 		}
 	}
--- a/internal/placement/runnerlist.go
+++ b/internal/placement/runnerlist.go
@@ -1,191 +1,255 @@
 package placement
 
 import (
-	"cmp"
 	"slices"
 
+	"myrtlewinch/internal/placement/index"
+	"myrtlewinch/internal/placement/runnerstate"
 	"myrtlewinch/internal/protocol"
 )
 
 const (
-	// minListIntervalMs is the shortest time between two reads of the list.
+	// minListIntervalMs is the shortest time between two reads of the list, and
+	// maxListIntervalMs the longest when the platform limits the rate of calls.
 	minListIntervalMs = 450
-	// maxListIntervalMs is the longest pause between reads of the list when the
-	// platform wants fewer calls.
 	maxListIntervalMs = 2_000
-	// goneReportedMs is for how long runners that are gone are told as leaving.
+	// listCallShareMs over the permitted calls per second is the interval of reads,
+	// which takes two thirds of the calls permitted to all daemons.
+	listCallShareMs = 1_500
+	// goneReportedMs is for how long runners that are gone are reported as leaving.
 	goneReportedMs = 60_000
+	// goneAfterLists is how many lists in a row must lack a runner before it counts
+	// as gone. It is not offered after the first.
+	goneAfterLists = 2
+	// maxPastDisks bounds how many runners that are gone have their disks kept.
+	maxPastDisks = 1_000
 )
 
-// LeavingRunners lists the ids of runners that are leaving, or gone for not too long.
-func (k *Manager) LeavingRunners() []string {
-	out := make([]string, 0, len(k.leavingMs))
-	for id := range k.leavingMs {
-		out = append(out, id)
+// listReader paces the reads of the platform's list.
+type listReader struct {
+	address    string
+	intervalMs int64
+	// pauseMs is the present interval: it grows while the platform limits calls.
+	pauseMs int64
+	// callOpen says that a call is under way; calledMs is when the last one began,
+	// nextMs when the next one is due, and readMs when the list was last read, 0
+	// for never.
+	callOpen                 bool
+	calledMs, nextMs, readMs int64
+}
+
+func newListReader(address string, callsPerSec float64) listReader {
+	l := listReader{address: address, intervalMs: minListIntervalMs}
+	if callsPerSec > 0 {
+		l.intervalMs = max(minListIntervalMs, int64(listCallShareMs/callsPerSec))
+	}
+	l.pauseMs = l.intervalMs
+	return l
+}
+
+// begin makes a read due now. No list of before counts.
+func (l *listReader) begin(nowMs int64) {
+	l.callOpen, l.nextMs, l.pauseMs, l.readMs = false, nowMs, l.intervalMs, 0
+}
+
+// stop forgets an open call.
+func (l *listReader) stop() { l.callOpen = false }
+
+// failed notes that a call brought no list; limited says that the platform wants
+// fewer calls.
+func (l *listReader) failed(nowMs int64, limited bool) {
+	l.callOpen = false
+	if limited {
+		l.pauseMs = min(2*l.pauseMs, max(maxListIntervalMs, l.intervalMs))
+	}
+	l.nextMs = nowMs + l.pauseMs
+}
+
+// succeeded notes that a call brought the list.
+func (l *listReader) succeeded(nowMs int64) {
+	l.callOpen = false
+	l.pauseMs = max(l.intervalMs, l.pauseMs*3/4)
+	l.nextMs = l.calledMs + l.pauseMs
+	l.readMs = nowMs
+}
+
+// callDue says whether to read the list now, and notes that this is done.
+func (l *listReader) callDue(nowMs int64) bool {
+	if l.callOpen && nowMs-l.calledMs > callTimeoutMs {
+		l.callOpen = false
+	}
+	if l.callOpen || nowMs < l.nextMs || l.address == "" {
+		return false
+	}
+	l.callOpen, l.calledMs = true, nowMs
+	return true
+}
+
+// tickList reads the list when that is due.
+func (m *Manager) tickList(nowMs int64) {
+	if m.list.callDue(nowMs) {
+		m.calls = append(m.calls, protocol.OutboundCall{Address: m.list.address, Body: protocol.ListRunners{}})
 	}
-	slices.Sort(out)
-	return out
 }
 
-// ListAgeMs is how long ago the platform's list was last read, or -1.
-func (k *Manager) ListAgeMs(nowMs int64) int64 {
-	if k.listReadMs == 0 {
+// LeavingRunners returns the ids of runners that drain, or are gone for not too
+// long, in order.
+func (m *Manager) LeavingRunners() []string { return sortedKeys(m.leavingMs) }
+
+// ListAgeMs is how long ago the platform's list was last read, -1 for never.
+func (m *Manager) ListAgeMs(nowMs int64) int64 {
+	if m.list.readMs == 0 {
 		return -1
 	}
-	return nowMs - k.listReadMs
+	return nowMs - m.list.readMs
 }
 
-// HandleRunnerList takes what a read of the platform's list brought; changed says that
-// the set of leaving runners did.
-func (k *Manager) HandleRunnerList(nowMs int64, in protocol.RunnerList) (changed bool) {
-	k.listCallOpen = false
+// HandleRunnerList takes what a read of the platform's list brought. It says
+// whether the set of leaving runners changed.
+func (m *Manager) HandleRunnerList(nowMs int64, in protocol.RunnerList) (leavingChanged bool) {
 	if !in.Ok {
-		k.counters.ListFails++
-		if in.Limited {
-			k.listPauseMs = min(2*k.listPauseMs, max(maxListIntervalMs, k.listIntervalMs))
-		}
-		k.listNextMs = nowMs + k.listPauseMs
+		m.counters.ListFails++
+		m.list.failed(nowMs, in.Limited)
 		return false
 	}
-	k.counters.Lists++
-	k.listPauseMs = max(k.listIntervalMs, k.listPauseMs*3/4)
-	k.listNextMs = k.listCalledMs + k.listPauseMs
-	k.listReadMs, k.indexKnown = nowMs, true
+	m.counters.Lists++
+	m.list.succeeded(nowMs)
+	m.indexKnown = true
 	listed := make(map[string]bool, len(in.Runners))
-	for _, e := range in.Runners {
-		listed[e.ID] = true
-		if k.updateFromList(nowMs, e) {
-			changed = true
+	for _, entry := range in.Runners {
+		listed[entry.ID] = true
+		if m.applyEntry(nowMs, entry) {
+			leavingChanged = true
 		}
 	}
-	for _, r := range slices.Clone(k.sortedRunners) {
-		if listed[r.Entry.ID] {
-			continue
-		}
-		// A runner that the list lacks is not offered; one that it lacks twice
-		// is gone.
-		r.MissedLists++
-		switch {
-		case r.MissedLists == 1:
-			k.runnerChanged(r)
-		case r.goneMs == 0:
-			r.goneMs = nowMs
-			if _, told := k.leavingMs[r.Entry.ID]; !told {
-				k.leavingMs[r.Entry.ID] = nowMs
-				changed = true
-			}
-			k.removeRunner(nowMs, r)
+	for _, r := range slices.Clone(m.sortedRunners) {
+		if !listed[r.Entry.ID] && m.missedByList(nowMs, r) {
+			leavingChanged = true
 		}
 	}
-	for id, goneMs := range k.leavingMs {
-		if !listed[id] && k.runners[id] == nil && nowMs-goneMs > goneReportedMs {
-			delete(k.leavingMs, id)
-			delete(k.everLeaving, id)
-			changed = true
+	for id, sinceMs := range m.leavingMs {
+		if !listed[id] && m.runners[id] == nil && nowMs-sinceMs > goneReportedMs {
+			delete(m.leavingMs, id)
+			delete(m.everLeaving, id)
+			leavingChanged = true
 		}
 	}
-	return changed
+	return leavingChanged
 }
 
-// updateFromList takes one entry of the list; it says whether the runner began to
-// leave.
-func (k *Manager) updateFromList(nowMs int64, e protocol.RunnerEntry) (changed bool) {
-	r := k.runners[e.ID]
+// missedByList notes that the list lacks a runner. It says whether the runner is
+// newly reported as leaving.
+func (m *Manager) missedByList(nowMs int64, r *runnerstate.Runner) (leavingChanged bool) {
+	r.MissedLists++
+	if r.MissedLists < goneAfterLists {
+		m.runnerChanged(r)
+		return false
+	}
+	if _, reported := m.leavingMs[r.Entry.ID]; !reported {
+		m.leavingMs[r.Entry.ID] = nowMs
+		leavingChanged = true
+	}
+	m.removeRunner(nowMs, r)
+	return leavingChanged
+}
+
+// applyEntry takes one entry of the list. It says whether the set of leaving
+// runners changed.
+func (m *Manager) applyEntry(nowMs int64, entry protocol.RunnerEntry) (leavingChanged bool) {
+	r := m.runners[entry.ID]
 	if r == nil {
-		r = NewRunner(e, k.serviceNamed(e.Service))
-		r.LastReplyMs, r.PolledMs = nowMs, nowMs-callTimeoutMs
-		k.addRunner(r)
-		for name := range k.pastDisks[diskKey(e)] {
-			// The weights of the life before may still be on its disk: false is
-			// that they may, so that the load counts against the store.
-			r.OnDisk[name] = false
-		}
-		r.ApplyModels(nowMs, e.Models, k)
-		k.runnerChanged(r)
+		r = m.addListedRunner(nowMs, entry)
 	}
-	// The text that came in with the list is dropped; what counts changes here.
-	models := e.Models
-	e.Models = nil
-	if r.Entry.Address != e.Address || r.Entry.Zone != e.Zone || r.Entry.Slots != e.Slots {
-		k.runnerChanged(r)
+	// The list's models are used here and not kept.
+	models := entry.Models
+	entry.Models = nil
+	if r.Entry.Address != entry.Address || r.Entry.Zone != entry.Zone || r.Entry.Slots != entry.Slots {
+		m.runnerChanged(r)
 	}
-	r.Entry = e
-	// Until a runner has spoken for itself, the list does.
+	r.Entry = entry
+	// Until a runner has shown its own state, the list's counts.
 	if r.StateMs == 0 && r.Order == nil {
-		r.ApplyModels(nowMs, models, k)
+		r.ApplyModels(nowMs, models, m)
 	}
 	if r.MissedLists > 0 {
 		r.MissedLists = 0
-		k.runnerChanged(r)
-	}
-	if e.LeftMs >= 0 && (e.Leaving || e.LeftMs > 0) {
-		r.leftAtMs = nowMs + e.LeftMs
+		m.runnerChanged(r)
 	}
-	// Leaving is for ever, whatever a later list says.
-	if e.Leaving {
-		k.everLeaving[e.ID] = true
+	// Draining never ends, whatever a later list says.
+	if entry.Leaving {
+		m.everLeaving[entry.ID] = true
 	}
-	if k.everLeaving[e.ID] && !r.Leaving {
+	leaving := m.everLeaving[entry.ID]
+	if leaving && !r.Leaving {
 		r.Leaving = true
-		k.runnerChanged(r)
+		m.runnerChanged(r)
 	}
-	_, told := k.leavingMs[e.ID]
+	return m.reportLeaving(nowMs, entry.ID, leaving)
+}
+
+// addListedRunner makes a runner that the list shows for the first time.
+func (m *Manager) addListedRunner(nowMs int64, entry protocol.RunnerEntry) *runnerstate.Runner {
+	r := m.addRunner(entry)
+	// The next poll is due at once.
+	r.LastReplyMs, r.PolledMs = nowMs, nowMs-callTimeoutMs
+	for name := range m.pastDisks[diskKey(entry)] {
+		// The weights of the incarnation before may still be on its disk. False says
+		// that this is not certain, so that the load counts against the store.
+		r.OnDisk[name] = false
+	}
+	r.ApplyModels(nowMs, entry.Models, m)
+	m.runnerChanged(r)
+	return r
+}
+
+// reportLeaving keeps the set of leaving runners for one that is listed. It says
+// whether the set changed.
+func (m *Manager) reportLeaving(nowMs int64, id string, leaving bool) (changed bool) {
+	_, reported := m.leavingMs[id]
 	switch {
-	case k.everLeaving[e.ID] && !told:
-		k.leavingMs[e.ID] = nowMs
-		return true
-	case k.everLeaving[e.ID]:
-		k.leavingMs[e.ID] = nowMs
-	case told:
+	case leaving:
+		m.leavingMs[id] = nowMs
+		return !reported
+	case reported:
 		// It was only missing from the list for a while.
-		delete(k.leavingMs, e.ID)
+		delete(m.leavingMs, id)
 		return true
 	}
 	return false
 }
 
-func diskKey(e protocol.RunnerEntry) string { return e.Service + " " + e.Address }
+// diskKey names the disk of a runner, which outlives its incarnations.
+func diskKey(entry protocol.RunnerEntry) string { return entry.Service + " " + entry.Address }
 
-func (k *Manager) addRunner(r *Runner) {
-	k.runners[r.Entry.ID] = r
-	at, _ := slices.BinarySearchFunc(k.sortedRunners, r, byID)
-	k.sortedRunners = slices.Insert(k.sortedRunners, at, r)
-	s := r.Service
-	at, _ = slices.BinarySearchFunc(s.Runners, r, byID)
-	s.Runners = slices.Insert(s.Runners, at, r)
+// addRunner makes a runner from an entry of the list.
+func (m *Manager) addRunner(entry protocol.RunnerEntry) *runnerstate.Runner {
+	s := m.serviceNamed(entry.Service)
+	r := runnerstate.New(entry, index.HashName(entry.ID), s)
+	m.runners[entry.ID] = r
+	m.sortedRunners = runnerstate.InsertSorted(m.sortedRunners, r)
+	s.AddRunner(r)
+	return r
 }
 
-func byID(a, b *Runner) int { return cmp.Compare(a.Entry.ID, b.Entry.ID) }
-
-// removeRunner forgets a runner that is gone; a next life at its address may find
-// the weights on the disk.
-func (k *Manager) removeRunner(nowMs int64, r *Runner) {
+// removeRunner forgets a runner that is gone. The next incarnation at its address
+// may find the weights on the disk.
+func (m *Manager) removeRunner(nowMs int64, r *runnerstate.Runner) {
 	if r.Order != nil {
-		k.store.Settle(nowMs, r.Order.Number, true)
+		m.store.Settle(nowMs, r.Order.Number, true)
 		r.Order = nil
 	}
-	disk := map[string]bool{}
-	for name := range r.OnDisk {
-		disk[name] = true
-	}
-	if len(k.pastDisks) < 1000 {
-		k.pastDisks[diskKey(r.Entry)] = disk
+	if len(m.pastDisks) < maxPastDisks {
+		onDisk := map[string]bool{}
+		for name := range r.OnDisk {
+			onDisk[name] = true
+		}
+		m.pastDisks[diskKey(r.Entry)] = onDisk
 	}
-	k.runnerChanged(r)
+	m.runnerChanged(r)
 	for name := range r.Held {
-		r.RemoveModel(name, k)
-	}
-	delete(k.runners, r.Entry.ID)
-	k.sortedRunners = slices.DeleteFunc(k.sortedRunners, func(o *Runner) bool { return o == r })
-	r.Service.Runners = slices.DeleteFunc(r.Service.Runners, func(o *Runner) bool { return o == r })
-}
-
-func (k *Manager) tickList(nowMs int64) {
-	if k.listCallOpen && nowMs-k.listCalledMs > callTimeoutMs {
-		k.listCallOpen = false
-	}
-	if !k.listCallOpen && nowMs >= k.listNextMs && k.listAddress != "" {
-		k.listCallOpen, k.listCalledMs = true, nowMs
-		k.calls = append(k.calls, protocol.OutboundCall{Address: k.listAddress, Body: protocol.ListRunners{}})
+		r.RemoveModel(name, m)
 	}
+	delete(m.runners, r.Entry.ID)
+	m.sortedRunners = runnerstate.Remove(m.sortedRunners, r)
+	r.Service.RemoveRunner(r)
 }
--- a/internal/placement/simulator_test.go
+++ b/internal/placement/simulator_test.go
@@ -7,6 +7,8 @@
 
 	"myrtlewinch/internal/bounds"
 	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/placement/demand"
+	"myrtlewinch/internal/placement/index"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/simulation/eventqueue"
 )
@@ -157,10 +159,10 @@
 }
 
 func (s *platformSim) manager(name string) *Manager {
-	k := New(s.bounds, name, "list", 47)
-	k.SetMap(s.m)
-	s.managers = append(s.managers, k)
-	return k
+	manager := New(s.bounds, name, "list", 47)
+	manager.SetMap(s.m)
+	s.managers = append(s.managers, manager)
+	return manager
 }
 
 func (s *platformSim) recordList() {
@@ -211,29 +213,31 @@
 		}
 	}
 	if s.events.NowMs()%50 == 0 {
-		for _, k := range s.managers {
-			s.tick(k)
+		for _, manager := range s.managers {
+			s.tick(manager)
 		}
 	}
 }
 
-func (s *platformSim) tick(k *Manager) []IndexUpdate {
+func (s *platformSim) tick(manager *Manager) []index.Update {
 	holdMs := s.events.NowMs() + 2000
-	if until, ok := s.leaseUntilMs[k]; ok {
+	if until, ok := s.leaseUntilMs[manager]; ok {
 		holdMs = until
 	}
-	calls, tells := k.Tick(s.events.NowMs(), holdMs)
+	calls, tells := manager.Tick(s.events.NowMs(), holdMs)
 	for _, call := range calls {
-		s.call(k, call)
+		s.call(manager, call)
 	}
 	return tells
 }
 
-func (s *platformSim) call(k *Manager, call protocol.OutboundCall) {
+func (s *platformSim) call(manager *Manager, call protocol.OutboundCall) {
 	way := int64(1 + s.rnd.IntN(4))
 	switch body := call.Body.(type) {
 	case protocol.ListRunners:
-		s.events.After(2*way, func() { k.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: s.list(800)}) })
+		s.events.After(2*way, func() {
+			manager.HandleRunnerList(s.events.NowMs(), protocol.RunnerList{Ok: true, Runners: s.list(800)})
+		})
 	case protocol.GetRunnerState:
 		s.events.After(2*way, func() {
 			r := s.runnerAt(call.Address)
@@ -248,13 +252,13 @@
 					}
 				}
 			}
-			k.HandleRunnerState(s.events.NowMs(), said)
+			manager.HandleRunnerState(s.events.NowMs(), said)
 		})
 	case protocol.RunnerOrder:
 		s.orders++
 		if s.rnd.Float64() < s.requestLoss/2 {
 			s.events.After(300, func() {
-				k.HandleOrderResult(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number})
+				manager.HandleOrderResult(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number})
 			})
 			return
 		}
@@ -269,7 +273,7 @@
 				if lost {
 					outcome = protocol.OutcomeUnknown
 				}
-				k.HandleOrderResult(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: outcome})
+				manager.HandleOrderResult(s.events.NowMs(), protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: outcome})
 			})
 		})
 	}
@@ -370,24 +374,23 @@
 	s       *platformSim
 	manager *Manager
 	from    protocol.Node
-	waiting map[DemandKey][]int64
-	asked   map[DemandKey]int
-	late    map[DemandKey]int
+	waiting map[demand.Key][]int64
+	asked   map[demand.Key]int
+	late    map[demand.Key]int
 	waitsMs []int64
 	denied  int
 	runMs   int64
 }
 
-func newRouterSim(s *platformSim, k *Manager) *routerSim {
-	return &routerSim{s: s, manager: k, from: protocol.Node{Name: "router-1", Address: "x"}, waiting: map[DemandKey][]int64{}, asked: map[DemandKey]int{}, late: map[DemandKey]int{}, runMs: 600}
+func newRouterSim(s *platformSim, manager *Manager) *routerSim {
+	return &routerSim{s: s, manager: manager, from: protocol.Node{Name: "router-1", Address: "x"}, waiting: map[demand.Key][]int64{}, asked: map[demand.Key]int{}, late: map[demand.Key]int{}, runMs: 600}
 }
 
 // ask sends one request. Holders are checked against the runners themselves.
 func (t *routerSim) ask(model, adapter string) {
-	key := DemandKey{llm, model, adapter}
+	key := demand.Key{Service: llm, Model: model, Adapter: adapter}
 	t.asked[key]++
-	index := t.manager.LookUp(t.s.events.NowMs(), t.from, protocol.IndexLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.hasHolder(key)})
-	_ = index
+	t.manager.LookUp(t.s.events.NowMs(), t.from, protocol.IndexLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.hasHolder(key)})
 	if !t.hasHolder(key) {
 		t.waiting[key] = append(t.waiting[key], t.s.events.NowMs())
 	} else {
@@ -397,7 +400,7 @@
 }
 
 // hasHolder says whether a holder is offered.
-func (t *routerSim) hasHolder(key DemandKey) bool {
+func (t *routerSim) hasHolder(key demand.Key) bool {
 	for _, h := range t.manager.reply(t.s.events.NowMs(), key.Service, key.Model, key.Adapter).Holders {
 		if h.Adapter {
 			return true
@@ -406,7 +409,7 @@
 	return false
 }
 
-func (t *routerSim) start(key DemandKey) {
+func (t *routerSim) start(key demand.Key) {
 	var best *simRunner
 	for _, h := range t.manager.reply(t.s.events.NowMs(), key.Service, key.Model, key.Adapter).Holders {
 		if !h.Adapter {
@@ -464,3 +467,8 @@
 	}
 	return float64(late) / float64(max(1, len(t.waitsMs)))
 }
+
+// reply makes the reply that a router without a name gets, without counting it.
+func (m *Manager) reply(nowMs int64, service, model, adapter string) protocol.IndexReply {
+	return m.replyInto(nil, nowMs, protocol.Node{}, service, model, adapter)
+}
--- a/internal/simulation/nativesim/clocks_test.go
+++ b/internal/simulation/nativesim/clocks_test.go
@@ -17,7 +17,7 @@
 // Goroutines start in crew alone.
 func TestNoWallClockAndNoStrayGoroutine(t *testing.T) {
 	c := qt.New(t)
-	machines := map[string]bool{"consensus": true, "router": true, "witness": true, "failuredetector": true, "ledger": true, "choice": true, "nativesim": true, "description": true, "faultsim": true, "placement": true, "config": true, "bounds": true, "eventqueue": true, "scalesim": true}
+	machines := map[string]bool{"consensus": true, "router": true, "witness": true, "failuredetector": true, "ledger": true, "choice": true, "nativesim": true, "description": true, "faultsim": true, "placement": true, "planner": true, "runnerstate": true, "demand": true, "index": true, "weightstore": true, "config": true, "bounds": true, "eventqueue": true, "scalesim": true}
 	shells := map[string]bool{"office.go": true, "gate.go": true}
 	files := 0
 	err := filepath.WalkDir("../../..", func(path string, entry fs.DirEntry, err error) error {
