--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -8,7 +8,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// gapMs passes between the last possible order of one holder and the
+// stallMs passes between the last possible order of one holder and the
 // first of the next.
 const gapMs = 3000
 
--- a/internal/consensus/witnesses.go
+++ b/internal/consensus/witnesses.go
@@ -6,10 +6,10 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// awayMs is how long a witness is silent before another daemon takes its seat.
+// fullMs is how long a witness is silent before another daemon takes its seat.
 const awayMs = 30_000
 
-// silentMs is how long the peer of a seat has not answered this primacy.
+// primarySilentMs is how long the peer of a seat has not answered this primacy.
 func (m *Machine) silentMs(seat protocol.MemberID) int64 {
 	c := m.replication.peers[seat.Name]
 	if seat == m.ownSeat() {
--- a/internal/proxy/hearing_test.go
+++ b/internal/proxy/attempttracker_test.go
@@ -20,16 +20,16 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			var h hearing
+			var h attemptTracker
 			stopped := false
-			done := h.add(test.beganMs, "a", 1, func() { stopped = true })
-			h.heard(test.heardMs, "a")
-			h.unreached(test.nowMs, "b")
+			done := h.start(test.beganMs, "a", 1, func() { stopped = true })
+			h.received(test.heardMs, "a")
+			h.cancelSilent(test.nowMs, "b")
 			c.Assert(stopped, qt.IsFalse)
-			h.unreached(test.nowMs, "a")
+			h.cancelSilent(test.nowMs, "a")
 			c.Assert(stopped, qt.Equals, test.stopped)
 			done()
-			c.Assert(h.unreached(test.nowMs, "a"), qt.Equals, 0)
+			c.Assert(h.cancelSilent(test.nowMs, "a"), qt.Equals, 0)
 		})
 	}
 }
--- a/internal/proxy/chooser.go
+++ b/internal/proxy/balancer.go
@@ -7,36 +7,36 @@
 	id string
 	// load is how many requests are thought to run or wait there.
 	load, slots int
-	// reading is how many tokens of prompts are known to wait there.
-	reading int64
-	own     bool
-	suspect bool
+	// prefillTokens is how many tokens of prompts are known to wait there.
+	prefillTokens int64
+	sameZone      bool
+	unhealthy     bool
 }
 
-// wish is what a choice depends on beside the candidates.
-type wish struct {
+// selection is what a choice depends on beside the candidates.
+type selection struct {
 	// affinity names the parts of the prompt that others share; nought is none.
 	affinity uint64
-	// strong says that most of the prompt is shared, so that reading it anew
+	// mostlyShared says that most of the prompt is shared, so that reading it anew
 	// costs more than waiting behind others.
-	strong bool
+	mostlyShared bool
 	// draw is a number that differs for each request.
 	draw uint64
 }
 
 const (
-	// ownZoneSlack is by how much a runner of the own zone may be busier.
-	ownZoneSlack = 2
+	// sameZoneSlack is by how much a runner of the own zone may be busier.
+	sameZoneSlack = 2
 	// A runner that holds the prompt's parts may have a quarter and some more
 	// than the average before another one reads them anew.
-	affinityOver, affinityMore = 1.25, 4
+	affinityLoadFactor, affinityLoadSlack = 1.25, 4
 )
 
 // choose gives the place of the runner to take, or -1 where there is none.
-func choose(candidates []candidate, w wish) int {
+func choose(candidates []candidate, w selection) int {
 	sound := make([]int, 0, len(candidates))
 	for i := range candidates {
-		if !candidates[i].suspect {
+		if !candidates[i].unhealthy {
 			sound = append(sound, i)
 		}
 	}
@@ -48,22 +48,22 @@
 	switch {
 	case len(sound) == 0:
 		return -1
-	case w.affinity != 0 && w.strong:
-		return byAffinity(candidates, sound, w.affinity)
+	case w.affinity != 0 && w.mostlyShared:
+		return pickByAffinity(candidates, sound, w.affinity)
 	case w.affinity != 0:
-		return byRank(candidates, sound, w.affinity)
+		return pickByRank(candidates, sound, w.affinity)
 	}
-	return byLoad(candidates, sound, w.draw)
+	return pickByLoad(candidates, sound, w.draw)
 }
 
-// byAffinity takes the first in the order of the parts' own hash that is not
+// pickByAffinity takes the first in the order of the parts' own hash that is not
 // too busy, so that all routers meet at the same runner without a word.
-func byAffinity(candidates []candidate, of []int, affinity uint64) int {
+func pickByAffinity(candidates []candidate, of []int, affinity uint64) int {
 	total := 0
 	for _, i := range of {
 		total += candidates[i].load
 	}
-	bound := affinityOver*float64(total)/float64(len(of)) + affinityMore
+	bound := affinityLoadFactor*float64(total)/float64(len(of)) + affinityLoadSlack
 	best, bestRank, least := -1, uint64(0), of[0]
 	for _, i := range of {
 		c := &candidates[i]
@@ -83,10 +83,10 @@
 	return best
 }
 
-// byRank takes the less busy of the two that come first in the order of the
+// pickByRank takes the less busy of the two that come first in the order of the
 // parts' own hash: what little they share is mostly kept there, and no runner
 // gets much more than its part.
-func byRank(candidates []candidate, of []int, affinity uint64) int {
+func pickByRank(candidates []candidate, of []int, affinity uint64) int {
 	first, second := -1, -1
 	var firstRank, secondRank uint64
 	for _, i := range of {
@@ -99,31 +99,31 @@
 			second, secondRank = i, rank
 		}
 	}
-	if second >= 0 && candidates[second].busier(candidates[first]) < 0 {
+	if second >= 0 && candidates[second].compareLoad(candidates[first]) < 0 {
 		return second
 	}
 	return first
 }
 
-// busier compares two runners: prompts that wait to be read hold up all that
+// compareLoad compares two runners: prompts that wait to be read hold up all that
 // runs there, so they count before the number of requests.
-func (c candidate) busier(than candidate) int {
-	if d := c.reading/readStep - than.reading/readStep; d != 0 {
+func (c candidate) compareLoad(than candidate) int {
+	if d := c.prefillTokens/prefillStep - than.prefillTokens/prefillStep; d != 0 {
 		return int(d)
 	}
 	return c.load - than.load
 }
 
-// readStep is how many tokens of prompts make a difference.
-const readStep = 512
+// prefillStep is how many tokens of prompts make a difference.
+const prefillStep = 512
 
-// byLoad draws two and takes the less busy one, since the loads are known a
+// pickByLoad draws two and takes the less busy one, since the loads are known a
 // little late; one of the own zone goes first where it is hardly busier.
-func byLoad(candidates []candidate, of []int, draw uint64) int {
+func pickByLoad(candidates []candidate, of []int, draw uint64) int {
 	pick := func(from []int, draw uint64) int {
 		a := from[draw%uint64(len(from))]
 		b := from[mix(draw)%uint64(len(from))]
-		if candidates[b].busier(candidates[a]) < 0 {
+		if candidates[b].compareLoad(candidates[a]) < 0 {
 			return b
 		}
 		return a
@@ -131,12 +131,12 @@
 	best := pick(of, draw)
 	var own []int
 	for _, i := range of {
-		if candidates[i].own {
+		if candidates[i].sameZone {
 			own = append(own, i)
 		}
 	}
 	if len(own) > 0 {
-		if near := pick(own, mix(draw+1)); candidates[near].load <= candidates[best].load+ownZoneSlack {
+		if near := pick(own, mix(draw+1)); candidates[near].load <= candidates[best].load+sameZoneSlack {
 			return near
 		}
 	}
@@ -175,8 +175,8 @@
 	return max(1, sum.Sum64())
 }
 
-// shared says whether most of a prompt is shared with others.
-func shared(a RequestParams) bool {
+// mostlyShared says whether most of a prompt is shared with others.
+func mostlyShared(a RequestParams) bool {
 	common := int64(0)
 	for _, part := range a.PromptParts[:max(0, len(a.PromptParts)-1)] {
 		common += part.Tokens
--- a/internal/proxy/chooser_test.go
+++ b/internal/proxy/balancer_test.go
@@ -11,17 +11,17 @@
 	cases := []struct {
 		about      string
 		candidates []candidate
-		wish       wish
+		wish       selection
 		want       []string
 	}{
-		{"none", nil, wish{}, nil},
-		{"the only one", []candidate{{id: "a", slots: 4}}, wish{}, []string{"a"}},
-		{"a suspect one is left out", []candidate{{id: "a", slots: 4, suspect: true}, {id: "b", load: 3, slots: 4}}, wish{}, []string{"b"}},
-		{"all suspect", []candidate{{id: "a", slots: 4, suspect: true}}, wish{}, []string{"a"}},
-		{"the own zone", []candidate{{id: "a", slots: 9}, {id: "b", load: 2, slots: 9, own: true}}, wish{}, []string{"b"}},
-		{"the own zone is too busy", []candidate{{id: "a", slots: 9}, {id: "b", load: 3, slots: 9, own: true}}, wish{}, []string{"a", "b"}},
-		{"parts go past a busy runner", []candidate{{id: "a", load: 20, slots: 64}, {id: "b", load: 1, slots: 64}}, wish{affinity: 7}, []string{"b"}},
-		{"parts go to the least busy where all are over", []candidate{{id: "a", load: 6, slots: 6}, {id: "b", load: 7, slots: 6}}, wish{affinity: 7}, []string{"a"}},
+		{"none", nil, selection{}, nil},
+		{"the only one", []candidate{{id: "a", slots: 4}}, selection{}, []string{"a"}},
+		{"a suspect one is left out", []candidate{{id: "a", slots: 4, unhealthy: true}, {id: "b", load: 3, slots: 4}}, selection{}, []string{"b"}},
+		{"all suspect", []candidate{{id: "a", slots: 4, unhealthy: true}}, selection{}, []string{"a"}},
+		{"the own zone", []candidate{{id: "a", slots: 9}, {id: "b", load: 2, slots: 9, sameZone: true}}, selection{}, []string{"b"}},
+		{"the own zone is too busy", []candidate{{id: "a", slots: 9}, {id: "b", load: 3, slots: 9, sameZone: true}}, selection{}, []string{"a", "b"}},
+		{"parts go past a busy runner", []candidate{{id: "a", load: 20, slots: 64}, {id: "b", load: 1, slots: 64}}, selection{affinity: 7}, []string{"b"}},
+		{"parts go to the least busy where all are over", []candidate{{id: "a", load: 6, slots: 6}, {id: "b", load: 7, slots: 6}}, selection{affinity: 7}, []string{"a"}},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 	counts := map[string]int{}
 	for i := range 400 {
-		w := wish{affinity: affinity("s", RequestParams{Model: "m", PromptParts: []PromptPart{{ID: fmt.Sprint(i)}, {ID: "own"}}}), draw: uint64(i)}
+		w := selection{affinity: affinity("s", RequestParams{Model: "m", PromptParts: []PromptPart{{ID: fmt.Sprint(i)}, {ID: "own"}}}), draw: uint64(i)}
 		at := one[choose(one, w)].id
 		w.draw += 99
 		c.Assert(other[choose(other, w)].id, qt.Equals, at)
--- a/internal/proxy/cache.go
+++ b/internal/proxy/cache.go
@@ -6,59 +6,59 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// key is what requests ask for.
-type key struct{ service, model, adapter string }
+// cacheKey is what requests ask for.
+type cacheKey struct{ service, model, adapter string }
 
-// entry is a cached line of the index, for a key that was named.
-type entry struct {
+// cacheEntry is a cached line of the index, for a key that was named.
+type cacheEntry struct {
 	epoch, change uint64
 	holders       []protocol.IndexHolder
-	// turnMs is when it may be held where it is not, or -1.
-	turnMs  int64
-	loading bool
-	usedMs  int64
-	// toldMs is when the index last told of it.
-	toldMs int64
-	// shunned are runners that said that they don't hold it after all, until
+	// loadExpectedMs is when it may be held where it is not, or -1.
+	loadExpectedMs int64
+	loading        bool
+	lastUsedMs     int64
+	// updatedMs is when the index last told of it.
+	updatedMs int64
+	// excluded are runners that said that they don't hold it after all, until
 	// when they are left out.
-	shunned map[string]int64
+	excluded map[string]int64
 }
 
 const (
-	cacheMost = 2048
-	// staleMs is how old a line may be and still be a hit: a router that has not
+	maxCacheEntries = 2048
+	// entryMaxAgeMs is how old a line may be and still be a hit: a router that has not
 	// asked for longer is not told when a holder goes.
-	staleMs = 3500
-	shunMs  = 1000
-	// shunAnywayMs is for how long it is shunned whatever the index tells.
-	shunAnywayMs = 150
+	entryMaxAgeMs = 3500
+	excludeMs     = 1000
+	// excludeMinMs is for how long it is shunned whatever the index tells.
+	excludeMinMs = 150
 )
 
 // cache keeps entries for named keys only.
-type cache map[key]*entry
+type cache map[cacheKey]*cacheEntry
 
-// take brings an index line in; false says that a newer one is there.
-func (c cache) take(nowMs int64, in protocol.IndexReply) bool {
-	at := key{in.Service, in.Model, in.Adapter}
+// update brings an index line in; false says that a newer one is there.
+func (c cache) update(nowMs int64, in protocol.IndexReply) bool {
+	at := cacheKey{in.Service, in.Model, in.Adapter}
 	old := c[at]
 	if old != nil && (old.epoch > in.Epoch || old.epoch == in.Epoch && old.change > in.Change) {
 		return false
 	}
-	if old == nil && len(c) >= cacheMost {
-		c.evict()
+	if old == nil && len(c) >= maxCacheEntries {
+		c.evictLeastRecentlyUsed()
 	}
-	e := &entry{epoch: in.Epoch, change: in.Change, holders: in.Holders, turnMs: -1, loading: in.Loading, usedMs: nowMs, toldMs: nowMs}
+	e := &cacheEntry{epoch: in.Epoch, change: in.Change, holders: in.Holders, loadExpectedMs: -1, loading: in.Loading, lastUsedMs: nowMs, updatedMs: nowMs}
 	if in.TurnMs >= 0 {
-		e.turnMs = nowMs + in.TurnMs
+		e.loadExpectedMs = nowMs + in.TurnMs
 	}
 	if old != nil {
-		e.usedMs = old.usedMs
+		e.lastUsedMs = old.lastUsedMs
 		// What a runner said itself just now is newer than what the line rests
 		// on, though it may tell of a change elsewhere.
 		changed := old.epoch != in.Epoch || old.change != in.Change
-		for runner, untilMs := range old.shunned {
-			if untilMs > nowMs && (!changed || nowMs-(untilMs-shunMs) < shunAnywayMs) {
-				e.shun(untilMs-shunMs, runner)
+		for runner, untilMs := range old.excluded {
+			if untilMs > nowMs && (!changed || nowMs-(untilMs-excludeMs) < excludeMinMs) {
+				e.exclude(untilMs-excludeMs, runner)
 			}
 		}
 	}
@@ -66,30 +66,30 @@
 	return true
 }
 
-// evict lets the line go that was unused for longest.
-func (c cache) evict() {
-	var oldest key
+// evictLeastRecentlyUsed lets the line go that was unused for longest.
+func (c cache) evictLeastRecentlyUsed() {
+	var oldest cacheKey
 	found := false
 	for at, e := range c {
-		if !found || e.usedMs < c[oldest].usedMs || e.usedMs == c[oldest].usedMs && at.less(oldest) {
+		if !found || e.lastUsedMs < c[oldest].lastUsedMs || e.lastUsedMs == c[oldest].lastUsedMs && at.less(oldest) {
 			oldest, found = at, true
 		}
 	}
 	delete(c, oldest)
 }
 
-func (k key) less(other key) bool {
+func (k cacheKey) less(other cacheKey) bool {
 	return slices.Compare([]string{k.service, k.model, k.adapter}, []string{other.service, other.model, other.adapter}) < 0
 }
 
-func (e *entry) shun(nowMs int64, runner string) {
-	if e.shunned == nil {
-		e.shunned = map[string]int64{}
+func (e *cacheEntry) exclude(nowMs int64, runner string) {
+	if e.excluded == nil {
+		e.excluded = map[string]int64{}
 	}
-	e.shunned[runner] = nowMs + shunMs
+	e.excluded[runner] = nowMs + excludeMs
 }
 
-// offers says whether a holder can be asked for the key.
-func (e *entry) offers(nowMs int64, at key, h *protocol.IndexHolder) bool {
-	return (at.adapter == "" || h.Adapter) && e.shunned[h.ID] <= nowMs
+// canServe says whether a holder can be asked for the key.
+func (e *cacheEntry) canServe(nowMs int64, at cacheKey, h *protocol.IndexHolder) bool {
+	return (at.adapter == "" || h.Adapter) && e.excluded[h.ID] <= nowMs
 }
--- a/internal/proxy/cache_test.go
+++ b/internal/proxy/cache_test.go
@@ -25,13 +25,13 @@
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			lines := cache{}
-			c.Assert(lines.take(1, protocol.IndexReply{Service: "s", Epoch: 2, Change: 5, TurnMs: -1}), qt.IsTrue)
-			c.Assert(lines.take(2, protocol.IndexReply{Service: "s", Epoch: test.epoch, Change: test.change, TurnMs: 7}), qt.Equals, test.taken)
+			c.Assert(lines.update(1, protocol.IndexReply{Service: "s", Epoch: 2, Change: 5, TurnMs: -1}), qt.IsTrue)
+			c.Assert(lines.update(2, protocol.IndexReply{Service: "s", Epoch: test.epoch, Change: test.change, TurnMs: 7}), qt.Equals, test.taken)
 			want := int64(-1)
 			if test.taken {
 				want = 9
 			}
-			c.Assert(lines[key{service: "s"}].turnMs, qt.Equals, want)
+			c.Assert(lines[cacheKey{service: "s"}].loadExpectedMs, qt.Equals, want)
 		})
 	}
 }
@@ -39,34 +39,34 @@
 func TestCacheLetsTheUnusedGo(t *testing.T) {
 	c := qt.New(t)
 	lines := cache{}
-	for i := range cacheMost {
-		lines.take(int64(i), protocol.IndexReply{Service: "s", Model: fmt.Sprint(i)})
+	for i := range maxCacheEntries {
+		lines.update(int64(i), protocol.IndexReply{Service: "s", Model: fmt.Sprint(i)})
 	}
-	lines[key{"s", "0", ""}].usedMs = 1 << 40
-	lines.take(1<<40, protocol.IndexReply{Service: "s", Model: "new"})
-	c.Assert(lines, qt.HasLen, cacheMost)
-	c.Assert(lines[key{"s", "0", ""}], qt.IsNotNil)
-	c.Assert(lines[key{"s", "1", ""}], qt.IsNil)
+	lines[cacheKey{"s", "0", ""}].lastUsedMs = 1 << 40
+	lines.update(1<<40, protocol.IndexReply{Service: "s", Model: "new"})
+	c.Assert(lines, qt.HasLen, maxCacheEntries)
+	c.Assert(lines[cacheKey{"s", "0", ""}], qt.IsNotNil)
+	c.Assert(lines[cacheKey{"s", "1", ""}], qt.IsNil)
 }
 
 // A runner that said no is left out until a later word of the index tells of a
 // change, or a second has passed.
 func TestCacheShuns(t *testing.T) {
 	c := qt.New(t)
-	lines, at := cache{}, key{service: "s"}
+	lines, at := cache{}, cacheKey{service: "s"}
 	line := protocol.IndexReply{Service: "s", Epoch: 1, Change: 1, Holders: []protocol.IndexHolder{{ID: "a"}}}
-	lines.take(1, line)
-	lines[at].shun(1, "a")
-	offers := func(nowMs int64) bool { return lines[at].offers(nowMs, at, &lines[at].holders[0]) }
+	lines.update(1, line)
+	lines[at].exclude(1, "a")
+	offers := func(nowMs int64) bool { return lines[at].canServe(nowMs, at, &lines[at].holders[0]) }
 	c.Assert(offers(2), qt.IsFalse)
-	lines.take(3, line)
+	lines.update(3, line)
 	c.Assert(offers(4), qt.IsFalse)
-	c.Assert(offers(1+shunMs), qt.IsTrue)
+	c.Assert(offers(1+excludeMs), qt.IsTrue)
 	line.Change = 2
-	lines[at].shun(2000, "a")
-	lines.take(2100, line)
+	lines[at].exclude(2000, "a")
+	lines.update(2100, line)
 	c.Assert(offers(2101), qt.IsFalse)
 	line.Change = 3
-	lines.take(2200, line)
+	lines.update(2200, line)
 	c.Assert(offers(2201), qt.IsTrue)
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -13,19 +13,19 @@
 
 const (
 	// Limits of clients' connections where the map says nothing.
-	defaultIdle      = 20 * time.Second
-	defaultHeadWait  = 5 * time.Second
-	defaultHeadBytes = 64 << 10
+	defaultIdle        = 20 * time.Second
+	defaultHeadTimeout = 5 * time.Second
+	defaultHeadBytes   = 64 << 10
 	// headBytesCeiling bounds a head whatever the map says.
 	headBytesCeiling = 256 << 10
-	// waitSlack is for how much longer than the map says a connection is
+	// timeoutSlack is for how much longer than the map says a connection is
 	// waited for. A map may be this late here, and a request may be on its way.
-	waitSlack = 2 * time.Second
-	// waitCeiling keeps any number of a map inside what a timer can hold.
-	waitCeiling = 24 * time.Hour
-	// lastLook is how long a connection whose time is over is read once more:
+	timeoutSlack = 2 * time.Second
+	// maxTimeout keeps any number of a map inside what a timer can hold.
+	maxTimeout = 24 * time.Hour
+	// finalReadTimeout is how long a connection whose time is over is read once more:
 	// a process that stood still finds there what came meanwhile.
-	lastLook = 10 * time.Millisecond
+	finalReadTimeout = 10 * time.Millisecond
 )
 
 // clientLimits are what a client's connection may take.
@@ -36,17 +36,17 @@
 	headBytes      int64
 }
 
-// limitsOf reads the limits of a map, which may be nil.
-func limitsOf(document *config.Configuration) clientLimits {
-	limits := clientLimits{defaultIdle, defaultHeadWait, defaultHeadBytes}
+// clientLimitsOf reads the limits of a map, which may be nil.
+func clientLimitsOf(document *config.Configuration) clientLimits {
+	limits := clientLimits{defaultIdle, defaultHeadTimeout, defaultHeadBytes}
 	if document == nil {
 		return limits
 	}
 	if ms := document.Limits.IdleTimeoutMs; ms > 0 {
-		limits.idle = waitOf(ms)
+		limits.idle = timeoutOf(ms)
 	}
 	if ms := document.Limits.HeaderTimeoutMs; ms > 0 {
-		limits.headWait = waitOf(ms)
+		limits.headWait = timeoutOf(ms)
 	}
 	if bytes := document.Limits.MaxHeaderBytes; bytes > 0 {
 		limits.headBytes = min(bytes, headBytesCeiling)
@@ -54,8 +54,8 @@
 	return limits
 }
 
-func waitOf(ms int64) time.Duration {
-	return time.Duration(min(ms, waitCeiling.Milliseconds()))*time.Millisecond + waitSlack
+func timeoutOf(ms int64) time.Duration {
+	return time.Duration(min(ms, maxTimeout.Milliseconds()))*time.Millisecond + timeoutSlack
 }
 
 // headBytes counts the head of a request. What the standard server has taken
@@ -163,7 +163,7 @@
 		if deadline().After(until) {
 			continue
 		}
-		if err := c.Conn.SetReadDeadline(time.Now().Add(lastLook)); err != nil {
+		if err := c.Conn.SetReadDeadline(time.Now().Add(finalReadTimeout)); err != nil {
 			return 0, err
 		}
 		return c.Conn.Read(p)
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -78,13 +78,13 @@
 }
 
 func byTheMap(b *waitBed, front net.Listener) (*http.Server, net.Listener) {
-	limits := func() clientLimits { return limitsOf(&config.Configuration{Limits: *b.limits.Load()}) }
+	limits := func() clientLimits { return clientLimitsOf(&config.Configuration{Limits: *b.limits.Load()}) }
 	return &http.Server{ConnState: trackClientConn}, clientListener{front, limits}
 }
 
 // byFixedTimes is how the router waited before.
 func byFixedTimes(_ *waitBed, front net.Listener) (*http.Server, net.Listener) {
-	return &http.Server{ReadHeaderTimeout: defaultHeadWait, IdleTimeout: defaultIdle}, front
+	return &http.Server{ReadHeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdle}, front
 }
 
 func (b *waitBed) idle(ms int64) {
@@ -116,7 +116,7 @@
 
 // How long a connection may rest and a head may take follows the map.
 func TestWaitsForClientsFollowTheMap(t *testing.T) {
-	slackMs := waitSlack.Milliseconds()
+	slackMs := timeoutSlack.Milliseconds()
 	cases := []struct {
 		about string
 		play  func(b *waitBed) bool
@@ -190,9 +190,9 @@
 // A client may take up a connection that rested for four fifths of the map's
 // time, whatever that is. The fixed time of before fails this.
 func TestNoAllowedRestIsCutOff(t *testing.T) {
-	for _, idleMs := range []int64{1, 100, 1000, 15_000, 30_000, 600_000, waitCeiling.Milliseconds(), 1 << 62} {
+	for _, idleMs := range []int64{1, 100, 1000, 15_000, 30_000, 600_000, maxTimeout.Milliseconds(), 1 << 62} {
 		t.Run(fmt.Sprint(idleMs), func(t *testing.T) {
-			restMs := min(idleMs, waitCeiling.Milliseconds()) / 5 * 4
+			restMs := min(idleMs, maxTimeout.Milliseconds()) / 5 * 4
 			answered := func(serve func(*waitBed, net.Listener) (*http.Server, net.Listener)) (answered bool) {
 				playWaits(t, serve, func(b *waitBed) {
 					b.idle(idleMs)
@@ -227,7 +227,7 @@
 
 func TestWhatCameWhileTheProcessStoodStillIsRead(t *testing.T) {
 	c := qt.New(t)
-	connection := &clientConn{Conn: &frozen{text: "GET"}, limits: func() clientLimits { return limitsOf(nil) }}
+	connection := &clientConn{Conn: &frozen{text: "GET"}, limits: func() clientLimits { return clientLimitsOf(nil) }}
 	connection.rest()
 	buffer := make([]byte, 8)
 	n, err := connection.Read(buffer)
@@ -277,17 +277,17 @@
 		limits config.Limits
 		want   clientLimits
 	}{
-		{"none", config.Limits{}, clientLimits{defaultIdle, defaultHeadWait, defaultHeadBytes}},
+		{"none", config.Limits{}, clientLimits{defaultIdle, defaultHeadTimeout, defaultHeadBytes}},
 		{"all", config.Limits{MaxHeaderBytes: 16384, HeaderTimeoutMs: 3000, IdleTimeoutMs: 15_000}, clientLimits{17 * time.Second, 5 * time.Second, 16384}},
 		{
 			"beyond what can be held", config.Limits{MaxHeaderBytes: 1 << 40, HeaderTimeoutMs: 1 << 60, IdleTimeoutMs: 1 << 60},
-			clientLimits{waitCeiling + waitSlack, waitCeiling + waitSlack, headBytesCeiling},
+			clientLimits{maxTimeout + timeoutSlack, maxTimeout + timeoutSlack, headBytesCeiling},
 		},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			qt.Assert(t, limitsOf(&config.Configuration{Limits: test.limits}) == test.want, qt.IsTrue)
+			qt.Assert(t, clientLimitsOf(&config.Configuration{Limits: test.limits}) == test.want, qt.IsTrue)
 		})
 	}
-	qt.Assert(t, limitsOf(nil), qt.Equals, limitsOf(&config.Configuration{}))
+	qt.Assert(t, clientLimitsOf(nil), qt.Equals, clientLimitsOf(&config.Configuration{}))
 }
--- a/internal/proxy/splitter_test.go
+++ b/internal/proxy/eventsplitter_test.go
@@ -24,18 +24,18 @@
 			c := qt.New(t)
 			// However it is cut into reads, the events are the same.
 			for size := 1; size <= len(test.text)+1; size++ {
-				var s splitter
+				var s eventSplitter
 				var got []string
 				for rest := test.text; rest != ""; {
 					n := min(size, len(rest))
-					c.Assert(s.add([]byte(rest[:n]), func(event []byte) bool {
+					c.Assert(s.feed([]byte(rest[:n]), func(event []byte) bool {
 						got = append(got, string(event))
 						return true
 					}), qt.IsNil)
 					rest = rest[n:]
 				}
 				c.Assert(got, qt.DeepEquals, test.want)
-				c.Assert(string(s.rest), qt.Equals, test.rest)
+				c.Assert(string(s.buffered), qt.Equals, test.rest)
 			}
 		})
 	}
@@ -43,6 +43,6 @@
 
 func TestSplitterIsBounded(t *testing.T) {
 	c := qt.New(t)
-	var s splitter
-	c.Assert(s.add([]byte(strings.Repeat("x", eventMost+1)), nil), qt.Equals, errEvent)
+	var s eventSplitter
+	c.Assert(s.feed([]byte(strings.Repeat("x", maxEventBytes+1)), nil), qt.Equals, errEventTooLarge)
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -92,7 +92,7 @@
 		w := httptest.NewRecorder()
 		r := httptest.NewRequest(http.MethodPost, "/"+name+"/x", strings.NewReader("b"))
 		r.Header.Set("Try", "t1")
-		p := &passage{gate: g, w: w, r: r, id: 1, asked: RequestParams{RequestID: "t1"}, body: []byte("b"), path: "/" + name + "/x"}
+		p := &exchange{server: g, writer: w, request: r, id: 1, params: RequestParams{RequestID: "t1"}, body: []byte("b"), path: "/" + name + "/x"}
 		nowMs := g.shell.Clock().NowMs()
 		aborted := false
 		ended := func() AttemptEnded {
@@ -103,7 +103,7 @@
 					aborted = true
 				}
 			}()
-			return p.send(StartAttempt{
+			return p.runAttempt(StartAttempt{
 				Params: AttemptParams{Runner: "r0"}, Address: listener.Addr().String(), Route: route, NewConnection: true, WriteByMs: nowMs + 60_000, DeadlineMs: nowMs + 60_000,
 			})
 		}()
--- a/internal/proxy/lookup.go
+++ b/internal/proxy/lookup.go
@@ -6,52 +6,52 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// lookUp sends the look-up of a request to a controller. Nothing is sent while
+// sendLookUp sends the look-up of a request to a controller. Nothing is sent while
 // the controller's address is unknown.
-func (m *Machine) lookUp(r *request, to string) {
+func (m *Machine) sendLookUp(r *request, to string) {
 	place, ok := m.roster.Node(to)
 	if !ok || to == "" {
 		return
 	}
-	r.looks++
-	r.lookedMs, r.lookedAt = m.nowMs, to
-	m.send(place, protocol.IndexLookUp{
-		ID: r.lookUp, Service: r.key.service, Model: r.key.model, Adapter: r.key.adapter,
-		Tokens: r.tokens, Waits: r.missed, Prompt: r.Params.PromptTokens, ReadMs: m.pricing.take(r.key.service, r.key.model),
+	r.lookUpsSent++
+	r.lookUpSentMs, r.lookUpController = m.nowMs, to
+	m.sendMessage(place, protocol.IndexLookUp{
+		ID: r.lookUpID, Service: r.key.service, Model: r.key.model, Adapter: r.key.adapter,
+		Tokens: r.tokens, Waits: r.cacheMiss, Prompt: r.Params.PromptTokens, ReadMs: m.prefillReports.takeMinimum(r.key.service, r.key.model),
 	})
 }
 
-// lookAgain sends a look-up that found no primary yet, and once another one
+// retryLookUp sends a look-up that found no primary yet, and once another one
 // to the next controller where a miss got no answer.
-func (m *Machine) lookAgain(r *request) {
+func (m *Machine) retryLookUp(r *request) {
 	switch {
-	case r.looks == 0:
-		m.lookUp(r, m.lookUpAt(r.missed))
-	case r.looks == 1 && r.missed && !r.answered && m.nowMs-r.lookedMs >= againMs:
-		if next := m.nextController(r.lookedAt); next != "" {
+	case r.lookUpsSent == 0:
+		m.sendLookUp(r, m.lookUpTarget(r.cacheMiss))
+	case r.lookUpsSent == 1 && r.cacheMiss && !r.lookUpAnswered && m.nowMs-r.lookUpSentMs >= lookUpRetryMs:
+		if next := m.nextController(r.lookUpController); next != "" {
 			m.Counters.LookUpRetries++
-			m.lookUp(r, next)
+			m.sendLookUp(r, next)
 		}
 	}
-	if r.missed && !r.held && m.nowMs-r.cameMs >= missMs {
-		r.held = true
+	if r.cacheMiss && !r.missCounted && m.nowMs-r.arrivedMs >= missDelayedMs {
+		r.missCounted = true
 		m.Counters.MissesDelayed++
 	}
 }
 
-// entry gives the cached line of a key. While no controller answers, the list
+// indexEntry gives the cached line of a key. While no controller answers, the list
 // that the router read itself stands in for lines that it lacks.
-func (m *Machine) entry(at key) *entry {
+func (m *Machine) indexEntry(at cacheKey) *cacheEntry {
 	e := m.cache[at]
-	if e != nil && len(e.holders) > 0 || m.listed == nil || !m.silent() || m.nowMs-m.atMs > listedMs {
+	if e != nil && len(e.holders) > 0 || m.listedRunners == nil || !m.primarySilent() || m.nowMs-m.listedAtMs > listMaxAgeMs {
 		return e
 	}
 	line := protocol.IndexReply{Service: at.service, Model: at.model, Adapter: at.adapter, TurnMs: -1}
 	if e != nil {
 		line.Epoch, line.Change = e.epoch, e.change
 	}
-	for i := range m.listed {
-		r := &m.listed[i]
+	for i := range m.listedRunners {
+		r := &m.listedRunners[i]
 		held := at.model == ""
 		adapter := false
 		for _, model := range r.Models {
@@ -63,23 +63,23 @@
 			line.Holders = append(line.Holders, protocol.IndexHolder{ID: r.ID, Address: r.Address, Zone: r.Zone, Adapter: adapter, Slots: r.Slots})
 		}
 	}
-	if len(line.Holders) == 0 || !m.cache.take(m.nowMs, line) {
+	if len(line.Holders) == 0 || !m.cache.update(m.nowMs, line) {
 		return e
 	}
 	return m.cache[at]
 }
 
-// indexed takes an answer of the index, or its word of a change.
-func (m *Machine) indexed(in protocol.IndexReply) {
+// applyIndexReply takes an answer of the index, or its word of a change.
+func (m *Machine) applyIndexReply(in protocol.IndexReply) {
 	if !in.Known {
 		return
 	}
-	at := key{in.Service, in.Model, in.Adapter}
+	at := cacheKey{in.Service, in.Model, in.Adapter}
 	asked := false
-	for _, r := range m.waiting {
+	for _, r := range m.queue {
 		if r.route != nil && r.key == at {
 			asked = true
-			r.answered = true
+			r.lookUpAnswered = true
 		}
 	}
 	// Only what requests named is kept.
@@ -87,17 +87,17 @@
 		return
 	}
 	for i := range in.Holders {
-		m.hold(&in.Holders[i])
+		m.updateFromIndex(&in.Holders[i])
 	}
-	if m.cache.take(m.nowMs, in) && asked {
-		m.wake()
+	if m.cache.update(m.nowMs, in) && asked {
+		m.dispatchQueue()
 	}
 }
 
-// oracle names whom look-ups go to: the primary, or while it gives no word
+// indexController names whom look-ups go to: the primary, or while it gives no word
 // another controller that does.
-func (m *Machine) oracle() string {
-	if m.silent() {
+func (m *Machine) indexController() string {
+	if m.primarySilent() {
 		if other := m.nextController(m.primary); other != "" && m.roster.Live(m.nowMs, other) {
 			return other
 		}
@@ -105,20 +105,20 @@
 	return m.primary
 }
 
-// spreadRouters is from how many routers on look-ups are spread.
-const spreadRouters = 32
+// spreadLookUpsFrom is from how many routers on look-ups are spread.
+const spreadLookUpsFrom = 32
 
-// lookUpAt names whom a look-up goes to. What a request can't go on without is
+// lookUpTarget names whom a look-up goes to. What a request can't go on without is
 // asked of the primary, which loads it. Else a controller of the own zone
 // answers from the primary's image and tells it of the demand, so that look-ups
 // are spread over all of them.
-func (m *Machine) lookUpAt(missed bool) string {
+func (m *Machine) lookUpTarget(missed bool) string {
 	// The primary knows all that is asked at once; that is given up only where
 	// there are so many routers that it could not answer them all.
-	if !missed && m.near != "" && m.routers > spreadRouters && !m.silent() {
-		return m.near
+	if !missed && m.nearestController != "" && m.routerCount > spreadLookUpsFrom && !m.primarySilent() {
+		return m.nearestController
 	}
-	return m.oracle()
+	return m.indexController()
 }
 
 // nearest picks one of the live controllers for a router: one of its zone, and
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -127,7 +127,7 @@
 	var all protocol.Effects
 	for end := b.nowMs + ms; b.nowMs < end; {
 		b.nowMs += min(25, end-b.nowMs)
-		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.version})} {
+		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.mapVersion})} {
 			all.Responses = append(all.Responses, out.Responses...)
 			all.Sends = append(all.Sends, out.Sends...)
 		}
@@ -239,7 +239,7 @@
 			b.word(5)
 			b.nowMs++
 			b.word(test.version, test.word)
-			c.Assert(b.m.version, qt.Equals, test.want)
+			c.Assert(b.m.mapVersion, qt.Equals, test.want)
 			c.Assert(b.m.Map().Version, qt.Equals, test.want)
 		})
 	}
@@ -262,7 +262,7 @@
 	c := qt.New(t)
 	b := ready(c)
 	asked := func() protocol.ConfigPoll {
-		b.nowMs += askMs
+		b.nowMs += pollEachMs
 		for _, send := range b.step(protocol.Tick{}).Sends {
 			if ask, ok := send.Body.(protocol.ConfigPoll); ok {
 				return ask
@@ -275,12 +275,12 @@
 	ask := asked()
 	c.Assert(ask.LeavingSum, qt.Equals, uint64(7))
 	c.Assert(ask.ControllersSum, qt.Equals, uint64(8))
-	for range 3 * leavingMs / sweepMs {
-		b.nowMs += sweepMs
+	for range 3 * drainingMemoryMs / sweepEachMs {
+		b.nowMs += sweepEachMs
 		b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 7, nil, 8 })
 		b.step(protocol.Tick{})
 	}
-	c.Assert(b.m.isLeaving("p1"), qt.IsTrue)
+	c.Assert(b.m.isDraining("p1"), qt.IsTrue)
 	c.Assert(b.m.roster.NodesOf(protocol.RoleController), qt.HasLen, 2)
 	b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
 	c.Assert(asked().LeavingSum, qt.Equals, uint64(9))
@@ -312,10 +312,10 @@
 			b := newBed(c)
 			b.word(1, func(w *protocol.ConfigUpdate) { w.Controllers, w.Routers = test.live, test.routers })
 			if test.silent {
-				b.nowMs += silentMs + 1
+				b.nowMs += primarySilentMs + 1
 				b.m.nowMs = b.nowMs
 			}
-			c.Assert(b.m.lookUpAt(test.missed), qt.Equals, test.want)
+			c.Assert(b.m.lookUpTarget(test.missed), qt.Equals, test.want)
 		})
 	}
 }
@@ -385,7 +385,7 @@
 	b := ready(c)
 	b.ask("/safe/")
 	answered[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: ResponseLost}))
-	b.m.budget("pages").tokens = 0
+	b.m.retryBudget("pages").tokens = 0
 	out := b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
 	c.Assert(answered[protocol.Rejection](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
 }
@@ -393,7 +393,7 @@
 func TestTriesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	b.m.budget("pages").tokens = 100
+	b.m.retryBudget("pages").tokens = 100
 	b.index(protocol.IndexReply{Service: "pages", Change: 1, Holders: []protocol.IndexHolder{holder("p1"), holder("p2"), holder("p3"), holder("p4"), holder("p5")}})
 	out := b.ask("/unsafe/")
 	sends := 0
@@ -414,12 +414,12 @@
 	c := qt.New(t)
 	b := ready(c)
 	b.ask("/unsafe/")
-	b.m.budget("pages").tokens = 0.5
+	b.m.retryBudget("pages").tokens = 0.5
 	c.Assert(answered[protocol.Rejection](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
 	// A runner that could not be reached has cost nothing.
 	b = ready(c)
 	b.ask("/unsafe/")
-	b.m.budget("pages").tokens = 0.5
+	b.m.retryBudget("pages").tokens = 0.5
 	answered[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: NotSent}))
 }
 
@@ -543,9 +543,9 @@
 		b.step(ClientDisconnected{ID: id})
 	}
 	c.Assert(b.m.requests, qt.HasLen, 0)
-	c.Assert(b.m.waiting, qt.HasLen, 0)
+	c.Assert(b.m.queue, qt.HasLen, 0)
 	for _, r := range b.m.runners {
-		c.Assert(r.own, qt.Equals, 0)
+		c.Assert(r.inFlight, qt.Equals, 0)
 	}
 }
 
@@ -554,11 +554,11 @@
 func TestAnOldLineIsAMiss(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	for b.m.nowMs = b.nowMs; b.m.nowMs < b.nowMs+staleMs+100; b.m.nowMs += 100 {
-		b.m.stepMs = b.m.nowMs
+	for b.m.nowMs = b.nowMs; b.m.nowMs < b.nowMs+entryMaxAgeMs+100; b.m.nowMs += 100 {
+		b.m.lastStepMs = b.m.nowMs
 	}
 	b.nowMs = b.m.nowMs
-	b.m.heardMs = b.nowMs
+	b.m.primaryConfirmedMs = b.nowMs
 	out := b.ask("/safe/")
 	c.Assert(out.Responses, qt.HasLen, 0)
 	c.Assert(lookUps(out), qt.HasLen, 1)
@@ -583,12 +583,12 @@
 	c.Assert(b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Responses, qt.HasLen, 0)
 	// The line is from before it stood still too; its look-up may renew it.
 	c.Assert(b.word(2).Responses, qt.HasLen, 0)
-	answered[StartAttempt](c, b.later(missMs))
+	answered[StartAttempt](c, b.later(missDelayedMs))
 
 	b = ready(c)
 	b.nowMs += 5000
 	c.Assert(b.ask("/safe/").Responses, qt.HasLen, 0)
-	b.nowMs += thawMs
+	b.nowMs += stallGuardMs
 	answered[StartAttempt](c, b.step(protocol.Tick{}))
 }
 
@@ -614,7 +614,7 @@
 	}
 	c.Assert(calls >= 3 && calls <= 5, qt.IsTrue, qt.Commentf("%d", calls))
 	c.Assert(hellos > 0, qt.IsTrue)
-	c.Assert(b.m.isLeaving("p1"), qt.IsTrue)
+	c.Assert(b.m.isDraining("p1"), qt.IsTrue)
 	// Its own reading stands in for the index.
 	c.Assert(answered[StartAttempt](c, b.ask("/safe/")).Params.Runner, qt.Equals, "p2")
 }
@@ -622,7 +622,7 @@
 func TestAPlannedStop(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	b.m.set.Bounds.GraceMs = 4000
+	b.m.settings.Bounds.GraceMs = 4000
 	b.step(Drain{})
 	// What can be sent on still is.
 	answered[StartAttempt](c, b.ask("/safe/"))
@@ -650,13 +650,13 @@
 	document.BuildIndex()
 	counts := map[string]int{}
 	for i := range 2000 {
-		service, ok := split(&document, &document.Routes[0], RequestParams{}, hash(fmt.Sprint(i)))
+		service, ok := chooseService(&document, &document.Routes[0], RequestParams{}, hash(fmt.Sprint(i)))
 		c.Assert(ok, qt.IsTrue)
 		counts[service.Name]++
 	}
 	c.Assert(counts["pages"] > 500 && counts["pages"] < 700, qt.IsTrue, qt.Commentf("%v", counts))
 	// Who can't hold the model is not drawn.
-	service, _ := split(&document, &document.Routes[0], RequestParams{Model: "unknown"}, 5)
+	service, _ := chooseService(&document, &document.Routes[0], RequestParams{Model: "unknown"}, 5)
 	c.Assert(service.Name, qt.Equals, "pages")
 }
 
--- /dev/null
+++ b/internal/proxy/prefill_test.go
@@ -0,0 +1,22 @@
+package proxy
+
+import (
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+)
+
+func TestPricing(t *testing.T) {
+	c := qt.New(t)
+	p := prefillMinimums{}
+	c.Assert(p.takeMinimum("s", "m"), qt.Equals, 0.0)
+	p.record("s", "m", 1000, 40)
+	p.record("s", "m", 2000, 60)
+	p.record("s", "m", 1000, 300)
+	p.record("s", "m", 100, 1)
+	p.record("s", "other", 1000, 7)
+	c.Assert(p.takeMinimum("s", "m"), qt.Equals, 30.0)
+	// It is told once, so that an old figure does not stay for ever.
+	c.Assert(p.takeMinimum("s", "m"), qt.Equals, 0.0)
+	c.Assert(p.takeMinimum("s", "other"), qt.Equals, 7.0)
+}
--- a/internal/proxy/rejection.go
+++ b/internal/proxy/rejection.go
@@ -6,109 +6,109 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// full holds a request whose runners have no place, for a quarter of its aim.
-func (m *Machine) full(r *request) {
-	m.crowd(r)
+// waitForSlot holds a request whose runners have no place, for a quarter of its aim.
+func (m *Machine) waitForSlot(r *request) {
+	m.markSlotWait(r)
 	aimMs := r.route.LatencyTargetMs
 	if aimMs <= 0 {
 		aimMs = 400
 	}
 	waitMs := aimMs / 4
-	if r.passed {
-		waitMs = brokenMs
+	if r.forwarded {
+		waitMs = resumeWaitMs
 	}
-	if m.nowMs-r.sinceMs < waitMs {
+	if m.nowMs-r.waitingSinceMs < waitMs {
 		return
 	}
-	if r.passed || r.kept || r.mayHaveRun {
-		m.giveUp(r)
+	if r.forwarded || r.hasKeptResponse || r.mayHaveRun {
+		m.failAfterAttempts(r)
 		return
 	}
-	m.drop(r, errkind.PlacementTimeout, m.placeMs(r))
+	m.reject(r, errkind.PlacementTimeout, m.slotWaitMs(r))
 }
 
-// placeMs says when a place may be free for one that is refused, by the pace
+// slotWaitMs says when a place may be free for one that is refused, by the pace
 // at which requests of the service end here.
-func (m *Machine) placeMs(r *request) int64 {
-	waiting := int64(m.crowded[r.key.service])
-	pace := m.paces[r.key.service]
+func (m *Machine) slotWaitMs(r *request) int64 {
+	waiting := int64(m.slotWaiters[r.key.service])
+	pace := m.completionRates[r.key.service]
 	if pace == nil || pace.perSecond() <= 0 {
 		return max(100, r.route.LatencyTargetMs)
 	}
 	return max(50, int64(float64(waiting*1000)/pace.perSecond()))
 }
 
-// lacking decides on a request for which no runner is known.
-func (m *Machine) lacking(r *request) {
-	m.lookAgain(r)
-	totalMs := m.patienceMs(r)
-	waitedMs, usedMs := m.nowMs-r.sinceMs, m.nowMs-r.cameMs
+// waitForRunner decides on a request for which no runner is known.
+func (m *Machine) waitForRunner(r *request) {
+	m.retryLookUp(r)
+	totalMs := m.answerTimeMs(r)
+	waitedMs, usedMs := m.nowMs-r.waitingSinceMs, m.nowMs-r.arrivedMs
 	// One that is held for over half of its time and then refused is worse
 	// than one refused before.
 	halfMs := totalMs * 45 / 100
-	switch e := m.entry(r.key); {
-	case r.passed:
-		if waitedMs >= brokenMs {
-			m.giveUp(r)
+	switch e := m.indexEntry(r.key); {
+	case r.forwarded:
+		if waitedMs >= resumeWaitMs {
+			m.failAfterAttempts(r)
 		}
-	case r.kept:
-		m.giveUp(r)
-	case e == nil || len(e.holders) == 0 && e.turnMs < 0 && !e.loading && !r.answered:
+	case r.hasKeptResponse:
+		m.failAfterAttempts(r)
+	case e == nil || len(e.holders) == 0 && e.loadExpectedMs < 0 && !e.loading && !r.lookUpAnswered:
 		// While control is settling, what can bear it waits for its word.
-		if r.service.Engine == nil && waitedMs >= unknownMs || usedMs >= halfMs {
-			m.drop(r, errkind.NoConfig, 500)
+		if r.service.Engine == nil && waitedMs >= unknownWaitMs || usedMs >= halfMs {
+			m.reject(r, errkind.NoConfig, 500)
 		}
-	case e.turnMs >= 0:
+	case e.loadExpectedMs >= 0:
 		// What can't be had in time is refused at once.
-		serviceMs := min(m.lasts(r.route.Name), totalMs/4)
-		turnMs := max(e.turnMs, m.nowMs)
-		if e.turnMs > r.cameMs+totalMs-serviceMs || usedMs >= totalMs*3/4 || usedMs >= halfMs && m.nowMs > e.turnMs+turnSlackMs {
-			m.drop(r, errkind.PlacementTimeout, turnMs-m.nowMs+50)
+		serviceMs := min(m.expectedLatencyMs(r.route.Name), totalMs/4)
+		turnMs := max(e.loadExpectedMs, m.nowMs)
+		if e.loadExpectedMs > r.arrivedMs+totalMs-serviceMs || usedMs >= totalMs*3/4 || usedMs >= halfMs && m.nowMs > e.loadExpectedMs+loadDelayMs {
+			m.reject(r, errkind.PlacementTimeout, turnMs-m.nowMs+50)
 		}
 	case e.loading:
 		if usedMs >= halfMs {
-			m.drop(r, errkind.PlacementTimeout, 500)
+			m.reject(r, errkind.PlacementTimeout, 500)
 		}
 	case r.service.Engine == nil:
 		if waitedMs >= max(50, r.route.LatencyTargetMs/4) {
-			m.drop(r, errkind.NoRunner, 300)
+			m.reject(r, errkind.NoRunner, 300)
 		}
 	default:
 		if usedMs >= halfMs {
-			m.drop(r, errkind.NoRunner, 500)
+			m.reject(r, errkind.NoRunner, 500)
 		}
 	}
 }
 
-// patienceMs is for how long from its coming a request can be answered at all.
-func (m *Machine) patienceMs(r *request) int64 {
-	totalMs := r.deadlineMs - r.cameMs
-	if r.route.Kind == config.Stream && !r.passed {
-		totalMs = min(totalMs, max(silenceMs, silenceAims*r.route.LatencyTargetMs, silenceGaps*r.route.MaxEventGapMs))
+// answerTimeMs is for how long from its coming a request can be answered at all.
+func (m *Machine) answerTimeMs(r *request) int64 {
+	totalMs := r.deadlineMs - r.arrivedMs
+	if r.route.Kind == config.Stream && !r.forwarded {
+		totalMs = min(totalMs, max(streamSilenceMs, streamSilenceAims*r.route.LatencyTargetMs, streamSilenceGaps*r.route.MaxEventGapMs))
 	}
 	return totalMs
 }
 
-// giveUp ends a request after its sends, with what is true of them.
-func (m *Machine) giveUp(r *request) {
-	kind := r.last
+// failAfterAttempts ends a request after its sends, with what is true of them.
+func (m *Machine) failAfterAttempts(r *request) {
+	kind := r.lastErrorKind
 	if kind == "" {
 		kind = errkind.NoRunner
 	}
-	m.drop(r, kind, 200)
+	m.reject(r, kind, 200)
 }
 
-// drop ends a request. What may have run is never answered with a promise.
-func (m *Machine) drop(r *request, kind errkind.Kind, retryMs int64) {
-	m.unwait(r)
+// reject ends a request. What may have run is never answered with a promise.
+func (m *Machine) reject(r *request, kind errkind.Kind, retryMs int64) {
+	m.dequeue(r)
 	delete(m.requests, r.ID)
 	switch {
-	case r.passed:
+	case r.forwarded:
 		m.Counters.Rejections["stream broken off"]++
-		m.answer(r.ID, AbortStream{})
+		m.reply(r.ID, AbortStream{})
 		return
-	case r.kept:
-		m.answer(r.ID, ForwardKept{})
+	case r.hasKeptResponse:
+		m.reply(r.ID, ForwardKept{})
 		return
 	case r.mayHaveRun && kind.Response().NotExecuted:
 		kind, retryMs = errkind.OutcomeUnknown, 0
@@ -118,9 +118,9 @@
 		// A longer wait than a third of what the client has left is not kept.
 		leftMs := r.deadlineMs - m.nowMs
 		if r.Params.TimeoutMs > 0 {
-			leftMs = r.Params.TimeoutMs - (m.nowMs - r.cameMs)
+			leftMs = r.Params.TimeoutMs - (m.nowMs - r.arrivedMs)
 		}
 		retryMs = max(20, min(retryMs, leftMs*3/10))
 	}
-	m.answer(r.ID, protocol.Rejection{Kind: kind, RetryMs: retryMs})
+	m.reply(r.ID, protocol.Rejection{Kind: kind, RetryMs: retryMs})
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -7,137 +7,137 @@
 )
 
 const (
-	// mapWaitMs is how long a request waits for a first map.
-	mapWaitMs = 300
-	// missMs is how long a miss waits before it counts as held.
-	missMs = 50
-	// againMs is when another controller is asked for a miss.
-	againMs = 300
-	// unknownMs ends what no one knows anything about, where no one waits for a
+	// firstMapWaitMs is how long a request waits for a first map.
+	firstMapWaitMs = 300
+	// missDelayedMs is how long a miss waits before it counts as held.
+	missDelayedMs = 50
+	// lookUpRetryMs is when another controller is asked for a miss.
+	lookUpRetryMs = 300
+	// unknownWaitMs ends what no one knows anything about, where no one waits for a
 	// model that control may yet have loaded.
-	unknownMs = 1500
+	unknownWaitMs = 1500
 	// A client of a stream gives it up after a silence of the longest of these,
 	// its first piece included.
-	silenceMs, silenceAims, silenceGaps = 2000, 4, 8
-	// writeMs is how long after its choice a send may be written.
-	writeMs = 400
-	// brokenMs is how long a stream that broke midway waits for a runner; its
+	streamSilenceMs, streamSilenceAims, streamSilenceGaps = 2000, 4, 8
+	// writeWindowMs is how long after its choice a send may be written.
+	writeWindowMs = 400
+	// resumeWaitMs is how long a stream that broke midway waits for a runner; its
 	// client bears about two seconds of silence.
-	brokenMs = 1500
-	// plainMs is the time of a request for which nobody said one.
-	plainMs = 30_000
-	// turnSlackMs is by how much a turn may come late and still be hoped for.
-	turnSlackMs = 500
-	// unreachedMs is when a runner that could not be reached is tried again.
-	unreachedMs = 150
-	// dialsMost bounds runners that can't be reached, for one request.
-	dialsMost = 4
+	resumeWaitMs = 1500
+	// defaultDeadlineMs is the time of a request for which nobody said one.
+	defaultDeadlineMs = 30_000
+	// loadDelayMs is by how much a turn may come late and still be hoped for.
+	loadDelayMs = 500
+	// unreachableMs is when a runner that could not be reached is tried again.
+	unreachableMs = 150
+	// maxFailedDials bounds runners that can't be reached, for one request.
+	maxFailedDials = 4
 )
 
 // request is the state of a client's request from its arrival to its end. At any
 // time it either has an attempt under way (away) or is in Machine.waiting.
 type request struct {
 	Request
-	cameMs, deadlineMs int64
-	route              *config.Route
-	service            *config.Service
-	key                key
-	affinity, draw     uint64
-	tokens             int64
+	arrivedMs, deadlineMs int64
+	route                 *config.Route
+	service               *config.Service
+	key                   cacheKey
+	affinity, draw        uint64
+	tokens                int64
 	// The look-up of the index: its number, when and to which controller it was
 	// last sent, how often, and whether an answer came. missed says that no
 	// runner was known on arrival; held that this was counted in MissesDelayed.
-	lookUp   uint64
-	lookedMs int64
-	lookedAt string
-	looks    int
-	answered bool
-	missed   bool
-	held     bool
-	// away says that an attempt at runner is under way; runner is the last one
+	lookUpID         uint64
+	lookUpSentMs     int64
+	lookUpController string
+	lookUpsSent      int
+	lookUpAnswered   bool
+	cacheMiss        bool
+	missCounted      bool
+	// attemptActive says that an attempt at runner is under way; runner is the last one
 	// that the request was sent to.
-	away   bool
-	runner string
-	// goneMs is when the last attempt began. reads says that its prompt counts
+	attemptActive bool
+	runnerID      string
+	// attemptStartMs is when the last attempt began. reads says that its prompt counts
 	// as unread at the runner. goes counts the attempts, without those
 	// that ended before a byte was written; dials counts those that ended as
 	// NotSent. earned says that the request has been added to the retry budget.
-	goneMs int64
-	reads  bool
-	goes   int
-	dials  int
-	earned bool
-	// crowds says that it waits because all its runners are full.
-	crowds bool
-	// refused are the runners that rejected it without running it, failed those
+	attemptStartMs int64
+	prefillPending bool
+	attempts       int
+	failedDials    int
+	budgetCredited bool
+	// waitsForSlot says that it waits because all its runners are full.
+	waitsForSlot bool
+	// rejectedBy are the runners that rejected it without running it, failed those
 	// where an attempt failed and it may have run.
-	refused, failed []string
-	// unreached are the runners that could not be reached; they are left out
-	// until unreachedMs.
-	unreached   []string
-	unreachedMs int64
+	rejectedBy, failedAt []string
+	// unreachable are the runners that could not be reached; they are left out
+	// until unreachableUntilMs.
+	unreachable        []string
+	unreachableUntilMs int64
 	// mayHaveRun is set by the first attempt that a runner may have run: from
 	// then on the client is never told that the request has not run.
 	mayHaveRun bool
-	// passed says that the client has the head of a response; kept that the
+	// forwarded says that the client has the head of a response; kept that the
 	// shell has a failed response to forward. after and version are what a
 	// resumed stream must continue from, see Ended.
-	passed, kept bool
-	after        string
-	version      int64
-	// sinceMs is when it began to wait: on arrival, or when the last attempt
+	forwarded, hasKeptResponse bool
+	lastEventID                string
+	weightsVersion             int64
+	// waitingSinceMs is when it began to wait: on arrival, or when the last attempt
 	// ended.
-	sinceMs int64
-	// last is the error kind of the last attempt, for the client if no other
+	waitingSinceMs int64
+	// lastErrorKind is the error kind of the last attempt, for the client if no other
 	// attempt follows.
-	last errkind.Kind
+	lastErrorKind errkind.Kind
 }
 
-// take admits a request: it is looked up, and sent on at once if a runner is free
+// admit admits a request: it is looked up, and sent on at once if a runner is free
 // and no more urgent request waits for a place.
-func (m *Machine) take(in Request) {
+func (m *Machine) admit(in Request) {
 	m.Counters.Requests++
-	r := &request{Request: in, cameMs: m.nowMs, sinceMs: m.nowMs, deadlineMs: m.nowMs + plainMs, draw: hash(in.Params.RequestID)}
+	r := &request{Request: in, arrivedMs: m.nowMs, waitingSinceMs: m.nowMs, deadlineMs: m.nowMs + defaultDeadlineMs, draw: hash(in.Params.RequestID)}
 	m.requests[in.ID] = r
-	m.wait(r)
-	if !m.begin(r) {
+	m.enqueue(r)
+	if !m.resolve(r) {
 		return
 	}
 	// Others that wait for a place come first if they are more urgent.
-	if m.crowded[r.key.service] > 0 {
-		m.wake()
+	if m.slotWaiters[r.key.service] > 0 {
+		m.dispatchQueue()
 		return
 	}
-	m.turn(r)
+	m.dispatch(r)
 }
 
-// begin finds the route and sends the one look-up; false says that it waits
+// resolve finds the route and sends the one look-up; false says that it waits
 // for a map, or was dropped.
-func (m *Machine) begin(r *request) bool {
+func (m *Machine) resolve(r *request) bool {
 	if r.route != nil {
 		return true
 	}
-	document := m.current.Load()
+	document := m.serviceMap.Load()
 	if document == nil {
 		return false
 	}
 	route, ok := document.FindRoute(r.Host, r.Path)
 	if !ok {
 		// Without word the route may be there and this map an old one.
-		if m.silent() {
-			m.drop(r, errkind.NoConfig, 500)
+		if m.primarySilent() {
+			m.reject(r, errkind.NoConfig, 500)
 		} else {
-			m.drop(r, errkind.UnknownPage, 0)
+			m.reject(r, errkind.UnknownPage, 0)
 		}
 		return false
 	}
-	r.service, ok = split(document, route, r.Params, r.draw)
+	r.service, ok = chooseService(document, route, r.Params, r.draw)
 	if !ok {
-		m.drop(r, errkind.UnknownModel, 0)
+		m.reject(r, errkind.UnknownModel, 0)
 		return false
 	}
 	r.route = route
-	r.key = key{service: r.service.Name}
+	r.key = cacheKey{service: r.service.Name}
 	if r.service.Engine != nil {
 		r.key.model, r.key.adapter = r.Params.Model, r.Params.Adapter
 		r.tokens = r.Params.PromptTokens + r.Params.MaxOutputTokens
@@ -145,30 +145,30 @@
 	if route.PrefixCacheAffinity || len(r.Params.PromptParts) > 0 {
 		r.affinity = affinity(r.service.Name, r.Params)
 	}
-	leftMs := int64(plainMs)
+	leftMs := int64(defaultDeadlineMs)
 	if route.TimeoutMs > 0 {
 		leftMs = route.TimeoutMs
 	}
 	if r.Params.TimeoutMs > 0 {
 		leftMs = min(leftMs, r.Params.TimeoutMs)
 	}
-	r.deadlineMs = r.cameMs + leftMs
+	r.deadlineMs = r.arrivedMs + leftMs
 	m.Counters.LookUps++
-	m.asks++
-	r.lookUp = m.asks
-	if len(m.candidates(r)) > 0 || m.crowdedNow {
+	m.lookUpCount++
+	r.lookUpID = m.lookUpCount
+	if len(m.candidates(r)) > 0 || m.allFull {
 		m.Counters.Hits++
 	} else {
-		r.missed = true
+		r.cacheMiss = true
 		m.Counters.Misses++
 	}
-	m.lookUp(r, m.lookUpAt(r.missed))
+	m.sendLookUp(r, m.lookUpTarget(r.cacheMiss))
 	return true
 }
 
-// split draws the service of a request. One that can't hold the model is not
+// chooseService draws the service of a request. One that can't hold the model is not
 // drawn where another can.
-func split(document *config.Configuration, route *config.Route, a RequestParams, draw uint64) (*config.Service, bool) {
+func chooseService(document *config.Configuration, route *config.Route, a RequestParams, draw uint64) (*config.Service, bool) {
 	var able []*config.Service
 	var weights []int64
 	total := int64(0)
@@ -196,90 +196,90 @@
 	return able[len(able)-1], true
 }
 
-// turn sends a waiting request on, drops it, or leaves it waiting.
-func (m *Machine) turn(r *request) {
-	if r.away || m.requests[r.ID] == nil {
+// dispatch sends a waiting request on, drops it, or leaves it waiting.
+func (m *Machine) dispatch(r *request) {
+	if r.attemptActive || m.requests[r.ID] == nil {
 		return
 	}
 	if m.nowMs >= r.deadlineMs {
-		m.drop(r, errkind.DeadlinePassed, 200)
+		m.reject(r, errkind.DeadlinePassed, 200)
 		return
 	}
 	if r.route == nil {
-		if !m.begin(r) {
-			if m.requests[r.ID] != nil && m.nowMs-r.cameMs >= mapWaitMs {
-				m.drop(r, errkind.NoConfig, 500)
+		if !m.resolve(r) {
+			if m.requests[r.ID] != nil && m.nowMs-r.arrivedMs >= firstMapWaitMs {
+				m.reject(r, errkind.NoConfig, 500)
 			}
 			return
 		}
 	}
-	if m.leaving && m.nowMs >= m.leaveMs+m.set.Bounds.GraceMs/2 {
-		m.drop(r, errkind.ShuttingDown, 200)
+	if m.draining && m.nowMs >= m.drainStartMs+m.settings.Bounds.GraceMs/2 {
+		m.reject(r, errkind.ShuttingDown, 200)
 		return
 	}
 	// After standing still the map may be an old one, and the runners others.
-	if m.nowMs < m.thawUntilMs {
+	if m.nowMs < m.stallGuardUntilMs {
 		return
 	}
 	candidates := m.candidates(r)
 	if len(candidates) == 0 {
-		if m.crowdedNow {
-			m.full(r)
+		if m.allFull {
+			m.waitForSlot(r)
 		} else {
-			m.lacking(r)
+			m.waitForRunner(r)
 		}
 		return
 	}
-	if r.goes > 0 {
-		if r.goes >= max(1, r.route.MaxAttempts) || !m.budget(r.service.Name).spend() {
-			m.giveUp(r)
+	if r.attempts > 0 {
+		if r.attempts >= max(1, r.route.MaxAttempts) || !m.retryBudget(r.service.Name).withdraw() {
+			m.failAfterAttempts(r)
 			return
 		}
 	}
-	holder := m.offered[choose(candidates, wish{r.affinity, shared(r.Params), r.draw + uint64(r.goes+r.dials)})]
-	m.goTo(r, holder)
+	holder := m.candidateHolders[choose(candidates, selection{r.affinity, mostlyShared(r.Params), r.draw + uint64(r.attempts+r.failedDials)})]
+	m.startAttempt(r, holder)
 }
 
-// goTo starts an attempt at a runner.
-func (m *Machine) goTo(r *request, h protocol.IndexHolder) {
-	if !r.earned {
-		r.earned = true
-		m.budget(r.service.Name).earn(m.set.Bounds.RetryRatio)
+// startAttempt starts an attempt at a runner.
+func (m *Machine) startAttempt(r *request, h protocol.IndexHolder) {
+	if !r.budgetCredited {
+		r.budgetCredited = true
+		m.retryBudget(r.service.Name).deposit(m.settings.Bounds.RetryRatio)
 	}
-	if r.goes++; r.goes > 1 {
+	if r.attempts++; r.attempts > 1 {
 		m.Counters.Retries++
 	}
 	m.Counters.Attempts++
-	if r.passed {
+	if r.forwarded {
 		m.Counters.Resumes++
 	}
-	r.away, r.runner = true, h.ID
-	m.unwait(r)
-	m.runner(h.ID).change(m.nowMs, 1, r.tokens)
-	r.goneMs, r.reads = m.nowMs, true
-	m.runner(h.ID).reading += r.Params.PromptTokens
-	m.answer(r.ID, StartAttempt{
+	r.attemptActive, r.runnerID = true, h.ID
+	m.dequeue(r)
+	m.runnerState(h.ID).addInFlight(m.nowMs, 1, r.tokens)
+	r.attemptStartMs, r.prefillPending = m.nowMs, true
+	m.runnerState(h.ID).prefillTokens += r.Params.PromptTokens
+	m.reply(r.ID, StartAttempt{
 		Params: AttemptParams{
-			Runner: h.ID, Urgency: urgency(r.route.Priority), LastEventID: r.after, WeightsVersion: r.version,
+			Runner: h.ID, Urgency: urgency(r.route.Priority), LastEventID: r.lastEventID, WeightsVersion: r.weightsVersion,
 		},
 		Address: h.Address, Route: r.route, NewConnection: !r.route.Retryable(),
-		WriteByMs: min(m.nowMs+writeMs, r.deadlineMs), DeadlineMs: r.deadlineMs,
+		WriteByMs: min(m.nowMs+writeWindowMs, r.deadlineMs), DeadlineMs: r.deadlineMs,
 	})
 }
 
 // urgency maps a rank, nought first, to nought to nine.
 func urgency(priority int) int { return min(8, 3*max(0, priority)-max(0, priority-2)) }
 
-// gone forgets a request whose client disconnected.
-func (m *Machine) gone(id uint64) {
+// clientDisconnected forgets a request whose client disconnected.
+func (m *Machine) clientDisconnected(id uint64) {
 	r := m.requests[id]
 	if r == nil {
 		return
 	}
-	if r.away {
-		m.release(r)
+	if r.attemptActive {
+		m.releaseSlot(r)
 	}
-	m.unwait(r)
+	m.dequeue(r)
 	delete(m.requests, id)
-	m.wake()
+	m.dispatchQueue()
 }
--- a/internal/proxy/budget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -22,12 +22,12 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBudget(test.extra, test.routers)
+			b := newRetryBudget(test.extra, test.routers)
 			for range test.first {
-				b.earn(0.2)
+				b.deposit(0.2)
 			}
 			spent := 0
-			for b.spend() {
+			for b.withdraw() {
 				spent++
 			}
 			c.Assert(spent, qt.Equals, test.most)
@@ -38,10 +38,10 @@
 // Routers that come and go never fill a bucket.
 func TestBudgetIsNeverFilledByItsSize(t *testing.T) {
 	c := qt.New(t)
-	b := newBudget(58, 9)
+	b := newRetryBudget(58, 9)
 	before := b.tokens
-	b.size(58, 1)
+	b.resize(58, 1)
 	c.Assert(b.tokens, qt.Equals, before)
-	b.size(58, 100)
+	b.resize(58, 100)
 	c.Assert(b.tokens, qt.Equals, 1.0)
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -22,61 +22,61 @@
 
 const (
 	tickMs = 25
-	// bodyMost bounds a body where the map says nothing.
-	bodyMost   = 4 << 20
-	smallBody  = 64 << 10
-	bodyWaitMs = 10_000
-	// spareFiles are kept for what is not a client's request; each request
+	// defaultMaxBodyBytes bounds a body where the map says nothing.
+	defaultMaxBodyBytes = 4 << 20
+	smallBodyBytes      = 64 << 10
+	bodyReadMs          = 10_000
+	// reservedFiles are kept for what is not a client's request; each request
 	// takes two streams.
-	spareFiles  = 400
-	requestMost = 8192
-	// eachKb is about what one request takes of the memory.
-	eachKb = 96
-	// goneMs is when the platform has stopped to send clients here, after the
+	reservedFiles      = 400
+	maxRequestsCeiling = 8192
+	// requestMemoryKb is about what one request takes of the memory.
+	requestMemoryKb = 96
+	// clientsLeaveMs is when the platform has stopped to send clients here, after the
 	// ready page said no.
-	goneMs = 2200
-	// endMs before the end of the grace all must be over.
-	endMs = 700
-	// lateMs is how long after its time a request is broken off; the runner
+	clientsLeaveMs = 2200
+	// shutdownMarginMs before the end of the grace all must be over.
+	shutdownMarginMs = 700
+	// deadlineSlackMs is how long after its time a request is broken off; the runner
 	// and the client end it themselves.
-	lateMs = 1000
+	deadlineSlackMs = 1000
 )
 
 // Server is a router as a process: its machine in a shell, and the way of a
 // request through it.
 type Server struct {
-	shell   *process.Runtime
-	machine *Machine
-	set     Settings
-	tongue  Codec
-	front   net.Listener
-	server  *http.Server
-	under   atomic.Int64
-	most    int64
-	leaving atomic.Bool
-	hearing hearing
-	// bodies counts the bytes of large bodies that are held, bodiesMost bounds
+	shell          *process.Runtime
+	machine        *Machine
+	settings       Settings
+	codec          Codec
+	clientListener net.Listener
+	server         *http.Server
+	activeRequests atomic.Int64
+	maxRequests    int64
+	draining       atomic.Bool
+	tracker        attemptTracker
+	// largeBodyBytes counts the bytes of large bodies that are held, maxLargeBodyBytes bounds
 	// them.
-	bodies     atomic.Int64
-	bodiesMost int64
+	largeBodyBytes    atomic.Int64
+	maxLargeBodyBytes int64
 }
 
 // NewServer makes the router; nothing runs yet. Clients come to front, and
 // whoever asks whether this router takes any comes to ready.
 func NewServer(set Settings, tongue Codec, format Format, exchanger process.OutboundCaller, peers, front, ready net.Listener, logger *log.Logger) (*Server, error) {
 	clock := process.NewClock()
-	g := &Server{machine: New(set, format, clock.NowMs()), set: set, tongue: tongue, front: front, most: requestMost}
+	g := &Server{machine: New(set, format, clock.NowMs()), settings: set, codec: tongue, clientListener: front, maxRequests: maxRequestsCeiling}
 	if set.OpenFiles > 0 {
-		g.most = min(g.most, int64(max(64, (set.OpenFiles-spareFiles)/2)))
+		g.maxRequests = min(g.maxRequests, int64(max(64, (set.OpenFiles-reservedFiles)/2)))
 	}
-	g.bodiesMost = 64 << 20
+	g.maxLargeBodyBytes = 64 << 20
 	if set.MemoryMb > 0 {
-		g.bodiesMost = int64(set.MemoryMb) << 20 / 5
-		g.most = min(g.most, int64(max(64, set.MemoryMb*1024/2/eachKb)))
+		g.maxLargeBodyBytes = int64(set.MemoryMb) << 20 / 5
+		g.maxRequests = min(g.maxRequests, int64(max(64, set.MemoryMb*1024/2/requestMemoryKb)))
 	}
 	g.shell = process.New(process.Options{
 		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Caller: exchanger,
-	}, g.machine, nil, peers, ready, http.HandlerFunc(g.page))
+	}, g.machine, nil, peers, ready, http.HandlerFunc(g.servePlatform))
 	g.server = &http.Server{
 		// How long a connection may rest and a head may take, clientConn knows.
 		Handler: g, ConnState: trackClientConn, MaxHeaderBytes: headBytesCeiling, DisableGeneralOptionsHandler: true,
@@ -89,12 +89,12 @@
 func (g *Server) AddTasks(c *threads.Group) {
 	g.shell.AddTasks(c)
 	c.Add(func() error {
-		if err := g.server.Serve(clientListener{g.front, g.limits}); !errors.Is(err, http.ErrServerClosed) {
+		if err := g.server.Serve(clientListener{g.clientListener, g.clientLimits}); !errors.Is(err, http.ErrServerClosed) {
 			return err
 		}
 		return nil
 	}, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), endMs/2*time.Millisecond)
+		ctx, cancel := context.WithTimeout(context.Background(), shutdownMarginMs/2*time.Millisecond)
 		defer cancel()
 		if g.server.Shutdown(ctx) != nil {
 			_ = g.server.Close()
@@ -102,8 +102,8 @@
 	})
 }
 
-// limits are those of the map in use.
-func (g *Server) limits() clientLimits { return limitsOf(g.machine.Map()) }
+// clientLimits are those of the map in use.
+func (g *Server) clientLimits() clientLimits { return clientLimitsOf(g.machine.Map()) }
 
 // Reseed gives the seeds anew.
 func (g *Server) Reseed(seeds []string) { g.shell.Submit(SetSeeds{Seeds: seeds}) }
@@ -116,25 +116,25 @@
 func (g *Server) Shutdown() {
 	clock := g.shell.Clock()
 	beganMs := clock.NowMs()
-	g.leaving.Store(true)
+	g.draining.Store(true)
 	g.shell.Submit(Drain{})
-	lastMs := beganMs + max(goneMs, g.set.Bounds.GraceMs-endMs)
+	lastMs := beganMs + max(clientsLeaveMs, g.settings.Bounds.GraceMs-shutdownMarginMs)
 	closed := false
 	for nowMs := beganMs; nowMs < lastMs; nowMs = clock.NowMs() {
-		if !closed && nowMs-beganMs >= goneMs {
+		if !closed && nowMs-beganMs >= clientsLeaveMs {
 			// Idle streams have no more use; clients have gone elsewhere.
 			closed = true
 			g.server.SetKeepAlivesEnabled(false)
 		}
-		if closed && g.under.Load() == 0 {
+		if closed && g.activeRequests.Load() == 0 {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// page answers whoever asks whether this router is ready.
-func (g *Server) page(w http.ResponseWriter, r *http.Request) {
+// servePlatform answers whoever asks whether this router is ready.
+func (g *Server) servePlatform(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", http.MethodGet)
 		w.WriteHeader(http.StatusMethodNotAllowed)
@@ -153,7 +153,7 @@
 	case "/counters":
 		writeJSON(w, g.shell.Counts())
 	default:
-		if g.machine.Map() == nil || g.leaving.Load() {
+		if g.machine.Map() == nil || g.draining.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -169,48 +169,48 @@
 // ServeHTTP answers clients.
 func (g *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// The count goes first, so that a stop never misses one.
-	under := g.under.Add(1)
-	defer g.under.Add(-1)
-	if g.leaving.Load() {
+	under := g.activeRequests.Add(1)
+	defer g.activeRequests.Add(-1)
+	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	// The bound keeps a crowd from filling the memory.
-	if under > g.most {
+	if under > g.maxRequests {
 		g.shell.Count("requests too many")
-		g.tongue.WriteRejection(w, errkind.QueueFull, 300)
+		g.codec.WriteRejection(w, errkind.QueueFull, 300)
 		return
 	}
-	if headBytes(r) > g.limits().headBytes {
+	if headBytes(r) > g.clientLimits().headBytes {
 		w.Header().Set("Connection", "close")
-		g.tongue.WriteRejection(w, errkind.HeadTooLarge, 0)
+		g.codec.WriteRejection(w, errkind.HeadTooLarge, 0)
 		return
 	}
 	path, query, hasQuery := strings.Cut(r.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
-		g.tongue.WriteRejection(w, errkind.BadRequest, 0)
+		g.codec.WriteRejection(w, errkind.BadRequest, 0)
 		return
 	}
-	asked, err := g.tongue.ParseRequest(r)
+	asked, err := g.codec.ParseRequest(r)
 	if err != nil {
-		g.tongue.WriteRejection(w, errkind.BadRequest, 0)
+		g.codec.WriteRejection(w, errkind.BadRequest, 0)
 		return
 	}
-	if large := max(0, r.ContentLength-smallBody); large > 0 {
-		defer g.bodies.Add(-large)
-		if g.bodies.Add(large) > g.bodiesMost {
+	if large := max(0, r.ContentLength-smallBodyBytes); large > 0 {
+		defer g.largeBodyBytes.Add(-large)
+		if g.largeBodyBytes.Add(large) > g.maxLargeBodyBytes {
 			g.shell.Count("bodies too large together")
-			g.tongue.WriteRejection(w, errkind.QueueFull, 300)
+			g.codec.WriteRejection(w, errkind.QueueFull, 300)
 			return
 		}
 	}
 	body, kind := g.readBody(w, r)
 	if kind != "" {
-		g.tongue.WriteRejection(w, kind, 0)
+		g.codec.WriteRejection(w, kind, 0)
 		return
 	}
-	p := &passage{
-		gate: g, w: w, r: r, asked: asked, body: body, path: path, query: query, hasQuery: hasQuery,
-		beganMs: g.shell.Clock().NowMs(),
+	p := &exchange{
+		server: g, writer: w, request: r, params: asked, body: body, path: path, query: query, hasQuery: hasQuery,
+		startMs: g.shell.Clock().NowMs(),
 	}
 	p.serve()
 }
@@ -221,7 +221,7 @@
 	if r.ContentLength == 0 {
 		return nil, ""
 	}
-	most := int64(bodyMost)
+	most := int64(defaultMaxBodyBytes)
 	if document := g.machine.Map(); document != nil && document.Limits.MaxBodyBytes > 0 {
 		most = document.Limits.MaxBodyBytes
 	}
@@ -230,13 +230,13 @@
 		return nil, errkind.TooLarge
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyWaitMs * time.Millisecond))
+	_ = control.SetReadDeadline(time.Now().Add(bodyReadMs * time.Millisecond))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	var body []byte
 	var err error
 	limited := http.MaxBytesReader(w, r.Body, most)
 	// Memory is taken as bytes come where much of it is announced.
-	if r.ContentLength > 0 && r.ContentLength <= smallBody {
+	if r.ContentLength > 0 && r.ContentLength <= smallBodyBytes {
 		body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(limited, body)
 		if err == nil {
@@ -258,21 +258,21 @@
 	return body, ""
 }
 
-// limit bounds the writing to a client that does not read; done lifts it.
-func (p *passage) limit(ms int64) (done func()) {
-	control := http.NewResponseController(p.w)
+// limitWriteTime bounds the writing to a client that does not read; done lifts it.
+func (p *exchange) limitWriteTime(ms int64) (done func()) {
+	control := http.NewResponseController(p.writer)
 	_ = control.SetWriteDeadline(time.Now().Add(time.Duration(ms) * time.Millisecond))
 	return func() { _ = control.SetWriteDeadline(time.Time{}) }
 }
 
-// after calls do later, unless it is stopped before.
-func after(ms int64, do func()) (stop func()) {
+// afterDelay calls do later, unless it is stopped before.
+func afterDelay(ms int64, do func()) (stop func()) {
 	timer := time.AfterFunc(time.Duration(ms)*time.Millisecond, do)
 	return func() { timer.Stop() }
 }
 
-// host is what a route is chosen by, without a port.
-func host(text string) string {
+// hostWithoutPort is what a route is chosen by, without a port.
+func hostWithoutPort(text string) string {
 	if name, _, err := net.SplitHostPort(text); err == nil {
 		return name
 	}
@@ -280,13 +280,13 @@
 }
 
 // serve asks the machine what to do with a request, until it has its answer.
-func (p *passage) serve() {
-	g := p.gate
+func (p *exchange) serve() {
+	g := p.server
 	id, answers := g.shell.OpenReplies()
 	defer g.shell.CloseReplies(id)
 	p.id = id
-	if !g.shell.Submit(Request{ID: id, Host: host(p.r.Host), Path: p.path, Params: p.asked}) {
-		g.tongue.WriteRejection(p.w, errkind.QueueFull, 300)
+	if !g.shell.Submit(Request{ID: id, Host: hostWithoutPort(p.request.Host), Path: p.path, Params: p.params}) {
+		g.codec.WriteRejection(p.writer, errkind.QueueFull, 300)
 		return
 	}
 	// Whatever ends this, the place that a send took is free again.
@@ -298,13 +298,13 @@
 	}()
 	for {
 		select {
-		case <-p.r.Context().Done():
+		case <-p.request.Context().Done():
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
 			case protocol.Rejection:
 				over = true
-				g.tongue.WriteRejection(p.w, said.Kind, said.RetryMs)
+				g.codec.WriteRejection(p.writer, said.Kind, said.RetryMs)
 				return
 			case AbortStream:
 				over = true
@@ -312,11 +312,11 @@
 				panic(http.ErrAbortHandler)
 			case ForwardKept:
 				over = true
-				p.pass(p.kept)
+				p.forwardResponse(p.keptResponse)
 				return
 			case StartAttempt:
-				ended := p.send(said)
-				if p.r.Context().Err() != nil {
+				ended := p.runAttempt(said)
+				if p.request.Context().Err() != nil {
 					panic(http.ErrAbortHandler)
 				}
 				over = ended.Outcome == Completed
@@ -331,8 +331,8 @@
 
 var _ http.Handler = (*Server)(nil)
 
-// streams says whether an answer of the route comes piece by piece.
-func streams(route *config.Route, answer *http.Response) bool {
+// isStream says whether an answer of the route comes piece by piece.
+func isStream(route *config.Route, answer *http.Response) bool {
 	return answer.StatusCode/100 == 2 &&
 		(route.Kind == config.Stream || strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream"))
 }
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -363,7 +363,7 @@
 func TestAHugeBodyIsRefused(t *testing.T) {
 	c := qt.New(t)
 	_, server := gateBed(c, newPlayed(c))
-	answer, err := http.Post(server.URL+"/safe/x", "", bytes.NewReader(make([]byte, bodyMost+1)))
+	answer, err := http.Post(server.URL+"/safe/x", "", bytes.NewReader(make([]byte, defaultMaxBodyBytes+1)))
 	if err == nil {
 		defer answer.Body.Close()
 		c.Assert(answer.StatusCode, qt.Equals, http.StatusRequestEntityTooLarge)
@@ -376,11 +376,11 @@
 	// The page needs the map, which the machine takes on its own thread.
 	look := func(path string) int {
 		w := httptest.NewRecorder()
-		g.page(w, httptest.NewRequest(http.MethodGet, path, nil))
+		g.servePlatform(w, httptest.NewRequest(http.MethodGet, path, nil))
 		return w.Code
 	}
 	c.Assert(look("/status"), qt.Equals, 200)
 	c.Assert(look("/any"), qt.Equals, 200)
-	g.leaving.Store(true)
+	g.draining.Store(true)
 	c.Assert(look("/any"), qt.Equals, 503)
 }
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -6,7 +6,7 @@
 type Counters struct {
 	// Of the requests that were looked up, on arrival Hits had a runner, be it
 	// a full one, and Misses had none. MissesDelayed counts the misses
-	// that waited for at least missMs, LookUpRetries the look-ups repeated at
+	// that waited for at least missDelayedMs, LookUpRetries the look-ups repeated at
 	// another controller.
 	Requests      uint64
 	LookUps       uint64
@@ -53,8 +53,8 @@
 		tally.Rejections[kind] = count
 	}
 	return Status{
-		Name: m.set.Self.Name, Version: m.version, Epoch: m.epoch, Primary: m.primary, HeardMs: m.nowMs - m.heardMs,
-		Routers: m.routers, Leaving: m.leaving, Entries: len(m.cache), Runners: len(m.runners),
-		Requests: len(m.requests), Waiting: len(m.waiting), Counters: tally,
+		Name: m.settings.Self.Name, Version: m.mapVersion, Epoch: m.epoch, Primary: m.primary, HeardMs: m.nowMs - m.primaryConfirmedMs,
+		Routers: m.routerCount, Leaving: m.draining, Entries: len(m.cache), Runners: len(m.runners),
+		Requests: len(m.requests), Waiting: len(m.queue), Counters: tally,
 	}
 }
--- a/internal/simulation/scalesim/runner.go
+++ b/internal/simulation/scalesim/runner.go
@@ -15,7 +15,7 @@
 	calls  int64
 	busy   bool
 	active int
-	// toldMs is when it last told its state.
+	// reportedMs is when it last told its state.
 	toldMs int64
 }
 
