--- a/internal/simulation/faultsim/attempt.go
+++ b/internal/simulation/faultsim/attempt.go
@@ -6,134 +6,147 @@
 )
 
 const (
+	// chunksPerStream is how many chunks a complete stream has.
 	chunksPerStream = 6
-	maxQueued       = 3
+	// maxQueued bounds the requests that wait at a runner.
+	maxQueued = 3
+	// A plain request runs plainRunMs and up to plainRunSpreadMs more, a chunk of a
+	// stream takes chunkMs and up to chunkSpreadMs more.
+	plainRunMs       = 20
+	plainRunSpreadMs = 100
+	chunkMs          = 20
+	chunkSpreadMs    = 60
 )
 
-// attempt is one send of a request at a runner.
+// attempt is one send of a request to a runner.
 type attempt struct {
 	request *proxiedRequest
 	send    proxy.StartAttempt
 	runner  *runner
-	// started says that it runs, and so has run whatever comes.
-	started, cancelled, finished bool
+	// isCancelled says that the router no longer wants the result, isFinished that
+	// it ignores what still comes.
+	isCancelled, isFinished bool
 }
 
-// receive is the request reaching whoever lives at the address.
-func (j *attempt) receive() {
-	sim, r, p := j.request.sim, j.runner, j.request
-	sim.Checker.recordArrival(p, j.send, r)
-	if r.silent {
+// receive is the request arriving at whoever runs at the address.
+func (a *attempt) receive() {
+	sim, r, request := a.request.sim, a.runner, a.request
+	sim.Checker.recordArrival(request, a.send, r)
+	if r.isSilent {
 		return
 	}
-	if r.entry.ID != j.send.Params.Runner {
-		j.reply(func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Misdirected, OtherRunner: true}) })
+	if r.entry.ID != a.send.Params.Runner {
+		a.replyOutcome(proxy.AttemptEnded{Outcome: proxy.Misdirected, OtherRunner: true})
 		return
 	}
-	there, wait := r.canRun(p.attributes.Model, p.attributes.Adapter)
+	isFull := len(r.running) >= slots
+	isQueueFull := isFull && len(r.queue) >= maxQueued
+	readiness := r.readinessFor(request.attributes.Model, request.attributes.Adapter)
 	switch {
-	case wait || there && len(r.running) >= slots && len(r.queue) >= maxQueued:
-		j.reply(func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Rejected}) })
-	case !there:
-		j.reply(func() { p.reportOutcome(proxy.AttemptEnded{Outcome: proxy.Misdirected}) })
-	case len(r.running) >= slots:
-		r.queue = append(r.queue, j)
+	case readiness == isLoading || readiness == isReady && isQueueFull:
+		a.replyOutcome(proxy.AttemptEnded{Outcome: proxy.Rejected})
+	case readiness == isMissing:
+		a.replyOutcome(proxy.AttemptEnded{Outcome: proxy.Misdirected})
+	case isFull:
+		r.queue = append(r.queue, a)
 	default:
-		j.start()
+		a.start()
 	}
 }
 
-// reply carries something to the router, unless the link is cut: then its
-// shell hears nothing until the time is over.
-func (j *attempt) reply(arrive func()) {
-	p := j.request
-	p.sim.transmit(j.send.Address, p.router.name, func() {
-		p.whenRouterRuns(func() {
-			if !j.finished {
+// reply carries something back to the router. If the link is cut, the router
+// learns nothing until its timeout.
+func (a *attempt) reply(arrive func()) {
+	request := a.request
+	request.sim.transmit(a.send.Address, request.router.name, func() {
+		request.whenRouterRuns(func() {
+			if !a.isFinished {
 				arrive()
 			}
 		})
 	}, nil)
 }
 
-// connectionBroken is the connection breaking under the job.
-func (j *attempt) connectionBroken() {
-	j.reply(func() {
-		j.finished = true
-		j.request.connectionLost(j)
+func (a *attempt) replyOutcome(ended proxy.AttemptEnded) {
+	a.reply(func() { a.request.reportOutcome(ended) })
+}
+
+// connectionBroken is the connection breaking before the answer is complete.
+func (a *attempt) connectionBroken() {
+	a.reply(func() {
+		a.isFinished = true
+		a.request.connectionLost(a)
 	})
 }
 
-func (j *attempt) start() {
-	sim, r := j.request.sim, j.runner
-	j.started = true
-	r.running = append(r.running, j)
-	sim.Checker.recordStart(j.request, j.send, r)
-	if !j.isStream() {
-		sim.after(20+sim.random.Int63n(100), j.finishPlain)
+// start begins to run the request.
+func (a *attempt) start() {
+	sim := a.request.sim
+	a.runner.running = append(a.runner.running, a)
+	sim.Checker.recordStart(a.request, a.send, a.runner)
+	if a.send.Route.Kind != config.Stream {
+		sim.after(plainRunMs+sim.random.Int63n(plainRunSpreadMs), a.finishPlain)
 		return
 	}
-	next := 1
-	if j.send.Params.LastEventID != "" {
-		next = parseChunk(j.send.Params.LastEventID) + 1
+	first := 1
+	if a.send.Params.LastEventID != "" {
+		first = parseChunk(a.send.Params.LastEventID) + 1
 	}
-	j.produceChunk(next)
+	a.produceChunk(first)
 }
 
-func (j *attempt) isStream() bool { return j.send.Route.Kind == config.Stream }
-
-// isAborted says that nothing more comes of it.
-func (j *attempt) isAborted() bool {
-	if j.runner.ended {
+// isAborted says whether nothing more comes of the run; it then frees the slot.
+func (a *attempt) isAborted() bool {
+	if a.runner.hasEnded {
 		return true
 	}
-	if j.cancelled || j.runner.silent {
-		j.runner.release(j)
+	if a.isCancelled || a.runner.isSilent {
+		a.runner.release(a)
 		return true
 	}
 	return false
 }
 
-// finishPlain ends a plain run.
-func (j *attempt) finishPlain() {
-	if j.isAborted() {
+// finishPlain ends the run of a plain request.
+func (a *attempt) finishPlain() {
+	if a.isAborted() {
 		return
 	}
-	sim, f := j.request.sim, &j.request.sim.fleet
-	j.runner.release(j)
+	sim, fleet := a.request.sim, &a.request.sim.fleet
+	a.runner.release(a)
 	switch draw := sim.random.Float64(); {
-	case draw < f.lostAnswerShare:
-	case draw < f.lostAnswerShare+f.resetShare:
-		j.connectionBroken()
-	case draw < f.lostAnswerShare+f.resetShare+f.errorShare:
-		j.reply(func() { j.request.serverError() })
+	case draw < fleet.lostAnswerShare:
+	case draw < fleet.lostAnswerShare+fleet.resetShare:
+		a.connectionBroken()
+	case draw < fleet.lostAnswerShare+fleet.resetShare+fleet.errorShare:
+		a.reply(a.request.serverError)
 	default:
-		j.reply(func() { j.request.complete() })
+		a.reply(a.request.complete)
 	}
 }
 
-// produceChunk produces a piece of a stream.
-func (j *attempt) produceChunk(piece int) {
-	sim, f := j.request.sim, &j.request.sim.fleet
-	sim.after(20+sim.random.Int63n(60), func() {
-		if j.isAborted() {
+// produceChunk produces a chunk of a stream, and those after it.
+func (a *attempt) produceChunk(chunk int) {
+	sim := a.request.sim
+	sim.after(chunkMs+sim.random.Int63n(chunkSpreadMs), func() {
+		if a.isAborted() {
 			return
 		}
-		if draw := sim.random.Float64(); draw < f.resetShare/chunksPerStream {
-			j.runner.release(j)
-			j.connectionBroken()
+		if draw := sim.random.Float64(); draw < sim.fleet.resetShare/chunksPerStream {
+			a.runner.release(a)
+			a.connectionBroken()
 			return
 		}
-		last := piece >= chunksPerStream
-		if last {
-			j.runner.release(j)
+		isLast := chunk >= chunksPerStream
+		if isLast {
+			a.runner.release(a)
 		}
-		// One connection keeps its order: a later piece never overtakes.
-		p := j.request
-		p.pendingChunks = append(p.pendingChunks, piece)
-		j.reply(func() { p.forwardChunk(j, last) })
-		if !last {
-			j.produceChunk(piece + 1)
+		// A connection keeps the order: the router takes the chunks from this queue
+		// as transmissions arrive, whichever they were.
+		a.request.pendingChunks = append(a.request.pendingChunks, chunk)
+		a.reply(func() { a.request.forwardChunk(a) })
+		if !isLast {
+			a.produceChunk(chunk + 1)
 		}
 	})
 }
--- a/internal/simulation/faultsim/buggy_application.go
+++ b/internal/simulation/faultsim/buggy_application.go
@@ -10,79 +10,86 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// buggyApplication is a controller's tenant with deliberate faults.
+const (
+	// configRow is the replicated row that holds the configuration.
+	configRow = "map"
+	// historyRows is the prefix of the rows that remember accepted submissions.
+	historyRows = "history/"
+)
+
+// buggyApplication is a controller's application with injected bugs.
 type buggyApplication struct {
 	consensus.Application
 	bugs InjectedBugs
 }
 
-// withBugs gives a tenant the faults that the world has.
-func (sim *Simulation) withBugs(tenant consensus.Application) consensus.Application {
-	b := sim.Bugs
-	if b.ForgetAccepted || b.IgnoreBase || b.StaleRead || b.StaleRejection {
-		return buggyApplication{tenant, b}
+// withBugs gives an application the bugs that are to be injected.
+func (sim *Simulation) withBugs(application consensus.Application) consensus.Application {
+	bugs := sim.Bugs
+	if bugs.ForgetAccepted || bugs.IgnoreBase || bugs.StaleRead || bugs.StaleRejection {
+		return buggyApplication{application, bugs}
 	}
-	return tenant
+	return application
 }
 
-// localConfig reads the map off a daemon's own copy of the state, whether that
-// is safe or not.
+// localConfig reads the configuration from a controller's own replica, whether
+// that is current or not.
 func localConfig(h consensus.Host) (version uint64, text string) {
-	var kept struct {
+	var stored struct {
 		Version uint64 `json:"version"`
 		Packed  []byte `json:"packed"`
 	}
-	if json.Unmarshal([]byte(h.Row("map")), &kept) != nil {
+	if json.Unmarshal([]byte(h.Row(configRow)), &stored) != nil {
 		return 0, ""
 	}
-	text, err := protocol.Decompress(kept.Packed)
+	text, err := protocol.Decompress(stored.Packed)
 	if err != nil {
 		return 0, ""
 	}
-	return kept.Version, text
+	return stored.Version, text
 }
 
-// HandleInput answers operators as a broken system would.
-func (t buggyApplication) HandleInput(h consensus.Host, input any) bool {
+// HandleInput answers operators as a controller with the bugs would.
+func (a buggyApplication) HandleInput(h consensus.Host, input any) bool {
 	version, text := localConfig(h)
 	switch in := input.(type) {
 	case controller.ReadConfig:
-		if t.bugs.StaleRead && version > 0 {
+		if a.bugs.StaleRead && version > 0 {
 			h.Answer(in.ID, controller.ConfigText{Version: version, Text: text})
 			return true
 		}
 	case controller.SubmitConfig:
-		if t.bugs.StaleRejection && version > in.BaseVersion {
+		if a.bugs.StaleRejection && version > in.BaseVersion {
 			h.Answer(in.ID, protocol.Rejection{Kind: errkind.StaleBase, Revision: version})
 			return true
 		}
-		if t.bugs.IgnoreBase {
+		if a.bugs.IgnoreBase {
 			in.BaseVersion = version
 		}
-		return t.Application.HandleInput(t.wrapHost(h), in)
+		return a.Application.HandleInput(a.wrapHost(h), in)
 	}
-	return t.Application.HandleInput(t.wrapHost(h), input)
+	return a.Application.HandleInput(a.wrapHost(h), input)
 }
 
-// BecamePrimary hands the faults on to the start of a primacy.
-func (t buggyApplication) BecamePrimary(h consensus.Host) { t.Application.BecamePrimary(t.wrapHost(h)) }
+// BecamePrimary is the application's, with the bugs in its host.
+func (a buggyApplication) BecamePrimary(h consensus.Host) { a.Application.BecamePrimary(a.wrapHost(h)) }
 
-// Tick hands the faults on to what waits.
-func (t buggyApplication) Tick(h consensus.Host) { t.Application.Tick(t.wrapHost(h)) }
+// Tick is the application's, with the bugs in its host.
+func (a buggyApplication) Tick(h consensus.Host) { a.Application.Tick(a.wrapHost(h)) }
 
-func (t buggyApplication) wrapHost(h consensus.Host) consensus.Host {
-	if t.bugs.ForgetAccepted {
+func (a buggyApplication) wrapHost(h consensus.Host) consensus.Host {
+	if a.bugs.ForgetAccepted {
 		return forgetfulHost{h}
 	}
 	return h
 }
 
-// forgetfulHost has no rows of accepted orders.
+// forgetfulHost hides the rows that remember accepted submissions.
 type forgetfulHost struct{ consensus.Host }
 
-// Row hides the rows of accepted orders.
+// Row hides the rows that remember accepted submissions.
 func (f forgetfulHost) Row(key string) string {
-	if strings.HasPrefix(key, "history/") {
+	if strings.HasPrefix(key, historyRows) {
 		return ""
 	}
 	return f.Host.Row(key)
--- a/internal/simulation/faultsim/bugs_test.go
+++ b/internal/simulation/faultsim/bugs_test.go
@@ -6,10 +6,11 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Each rule is shown to fire once the system is broken on purpose.
+// Each rule's check reports a system in which a bug was injected that breaks
+// the rule.
 func TestEachRuleFires(t *testing.T) {
 	for _, test := range []struct {
-		rule   string
+		rule   Rule
 		breaks InjectedBugs
 		faults []string
 	}{
@@ -35,14 +36,14 @@
 		{"ANSWER", InjectedBugs{OmitRetryAfter: true}, []string{"crowd for rare models", "release"}},
 		{"ANSWER", InjectedBugs{AnswerTwice: true}, []string{"crowd for rare models", "release"}},
 	} {
-		t.Run(test.rule, func(t *testing.T) {
+		t.Run(string(test.rule), func(t *testing.T) {
 			t.Parallel()
 			fired := false
 			for seed := int64(1); seed <= 12 && !fired; seed++ {
 				r, ok := play(seed, test.breaks, test.faults...)
 				qt.Assert(t, ok, qt.IsTrue)
-				for _, breach := range r.Violations {
-					fired = fired || breach.Rule == test.rule
+				for _, violation := range r.Violations {
+					fired = fired || violation.Rule == test.rule
 				}
 			}
 			qt.Check(t, fired, qt.IsTrue, qt.Commentf("%+v with %q", test.breaks, test.faults))
--- a/internal/simulation/faultsim/clients.go
+++ b/internal/simulation/faultsim/clients.go
@@ -5,23 +5,68 @@
 	"slices"
 
 	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/proxy"
 )
 
-// clients send requests to the routers, each of an uneven share.
+const (
+	// clientsEndpoint is the clients' name in the network.
+	clientsEndpoint = "clients"
+	// usualIntervalMs is the mean time between two requests, burstIntervalMs that
+	// in a burst.
+	usualIntervalMs = 25
+	burstIntervalMs = 10
+	plainTimeoutMs  = 2500
+	streamTimeoutMs = 5000
+	// giveUpSlackMs is how much longer than its timeout a client waits.
+	giveUpSlackMs = 400
+	// maxClientRetries bounds the retries after rejections.
+	maxClientRetries = 2
+	// unavailableStatus is the HTTP status of rejections that may be retried.
+	unavailableStatus = 503
+)
+
+// The paths that clients ask for. The first part names the route; see
+// configurations.go.
+const (
+	safePath   = "/safe/x"
+	unsafePath = "/unsafe/x"
+	resumePath = "/resume/x"
+	oncePath   = "/once/x"
+	markPath   = "/mark/x"
+)
+
+// clientOutcome is how a request ended for its client.
+type clientOutcome string
+
+const (
+	clientPending  clientOutcome = ""
+	clientAnswered clientOutcome = "answered"
+	clientFailed   clientOutcome = "failed"
+	// clientAborted: the router ended the stream as incomplete.
+	clientAborted      clientOutcome = "aborted"
+	clientDisconnected clientOutcome = "disconnected"
+	clientTimedOut     clientOutcome = "timed out"
+	clientRejected     clientOutcome = "rejected"
+)
+
+// clients send requests to the routers, some routers more than others.
 type clients struct {
-	running        bool
-	lastID         int
-	requests       []*clientRequest
-	intervalMs     int64
+	running    bool
+	lastID     int
+	requests   []*clientRequest
+	intervalMs int64
+	// popularModel and the next are asked for most, unless wantRareModels.
 	popularModel   int
 	wantRareModels bool
-	outcomes       map[string]int
+	outcomes       map[clientOutcome]int
 }
 
-func newClients() clients { return clients{intervalMs: 25, outcomes: map[string]int{}} }
+func newClients() clients {
+	return clients{intervalMs: usualIntervalMs, outcomes: map[clientOutcome]int{}}
+}
 
-// clientRequest is one try of a client.
+// clientRequest is one request of a client.
 type clientRequest struct {
 	sim         *Simulation
 	id          string
@@ -31,11 +76,12 @@
 	sentMs      int64
 	timeoutMs   int64
 	attributes  proxy.RequestParams
-	// retries counts the refusals before it; ended is how it ended.
+	// retries counts the rejections before this request.
 	retries int
-	outcome string
-	chunks  int
-	served  bool
+	outcome clientOutcome
+	// chunks is how many chunks of a stream have arrived.
+	chunks int
+	// proxied is the request at the router, once it has arrived there.
 	proxied *proxiedRequest
 }
 
@@ -47,74 +93,86 @@
 	}
 }
 
+// scheduleNext sends a request now and schedules the one after it.
 func (c *clients) scheduleNext(sim *Simulation) {
 	if !c.running {
 		return
 	}
 	sim.after(1+sim.random.Int63n(2*c.intervalMs), func() { c.scheduleNext(sim) })
-	routers := sim.nodeNames("router")
-	up := slices.DeleteFunc(slices.Clone(routers), func(name string) bool { n := sim.nodes[name]; return !n.up || n.leaving })
-	if len(up) == 0 {
+	available := slices.DeleteFunc(sim.nodeNames(protocol.RoleRouter), func(name string) bool {
+		n := sim.nodes[name]
+		return !n.isUp || n.isStopping
+	})
+	if len(available) == 0 {
 		return
 	}
-	// The first router gets more than its share.
-	at := max(0, sim.random.Intn(len(up)+1)-1)
-	path := "/safe/x"
+	// The first router gets twice as much as any other.
+	router := available[max(0, sim.random.Intn(len(available)+1)-1)]
+	c.send(sim, router, drawPath(sim), 0)
+}
+
+// drawPath draws what is asked for.
+func drawPath(sim *Simulation) string {
 	switch draw := sim.random.Intn(100); {
 	case draw < 25:
+		return safePath
 	case draw < 45:
-		path = "/unsafe/x"
+		return unsafePath
 	case draw < 65:
-		path = "/resume/x"
+		return resumePath
 	case draw < 75:
-		path = "/once/x"
+		return oncePath
 	case draw < 90:
-		path = "/mark/x"
-	default:
-		path = fmt.Sprintf("/only-%d/x", sim.operators.acceptedVersion)
+		return markPath
 	}
-	c.send(sim, up[at], path, 0)
+	return onlyPath(sim.operators.acceptedVersion)
 }
 
-// send makes one try at a router.
-func (c *clients) send(sim *Simulation, router, path string, again int) {
+// onlyPath is a path that only one version of the configuration routes.
+func onlyPath(version uint64) string { return fmt.Sprintf("/only-%d/x", version) }
+
+// send sends one request to a router.
+func (c *clients) send(sim *Simulation, router, path string, retries int) {
 	n := sim.nodes[router]
-	if !n.up || n.leaving && again == 0 {
+	if !n.isUp || n.isStopping && retries == 0 {
 		return
 	}
 	c.lastID++
 	r := &clientRequest{
-		sim: sim, id: fmt.Sprintf("t%d", c.lastID), path: path, router: router, incarnation: n.incarnation, sentMs: sim.NowMs(), timeoutMs: 2500, retries: again,
+		sim: sim, id: fmt.Sprintf("t%d", c.lastID), path: path, router: router, incarnation: n.incarnation,
+		sentMs: sim.NowMs(), timeoutMs: plainTimeoutMs, retries: retries,
 	}
 	r.attributes = proxy.RequestParams{RequestID: r.id}
 	if r.isStream() {
-		r.timeoutMs = 5000
-		r.attributes.Model = modelName(c.chooseModel(sim))
-		if r.attributes.Model == modelName(0) && sim.random.Intn(2) == 0 {
-			r.attributes.Adapter = fmt.Sprintf("a%d", 1+sim.random.Intn(adapterCount))
-		}
-		r.attributes.PromptTokens, r.attributes.MaxOutputTokens = 200+sim.random.Int63n(1500), 50
-		r.attributes.PromptParts = []proxy.PromptPart{{ID: fmt.Sprint("p", sim.random.Intn(5)), Tokens: 100}, {ID: r.id, Tokens: 100}}
+		r.timeoutMs = streamTimeoutMs
+		c.drawModelAttributes(sim, r)
 	}
 	r.attributes.TimeoutMs = r.timeoutMs
 	c.requests = append(c.requests, r)
 	sim.Checker.recordRequest(r)
-	life := n.incarnation
-	sim.transmit("clients", router, func() {
-		if !n.up || n.incarnation != life {
-			r.complete("connection broke")
+	incarnation := n.incarnation
+	disconnect := func() { r.complete(clientDisconnected) }
+	sim.transmit(clientsEndpoint, router, func() {
+		if !n.runs(incarnation) {
+			disconnect()
 			return
 		}
-		n.lastRequestID++
-		p := &proxiedRequest{sim: sim, router: n, incarnation: life, id: n.lastRequestID, client: r, attributes: r.attributes}
-		r.proxied = p
-		n.requests[p.id] = p
-		sim.deliver(n, life, proxy.Request{ID: p.id, Host: requestHost, Path: path, Params: r.attributes})
-	}, func() { r.complete("connection broke") })
-	sim.after(r.timeoutMs+400, r.timeOut)
+		r.arriveAt(n)
+	}, disconnect)
+	sim.after(r.timeoutMs+giveUpSlackMs, r.timeOut)
+}
+
+// drawModelAttributes draws the model, the adapter and the size of a request.
+func (c *clients) drawModelAttributes(sim *Simulation, r *clientRequest) {
+	r.attributes.Model = modelName(c.chooseModel(sim))
+	if r.attributes.Model == modelName(modelWithAdapters) && sim.random.Intn(2) == 0 {
+		r.attributes.Adapter = fmt.Sprintf("a%d", 1+sim.random.Intn(adapterCount))
+	}
+	r.attributes.PromptTokens, r.attributes.MaxOutputTokens = 200+sim.random.Int63n(1500), 50
+	r.attributes.PromptParts = []proxy.PromptPart{{ID: fmt.Sprint("p", sim.random.Intn(5)), Tokens: 100}, {ID: r.id, Tokens: 100}}
 }
 
-// chooseModel draws what is asked for: a few most of the time, and those change.
+// chooseModel draws a model: mostly one of two popular ones.
 func (c *clients) chooseModel(sim *Simulation) int {
 	if c.wantRareModels || sim.random.Intn(10) == 0 {
 		return sim.random.Intn(modelCount)
@@ -122,80 +180,105 @@
 	return (c.popularModel + sim.random.Intn(2)) % modelCount
 }
 
-func (r *clientRequest) isStream() bool { return r.path == "/resume/x" || r.path == "/once/x" }
+// arriveAt is the request reaching its router.
+func (r *clientRequest) arriveAt(n *node) {
+	n.lastRequestID++
+	r.proxied = &proxiedRequest{
+		sim: r.sim, router: n, incarnation: n.incarnation, id: n.lastRequestID, client: r, attributes: r.attributes,
+	}
+	n.requests[r.proxied.id] = r.proxied
+	r.sim.deliver(n, n.incarnation, proxy.Request{ID: r.proxied.id, Host: requestHost, Path: r.path, Params: r.attributes})
+}
+
+func (r *clientRequest) isStream() bool { return r.path == resumePath || r.path == oncePath }
 
 // deliver carries something from the router to the client.
 func (r *clientRequest) deliver(from string, arrive func()) {
-	r.sim.transmit(from, "clients", arrive, func() { r.complete("connection broke") })
+	r.sim.transmit(from, clientsEndpoint, arrive, func() { r.complete(clientDisconnected) })
 }
 
-// receiveChunk takes a piece of a stream; one connection keeps its order, so it
-// is checked as it is passed on.
-func (r *clientRequest) receiveChunk(piece int) {
-	if piece != r.chunks+1 {
-		r.sim.Checker.report("ORDER", r.sim.NowMs(), "%s: piece %d comes after %d", r.id, piece, r.chunks)
+// receiveChunk takes a chunk of a stream. A connection keeps the order, so the
+// order is checked as the router passes the chunk on.
+func (r *clientRequest) receiveChunk(chunk int) {
+	if chunk != r.chunks+1 {
+		r.sim.Checker.report(RuleOrder, r.sim.NowMs(), "%s: chunk %d comes after %d", r.id, chunk, r.chunks)
 	}
-	r.chunks = piece
+	r.chunks = chunk
 }
 
-// complete is how the try ended for its client; each ends once.
-func (r *clientRequest) complete(how string) {
-	if r.outcome != "" {
-		if how != "connection broke" && r.outcome != "gone" && r.outcome != "connection broke" {
-			r.sim.Checker.report("ANSWER", r.sim.NowMs(), "%s ended as %q after %q", r.id, how, r.outcome)
-		}
+// complete notes how the request ended for its client; only the first end
+// counts.
+func (r *clientRequest) complete(outcome clientOutcome) {
+	if r.outcome != clientPending {
+		r.checkSecondOutcome(outcome)
 		return
 	}
-	r.outcome = how
-	r.sim.clients.outcomes[how]++
-	if how == "answered" {
-		r.served = true
-		if r.isStream() && r.chunks != chunksPerStream {
-			r.sim.Checker.report("ORDER", r.sim.NowMs(), "%s looks complete after %d pieces", r.id, r.chunks)
-		}
+	r.outcome = outcome
+	r.sim.clients.outcomes[outcome]++
+	if outcome == clientAnswered && r.isStream() && r.chunks != chunksPerStream {
+		r.sim.Checker.report(RuleOrder, r.sim.NowMs(), "%s looks complete after %d chunks", r.id, r.chunks)
+	}
+}
+
+// checkSecondOutcome reports a second answer to a request. After a timeout or a
+// lost connection the client receives nothing.
+func (r *clientRequest) checkSecondOutcome(outcome clientOutcome) {
+	isConnected := r.outcome != clientTimedOut && r.outcome != clientDisconnected
+	if isConnected && outcome != clientDisconnected {
+		r.sim.Checker.report(RuleAnswer, r.sim.NowMs(), "%s ended as %q after %q", r.id, outcome, r.outcome)
 	}
 }
 
-// rejected is an answer of the router's own.
+// rejected is an error that the router answers itself. The client retries some
+// time later if that may help.
 func (r *clientRequest) rejected(kind errkind.Kind, retryMs int64) {
-	if r.outcome != "" {
-		r.complete("refused")
+	if r.outcome != clientPending {
+		r.complete(clientRejected)
 		return
 	}
-	r.complete("refused: " + string(kind))
-	reply := kind.Response()
-	r.sim.Checker.recordRejection(r, kind)
-	if reply.Status != 503 {
+	sim := r.sim
+	r.complete(clientRejected + ": " + clientOutcome(kind))
+	sim.Checker.recordRejection(r, kind)
+	if kind.Response().Status != unavailableStatus {
 		return
 	}
-	// Who has no time left has no use for it.
-	if r.sim.NowMs()-r.sentMs >= r.timeoutMs {
+	hasTimeLeft := sim.NowMs()-r.sentMs < r.timeoutMs
+	if !hasTimeLeft {
 		return
 	}
 	if retryMs <= 0 {
-		r.sim.Checker.report("ANSWER", r.sim.NowMs(), "%s was refused as %q without a word on when to come back", r.id, kind)
+		sim.Checker.report(RuleAnswer, sim.NowMs(), "%s was rejected as %q without a time to retry", r.id, kind)
 		return
 	}
-	if r.retries < 2 && r.sim.clients.running {
-		r.sim.after(retryMs, func() {
-			up := r.sim.nodeNames("router")
-			r.sim.clients.send(r.sim, up[r.sim.random.Intn(len(up))], r.path, r.retries+1)
-		})
+	if r.retries < maxClientRetries && sim.clients.running {
+		sim.after(retryMs, r.retry)
 	}
 }
 
+// retry sends the request again, to any router.
+func (r *clientRequest) retry() {
+	routers := r.sim.nodeNames(protocol.RoleRouter)
+	r.sim.clients.send(r.sim, routers[r.sim.random.Intn(len(routers))], r.path, r.retries+1)
+}
+
 // timeOut is the client giving up.
 func (r *clientRequest) timeOut() {
-	if r.outcome != "" {
+	if r.outcome != clientPending {
 		return
 	}
-	sim := r.sim
-	if n := sim.nodes[r.router]; r.proxied != nil && !r.proxied.finished && !r.proxied.isSending && n.isHealthy() && sim.connectivity.isUndisturbedSince(n.name, r.sentMs) {
-		sim.Checker.report("ANSWER", sim.NowMs(), "%s (%s) got no answer from %s in its time and is not under way", r.id, r.path, r.router)
+	r.checkUnanswered()
+	r.complete(clientTimedOut)
+	if p := r.proxied; p != nil {
+		p.whenRouterRuns(p.clientGone)
 	}
-	r.complete("gone")
-	if r.proxied != nil {
-		p := r.proxied
-		p.whenRouterRuns(func() { p.clientGone() })
+}
+
+// checkUnanswered reports a request that a healthy router neither answers nor
+// has sent to a runner.
+func (r *clientRequest) checkUnanswered() {
+	sim, n := r.sim, r.sim.nodes[r.router]
+	isIdle := r.proxied != nil && !r.proxied.isFinished && !r.proxied.isSending
+	if isIdle && n.isHealthy() && sim.connectivity.isUndisturbedSince(n.name, r.sentMs) {
+		sim.Checker.report(RuleAnswer, sim.NowMs(), "%s (%s) got no answer from %s in its time and is not under way", r.id, r.path, r.router)
 	}
 }
--- a/internal/simulation/faultsim/configurations.go
+++ b/internal/simulation/faultsim/configurations.go
@@ -1,7 +1,6 @@
 package faultsim
 
 import (
-	"encoding/json"
 	"fmt"
 	"strconv"
 	"strings"
@@ -9,24 +8,46 @@
 	"myrtlewinch/internal/config"
 )
 
-// The services of a drill: one whose runners hold models, and two plain ones.
+// The services of the simulated site: the runners of one hold models, the other
+// two are plain.
 const (
 	plainService = "plain"
 	otherService = "other"
 	modelService = "llm"
-	requestHost  = "drill.example"
 )
 
+// services lists all services.
+var services = []string{plainService, otherService, modelService}
+
+// requestHost is the host that all routes are for.
+const requestHost = "drill.example"
+
+// The models and what runners can hold.
 const (
-	modelCount      = 8
-	adapterCount    = 6
-	loadMs          = 1500
-	reloadMs        = 300
-	capacityMb      = 100.0
-	adapterCapacity = 4
-	loadsPerSec     = 2.0
-	slots           = 8
-	cacheTokens     = 50_000
+	modelCount = 8
+	// modelWithAdapters is the one model that has adapters.
+	modelWithAdapters = 0
+	adapterCount      = 6
+	adapterMb         = 2.0
+	modelSizeMb       = 30.0
+	largeModelSizeMb  = 40.0
+	capacityMb        = 100.0
+	adapterCapacity   = 4
+	slots             = 8
+	cacheTokens       = 50_000
+	// loadMs is a load from the weight store, reloadMs one from the disk.
+	loadMs   = 1500
+	reloadMs = 300
+	// loadsPerSec is what the weight store can deliver.
+	loadsPerSec = 2.0
+)
+
+// The limits of routes.
+const (
+	routeTimeoutMs   = 3000
+	streamDurationMs = 6000
+	latencyTargetMs  = 400
+	maxEventGapMs    = 300
 )
 
 func modelName(i int) string { return fmt.Sprintf("m%d", i) }
@@ -34,37 +55,41 @@
 // modelMb is the size of a model; every third one is larger.
 func modelMb(name string) float64 {
 	if i, err := strconv.Atoi(name[1:]); err == nil && i%3 == 2 {
-		return 40
+		return largeModelSizeMb
 	}
-	return 30
+	return modelSizeMb
 }
 
-const adapterMb = 2.0
+// versionRouteName names the route that shows by which version a request was
+// handled.
+func versionRouteName(version uint64) string { return fmt.Sprintf("mark@%d", version) }
 
-// versionRoutes are the routes that tell one version from another: the first goes to
-// another service with each version, the second stands in this one only.
+// versionRoutes are the routes that tell one version from another: the first
+// goes to another service in each version, the second exists in this version
+// only.
 func versionRoutes(version uint64) []config.Route {
-	to := plainService
+	service := plainService
 	if version%2 == 1 {
-		to = otherService
+		service = otherService
 	}
 	mark := config.Route{
-		Name: fmt.Sprintf("mark@%d", version), Host: requestHost, PathPrefix: "/mark/", Kind: config.Safe, TimeoutMs: 3000, LatencyTargetMs: 400, Priority: 1,
-		Split: []config.WeightedService{{Service: to, Weight: 1}}, MaxAttempts: 2,
+		Name: versionRouteName(version), Host: requestHost, PathPrefix: "/mark/", Kind: config.Safe,
+		TimeoutMs: routeTimeoutMs, LatencyTargetMs: latencyTargetMs, Priority: 1,
+		Split: []config.WeightedService{{Service: service, Weight: 1}}, MaxAttempts: 2,
 	}
 	only := mark
 	only.Name, only.PathPrefix = fmt.Sprintf("only@%d", version), fmt.Sprintf("/only-%d/", version)
 	return []config.Route{mark, only}
 }
 
-// versionOf reads the version off a mark's name; nought where it is none.
+// versionOf reads the version off the name of a route; 0 if there is none.
 func versionOf(route string) uint64 {
 	_, text, _ := strings.Cut(route, "@")
 	version, _ := strconv.ParseUint(text, 10, 64)
 	return version
 }
 
-// storeLoadsPerSec is what the store of weights bears.
+// storeLoadsPerSec is what the check of the CEILING rule allows.
 func (sim *Simulation) storeLoadsPerSec() float64 {
 	if sim.Bugs.OverstateStoreRate {
 		return loadsPerSec / 20
@@ -72,46 +97,63 @@
 	return loadsPerSec
 }
 
-// newConfig is the whole map of a version.
+// newConfig is the complete configuration of a version.
 func (sim *Simulation) newConfig(version uint64) config.Configuration {
+	routes := append(commonRoutes(), versionRoutes(version)...)
+	return config.Configuration{
+		Version: version, Routes: routes,
+		Services: []config.Service{
+			{Name: plainService, MaxConnections: 90},
+			{Name: otherService, MaxConnections: 90},
+			{Name: modelService, MaxConnections: 60, Engine: sim.newEngine()},
+		},
+	}
+}
+
+// newEngine describes what the runners of the model service hold.
+func (sim *Simulation) newEngine() *config.Engine {
 	engine := &config.Engine{
-		Slots: slots, CacheTokens: cacheTokens, TokensPerEvent: 1, WeightMemoryMb: capacityMb, MaxAdapters: adapterCapacity, LoadsPerSec: loadsPerSec,
+		Slots: slots, CacheTokens: cacheTokens, TokensPerEvent: 1, WeightMemoryMb: capacityMb, MaxAdapters: adapterCapacity,
+		LoadsPerSec: loadsPerSec,
 	}
 	if sim.Bugs.OverstateCapacity {
 		engine.WeightMemoryMb = 2 * capacityMb
 	}
 	for i := range modelCount {
-		m := config.Model{Name: modelName(i), SizeMb: modelMb(modelName(i)), LoadMs: loadMs, AdapterSizeMb: adapterMb}
-		if i == 0 {
-			m.AdapterCount = adapterCount
-		}
-		engine.Models = append(engine.Models, m)
-	}
-	route := func(name, service string, kind config.RequestKind, priority int) config.Route {
-		return config.Route{
-			Name: name, Host: requestHost, PathPrefix: "/" + name + "/", Kind: kind, TimeoutMs: 3000, LatencyTargetMs: 400, Priority: priority,
-			Split: []config.WeightedService{{Service: service, Weight: 1}}, MaxAttempts: 2, MaxEventGapMs: 300,
+		model := config.Model{Name: modelName(i), SizeMb: modelMb(modelName(i)), LoadMs: loadMs, AdapterSizeMb: adapterMb}
+		if i == modelWithAdapters {
+			model.AdapterCount = adapterCount
 		}
+		engine.Models = append(engine.Models, model)
 	}
-	resumable, once := route("resume", modelService, config.Stream, 1), route("once", modelService, config.Stream, 2)
+	return engine
+}
+
+// commonRoutes are the routes that all versions have.
+func commonRoutes() []config.Route {
+	safe := newRoute("safe", plainService, config.Safe, 1)
+	unsafe := newRoute("unsafe", plainService, config.Unsafe, 0)
+	resumable := newRoute("resume", modelService, config.Stream, 1)
 	resumable.Resumable, resumable.PrefixCacheAffinity, resumable.MaxAttempts = true, true, 3
-	resumable.TimeoutMs, once.TimeoutMs = 6000, 6000
-	m := config.Configuration{
-		Version: version,
-		Routes: append([]config.Route{
-			route("safe", plainService, config.Safe, 1), route("unsafe", plainService, config.Unsafe, 0), resumable, once,
-		}, versionRoutes(version)...),
-		Services: []config.Service{{Name: plainService, MaxConnections: 90}, {Name: otherService, MaxConnections: 90}, {Name: modelService, MaxConnections: 60, Engine: engine}},
+	resumable.TimeoutMs = streamDurationMs
+	once := newRoute("once", modelService, config.Stream, 2)
+	once.TimeoutMs = streamDurationMs
+	return []config.Route{safe, unsafe, resumable, once}
+}
+
+func newRoute(name, service string, kind config.RequestKind, priority int) config.Route {
+	return config.Route{
+		Name: name, Host: requestHost, PathPrefix: "/" + name + "/", Kind: kind,
+		TimeoutMs: routeTimeoutMs, LatencyTargetMs: latencyTargetMs, Priority: priority,
+		Split: []config.WeightedService{{Service: service, Weight: 1}}, MaxAttempts: 2, MaxEventGapMs: maxEventGapMs,
 	}
-	return m
 }
 
-// newChange changes the marks of one version into those of another.
-func newChange(from, version uint64) []byte {
-	c := configChange{Version: version, Put: versionRoutes(version)}
-	for _, r := range versionRoutes(from) {
-		c.Remove = append(c.Remove, r.Name)
+// newChange replaces the routes of one version by those of another.
+func newChange(from, version uint64) configChange {
+	change := configChange{Version: version, Put: versionRoutes(version)}
+	for _, route := range versionRoutes(from) {
+		change.Remove = append(change.Remove, route.Name)
 	}
-	text, _ := json.Marshal(c)
-	return text
+	return change
 }
--- a/internal/simulation/faultsim/connectivity.go
+++ b/internal/simulation/faultsim/connectivity.go
@@ -1,116 +1,160 @@
 package faultsim
 
-// connectivity follows which machines are in touch and whether the core is settled,
-// as the rules count it.
+import "math"
+
+// never is a time long before the beginning of a simulation.
+const never = math.MinInt64 / 4
+
+// connectivity records when nodes, links and the group of controllers (the
+// core) were last disturbed. Several rules bind only nodes that have been
+// connected, and a core that has been stable, for Bounds.InTouchMs.
 type connectivity struct {
 	sim *Simulation
-	// coreDisturbedMs is when the core was last upset; noMajorityMs when it last lacked a
-	// majority that runs, connected and not slowed; linkFaultMs when any link was
-	// last in trouble.
-	coreDisturbedMs, noMajorityMs, linkFaultMs int64
-	disturbedMs                                map[string]int64
+	// coreDisturbedMs is when the core was last disturbed.
+	coreDisturbedMs int64
+	// noMajorityMs is when there was last no majority of controllers that run,
+	// are connected and have undisturbed disks.
+	noMajorityMs int64
+	// linkFaultMs is when any link was last disturbed.
+	linkFaultMs int64
+	// disturbedMs is when each node was last disturbed.
+	disturbedMs map[string]int64
 }
 
-const never = -1 << 40
-
 func newConnectivity(sim *Simulation) connectivity {
-	return connectivity{sim: sim, coreDisturbedMs: sim.NowMs(), noMajorityMs: sim.NowMs(), linkFaultMs: sim.NowMs(), disturbedMs: map[string]int64{}}
+	nowMs := sim.NowMs()
+	return connectivity{sim: sim, coreDisturbedMs: nowMs, noMajorityMs: nowMs, linkFaultMs: nowMs, disturbedMs: map[string]int64{}}
 }
 
-// disturb notes a trouble of a machine; of a core machine it upsets the core.
-func (t *connectivity) disturb(n *node) {
-	t.disturbedMs[n.name] = t.sim.NowMs()
+// disturb notes a fault of a node; one of a controller disturbs the core too.
+func (c *connectivity) disturb(n *node) {
+	c.disturbedMs[n.name] = c.sim.NowMs()
 	if n.isController() {
-		t.coreDisturbedMs = t.sim.NowMs()
+		c.coreDisturbedMs = c.sim.NowMs()
 	}
 }
 
-// observe notes what is in trouble now. It is called every 50 ms and after each
-// fault.
-func (t *connectivity) observe() {
-	sim := t.sim
-	if len(sim.cuts) > 0 || sim.lossShare > 0 || sim.duplicateShare > 0 || sim.delayShare > 0 || sim.listDown {
-		t.linkFaultMs = sim.NowMs()
+// observe notes what is disturbed now. It is called periodically and whenever
+// the network changes.
+func (c *connectivity) observe() {
+	c.observeNetwork()
+	c.observeUnhealthyNodes()
+	running, total := c.runningControllers()
+	majority := c.majorityOf(running, total)
+	c.observeCore(running, total, majority)
+	c.observeNodeLinks(running, majority)
+}
+
+func (c *connectivity) observeNetwork() {
+	sim, nowMs := c.sim, c.sim.NowMs()
+	isUnreliable := sim.network.IsUnreliable()
+	if isUnreliable || sim.network.HasCuts() || sim.isListDown {
+		c.linkFaultMs = nowMs
+	}
+	if !isUnreliable {
+		return
 	}
-	if sim.lossShare > 0 || sim.duplicateShare > 0 || sim.delayShare > 0 {
-		t.coreDisturbedMs, t.noMajorityMs = sim.NowMs(), sim.NowMs()
-		for name := range sim.nodes {
-			t.disturbedMs[name] = sim.NowMs()
+	c.coreDisturbedMs, c.noMajorityMs = nowMs, nowMs
+	for name := range sim.nodes {
+		c.disturbedMs[name] = nowMs
+	}
+}
+
+func (c *connectivity) observeUnhealthyNodes() {
+	for _, name := range c.sim.nodeNames() {
+		if !c.sim.nodes[name].isHealthy() {
+			c.disturbedMs[name] = c.sim.NowMs()
 		}
 	}
-	var running []string
-	core := 0
-	for _, name := range sim.nodeNames() {
-		n := sim.nodes[name]
-		if n.removed {
+}
+
+// runningControllers lists the controllers that run, and counts all of them.
+func (c *connectivity) runningControllers() (running []string, total int) {
+	for _, name := range c.sim.nodeNames() {
+		n := c.sim.nodes[name]
+		if !n.isController() {
 			continue
 		}
-		if !n.isHealthy() {
-			t.disturbedMs[name] = sim.NowMs()
-		}
-		if n.isController() {
-			core++
-			if n.up && !n.frozen {
-				running = append(running, name)
-			}
+		total++
+		if n.isUp && !n.isFrozen {
+			running = append(running, name)
 		}
 	}
-	// The heart is the running core machines that reach a majority.
-	heart := map[string]bool{}
+	return running, total
+}
+
+// majorityOf gives the running controllers that reach a majority of all.
+func (c *connectivity) majorityOf(running []string, total int) map[string]bool {
+	majority := map[string]bool{}
 	for _, a := range running {
 		reached := 0
 		for _, b := range running {
-			if a == b || sim.isOpen(a, b) && sim.isOpen(b, a) {
+			if a == b || c.areConnected(a, b) {
 				reached++
 			}
 		}
-		heart[a] = 2*reached > core
+		majority[a] = 2*reached > total
 	}
-	together, well := 0, 0
+	return majority
+}
+
+func (c *connectivity) areConnected(a, b string) bool {
+	return c.sim.network.IsOpen(a, b) && c.sim.network.IsOpen(b, a)
+}
+
+func (c *connectivity) observeCore(running []string, total int, majority map[string]bool) {
+	connected, healthy := 0, 0
 	for _, name := range running {
-		if heart[name] {
-			together++
-			if sim.nodes[name].isHealthy() {
-				well++
-			}
+		if !majority[name] {
+			continue
+		}
+		connected++
+		if c.sim.nodes[name].isHealthy() {
+			healthy++
 		}
 	}
-	if 2*together <= core {
-		t.coreDisturbedMs = sim.NowMs()
+	if 2*connected <= total {
+		c.coreDisturbedMs = c.sim.NowMs()
 	}
-	if 2*well <= core {
-		t.noMajorityMs = sim.NowMs()
+	if 2*healthy <= total {
+		c.noMajorityMs = c.sim.NowMs()
 	}
-	for _, name := range sim.nodeNames() {
-		for _, to := range running {
-			if name != to && heart[to] && !(sim.isOpen(name, to) && sim.isOpen(to, name)) {
-				t.disturbedMs[name] = sim.NowMs()
+}
+
+// observeNodeLinks notes the nodes that lack a link to a controller of the
+// majority.
+func (c *connectivity) observeNodeLinks(running []string, majority map[string]bool) {
+	for _, name := range c.sim.nodeNames() {
+		for _, controller := range running {
+			if name != controller && majority[controller] && !c.areConnected(name, controller) {
+				c.disturbedMs[name] = c.sim.NowMs()
 			}
 		}
 	}
 }
 
-// isConnectedSince says whether a machine was in touch from a time until now.
-func (t *connectivity) isConnectedSince(name string, fromMs int64) bool {
-	return t.isUndisturbedSince(name, fromMs) && t.isCoreStableSince(fromMs)
+// isConnectedSince says whether a node and the core have been undisturbed from
+// a time until now.
+func (c *connectivity) isConnectedSince(name string, fromMs int64) bool {
+	return c.isUndisturbedSince(name, fromMs) && c.isCoreStableSince(fromMs)
 }
 
-// isUndisturbedSince says whether a machine had no trouble of its own.
-func (t *connectivity) isUndisturbedSince(name string, fromMs int64) bool {
-	lastMs, ever := t.disturbedMs[name]
-	return !ever || fromMs-lastMs >= t.sim.Bounds.InTouchMs
+// isUndisturbedSince says whether a node has had no fault of its own.
+func (c *connectivity) isUndisturbedSince(name string, fromMs int64) bool {
+	lastMs, isKnown := c.disturbedMs[name]
+	return !isKnown || fromMs-lastMs >= c.sim.Bounds.InTouchMs
 }
 
-// isCoreStableSince says whether the core was settled from a time until now.
-func (t *connectivity) isCoreStableSince(fromMs int64) bool {
-	return fromMs-t.coreDisturbedMs >= t.sim.Bounds.InTouchMs
+// isCoreStableSince says whether the core has been undisturbed.
+func (c *connectivity) isCoreStableSince(fromMs int64) bool {
+	return fromMs-c.coreDisturbedMs >= c.sim.Bounds.InTouchMs
 }
 
-// connectedFromMs is since when a machine has been in touch; it may lie ahead.
-func (t *connectivity) connectedFromMs(name string) int64 {
-	atMs := t.coreDisturbedMs
-	if lastMs, ever := t.disturbedMs[name]; ever {
-		atMs = max(atMs, lastMs)
+// connectedFromMs is since when a node counts as connected; it may lie ahead.
+func (c *connectivity) connectedFromMs(name string) int64 {
+	disturbedMs := c.coreDisturbedMs
+	if lastMs, isKnown := c.disturbedMs[name]; isKnown {
+		disturbedMs = max(disturbedMs, lastMs)
 	}
-	return atMs + t.sim.Bounds.InTouchMs
+	return disturbedMs + c.sim.Bounds.InTouchMs
 }
--- a/internal/simulation/faultsim/faultsim_test.go
+++ b/internal/simulation/faultsim/faultsim_test.go
@@ -8,13 +8,15 @@
 )
 
 func assertNoViolation(t *testing.T, r Result) {
+	t.Helper()
 	if len(r.Violations) > 0 {
 		t.Errorf("%s", r.Report())
 	}
 }
 
-// Each fault alone, and each disaster, breaks no rule. Of two seeds one has
-// three core machines and fenced runners, the other four and none.
+// Each fault and each disaster alone breaks no rule. Of the two seeds, the even
+// one has three controllers and runners that check fencing tokens, the odd one
+// four controllers and runners that do not.
 func TestEachFaultAlone(t *testing.T) {
 	for _, name := range Names() {
 		t.Run(name, func(t *testing.T) {
@@ -28,8 +30,8 @@
 	}
 }
 
-// Each fault is played with some others; cmd/drill --pairs plays all.
-func TestPairs(t *testing.T) {
+// Some pairs of faults; cmd/faultsim --pairs plays all.
+func TestPairsOfFaults(t *testing.T) {
 	pairs := Pairs()
 	for i := 0; i < len(pairs); i += 41 {
 		t.Run(fmt.Sprint(pairs[i]), func(t *testing.T) {
@@ -49,22 +51,22 @@
 	}
 }
 
-// The same seed gives the same run, so that what was seen can be seen again.
+// The same seed gives the same run, so that a violation can be reproduced.
 func TestSeedsRepeat(t *testing.T) {
 	first, again := Campaign(3, 6), Campaign(3, 6)
 	qt.Assert(t, first.Summary(), qt.Equals, again.Summary())
 	qt.Assert(t, first.Simulation.Trace(), qt.Equals, again.Simulation.Trace())
 }
 
-// Clients are served while nothing fails, and nobody is turned down.
-func TestQuiet(t *testing.T) {
+// Without faults clients are answered and none is rejected.
+func TestSiteWithoutFaultsServes(t *testing.T) {
 	r, _ := Play(2)
 	qt.Assert(t, r.Violations, qt.HasLen, 0)
-	qt.Assert(t, r.Simulation.clients.outcomes["answered"] > 500, qt.IsTrue)
+	qt.Assert(t, r.Simulation.clients.outcomes[clientAnswered] > 500, qt.IsTrue)
 	qt.Assert(t, len(r.Simulation.clients.outcomes) <= 3, qt.IsTrue, qt.Commentf("%v", r.Simulation.clients.outcomes))
 }
 
-func TestUnknownFault(t *testing.T) {
+func TestPlayRefusesUnknownFaults(t *testing.T) {
 	_, ok := Play(1, "nothing of the kind")
 	qt.Assert(t, ok, qt.IsFalse)
 }
--- a/internal/simulation/faultsim/format.go
+++ b/internal/simulation/faultsim/format.go
@@ -7,17 +7,18 @@
 	"myrtlewinch/internal/config"
 )
 
-// format is the drill's own writing of service maps, plain JSON.
+// format is the simulator's format of configurations and changes: plain JSON.
 type format struct{}
 
-// configChange is a change of named items in that writing.
+// configChange is a change of some routes of a configuration.
 type configChange struct {
 	Version uint64
-	Put     []config.Route
-	Remove  []string
+	// Put adds routes, or replaces those of the same name; Remove names routes.
+	Put    []config.Route
+	Remove []string
 }
 
-// Parse gives the map, or every fault found.
+// Parse reads a configuration, and lists every fault found.
 func (format) Parse(text []byte) (*config.Configuration, []string) {
 	var m config.Configuration
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -30,30 +31,30 @@
 	return &m, nil
 }
 
-// ApplyChange brings a change into a whole text.
+// ApplyChange applies a change to the text of a configuration.
 func (format) ApplyChange(text, part []byte) ([]byte, []string) {
 	var m config.Configuration
-	var c configChange
 	if err := json.Unmarshal(text, &m); err != nil {
 		return nil, []string{"there is no map to change"}
 	}
-	if err := json.Unmarshal(part, &c); err != nil {
+	var change configChange
+	if err := json.Unmarshal(part, &change); err != nil {
 		return nil, []string{err.Error()}
 	}
-	m.Version = c.Version
-	for _, put := range c.Put {
+	m.Version = change.Version
+	for _, put := range change.Put {
 		m.Routes = slices.DeleteFunc(m.Routes, func(r config.Route) bool { return r.Name == put.Name })
 		m.Routes = append(m.Routes, put)
 	}
-	m.Routes = slices.DeleteFunc(m.Routes, func(r config.Route) bool { return slices.Contains(c.Remove, r.Name) })
-	return encodeConfig(m), nil
+	m.Routes = slices.DeleteFunc(m.Routes, func(r config.Route) bool { return slices.Contains(change.Remove, r.Name) })
+	return encode(m), nil
 }
 
-// encodeConfig writes a map.
-func encodeConfig(m config.Configuration) []byte {
-	text, err := json.Marshal(m)
+// encode writes a configuration or a change.
+func encode[T config.Configuration | configChange](value T) []byte {
+	text, err := json.Marshal(value)
 	if err != nil {
-		panic("drill: a map can't be written: " + err.Error())
+		panic("faultsim: a configuration can't be encoded: " + err.Error())
 	}
 	return text
 }
--- a/internal/simulation/faultsim/register.go
+++ b/internal/simulation/faultsim/register.go
@@ -15,24 +15,25 @@
 	operationAccepted operationKind = iota
 	operationStale
 	operationInvalid
-	// operationPossible is an order without a clear answer.
+	// operationPossible is a submission without a clear answer.
 	operationPossible
 	// operationObserve saw the current version, operationRead its text too.
 	operationObserve
 	operationRead
 )
 
-var operationNames = []string{"accepted", "refused as stale", "refused as faulty", "without a clear answer", "a refusal names version", "read back"}
+var operationNames = []string{
+	"accepted", "refused as stale", "refused as invalid", "without a clear answer", "a refusal names version", "read back",
+}
 
 // registerOperation is one operation on the register.
 type registerOperation struct {
 	kind operationKind
-	// submission is set for orders, version and sum for what was seen.
+	// submission is set for submissions, version and sum for observations.
 	submission *submissionRecord
 	version    uint64
 	sum        string
-	// mayHaveNoEffect: the order may have had no effect, since nothing that was seen
-	// must come from it.
+	// mayHaveNoEffect: nothing that was observed must come from the submission.
 	mayHaveNoEffect bool
 	fromMs, toMs    int64
 }
@@ -44,7 +45,7 @@
 	return fmt.Sprintf("%s %d from %d to %d ms", operationNames[o.kind], o.version, o.fromMs, o.toMs)
 }
 
-// observationKey tells looks at different configurations apart.
+// observationKey tells observations of different configurations apart.
 type observationKey struct {
 	kind    operationKind
 	version uint64
@@ -55,24 +56,25 @@
 	return observationKey{o.kind, o.version, o.sum}
 }
 
-// configuration is what the register holds; sum names its text.
+// configuration is what the register holds; sum identifies its text.
 type configuration struct {
 	version uint64
 	sum     string
 }
 
-// registerState is the configuration in force, and how many looks at it have
-// been put in order.
+// registerState is the current configuration, and how many observations of it
+// have been put in order.
 type registerState struct {
 	configuration
 	observations int
 }
 
-// register applies orders as the system should, and remembers what came of them.
+// register applies submissions as the system should, and remembers the results.
 type register struct {
+	// texts holds texts by their sums.
 	texts   map[string]string
 	applied map[appliedKey]appliedSubmission
-	// observations counts the looks at each configuration.
+	// observations counts the observations of each configuration.
 	observations map[observationKey]int
 }
 
@@ -81,16 +83,23 @@
 	submission *submissionRecord
 }
 
+// appliedSubmission is the configuration that a submission leads to.
 type appliedSubmission struct {
 	configuration
-	valid bool
+	isValid bool
+}
+
+func newRegister() *register {
+	return &register{
+		texts: map[string]string{}, applied: map[appliedKey]appliedSubmission{}, observations: map[observationKey]int{},
+	}
 }
 
 // registerModel is one register with compare-and-set. As a configuration never
-// comes back, it may be replaced only once all looks at it are in order: this
-// keeps the search short and rules nothing out.
+// comes back, it may be replaced only once all observations of it are in order:
+// this keeps the search short and rules nothing out.
 func registerModel(operations []porcupine.Operation) porcupine.Model {
-	r := &register{texts: map[string]string{}, applied: map[appliedKey]appliedSubmission{}, observations: map[observationKey]int{}}
+	r := newRegister()
 	for _, operation := range operations {
 		if in := operation.Input.(registerOperation); in.submission == nil {
 			r.observations[in.observationKey()]++
@@ -104,17 +113,18 @@
 	}
 }
 
-func (r *register) step(state registerState, in registerOperation) (bool, any) {
+// step says whether an operation is possible in a state, and gives the next.
+func (r *register) step(state registerState, in registerOperation) (isPossible bool, next registerState) {
 	switch in.kind {
 	case operationAccepted:
-		next, valid := r.apply(state, in.submission)
-		return valid, next
+		next, isValid := r.apply(state, in.submission)
+		return isValid, next
 	case operationStale:
-		return state.version != in.submission.builtOn, state
+		return state.version != in.submission.baseVersion, state
 	case operationInvalid:
 		return r.isInvalid(state, in.submission), state
 	case operationPossible:
-		if next, valid := r.apply(state, in.submission); valid {
+		if next, isValid := r.apply(state, in.submission); isValid {
 			return true, next
 		}
 		return in.mayHaveNoEffect, state
@@ -123,43 +133,44 @@
 	case operationRead:
 		return state.configuration == configuration{in.version, in.sum}, state.observed()
 	}
-	panic(fmt.Sprintf("drill: unknown operation %d", in.kind))
+	panic(fmt.Sprintf("faultsim: unknown operation %d", in.kind))
 }
 
-// observed is the state after one more look.
+// observed is the state after one more observation.
 func (s registerState) observed() registerState {
 	return registerState{s.configuration, s.observations + 1}
 }
 
-// observationsOf is how many looks at a configuration there are.
+// observationsOf is how many observations of a configuration there are.
 func (r *register) observationsOf(c configuration) int {
-	return r.observations[observationKey{kind: operationObserve, version: c.version}] + r.observations[observationKey{operationRead, c.version, c.sum}]
+	return r.observations[observationKey{kind: operationObserve, version: c.version}] +
+		r.observations[observationKey{operationRead, c.version, c.sum}]
 }
 
-// apply gives the configuration that an order leads to; false says that it has
-// no effect yet.
-func (r *register) apply(state registerState, order *submissionRecord) (registerState, bool) {
-	if state.version != order.builtOn || state.observations < r.observationsOf(state.configuration) {
+// apply gives the state that a submission leads to; isValid is false if it has
+// no effect in this state.
+func (r *register) apply(state registerState, submission *submissionRecord) (next registerState, isValid bool) {
+	if state.version != submission.baseVersion || state.observations < r.observationsOf(state.configuration) {
 		return state, false
 	}
-	next := r.result(state.configuration, order)
-	return registerState{configuration: next.configuration}, next.valid
+	result := r.result(state.configuration, submission)
+	return registerState{configuration: result.configuration}, result.isValid
 }
 
-// result is what an order makes of the configuration that it builds on.
-func (r *register) result(on configuration, order *submissionRecord) appliedSubmission {
-	key := appliedKey{on, order}
-	known, found := r.applied[key]
-	if !found {
-		known = r.compute(on, order)
+// result is what a submission makes of the configuration that it is based on.
+func (r *register) result(on configuration, submission *submissionRecord) appliedSubmission {
+	key := appliedKey{on, submission}
+	known, isKnown := r.applied[key]
+	if !isKnown {
+		known = r.compute(on, submission)
 		r.applied[key] = known
 	}
 	return known
 }
 
-func (r *register) compute(on configuration, order *submissionRecord) appliedSubmission {
-	text := []byte(order.text)
-	if order.isChange {
+func (r *register) compute(on configuration, submission *submissionRecord) appliedSubmission {
+	text := []byte(submission.text)
+	if submission.isChange {
 		changed, faults := format{}.ApplyChange([]byte(r.texts[on.sum]), text)
 		if len(faults) > 0 {
 			return appliedSubmission{on, false}
@@ -175,8 +186,8 @@
 	return appliedSubmission{next, true}
 }
 
-// isInvalid says whether a change may be called faulty: it can't be applied to
-// what it builds on.
-func (r *register) isInvalid(state registerState, order *submissionRecord) bool {
-	return state.version == order.builtOn && !r.result(state.configuration, order).valid
+// isInvalid says whether a change may be called invalid: it can't be applied to
+// its base.
+func (r *register) isInvalid(state registerState, submission *submissionRecord) bool {
+	return state.version == submission.baseVersion && !r.result(state.configuration, submission).isValid
 }
--- a/internal/simulation/faultsim/register_test.go
+++ b/internal/simulation/faultsim/register_test.go
@@ -12,8 +12,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// plainOperation is an operation of the plain model: an order with the answer
-// that it got, a read-back, or the version that a refusal names.
+// plainOperation is an operation of the plain model: a submission with its
+// answer, a read, or the version that a refusal names as current.
 type plainOperation struct {
 	submission   *submissionRecord
 	answer       *answerRecord
@@ -22,9 +22,9 @@
 }
 
 // plainModel is the register without any of the steps that keep the search
-// short: each order and each read-back is one operation.
+// short: each submission and each read is one operation.
 func plainModel() porcupine.Model {
-	r := &register{texts: map[string]string{}, applied: map[appliedKey]appliedSubmission{}, observations: map[observationKey]int{}}
+	r := newRegister()
 	return porcupine.Model{
 		Init: func() any { return configuration{} },
 		Step: func(state, input, _ any) (bool, any) {
@@ -41,9 +41,9 @@
 		return state.version == *in.namedVersion, state
 	}
 	applies, next := false, state
-	if state.version == in.submission.builtOn {
+	if state.version == in.submission.baseVersion {
 		result := r.result(state, in.submission)
-		applies, next = result.valid, result.configuration
+		applies, next = result.isValid, result.configuration
 	}
 	switch {
 	case in.answer == nil:
@@ -51,9 +51,9 @@
 	case in.answer.outcome == outcomeAccepted:
 		return applies, next
 	case in.answer.outcome == outcomeStale:
-		return state.version != in.submission.builtOn, state
+		return state.version != in.submission.baseVersion, state
 	}
-	return in.submission.isUnreadable() || state.version == in.submission.builtOn && !applies, state
+	return in.submission.isUnreadable() || state.version == in.submission.baseVersion && !applies, state
 }
 
 func (h *history) plainOperations() []porcupine.Operation {
@@ -67,7 +67,7 @@
 			add(r.sentMs, math.MaxInt64, plainOperation{submission: r})
 		default:
 			add(r.sentMs, r.answers[0].atMs, plainOperation{submission: r, answer: &r.answers[0]})
-			// A refusal is also a look at the current version.
+			// A refusal also observes the current version.
 			if r.answers[0].outcome == outcomeStale {
 				add(r.answers[0].sentMs, r.answers[0].atMs, plainOperation{namedVersion: &r.answers[0].current})
 			}
@@ -79,7 +79,7 @@
 	return out
 }
 
-// randomHistory is what a register would show, unless it was spoilt.
+// randomHistory draws a history that a register can show.
 func randomHistory(t *rapid.T) history {
 	h := newHistory()
 	current, variants := configuration{}, map[uint64]int64{}
@@ -97,7 +97,7 @@
 		}
 		version := rapid.Uint64Range(1, 6).Draw(t, "version")
 		variant := rapid.Int64Range(0, 3).Draw(t, "variant")
-		key := submissionKey{builtOn: base, text: configText(version, variant)}
+		key := submissionKey{baseVersion: base, text: configText(version, variant)}
 		if h.byKey[key] != nil {
 			continue
 		}
@@ -119,7 +119,7 @@
 	return h
 }
 
-// corrupt changes one thing that was seen.
+// corrupt changes one observation.
 func corrupt(t *rapid.T, h *history) {
 	var answered []*submissionRecord
 	for _, r := range h.submissions {
@@ -127,25 +127,25 @@
 			answered = append(answered, r)
 		}
 	}
-	if len(answered) > 0 && rapid.Bool().Draw(t, "spoil an answer") {
-		a := &rapid.SampledFrom(answered).Draw(t, "spoilt").answers[0]
+	if len(answered) > 0 && rapid.Bool().Draw(t, "corrupt an answer") {
+		a := &rapid.SampledFrom(answered).Draw(t, "corrupted").answers[0]
 		a.outcome = outcome(rapid.IntRange(0, 2).Draw(t, "outcome"))
 		a.current = rapid.Uint64Range(0, 6).Draw(t, "current")
 	} else if len(h.reads) > 0 {
-		r := &h.reads[rapid.IntRange(0, len(h.reads)-1).Draw(t, "spoilt")]
+		r := &h.reads[rapid.IntRange(0, len(h.reads)-1).Draw(t, "corrupted")]
 		r.version = rapid.Uint64Range(1, 6).Draw(t, "version")
 		r.sum = protocol.Digest(configText(r.version, rapid.Int64Range(0, 3).Draw(t, "variant")))
 	}
 }
 
-// The check, which looks at the binding looks alone and leaves out orders that
-// nobody saw, gives the verdict of the plain register.
+// The check, which uses binding observations only and leaves out submissions
+// that were not observed, gives the verdict of the plain register.
 func TestCheckAgreesWithThePlainRegister(t *testing.T) {
 	fixRapidSeed(t, "1000")
 	fits, fitsNot := 0, 0
 	rapid.Check(t, func(t *rapid.T) {
 		h := randomHistory(t)
-		if rapid.Bool().Draw(t, "spoil") {
+		if rapid.Bool().Draw(t, "corrupt") {
 			corrupt(t, &h)
 		}
 		want := porcupine.CheckOperations(plainModel(), h.plainOperations())
--- a/internal/simulation/faultsim/runner.go
+++ b/internal/simulation/faultsim/runner.go
@@ -1,180 +1,180 @@
 package faultsim
 
 import (
-	"maps"
 	"slices"
 
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/modelmemory"
 )
 
-// runner is one life of a stand-in runner.
+const (
+	// stateLagMs is how old the state is that a runner reports.
+	stateLagMs = 150
+	// maxSnapshots bounds the recorded states of a runner.
+	maxSnapshots = 10
+	// shortOrderMs is how long an order takes that loads no model.
+	shortOrderMs = 10
+	// unloadRetryMs is how often an unload looks whether its model is unused.
+	unloadRetryMs = 20
+)
+
+// runner is one incarnation of a runner.
 type runner struct {
-	sim   *Simulation
-	entry protocol.RunnerEntry
-	// loaded are models with their adapters, loading what an order brings.
-	loaded  map[string]map[string]bool
+	sim    *Simulation
+	entry  protocol.RunnerEntry
+	memory modelmemory.Memory
+	// loading holds the models and adapters whose state an order changes.
 	loading map[string]bool
-	// weightsOnDisk is what its machine has loaded before.
-	weightsOnDisk  map[string]bool
-	acceptedOrders int64
-	fence          uint64
-	busy           bool
-	// running run, and queue waits for a place.
+	// fence is the highest fencing token of an accepted sender.
+	fence uint64
+	// running are the requests that run, and queue those that wait for a slot.
 	running, queue []*attempt
-	// ended says that this life has ended; silent that it takes everything and
-	// says nothing.
-	ended, silent     bool
-	listedToMs, endMs int64
-	snapshots         []snapshot
+	// hasEnded says that this incarnation has ended; isSilent that it accepts
+	// everything and answers nothing.
+	hasEnded, isSilent bool
+	// endMs is when a draining runner ends, listedUntilMs until when one that has
+	// ended is listed.
+	endMs, listedUntilMs int64
+	snapshots            []snapshot
 }
 
+// snapshot is a runner's state at a time.
 type snapshot struct {
 	atMs  int64
 	state protocol.RunnerState
 }
 
-func (r *runner) loadedModels() []protocol.HeldModel {
-	var out []protocol.HeldModel
-	for _, name := range slices.Sorted(maps.Keys(r.loaded)) {
-		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: slices.Sorted(maps.Keys(r.loaded[name]))})
-	}
-	return out
-}
-
 func (r *runner) recordState(nowMs int64) {
 	state := protocol.RunnerState{
-		Models: r.loadedModels(), Busy: r.busy, Calls: r.acceptedOrders, Queued: len(r.queue), Active: len(r.running), CacheTotal: cacheTokens,
+		Models: r.memory.HeldModels(), Busy: r.memory.IsBusy, Calls: r.memory.AcceptedOrders,
+		Queued: len(r.queue), Active: len(r.running), CacheTotal: cacheTokens,
 	}
-	for _, j := range r.running {
-		state.CacheUsed += j.request.attributes.PromptTokens + j.request.attributes.MaxOutputTokens
+	for _, a := range r.running {
+		state.CacheUsed += a.request.attributes.PromptTokens + a.request.attributes.MaxOutputTokens
 	}
 	r.snapshots = append(r.snapshots, snapshot{nowMs, state})
-	if len(r.snapshots) > 10 {
+	if len(r.snapshots) > maxSnapshots {
 		r.snapshots = r.snapshots[1:]
 	}
 }
 
-// reportedState is the runner's own word on itself, a little old.
+// reportedState is what the runner says of itself, which is a little old.
 func (r *runner) reportedState(nowMs int64) protocol.RunnerState {
-	var said protocol.RunnerState
+	var state protocol.RunnerState
 	for i, s := range r.snapshots {
 		if i == 0 || s.atMs <= nowMs-stateLagMs {
-			said = s.state
+			state = s.state
 		}
 	}
-	return said
+	return state
 }
 
-// usedCapacity is the room that is held or being filled.
+// usedCapacity is the capacity that the loaded models and adapters take.
 func (r *runner) usedCapacity() (mb float64, adapters int) {
-	for name, of := range r.loaded {
-		mb += modelMb(name) + adapterMb*float64(len(of))
-		adapters += len(of)
+	for name, loaded := range r.memory.Models {
+		mb += modelMb(name) + adapterMb*float64(len(loaded))
+		adapters += len(loaded)
 	}
 	return mb, adapters
 }
 
-// handleOrder is the runner's side of an order.
-func (r *runner) handleOrder(sim *Simulation, sender string, c protocol.RunnerOrder) protocol.OrderOutcome {
-	if r.entry.ID != c.Runner || r.entry.Service != modelService {
+// handleOrder decides on an order and begins to carry it out if it is accepted.
+func (r *runner) handleOrder(sim *Simulation, sender string, order protocol.RunnerOrder) protocol.OrderOutcome {
+	if r.entry.ID != order.Runner || r.entry.Service != modelService {
 		return protocol.OutcomeRejected
 	}
-	sim.Checker.recordOrder(sender, r.entry.ID, c.Holder, c.Fence)
-	if sim.Bounds.Fenced && c.Fence < r.fence {
+	sim.Checker.recordOrder(sender, r.entry.ID, order.Holder, order.Fence)
+	if sim.Bounds.Fenced && order.Fence < r.fence {
 		return protocol.OutcomeFenced
 	}
-	r.fence = max(r.fence, c.Fence)
-	if r.busy || c.Expected != r.acceptedOrders && !sim.Bugs.IgnoreExpectedCount {
-		return protocol.OutcomeBusy
+	r.fence = max(r.fence, order.Fence)
+	outcome := r.memory.Accept(order, sim.Bugs.IgnoreExpectedCount)
+	if outcome != protocol.OutcomeAccepted {
+		return outcome
 	}
-	of, there := r.loaded[c.Model]
-	if c.Adapter != "" {
-		if !there {
-			return protocol.OutcomeRejected
-		}
-		there = of[c.Adapter]
-	}
-	if c.Load == there {
-		return protocol.OutcomeAlreadyInEffect
-	}
-	r.acceptedOrders++
-	r.busy = true
-	sim.logf("%s: order %d of %s (fence %d): load %v %s %s", r.entry.ID, r.acceptedOrders, c.Holder, c.Fence, c.Load, c.Model, c.Adapter)
-	if c.Load {
-		r.load(c)
+	sim.logf("%s: order %d of %s (fence %d): load %v %s %s",
+		r.entry.ID, r.memory.AcceptedOrders, order.Holder, order.Fence, order.Load, order.Model, order.Adapter)
+	if order.Load {
+		r.load(order)
 	} else {
-		r.unload(c)
+		r.unload(order)
 	}
-	return protocol.OutcomeAccepted
+	return outcome
 }
 
-func (r *runner) load(c protocol.RunnerOrder) {
+// load carries out an order to load a model or an adapter.
+func (r *runner) load(order protocol.RunnerOrder) {
 	mb, adapters := r.usedCapacity()
-	tookMs, what := int64(10), c.Model
-	if c.Adapter != "" {
-		mb, adapters, what = mb+adapterMb, adapters+1, c.Model+"/"+c.Adapter
-	} else {
-		mb += modelMb(c.Model)
-		if tookMs = reloadMs; !r.weightsOnDisk[c.Model] {
-			tookMs = loadMs
-			r.sim.Checker.recordLoad(r.entry.ID, c.Model)
-		}
-	}
-	if r.sim.Checker.exceedsCapacity(r.entry.ID, what, mb, adapters) {
-		// One that is told to hold too much falls.
+	tookMs, loaded := int64(shortOrderMs), order.Model
+	switch {
+	case order.Adapter != "":
+		mb, adapters, loaded = mb+adapterMb, adapters+1, order.Model+"/"+order.Adapter
+	case r.memory.OnDisk[order.Model]:
+		mb, tookMs = mb+modelMb(order.Model), reloadMs
+	default:
+		mb, tookMs = mb+modelMb(order.Model), loadMs
+		r.sim.Checker.recordLoad(r.entry.ID, order.Model)
+	}
+	if r.sim.Checker.exceedsCapacity(r.entry.ID, loaded, mb, adapters) {
 		r.sim.after(1, func() { r.sim.crashRunner(r, true) })
 	}
-	r.loading[what] = true
+	r.loading[loaded] = true
 	r.sim.after(tookMs, func() {
-		delete(r.loading, what)
-		r.busy = false
-		if c.Adapter != "" {
-			r.loaded[c.Model][c.Adapter] = true
-			return
-		}
-		r.loaded[c.Model], r.weightsOnDisk[c.Model] = map[string]bool{}, true
+		delete(r.loading, loaded)
+		r.memory.Complete(order)
 	})
 }
 
-// unload waits until what runs with it has ended.
-func (r *runner) unload(c protocol.RunnerOrder) {
-	r.loading[c.Model] = c.Adapter == ""
-	used := slices.ContainsFunc(r.running, func(j *attempt) bool {
-		return j.request.attributes.Model == c.Model && (c.Adapter == "" || j.request.attributes.Adapter == c.Adapter)
+// unload carries out an order to unload, once no request uses what it names.
+func (r *runner) unload(order protocol.RunnerOrder) {
+	r.loading[order.Model] = order.Adapter == ""
+	isUsed := slices.ContainsFunc(r.running, func(a *attempt) bool {
+		asked := a.request.attributes
+		return asked.Model == order.Model && (order.Adapter == "" || asked.Adapter == order.Adapter)
 	})
-	if used && !r.ended {
-		r.sim.after(20, func() { r.unload(c) })
+	if isUsed && !r.hasEnded {
+		r.sim.after(unloadRetryMs, func() { r.unload(order) })
 		return
 	}
-	delete(r.loading, c.Model)
-	r.busy = false
-	if c.Adapter == "" {
-		delete(r.loaded, c.Model)
-	} else {
-		delete(r.loaded[c.Model], c.Adapter)
-	}
+	delete(r.loading, order.Model)
+	r.memory.Complete(order)
 }
 
-// canRun says whether a request can run here; wait that it soon may, or not.
-func (r *runner) canRun(model, adapter string) (there, wait bool) {
+// readiness says whether a request can run at a runner.
+type readiness int
+
+const (
+	isReady readiness = iota
+	// isLoading: what the request needs is being loaded or unloaded.
+	isLoading
+	isMissing
+)
+
+// readinessFor says whether the runner has what a request needs.
+func (r *runner) readinessFor(model, adapter string) readiness {
 	if r.entry.Service != modelService {
-		return true, false
+		return isReady
 	}
-	of, there := r.loaded[model]
 	if r.loading[model] || adapter != "" && r.loading[model+"/"+adapter] {
-		return false, true
+		return isLoading
+	}
+	adapters, isLoaded := r.memory.Models[model]
+	if isLoaded && (adapter == "" || adapters[adapter]) {
+		return isReady
 	}
-	return there && (adapter == "" || of[adapter]), false
+	return isMissing
 }
 
-// release takes a job off, and lets the next of the queue begin.
-func (r *runner) release(j *attempt) {
-	r.running = slices.DeleteFunc(r.running, func(o *attempt) bool { return o == j })
-	r.queue = slices.DeleteFunc(r.queue, func(o *attempt) bool { return o == j })
-	for len(r.queue) > 0 && len(r.running) < slots && !r.ended {
+// release frees the slot or the place in the queue of an attempt, and starts
+// those that wait.
+func (r *runner) release(ended *attempt) {
+	isEnded := func(a *attempt) bool { return a == ended }
+	r.running = slices.DeleteFunc(r.running, isEnded)
+	r.queue = slices.DeleteFunc(r.queue, isEnded)
+	for len(r.queue) > 0 && len(r.running) < slots && !r.hasEnded {
 		next := r.queue[0]
 		r.queue = r.queue[1:]
-		if !next.cancelled {
+		if !next.isCancelled {
 			next.start()
 		}
 	}
--- a/internal/simulation/faultsim/simulation.go
+++ b/internal/simulation/faultsim/simulation.go
@@ -1,104 +1,73 @@
-// Package faultsim runs the machines of the platform's path under a virtual
-// clock: controllers with their stewards, and routers, with stand-ins for the
-// runners, the platform's list, clients and operators, a seeded network and
-// seeded disks. It brings failures about and checks the rules from what
-// clients, runners and operators see.
+// Package faultsim simulates a site of the platform's path in virtual time:
+// controllers and routers run their own state machines; runners, the
+// platform's list of them, clients, operators, the network and the disks are
+// models. It injects faults and checks the platform's rules against what
+// clients, runners and operators observe. A run is determined by its seed.
 package faultsim
 
 import (
 	"fmt"
 	"math/rand"
-	"strings"
 
 	"myrtlewinch/internal/bounds"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/simulation/eventqueue"
+	"myrtlewinch/internal/simulation/network"
+	"myrtlewinch/internal/simulation/tracelog"
 )
 
 const (
-	site          = "drill"
-	startMs       = 1_000_000
+	siteName = "drill"
+	// startMs is the virtual time at which a simulation begins.
+	startMs = 1_000_000
+	// maxTraceLines bounds the trace that a report prints.
 	maxTraceLines = 600
+	// observeIntervalMs is how often the state of links, nodes and runners is
+	// recorded.
+	observeIntervalMs = 50
+	// seedCount is how many controllers are seeds, which new nodes contact first.
+	seedCount   = 3
+	zoneCount   = 3
+	routerCount = 3
+	// daemonPort is where daemons accept messages of other daemons.
+	daemonPort = ":7"
+	// controlPort is where controllers accept calls of operators.
+	controlPort = ":80"
 )
 
-// InjectedBugs are deliberate faults of the system, for showing that a checker
-// fires. None is ever set otherwise.
-type InjectedBugs struct {
-	// ResendUnsafe makes routers send lost requests again whatever they are.
-	ResendUnsafe bool
-	// RejectLost makes routers refuse what was lost at a runner.
-	RejectLost bool
-	// HideDraining hides from the system that runners are leaving.
-	HideDraining bool
-	// LoseSyncedWrites makes disks say that they saved what they then lose.
-	LoseSyncedWrites bool
-	// AcknowledgeEarly tells operators yes before any copy has the map.
-	AcknowledgeEarly bool
-	// RouteByFirstConfig makes routers follow the first map at times; WithholdConfig makes
-	// them never hear of a later one.
-	RouteByFirstConfig, WithholdConfig bool
-	// RetryWithoutBudget makes routers send again without asking the budget.
-	RetryWithoutBudget bool
-	// ReuseFence makes all controllers order under one fence.
-	ReuseFence bool
-	// IgnoreExpectedCount sends orders without the count that is expected.
-	IgnoreExpectedCount bool
-	// OverstateCapacity tells of twice the room that runners have, OverstateStoreRate of twenty
-	// times the pace that the store of weights has.
-	OverstateCapacity, OverstateStoreRate bool
-	// DuplicateLookUp makes routers ask twice for each request.
-	DuplicateLookUp bool
-	// NeverHeal leaves the core cut off from the routers after a disaster.
-	NeverHeal bool
-	// SkipChunk loses a piece where a stream is resumed.
-	SkipChunk bool
-	// IgnoreDiskFailure makes a process go on without its disk once a save failed.
-	IgnoreDiskFailure bool
-	// WrongService sends some requests to a runner of another service; DenyKnown
-	// says of what the map and its models have that they have it not.
-	WrongService, DenyKnown bool
-	// OmitRetryAfter leaves out of refusals when to come back; AnswerTwice gives
-	// some requests a second answer.
-	OmitRetryAfter, AnswerTwice bool
-	// DeferDiskWrites makes disks say that they saved what a loss of power then takes
-	// back: the last few saves.
-	DeferDiskWrites bool
-	// ForgetAccepted makes controllers forget which orders were accepted.
-	ForgetAccepted bool
-	// IgnoreBase accepts orders whatever they are built on.
-	IgnoreBase bool
-	// StaleRead makes every controller answer read-backs from its own copy,
-	// StaleRejection refuse orders by it.
-	StaleRead, StaleRejection bool
-}
-
 // Simulation is a whole site in virtual time.
 type Simulation struct {
-	Seed    int64
+	// Seed determines the run.
+	Seed int64
+	// Checker records what happens and reports violations of the rules.
 	Checker *Checker
-	Bounds  bounds.Bounds
-	Bugs    InjectedBugs
+	// Bounds are the time limits of the rules.
+	Bounds bounds.Bounds
+	// Bugs are set by tests only.
+	Bugs InjectedBugs
 
 	random       *rand.Rand
 	events       *eventqueue.Queue
+	network      *network.Network
 	nodes        map[string]*node
-	seeds        []string
 	connectivity connectivity
-	// cuts holds the directed pairs that nothing passes.
-	cuts                                  map[[2]string]bool
-	lossShare, duplicateShare, delayShare float64
-	maxDelayMs                            int64
-	healedAtMs                            int64
-	thawedAtMs                            map[string]int64
-	fleet                                 fleet
-	// listDown says that the platform's list does not answer.
-	listDown        bool
-	clients         clients
-	operators       operators
-	trace           []string
-	injected        []string
+	fleet        fleet
+	clients      clients
+	operators    operators
+	trace        *tracelog.Log
+	// seeds are the addresses that nodes are started with.
+	seeds []string
+	// healedAtMs is when the network last healed, thawedAtMs when each node last
+	// thawed.
+	healedAtMs int64
+	thawedAtMs map[string]int64
+	// isListDown says that the platform's list does not answer.
+	isListDown bool
+	// injected names the faults so far.
+	injected []string
+	// controllersMade counts controllers, replaced ones included.
 	controllersMade int
-	// allowedLosses is how many core machines may be lost at once.
+	// allowedLosses is how many controllers may be lost at the same time.
 	allowedLosses int
 }
 
@@ -109,36 +78,28 @@
 	RecoverMs: 12_000, PassMs: 120, Fenced: true, LeaseMs: 3000, ThawMs: 300, OriginWindowMs: 5000, OriginOver: 1.1,
 }
 
-// New makes the world of a small site at its very first start: of three or four
-// core machines, of which one may be lost.
-func New(seed int64, breaks InjectedBugs) *Simulation {
-	return newSized(seed, breaks, 3+int(seed%2), 1)
-}
+// New makes a small site at its very first start. Even seeds have three
+// controllers, odd ones four, of which one may be lost.
+func New(seed int64, bugs InjectedBugs) *Simulation { return newSized(seed, bugs, 3+int(seed%2), 1) }
 
-// newSized makes a site of some core machines, of which some may be lost. Half
-// of the seeds have runners that check no fences, so that these hide nothing.
-func newSized(seed int64, breaks InjectedBugs, count, losses int) *Simulation {
+// newSized makes a site with a number of controllers, of which some may be
+// lost. Runners check fencing tokens for even seeds only: for odd ones a
+// violation of the lease is not hidden by the runners' check.
+func newSized(seed int64, bugs InjectedBugs, controllers, allowedLosses int) *Simulation {
 	sim := &Simulation{
-		allowedLosses: losses,
-		Seed:          seed, Bounds: testBounds, Bugs: breaks, random: rand.New(rand.NewSource(seed)), events: eventqueue.New(startMs),
-		nodes: map[string]*node{}, cuts: map[[2]string]bool{}, thawedAtMs: map[string]int64{}, healedAtMs: never,
+		Seed: seed, Bounds: testBounds, Bugs: bugs, allowedLosses: allowedLosses,
+		random: rand.New(rand.NewSource(seed)), events: eventqueue.New(startMs), trace: tracelog.New(maxTraceLines),
+		nodes: map[string]*node{}, thawedAtMs: map[string]int64{}, healedAtMs: never,
 	}
 	sim.Bounds.Fenced = seed%2 == 0
+	sim.network = network.New(sim.events, sim.random, drawLatencyMs)
 	sim.connectivity = newConnectivity(sim)
 	sim.Checker = newChecker(sim)
 	sim.fleet = newFleet(sim)
 	sim.clients = newClients()
 	sim.operators = newOperators()
-	for i := range count {
-		n := sim.addNode(fmt.Sprintf("core-%d", i+1), fmt.Sprintf("10.0.0.%d", i+1), fmt.Sprintf("zone-%d", i%3), protocol.RoleController)
-		if i < 3 {
-			sim.seeds = append(sim.seeds, n.address+":7")
-		}
-	}
-	sim.controllersMade = count
-	for i := range 3 {
-		sim.addNode(fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("10.0.1.%d", i+1), fmt.Sprintf("zone-%d", i), protocol.RoleRouter)
-	}
+	sim.addControllers(controllers)
+	sim.addRouters()
 	for _, name := range sim.nodeNames() {
 		sim.startNode(sim.nodes[name], true)
 	}
@@ -146,30 +107,55 @@
 	return sim
 }
 
+func (sim *Simulation) addControllers(count int) {
+	for i := range count {
+		zone := fmt.Sprintf("zone-%d", i%zoneCount)
+		n := sim.addNode(controllerName(i+1), fmt.Sprintf("10.0.0.%d", i+1), zone, protocol.RoleController)
+		if i < seedCount {
+			sim.seeds = append(sim.seeds, n.address+daemonPort)
+		}
+	}
+	sim.controllersMade = count
+}
+
+func (sim *Simulation) addRouters() {
+	for i := range routerCount {
+		name, zone := fmt.Sprintf("edge-%d", i+1), fmt.Sprintf("zone-%d", i)
+		sim.addNode(name, fmt.Sprintf("10.0.1.%d", i+1), zone, protocol.RoleRouter)
+	}
+}
+
 func (sim *Simulation) observePeriodically() {
 	sim.connectivity.observe()
 	sim.fleet.recordListing(sim)
-	sim.after(50, sim.observePeriodically)
+	sim.after(observeIntervalMs, sim.observePeriodically)
 }
 
 // NowMs is the virtual time.
 func (sim *Simulation) NowMs() int64 { return sim.events.NowMs() }
 
-// after schedules something after a delay; a negative delay counts as none.
+// Run lets virtual time pass.
+func (sim *Simulation) Run(ms int64) { sim.events.RunFor(ms) }
+
+// runUntil runs up to a number of steps of virtual time, and stops early once
+// a condition holds.
+func (sim *Simulation) runUntil(steps int, stepMs int64, isDone func() bool) {
+	for range steps {
+		if sim.Run(stepMs); isDone() {
+			return
+		}
+	}
+}
+
+// after schedules an event after a delay; a negative delay counts as none.
 func (sim *Simulation) after(delayMs int64, run func()) { sim.events.After(delayMs, run) }
 
 func (sim *Simulation) logf(format string, args ...any) {
-	sim.trace = append(sim.trace, fmt.Sprintf("%8d ", sim.NowMs())+fmt.Sprintf(format, args...))
-	if len(sim.trace) > 2*maxTraceLines {
-		sim.trace = append(sim.trace[:0], sim.trace[len(sim.trace)-maxTraceLines:]...)
-	}
+	sim.trace.Addf(sim.NowMs(), format, args...)
 }
 
 // Trace gives the latest of what happened.
-func (sim *Simulation) Trace() string { return strings.Join(sim.trace, "\n") }
+func (sim *Simulation) Trace() string { return sim.trace.String() }
 
-// Faults lists what a run brought about.
+// Faults names the injected faults, in order.
 func (sim *Simulation) Faults() []string { return sim.injected }
-
-// Run lets virtual time pass.
-func (sim *Simulation) Run(ms int64) { sim.events.RunFor(ms) }
--- a/internal/simulation/faultsim/workload.go
+++ b/internal/simulation/faultsim/workload.go
@@ -1,38 +1,39 @@
 package faultsim
 
 import (
-	"encoding/json"
-
 	"myrtlewinch/internal/protocol"
 )
 
 // workloadKind is what a step of a workload of competing operators does.
 type workloadKind int
 
+// The kinds of steps. Their order is part of what a seed means.
 const (
-	// workloadSubmissions sends several orders at once on the version that operators
-	// take for the current one.
+	// workloadSubmissions sends several submissions at once, based on the version
+	// that operators believe to be current.
 	workloadSubmissions workloadKind = iota
-	// workloadRivals sends two orders with one number on one version, with
+	// workloadRivals sends two submissions with the same version and base, and
 	// different texts.
 	workloadRivals
-	// workloadStale sends an order on a version that was replaced, workloadAhead
-	// one on a version that is only about to come.
+	// workloadStale sends a submission based on a version that was replaced,
+	// workloadAhead one based on a version that is only about to come.
 	workloadStale
 	workloadAhead
-	// workloadInvalid sends an order that can't be valid.
+	// workloadInvalid sends a submission that can't be valid.
 	workloadInvalid
 	workloadRead
-	// workloadResend sends an earlier order again, to every controller.
+	// workloadResend sends an earlier submission again, to every controller.
 	workloadResend
 	workloadFault
-	// workloadLoseAnswers loses answers and workloadDelayCalls holds calls up, for a while.
+	// workloadLoseAnswers loses answers and workloadDelayCalls delays calls, both
+	// for a while.
 	workloadLoseAnswers
 	workloadDelayCalls
 	workloadKinds
 )
 
-// workloadStep is one step; count is how many orders or reads it sends.
+// workloadStep is one step. Count is how many submissions or reads it sends,
+// and Fault names the fault of a workloadFault.
 type workloadStep struct {
 	Kind    workloadKind
 	Count   int
@@ -41,20 +42,21 @@
 }
 
 const (
-	// workloadName is what Play knows a workload by, and workloadSteps how long it
-	// then is.
+	// workloadName is what Play knows the workload by, and workloadSteps how many
+	// steps it then has.
 	workloadName  = "operators contend"
 	workloadSteps = 150
+	// maxPending is how many submissions may be under way at once.
+	maxPending = 8
 )
 
-// maxPending is how many orders may be under way at once.
-const maxPending = 8
-
-// workloadFaults are the faults of the core that a workload brings about.
+// workloadFaults are the faults of controllers that a workload injects. Their
+// order is part of what a seed means.
 var workloadFaults = []string{
-	"primary killed", "backup killed", "primary loses its disk", "backup loses its disk", "core machine replaced", "primary replaced",
-	"primary frozen", "backup frozen", "core stopped in turn", "disk stalls", "disk slow", "disk full", "primary cut off",
-	"primary heard by nobody", "primary hears nobody", "core in pieces", "messages lost", "messages doubled", "messages late", "core killed", "all killed, one disk lost",
+	"primary killed", "backup killed", "primary loses its disk", "backup loses its disk",
+	"core machine replaced", "primary replaced", "primary frozen", "backup frozen", "core stopped in turn",
+	"disk stalls", "disk slow", "disk full", "primary cut off", "primary heard by nobody", "primary hears nobody",
+	"core in pieces", "messages lost", "messages doubled", "messages late", "core killed", "all killed, one disk lost",
 }
 
 // randomWorkload draws the steps of a workload.
@@ -74,8 +76,10 @@
 	return steps
 }
 
-// runWorkload plays a workload, then has every order sent again and reads back.
+// runWorkload runs a workload, then sends every submission again and reads the
+// configuration back from every controller.
 func (sim *Simulation) runWorkload(steps []workloadStep) {
+	const resendIntervalMs = 20
 	for _, step := range steps {
 		sim.runWorkloadStep(step)
 		sim.Run(step.PauseMs)
@@ -84,7 +88,7 @@
 	sim.Run(maxCallDelayMs + submissionTimeoutMs)
 	for _, r := range sim.operators.history.submissions {
 		sim.resend(r, sim.randomController())
-		sim.Run(20)
+		sim.Run(resendIntervalMs)
 	}
 	for _, name := range sim.nodeNames(protocol.RoleController) {
 		sim.readBack(sim.nodes[name])
@@ -93,27 +97,15 @@
 }
 
 func (sim *Simulation) runWorkloadStep(step workloadStep) {
-	o := &sim.operators
 	switch step.Kind {
 	case workloadSubmissions:
-		for range min(step.Count, o.freeSlots()) {
-			sim.submitUnique(o.baseVersion, o.nextVersion(sim), sim.random.Intn(2) == 0)
-		}
+		sim.submitSeveral(step.Count)
 	case workloadRivals:
-		if o.freeSlots() >= 2 {
-			version, part := o.nextVersion(sim), sim.random.Intn(2) == 0
-			sim.submitUnique(o.baseVersion, version, part)
-			sim.submitUnique(o.baseVersion, version, part)
-		}
+		sim.submitRivals()
 	case workloadStale:
-		orders := o.history.submissions
-		old := orders[sim.random.Intn(len(orders))].builtOn
-		sim.submitUnique(old, o.nextVersion(sim), false)
+		sim.submitStale()
 	case workloadAhead:
-		coming := o.nextVersion(sim)
-		sim.submitUnique(coming, o.nextVersion(sim), sim.random.Intn(2) == 0)
-		sim.Run(sim.random.Int63n(20))
-		sim.submitUnique(o.baseVersion, coming, false)
+		sim.submitAhead()
 	case workloadInvalid:
 		sim.submitInvalidConfig(sim.randomController())
 	case workloadRead:
@@ -121,82 +113,118 @@
 			sim.readBack(sim.randomController())
 		}
 	case workloadResend:
-		r := o.history.submissions[sim.random.Intn(len(o.history.submissions))]
-		for _, name := range sim.nodeNames(protocol.RoleController) {
-			sim.resend(r, sim.nodes[name])
-		}
+		sim.resendToAll(sim.randomSubmission())
 	case workloadFault:
 		f, _, _ := findFault(step.Fault)
 		sim.inject(f)
 	case workloadLoseAnswers:
-		o.lostAnswerShare = 0.5
-		sim.after(sim.randomDelayMs(), func() { o.lostAnswerShare = 0 })
+		sim.operators.lostAnswerShare = 0.5
+		sim.after(sim.randomDelayMs(), func() { sim.operators.lostAnswerShare = 0 })
 	case workloadDelayCalls:
-		o.delayedCallShare = 0.3
-		sim.after(sim.randomDelayMs(), func() { o.delayedCallShare = 0 })
+		sim.operators.delayedCallShare = 0.3
+		sim.after(sim.randomDelayMs(), func() { sim.operators.delayedCallShare = 0 })
+	}
+}
+
+func (sim *Simulation) randomSubmission() *submissionRecord {
+	submissions := sim.operators.history.submissions
+	return submissions[sim.random.Intn(len(submissions))]
+}
+
+func (sim *Simulation) submitSeveral(count int) {
+	o := &sim.operators
+	for range min(count, o.freeSlots()) {
+		sim.submitUnique(o.baseVersion, o.nextVersion(sim), sim.random.Intn(2) == 0)
 	}
 }
 
-// freeSlots is how many more orders may be under way.
+func (sim *Simulation) submitRivals() {
+	o := &sim.operators
+	if o.freeSlots() < 2 {
+		return
+	}
+	version, isChange := o.nextVersion(sim), sim.random.Intn(2) == 0
+	sim.submitUnique(o.baseVersion, version, isChange)
+	sim.submitUnique(o.baseVersion, version, isChange)
+}
+
+func (sim *Simulation) submitStale() {
+	base := sim.randomSubmission().baseVersion
+	sim.submitUnique(base, sim.operators.nextVersion(sim), false)
+}
+
+func (sim *Simulation) submitAhead() {
+	o := &sim.operators
+	coming := o.nextVersion(sim)
+	sim.submitUnique(coming, o.nextVersion(sim), sim.random.Intn(2) == 0)
+	sim.Run(sim.random.Int63n(20))
+	sim.submitUnique(o.baseVersion, coming, false)
+}
+
+// freeSlots is how many more submissions may be under way.
 func (o *operators) freeSlots() int {
-	under := 0
-	for _, h := range o.pending {
-		if !h.done {
-			under++
+	pending := 0
+	for _, s := range o.pending {
+		if !s.isDone {
+			pending++
 		}
 	}
-	return max(0, maxPending-under)
+	return max(0, maxPending-pending)
 }
 
-// submitUnique sends an order whose text differs from that of any other order.
-func (sim *Simulation) submitUnique(builtOn, version uint64, part bool) {
-	sim.submit(sim.randomController(), sim.newUniqueSubmission(builtOn, version, part))
+// submitUnique sends a submission whose text differs from that of any other.
+func (sim *Simulation) submitUnique(baseVersion, version uint64, isChange bool) {
+	sim.submit(sim.randomController(), sim.newUniqueSubmission(baseVersion, version, isChange))
 }
 
-func (sim *Simulation) newUniqueSubmission(builtOn, version uint64, part bool) *submission {
-	o := &sim.operators
-	aimMs := int64(400 + len(o.history.submissions))
+// newUniqueSubmission makes a submission that differs from any other in the
+// latency target of its last route.
+func (sim *Simulation) newUniqueSubmission(baseVersion, version uint64, isChange bool) *submission {
+	targetMs := int64(latencyTargetMs + len(sim.operators.history.submissions))
 	m := sim.newConfig(version)
-	last := &m.Routes[len(m.Routes)-1]
-	last.LatencyTargetMs = aimMs
-	text := encodeConfig(m)
-	if part {
-		var c configChange
-		_ = json.Unmarshal(newChange(builtOn, version), &c)
-		c.Put[len(c.Put)-1].LatencyTargetMs = aimMs
-		text, _ = json.Marshal(c)
+	m.Routes[len(m.Routes)-1].LatencyTargetMs = targetMs
+	text := encode(m)
+	if isChange {
+		change := newChange(baseVersion, version)
+		change.Put[len(change.Put)-1].LatencyTargetMs = targetMs
+		text = encode(change)
 	}
-	return &submission{builtOn: builtOn, version: version, text: string(text), isChange: part, isRival: true}
+	return &submission{baseVersion: baseVersion, version: version, text: string(text), isChange: isChange, isRival: true}
 }
 
-// resend sends an order again as it was, whatever became of it.
+// resend sends a submission again as it was, whatever became of it.
 func (sim *Simulation) resend(r *submissionRecord, at *node) {
 	sim.callController(at, &submission{
-		builtOn: r.builtOn, version: r.version, text: r.text, isChange: r.isChange, sentMs: sim.NowMs(), pauseMs: 100, isRival: true,
+		baseVersion: r.baseVersion, version: r.version, text: r.text, isChange: r.isChange,
+		sentMs: sim.NowMs(), pauseMs: firstPauseMs, isRival: true,
 	})
 }
 
-// Workload is a run of many operators at once, with faults of the core and
-// without clients, whose history is checked as one register.
+// resendToAll sends a submission again to every controller.
+func (sim *Simulation) resendToAll(r *submissionRecord) {
+	for _, name := range sim.nodeNames(protocol.RoleController) {
+		sim.resend(r, sim.nodes[name])
+	}
+}
+
+// Workload is a run of many operators at once, with faults of controllers and
+// without clients, whose history is checked against one register.
 func Workload(seed int64, count int) Result {
-	return workload(newWorkloadSite(seed, InjectedBugs{}), count)
+	sim := newWorkloadSite(seed, InjectedBugs{})
+	return playWorkload(sim, sim.randomWorkload(count))
 }
 
-// newWorkloadSite makes a site for a workload: of three seeds one has five core
-// machines, of which two may be lost.
-func newWorkloadSite(seed int64, breaks InjectedBugs) *Simulation {
+// newWorkloadSite makes a site for a workload: for every third seed one with
+// five controllers, of which two may be lost.
+func newWorkloadSite(seed int64, bugs InjectedBugs) *Simulation {
 	if seed%3 == 0 {
-		return newSized(seed, breaks, 5, 2)
+		return newSized(seed, bugs, 5, 2)
 	}
-	return New(seed, breaks)
+	return New(seed, bugs)
 }
 
-func workload(sim *Simulation, count int) Result { return playWorkload(sim, sim.randomWorkload(count)) }
-
 func playWorkload(sim *Simulation, steps []workloadStep) Result {
-	sim.Run(1500)
-	sim.submitConfig(sim.nodes["core-1"])
-	sim.Run(3000)
+	sim.beginWithoutClients()
 	sim.runWorkload(steps)
 	sim.CheckConfig()
 	sim.CheckHistory()
--- a/internal/simulation/faultsim/workload_test.go
+++ b/internal/simulation/faultsim/workload_test.go
@@ -11,8 +11,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Operators contend while the core has its faults; "drill --scenario" with the
-// name of the workload plays more seeds.
+// Operators compete while controllers have faults; "faultsim --scenario" with
+// the name of the workload plays more seeds.
 func TestWorkloads(t *testing.T) {
 	for seed := int64(1); seed <= 9; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -24,7 +24,7 @@
 	}
 }
 
-// A day of hundreds of changes, with a few faults, and each order sent again.
+// Hundreds of changes with a few faults, and each submission sent again.
 func TestWorkloadOfHundredsOfChanges(t *testing.T) {
 	sim := New(1, InjectedBugs{})
 	var steps []workloadStep
@@ -50,11 +50,11 @@
 	return count
 }
 
-// The check of the history fires on each broken variant of the system.
+// The check of the history reports each injected bug.
 func TestHistoryCheckFires(t *testing.T) {
-	orders := workloadStep{Kind: workloadSubmissions, Count: 3, PauseMs: 30}
+	submissions := workloadStep{Kind: workloadSubmissions, Count: 3, PauseMs: 30}
 	read := workloadStep{Kind: workloadRead, Count: 4, PauseMs: 5}
-	// Reads over the whole time of a cut and of its end.
+	// These reads go on during a cut and after its end.
 	slowRead := workloadStep{Kind: workloadRead, Count: 8, PauseMs: 150}
 	fault := func(name string, pauseMs int64) workloadStep {
 		return workloadStep{Kind: workloadFault, Fault: name, PauseMs: pauseMs}
@@ -64,20 +64,20 @@
 		breaks InjectedBugs
 		steps  []workloadStep
 	}{
-		{"accepted orders are forgotten", InjectedBugs{ForgetAccepted: true}, []workloadStep{orders}},
-		{"two orders on one version are accepted", InjectedBugs{IgnoreBase: true}, []workloadStep{orders, orders}},
-		{"yes before any copy has it", InjectedBugs{AcknowledgeEarly: true}, []workloadStep{orders, orders}},
-		{"read back from any copy", InjectedBugs{StaleRead: true}, []workloadStep{fault("primary cut off", 0), orders, slowRead, slowRead, orders, slowRead, slowRead, orders, slowRead, slowRead}},
-		{"refused by any copy", InjectedBugs{StaleRejection: true}, []workloadStep{orders, fault("primary killed", 0), orders, orders}},
-		{"disks keep saves back", InjectedBugs{DeferDiskWrites: true}, []workloadStep{orders, orders, orders, orders, fault("core killed", 5000), orders, read}},
+		{"accepted submissions are forgotten", InjectedBugs{ForgetAccepted: true}, []workloadStep{submissions}},
+		{"two submissions with the same base are accepted", InjectedBugs{IgnoreBase: true}, []workloadStep{submissions, submissions}},
+		{"acknowledged before any replica has it", InjectedBugs{AcknowledgeEarly: true}, []workloadStep{submissions, submissions}},
+		{"read back from any replica", InjectedBugs{StaleRead: true}, []workloadStep{fault("primary cut off", 0), submissions, slowRead, slowRead, submissions, slowRead, slowRead, submissions, slowRead, slowRead}},
+		{"refused by any replica", InjectedBugs{StaleRejection: true}, []workloadStep{submissions, fault("primary killed", 0), submissions, submissions}},
+		{"disks defer writes", InjectedBugs{DeferDiskWrites: true}, []workloadStep{submissions, submissions, submissions, submissions, fault("core killed", 5000), submissions, read}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			fired := false
 			for seed := int64(1); seed <= 60 && !fired; seed++ {
 				r := playWorkload(newWorkloadSite(seed, test.breaks), test.steps)
-				for _, breach := range r.Violations {
-					fired = fired || breach.Rule == "REGISTER"
+				for _, violation := range r.Violations {
+					fired = fired || violation.Rule == RuleRegister
 				}
 			}
 			qt.Check(t, fired, qt.IsTrue)
@@ -85,11 +85,12 @@
 	}
 }
 
-// rapidSeed is what CI draws from, the same each time; the flags of rapid draw
-// from others.
+// rapidSeed makes rapid draw the same values in each run of CI; its flags
+// choose other seeds.
 const rapidSeed = "20261202"
 
-// fixRapidSeed has rapid draw the same each time, unless its flags say otherwise.
+// fixRapidSeed lets rapid draw the same values each time, unless its flags say
+// otherwise.
 func fixRapidSeed(t *testing.T, checks string) {
 	given := map[string]bool{}
 	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
@@ -101,9 +102,9 @@
 	t.Logf("seed %s, %s checks", flag.Lookup("rapid.seed").Value, flag.Lookup("rapid.checks").Value)
 }
 
-// Drawn workloads fit one register. One that does not is shrunk to the fewest
+// Random workloads fit one register. One that does not is shrunk to the fewest
 // steps that show it.
-func TestDrawnWorkloads(t *testing.T) {
+func TestRandomWorkloads(t *testing.T) {
 	fixRapidSeed(t, "25")
 	steps := rapid.SliceOfN(rapid.Custom(randomStep), 1, 40)
 	rapid.Check(t, func(t *rapid.T) {
@@ -124,7 +125,7 @@
 	}
 }
 
-// siteWithConfig is a site of a map in force.
+// siteWithConfig is a site that has accepted a configuration.
 func siteWithConfig(seed int64) *Simulation {
 	sim := New(seed, InjectedBugs{})
 	sim.Run(1500)
@@ -133,8 +134,10 @@
 	return sim
 }
 
-// resendAndCheck sends every order again to every controller, and checks.
+// resendAndCheck sends every submission again to every controller, and checks
+// the run.
 func resendAndCheck(t *testing.T, sim *Simulation) {
+	t.Helper()
 	sim.Run(submissionTimeoutMs)
 	for _, r := range sim.operators.history.submissions {
 		for _, name := range sim.nodeNames(protocol.RoleController) {
@@ -149,32 +152,32 @@
 	assertNoViolation(t, Result{sim, sim.Checker.Violations()})
 }
 
-// An order reaches the primary alone, which is cut off or killed a moment later
-// and comes back. Meanwhile operators do nothing, send it elsewhere, or put
-// another in force; or the next primary is lost too.
-func TestOrderAtTheOldPrimaryAlone(t *testing.T) {
+// A submission reaches only the primary, which is cut off, killed or frozen a
+// moment later and comes back. Meanwhile operators do nothing, send the
+// submission elsewhere, or submit another; or the next primary is lost too.
+func TestSubmissionOnlyAtTheOldPrimary(t *testing.T) {
 	for _, meanwhile := range []string{"nothing", "sent again", "another in force", "the next primary lost"} {
-		for _, how := range []string{"cut off", "killed", "frozen"} {
-			t.Run(meanwhile+", "+how, func(t *testing.T) {
+		for _, loss := range nodeLosses {
+			t.Run(meanwhile+", "+string(loss), func(t *testing.T) {
 				t.Parallel()
 				accepted, alone := 0, 0
 				for afterMs := int64(0); afterMs <= 18; afterMs += 3 {
 					sim := siteWithConfig(2 + afterMs%2)
 					old := sim.primary()
 					sim.slowOtherDisks(old, 40)
-					order := sim.newUniqueSubmission(sim.operators.baseVersion, sim.operators.nextVersion(sim), false)
-					order.noRetry = true
-					sim.submit(old, order)
+					late := sim.newUniqueSubmission(sim.operators.baseVersion, sim.operators.nextVersion(sim), false)
+					late.noRetry = true
+					sim.submit(old, late)
 					sent := sim.operators.history.submissions[1]
 					sim.Run(afterMs)
-					sim.removeNode(old, how)
+					sim.removeNode(old, loss)
 					if sim.isConfigOnlyOn(old) {
 						alone++
 					}
 					sim.slowOtherDisks(old, 0)
 					sim.Run(3000)
 					sim.actMeanwhile(meanwhile, sent)
-					sim.restoreNode(old, how)
+					sim.restoreNode(old, loss)
 					resendAndCheck(t, sim)
 					if len(sent.answers) > 0 && sent.answers[0].outcome == outcomeAccepted {
 						accepted++
@@ -187,7 +190,7 @@
 	}
 }
 
-// slowOtherDisks makes the disks of all other core machines slower.
+// slowOtherDisks slows the disks of all other controllers.
 func (sim *Simulation) slowOtherDisks(n *node, ms int64) {
 	for _, name := range sim.nodeNames(protocol.RoleController) {
 		if other := sim.nodes[name]; other != n {
@@ -196,35 +199,47 @@
 	}
 }
 
-// isConfigOnlyOn says whether a disk holds another map than all other disks.
+// isConfigOnlyOn says whether a disk holds another configuration than all other
+// disks.
 func (sim *Simulation) isConfigOnlyOn(n *node) bool {
 	const key = "state/kept/map"
 	for _, name := range sim.nodeNames(protocol.RoleController) {
-		if other := sim.nodes[name]; other != n && other.disk.keys[key] == n.disk.keys[key] {
+		if other := sim.nodes[name]; other != n && other.disk.contents[key] == n.disk.contents[key] {
 			return false
 		}
 	}
 	return true
 }
 
-func (sim *Simulation) removeNode(n *node, how string) {
-	switch how {
-	case "cut off":
+// nodeLoss is how a test loses a node.
+type nodeLoss string
+
+const (
+	lossCutOff nodeLoss = "cut off"
+	lossKilled nodeLoss = "killed"
+	lossFrozen nodeLoss = "frozen"
+)
+
+var nodeLosses = []nodeLoss{lossCutOff, lossKilled, lossFrozen}
+
+func (sim *Simulation) removeNode(n *node, loss nodeLoss) {
+	switch loss {
+	case lossCutOff:
 		sim.cut([]string{n.name}, sim.allExcept(n.name), false)
-	case "killed":
+	case lossKilled:
 		sim.kill(n)
-	case "frozen":
+	case lossFrozen:
 		sim.freeze(n)
 	}
 }
 
-func (sim *Simulation) restoreNode(n *node, how string) {
-	switch how {
-	case "cut off":
+func (sim *Simulation) restoreNode(n *node, loss nodeLoss) {
+	switch loss {
+	case lossCutOff:
 		sim.heal()
-	case "killed":
+	case lossKilled:
 		sim.startNode(n, false)
-	case "frozen":
+	case lossFrozen:
 		sim.thaw(n)
 	}
 }
@@ -245,12 +260,12 @@
 	}
 }
 
-// Two operators send different orders under one number on one version; all
-// answers get lost, the primary is lost at some moment, and each order is sent
-// again to each controller.
-func TestRivalsAcrossATakeOver(t *testing.T) {
-	for _, how := range []string{"cut off", "killed", "frozen"} {
-		t.Run(how, func(t *testing.T) {
+// Two operators submit different texts with the same version and base; all
+// answers get lost, the primary is lost at some moment, and each submission is
+// sent again to each controller.
+func TestRivalSubmissionsAcrossAFailover(t *testing.T) {
+	for _, loss := range nodeLosses {
+		t.Run(string(loss), func(t *testing.T) {
 			t.Parallel()
 			for afterMs := int64(0); afterMs <= 15; afterMs += 3 {
 				sim := siteWithConfig(2 + afterMs%2)
@@ -258,12 +273,12 @@
 				sim.operators.lostAnswerShare = 1
 				sim.runWorkloadStep(workloadStep{Kind: workloadRivals})
 				sim.Run(afterMs)
-				sim.removeNode(old, how)
+				sim.removeNode(old, loss)
 				sim.Run(4000)
 				sim.operators.lostAnswerShare = 0
-				sim.restoreNode(old, how)
+				sim.restoreNode(old, loss)
 				resendAndCheck(t, sim)
-				qt.Check(t, countAnswers(sim, outcomeAccepted), qt.Equals, 2, qt.Commentf("after %d ms: the first map and one of the two", afterMs))
+				qt.Check(t, countAnswers(sim, outcomeAccepted), qt.Equals, 2, qt.Commentf("after %d ms: the first configuration and one of the two", afterMs))
 			}
 		})
 	}
--- /dev/null
+++ b/internal/simulation/network/network_test.go
@@ -0,0 +1,82 @@
+package network
+
+import (
+	"math/rand"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"myrtlewinch/internal/simulation/eventqueue"
+)
+
+const latencyMs = 5
+
+func newNetwork() (*Network, *eventqueue.Queue) {
+	queue := eventqueue.New(0)
+	fixed := func(*rand.Rand) int64 { return latencyMs }
+	return New(queue, rand.New(rand.NewSource(1)), fixed), queue
+}
+
+func TestCutClosesLinks(t *testing.T) {
+	for _, test := range []struct {
+		name                string
+		oneWay              bool
+		isForthOpen, isBack bool
+	}{
+		{"both ways", false, false, false},
+		{"one way", true, false, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			n, _ := newNetwork()
+			pairs := n.Cut([]string{"a", "b"}, []string{"b", "c"}, test.oneWay)
+			qt.Check(t, pairs, qt.DeepEquals, []Link{{"a", "b"}, {"a", "c"}, {"b", "c"}})
+			qt.Check(t, n.IsOpen("a", "b"), qt.Equals, test.isForthOpen)
+			qt.Check(t, n.IsOpen("b", "a"), qt.Equals, test.isBack)
+			qt.Check(t, n.IsOpen("b", "b"), qt.IsTrue)
+			qt.Check(t, n.HasCuts(), qt.IsTrue)
+			n.Heal()
+			qt.Check(t, n.IsOpen("a", "b"), qt.IsTrue)
+			qt.Check(t, n.HasCuts(), qt.IsFalse)
+		})
+	}
+}
+
+func TestTransmitArrivesAfterTheLatency(t *testing.T) {
+	n, queue := newNetwork()
+	arrivedMs := int64(-1)
+	n.Transmit("a", "b", 0, func() { arrivedMs = queue.NowMs() }, func() { t.Error("lost on an open link") })
+	queue.RunFor(100)
+	qt.Assert(t, arrivedMs, qt.Equals, int64(latencyMs))
+}
+
+func TestTransmitIsLostOnALinkThatIsCutMeanwhile(t *testing.T) {
+	n, queue := newNetwork()
+	lost := 0
+	n.Transmit("a", "b", 0, func() { t.Error("arrived over a cut link") }, func() { lost++ })
+	n.Transmit("a", "b", 0, func() { t.Error("arrived over a cut link") }, nil)
+	n.Cut([]string{"a"}, []string{"b"}, true)
+	queue.RunFor(100)
+	qt.Assert(t, lost, qt.Equals, 1)
+}
+
+func TestTransmitIsDelayedByAtMostTheBound(t *testing.T) {
+	n, queue := newNetwork()
+	n.DelayShare = 1
+	var latestMs int64
+	for range 1000 {
+		n.Transmit("a", "b", 20, func() { latestMs = max(latestMs, queue.NowMs()) }, nil)
+	}
+	queue.RunFor(1000)
+	qt.Assert(t, latestMs, qt.Equals, int64(latencyMs+19))
+}
+
+func TestDrawsWithoutFaultsLeaveTheRandomSequenceAsItIs(t *testing.T) {
+	n, _ := newNetwork()
+	qt.Check(t, n.DrawLoss(), qt.IsFalse)
+	qt.Check(t, n.DrawDuplicate(), qt.IsFalse)
+	qt.Check(t, n.random.Int63(), qt.Equals, rand.New(rand.NewSource(1)).Int63())
+	n.LossShare, n.DuplicateShare = 1, 1
+	qt.Check(t, n.DrawLoss(), qt.IsTrue)
+	qt.Check(t, n.DrawDuplicate(), qt.IsTrue)
+	qt.Check(t, n.IsUnreliable(), qt.IsTrue)
+}
