--- a/internal/cli/page_test.go
+++ b/internal/cli/page_test.go
@@ -39,7 +39,7 @@
 				c.Assert(kind, qt.HasLen, 2)
 				c.Check(regexp.MustCompile(`\| `+kind[1]+` \| [a-z]`).MatchString(page), qt.IsTrue, qt.Commentf("counter %q is not on the page", kind[1]))
 			}
-			for _, found := range regexp.MustCompile(`\.note\("([^"]+)"`).FindAllStringSubmatch(string(code), -1) {
+			for _, found := range regexp.MustCompile(`\.(?:note|Logf)\("([^"]+)"`).FindAllStringSubmatch(string(code), -1) {
 				// The longest part that is the same in every such line.
 				longest := ""
 				for _, part := range regexp.MustCompile(`%[a-z]`).Split(found[1], -1) {
--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -8,6 +8,10 @@
 	"myrtlewinch/internal/storage"
 )
 
+// operatorWitnesses is how many witnesses an operator who bootstraps or recovers
+// a site must name.
+const operatorWitnesses = 3
+
 // firstEpoch is the epoch of the record that founds a site.
 const firstEpoch = 1
 
@@ -57,10 +61,12 @@
 		}
 		witnesses = append(witnesses, protocol.MemberID{Name: name, Incarnation: place.Incarnation})
 	}
-	if len(f.Witnesses) != 3 && m.set.Application == nil || len(set) != len(f.Witnesses) {
+	different := len(set) == len(f.Witnesses)
+	enough := m.set.Bootstrap == BootstrapBySeeds || len(f.Witnesses) == operatorWitnesses
+	if !different || !enough {
 		return protocol.EpochRecord{}, "witnesses: must be three different controllers"
 	}
-	if m.set.Application != nil {
+	if m.set.Bootstrap == BootstrapBySeeds {
 		return m.seedsRecord(witnesses), ""
 	}
 	backup, ok := m.roster.Node(f.Backup)
@@ -139,9 +145,11 @@
 // may have voted for another, which it forgot.
 const bootstrapKey = "bootstrap"
 
-// mayBootstrap says whether this disk may vote for a first record. The older
-// interface leaves that to the operator's explicit act.
-func (m *Machine) mayBootstrap() bool { return m.set.Application == nil || m.firstDisk }
+// mayBootstrap says whether this disk may vote for a first record. An operator
+// who bootstraps by an explicit act vouches for the disks.
+func (m *Machine) mayBootstrap() bool {
+	return m.set.Bootstrap == BootstrapByOperator || m.firstDisk
+}
 
 // markFirstDisk keeps on the disk that it was there at the first start. Saves
 // keep their order, so no vote is on the disk before this.
--- a/internal/consensus/duty.go
+++ b/internal/consensus/duty.go
@@ -182,34 +182,34 @@
 	}
 }
 
-func (m *Machine) tickDuty() {
-	if !m.isPrimary() {
+func (a *nativeApplication) tickDuty() {
+	if !a.host.IsPrimary() {
 		return
 	}
-	d := &m.duty
-	if m.nowMs-d.platformMs >= platformMs && !d.reading {
-		d.platformMs, d.reading = m.nowMs, true
-		m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: m.set.Platform, Body: protocol.PlatformCall{}})
+	d := &a.duty
+	if a.host.NowMs()-d.platformMs >= platformMs && !d.reading {
+		d.platformMs, d.reading = a.host.NowMs(), true
+		a.host.Call(a.settings.Platform, protocol.PlatformCall{})
 	}
 	for _, name := range d.names() {
 		listed := d.listing[name]
 		s := d.seen[name]
 		if s == nil {
-			s = &seenRunner{askedMs: m.nowMs - reportMs, okMs: m.nowMs, since: map[string]int64{}}
+			s = &seenRunner{askedMs: a.host.NowMs() - reportMs, okMs: a.host.NowMs(), since: map[string]int64{}}
 			d.seen[name] = s
 		}
-		if m.nowMs-s.askedMs >= reportMs && s.asking == 0 {
-			s.askedMs = m.nowMs
+		if a.host.NowMs()-s.askedMs >= reportMs && s.asking == 0 {
+			s.askedMs = a.host.NowMs()
 			d.calls++
 			s.asking = d.calls
-			row := m.state.Rows[name]
+			row := a.host.State().Rows[name]
 			s.quiet, s.askedOrders = row != nil && row.Intent == nil, s.orders
-			m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: listed.Address, Body: protocol.ReportCall{Runner: name, Number: s.asking, Epoch: m.record.Epoch}})
+			a.host.Call(listed.Address, protocol.ReportCall{Runner: name, Number: s.asking, Epoch: a.host.Epoch()})
 		}
 	}
-	if m.mayOrder() {
-		m.repeatOrders()
-		m.place()
+	if a.mayOrder() {
+		a.repeatOrders()
+		a.place()
 	}
 }
 
@@ -224,14 +224,14 @@
 }
 
 // mayOrder says whether an order given now can't cross one of another holder.
-func (m *Machine) mayOrder() bool {
-	return m.active() && m.nowMs >= m.election.ordersMs && m.described != nil && m.fencedAll()
+func (a *nativeApplication) mayOrder() bool {
+	return a.host.Active() && a.host.NowMs() >= a.host.OrdersFromMs() && a.described != nil && a.fencedAll()
 }
 
 // fencedAll says whether every listed runner that answers is fenced. One that
 // answers later, or comes later, holds up only itself.
-func (m *Machine) fencedAll() bool {
-	d := &m.duty
+func (a *nativeApplication) fencedAll() bool {
+	d := &a.duty
 	if d.allFenced {
 		return true
 	}
@@ -240,7 +240,7 @@
 	}
 	for name := range d.listing {
 		s := d.seen[name]
-		if s == nil || s.fencedMs == 0 && !s.failed || s.fencedMs > 0 && !s.fenced(m.nowMs, m.set.GapMs) {
+		if s == nil || s.fencedMs == 0 && !s.failed || s.fencedMs > 0 && !s.fenced(a.host.NowMs(), a.settings.GapMs) {
 			return false
 		}
 	}
@@ -248,38 +248,38 @@
 	return true
 }
 
-func (m *Machine) listed(in protocol.RunnerListResult) {
-	d := &m.duty
-	if !m.isPrimary() {
+func (a *nativeApplication) listed(in protocol.RunnerListResult) {
+	d := &a.duty
+	if !a.host.IsPrimary() {
 		return
 	}
 	d.reading = false
 	if !in.Ok {
 		// What the platform said last still counts; marks only grow.
-		m.out.Counts = append(m.out.Counts, "platform unread")
+		a.host.Count("platform unread")
 		return
 	}
-	d.platformOkMs = m.nowMs
+	d.platformOkMs = a.host.NowMs()
 	listing := map[string]protocol.ListedRunner{}
 	for _, l := range in.Runners {
 		listing[l.Name] = l
 		mark := protocol.LeavingRunner{Runner: l.Name, Incarnation: l.Incarnation}
-		if l.Leaving && !m.state.Marks[mark] {
-			m.note("%s is leaving", l.Name)
-			m.submit(func(bool) {}, ledger.MarkLeaving{Mark: mark})
+		if l.Leaving && !a.host.State().Marks[mark] {
+			a.host.Logf("%s is leaving", l.Name)
+			a.host.SubmitCommands(func(bool) {}, ledger.MarkLeaving{Mark: mark})
 		}
 	}
 	d.listing = listing
 	for name := range d.seen {
 		if _, ok := listing[name]; !ok {
-			d.seen[name].okMs = min(d.seen[name].okMs, m.nowMs-darkMs-1)
+			d.seen[name].okMs = min(d.seen[name].okMs, a.host.NowMs()-darkMs-1)
 		}
 	}
 }
 
-func (m *Machine) reported(in protocol.RunnerReportResult) {
-	s := m.duty.seen[in.Runner]
-	if !m.isPrimary() || s == nil {
+func (a *nativeApplication) reported(in protocol.RunnerReportResult) {
+	s := a.duty.seen[in.Runner]
+	if !a.host.IsPrimary() || s == nil {
 		return
 	}
 	// The answer to an order may cross that to a question; the question is
@@ -297,48 +297,48 @@
 		return
 	}
 	if in.Report.Runner != in.Runner {
-		m.count(errkind.WrongIncarnation)
+		a.count(errkind.WrongIncarnation)
 		return
 	}
-	if in.Report.Epoch > m.record.Epoch {
-		m.count(errkind.LowerEpoch)
+	if in.Report.Epoch > a.host.Epoch() {
+		a.count(errkind.LowerEpoch)
 		return
 	}
-	if s.fencedMs == 0 && in.Report.Epoch >= m.duty.beganEpoch {
-		s.fencedMs = m.nowMs
+	if s.fencedMs == 0 && in.Report.Epoch >= a.duty.beganEpoch {
+		s.fencedMs = a.host.NowMs()
 	}
-	s.okMs, s.burden, s.report = m.nowMs, in.Report.Burden, in.Report
-	row := m.state.Rows[in.Runner]
+	s.okMs, s.burden, s.report = a.host.NowMs(), in.Report.Burden, in.Report
+	row := a.host.State().Rows[in.Runner]
 	if row == nil || row.Incarnation != in.Report.Incarnation || row.Address != in.Address || row.Room != in.Report.Room {
 		s.since = map[string]int64{}
-		m.submit(func(bool) {}, ledger.Arrive{Report: in.Report, Address: in.Address})
+		a.host.SubmitCommands(func(bool) {}, ledger.Arrive{Report: in.Report, Address: in.Address})
 		return
 	}
 	for item := range row.Held {
 		if _, known := s.since[item]; !known {
-			s.since[item] = m.nowMs
+			s.since[item] = a.host.NowMs()
 		}
 	}
 	// Only a report that can't have crossed an order speaks of all it holds.
 	if s.quiet && s.orders == s.askedOrders && row.Intent == nil && in.Report.LastState != protocol.OrderUnderWay && !row.Agrees(in.Report) {
-		m.note("%s holds other things than the ledger says; the ledger is corrected", in.Runner)
-		m.submit(func(bool) {}, ledger.Correct{Report: in.Report})
+		a.host.Logf("%s holds other things than the ledger says; the ledger is corrected", in.Runner)
+		a.host.SubmitCommands(func(bool) {}, ledger.Correct{Report: in.Report})
 		return
 	}
 	// An unknown order is settled only by a report that names it.
 	if row.Intent != nil && in.Report.LastOrder == row.Intent.Number && in.Report.LastState != protocol.OrderUnderWay {
 		done := in.Report.LastState == protocol.OrderDone
 		if !done {
-			m.note("%s could not %s %s", in.Runner, row.Intent.Action, row.Intent.Model)
+			a.host.Logf("%s could not %s %s", in.Runner, row.Intent.Action, row.Intent.Model)
 		}
 		if row.Intent.Action == protocol.ActionLoad && done && s.firstMs > 0 {
 			// The latest counts a quarter, so that one slow load says little.
-			m.duty.loadMs += (m.nowMs - s.firstMs - m.duty.loadMs) / 4
+			a.duty.loadMs += (a.host.NowMs() - s.firstMs - a.duty.loadMs) / 4
 		}
 		if row.Intent.Action == protocol.ActionUnload && done {
 			delete(s.since, ledger.Item{Model: row.Intent.Model, Adapter: row.Intent.Adapter}.String())
 		}
-		m.submit(func(bool) {}, ledger.Settle{
+		a.host.SubmitCommands(func(bool) {}, ledger.Settle{
 			Runner: in.Runner, Incarnation: in.Report.Incarnation, Number: row.Intent.Number, Done: done,
 		})
 	}
@@ -346,43 +346,43 @@
 
 // repeatOrders sends again what the runner's reports do not name yet. The
 // number makes the repeat harmless.
-func (m *Machine) repeatOrders() {
-	for _, name := range m.duty.names() {
-		row, s := m.state.Rows[name], m.duty.seen[name]
-		if row == nil || s == nil || row.Intent == nil || m.nowMs-s.orderMs < orderMs {
+func (a *nativeApplication) repeatOrders() {
+	for _, name := range a.duty.names() {
+		row, s := a.host.State().Rows[name], a.duty.seen[name]
+		if row == nil || s == nil || row.Intent == nil || a.host.NowMs()-s.orderMs < orderMs {
 			continue
 		}
 		named := s.report.Incarnation == row.Incarnation && s.report.LastOrder >= row.Intent.Number
-		if named || !m.settled() || !s.fenced(m.nowMs, m.set.GapMs) {
+		if named || !a.settled() || !s.fenced(a.host.NowMs(), a.settings.GapMs) {
 			continue
 		}
 		// A load that is sent again may begin only now, so it is paced anew:
 		// after a take-over or a cut many may be open at once.
-		if row.Intent.Action == protocol.ActionLoad && !m.duty.pace.take(m.nowMs, m.described.Store.LoadsPer10s) {
+		if row.Intent.Action == protocol.ActionLoad && !a.duty.pace.take(a.host.NowMs(), a.described.Store.LoadsPer10s) {
 			continue
 		}
-		m.sendOrder(name)
+		a.sendOrder(name)
 	}
 }
 
 // settled says whether both disks hold all that is in memory: nothing that
 // was written after the last answered change may reach a runner.
-func (m *Machine) settled() bool { return m.replication.committed >= m.state.Position.Number }
+func (a *nativeApplication) settled() bool { return a.host.Settled() }
 
-func (m *Machine) sendOrder(name string) {
-	row, s := m.state.Rows[name], m.duty.seen[name]
-	if row == nil || s == nil || row.Intent == nil || !m.mayOrder() || !s.fenced(m.nowMs, m.set.GapMs) {
+func (a *nativeApplication) sendOrder(name string) {
+	row, s := a.host.State().Rows[name], a.duty.seen[name]
+	if row == nil || s == nil || row.Intent == nil || !a.mayOrder() || !s.fenced(a.host.NowMs(), a.settings.GapMs) {
 		return
 	}
 	if s.firstOrder != row.Intent.Number {
-		s.firstOrder, s.firstMs = row.Intent.Number, m.nowMs
+		s.firstOrder, s.firstMs = row.Intent.Number, a.host.NowMs()
 	}
-	s.orderMs = m.nowMs
-	m.out.Calls = append(m.out.Calls, protocol.OutboundCall{Address: row.Address, Body: protocol.OrderCall{
-		Runner: name, UntilMs: m.election.leaseUntilMs,
+	s.orderMs = a.host.NowMs()
+	a.host.Call(row.Address, protocol.OrderCall{
+		Runner: name, UntilMs: a.host.LeaseUntilMs(),
 		Order: protocol.Order{
-			Holder: m.set.Self.Name, Epoch: m.record.Epoch, Number: row.Intent.Number, Incarnation: row.Incarnation, Action: row.Intent.Action,
+			Holder: a.host.Self().Name, Epoch: a.host.Epoch(), Number: row.Intent.Number, Incarnation: row.Incarnation, Action: row.Intent.Action,
 			Model: row.Intent.Model, Adapter: row.Intent.Adapter, Size: row.Intent.Size,
 		},
-	}})
+	})
 }
--- a/internal/consensus/duty_test.go
+++ b/internal/consensus/duty_test.go
@@ -20,11 +20,19 @@
   "secondGoes": 5
 }`
 
+// nativePrimary is a primary of the own interface with its application.
+type nativePrimary struct {
+	*Machine
+	*nativeApplication
+}
+
 // serving makes a primary whose pair is whole, at 100 s of its clock.
-func serving(t *testing.T) *Machine {
+func serving(t *testing.T) nativePrimary {
+	t.Helper()
 	self := protocol.Node{Name: "a", Address: "a:1", Zone: "z", Part: protocol.RoleController, Incarnation: "1"}
-	m, err := New(Settings{Site: "s", Self: self, Platform: "platform"}, map[string]string{}, 100_000)
+	machine, application, err := newNative(NativeSettings{Site: "s", Self: self, Platform: "platform"}, map[string]string{}, 100_000)
 	qt.Assert(t, err, qt.IsNil)
+	m := nativePrimary{machine, application}
 	a, b, c := protocol.MemberID{Name: "a", Incarnation: "1"}, protocol.MemberID{Name: "b", Incarnation: "1"}, protocol.MemberID{Name: "c", Incarnation: "1"}
 	set := []protocol.MemberID{a, b, c}
 	for _, name := range []string{"b", "c"} {
@@ -41,7 +49,7 @@
 }
 
 // settle ends all writes, on this disk and on the backup's.
-func settle(m *Machine, nowMs int64) {
+func settle(m nativePrimary, nowMs int64) {
 	for number := range m.saves {
 		m.Step(nowMs, protocol.DiskWriteDone{Number: number, Ok: true})
 	}
@@ -62,7 +70,7 @@
 }
 
 // answerAll answers each question to a runner but those that are left out.
-func answerAll(m *Machine, nowMs int64, asked []protocol.ReportCall, epoch uint64, out ...string) {
+func answerAll(m nativePrimary, nowMs int64, asked []protocol.ReportCall, epoch uint64, out ...string) {
 	for _, call := range asked {
 		said := protocol.RunnerReportResult{Runner: call.Runner, Address: call.Runner + ":1", Number: call.Number}
 		if len(out) == 0 || call.Runner != out[0] {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -1,7 +1,6 @@
 package consensus
 
 import (
-	"fmt"
 	"slices"
 
 	"myrtlewinch/internal/errkind"
@@ -50,7 +49,6 @@
 	grants       map[protocol.MemberID]int64
 	leaseUntilMs int64
 	ordersMs     int64
-	takesMs      int64
 	established  bool
 	// quietMs is until when a recovered site says nothing.
 	quietMs  int64
@@ -73,8 +71,7 @@
 
 // entitled says whether this disk may become primary under the record.
 func (m *Machine) entitled(record protocol.EpochRecord) bool {
-	// The older interface has no one who takes over from a daemon that stops.
-	stops := m.leaving.wanted && m.set.Application == nil
+	stops := m.leaving.wanted && m.set.StopWithoutHandover
 	return !m.broken && !stops && record.HasReplica(m.ownSeat())
 }
 
@@ -263,7 +260,7 @@
 	f := m.election.founding
 	// Seeds that have not kept a half-recorded first record are blank still; they
 	// must be able to agree to its end.
-	finishes := m.set.Application != nil && f == nil && m.record.Epoch == 0 && m.election.top.Epoch == firstEpoch
+	finishes := m.set.Bootstrap == BootstrapBySeeds && f == nil && m.record.Epoch == 0 && m.election.top.Epoch == firstEpoch
 	return protocol.Prepare{
 		Ballot: m.election.ballot, Found: finishes || f != nil && !f.Recover, Recover: f != nil && f.Recover,
 		AllSeeds: f != nil && len(f.Witnesses) == len(m.set.Seeds),
@@ -456,8 +453,9 @@
 	s.renewMs = m.nowMs
 	// Another may have ordered until now.
 	s.ordersMs = m.nowMs + m.set.GapMs
-	s.takesMs = m.nowMs + RouterHoldMs
-	m.duty.begin(m.nowMs, record.Epoch)
+	if m.set.Hooks != nil {
+		m.set.Hooks.Elected()
+	}
 	m.beginReplication()
 	m.note("primary of epoch %d", record.Epoch)
 	recovers := s.founding != nil && s.founding.Recover
@@ -465,33 +463,30 @@
 		if !ok {
 			return
 		}
-		m.election.established = true
-		if m.set.Application != nil {
-			m.election.founding = nil
-			m.note("the copies are whole; epoch %d serves", m.record.Epoch)
-			m.set.Application.BecamePrimary(host{m})
-			return
-		}
-		// What the lost pair gave must have run out before anyone hears of
-		// what may be older than it.
-		if m.election.quietMs = 0; recovers {
-			m.election.quietMs = m.nowMs + RouterHoldMs
-		}
-		m.offer.current = m.state.Revision
-		m.offer.token = fmt.Sprintf("%s-%d", protocol.Digest(m.state.Revision.Text), m.record.Epoch)
-		m.nudge()
-		m.note("the pair is whole; epoch %d serves", m.record.Epoch)
-		if f := m.election.founding; f != nil {
-			m.election.founding = nil
-			// No router has ever been given a lease.
-			if !recovers {
-				m.election.takesMs = m.nowMs
-			}
-			m.answer(f.ID, BootstrapResult{Epoch: m.record.Epoch, Primary: m.record.Primary, Backup: f.Backup})
-		}
+		m.established(recovers)
 	}, m.beginWith()...)
 }
 
+// established begins the primary's service: all copies hold its first change.
+func (m *Machine) established(recovers bool) {
+	m.election.established = true
+	m.election.quietMs = 0
+	if recovers {
+		m.election.quietMs = m.nowMs + m.set.QuietAfterRecoveryMs
+	}
+	bootstrap := m.election.founding
+	m.election.founding = nil
+	m.note("the copies are whole; epoch %d serves", m.record.Epoch)
+	m.set.Application.BecamePrimary(host{m})
+	if bootstrap == nil || m.set.Bootstrap != BootstrapByOperator {
+		return
+	}
+	if !recovers {
+		m.set.Hooks.Bootstrapped()
+	}
+	m.answer(bootstrap.ID, BootstrapResult{Epoch: m.record.Epoch, Primary: m.record.Primary, Backup: bootstrap.Backup})
+}
+
 // losePrimacy ends this daemon's primacy without a word to anyone.
 func (m *Machine) losePrimacy(why string) {
 	m.note("no longer primary: %s", why)
@@ -502,11 +497,7 @@
 	m.election.nextMs = m.nowMs + m.waits.RenewMs
 	m.election.heardMs = m.nowMs
 	m.endReplication()
-	if m.set.Application != nil {
-		m.set.Application.LostPrimacy(host{m})
-	} else {
-		m.endOffer()
-	}
+	m.set.Application.LostPrimacy(host{m})
 	if f := m.election.founding; f != nil {
 		m.election.founding = nil
 		m.answer(f.ID, protocol.Rejection{Kind: errkind.AcceptanceUnknown, Detail: "the founding may have been recorded; ask for the status"})
--- /dev/null
+++ b/internal/consensus/hooks.go
@@ -0,0 +1,118 @@
+package consensus
+
+import (
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+)
+
+// BootstrapMode says who makes the first record of a site.
+type BootstrapMode int
+
+const (
+	// BootstrapBySeeds lets the seeds found the site among them at its first start.
+	BootstrapBySeeds BootstrapMode = iota
+	// BootstrapByOperator waits for the input Bootstrap, which names the witnesses
+	// and the backup.
+	BootstrapByOperator
+)
+
+// Hooks tells an application of more than Application does, at the moment when it
+// happens. An application that needs none leaves Settings.Hooks nil. All methods
+// run on the machine's own thread.
+type Hooks interface {
+	// Attach gives the machine to the application, once and before any other call.
+	Attach(h ExtendedHost)
+	// Elected says that this daemon is the primary by its record. It may not
+	// speak for the site before Application.BecamePrimary.
+	Elected()
+	// Bootstrapped says, after Application.BecamePrimary, that this primacy is the site's first
+	// and was begun by an operator's Bootstrap input.
+	Bootstrapped()
+	// Hints gives what a primary tells its followers beside rows. It is asked for
+	// before each regular round of messages to them.
+	Hints() protocol.Hints
+	// HintsReceived brings a follower what the primary's Hints gave.
+	HintsReceived(hints protocol.Hints)
+	// InputWhileRetired takes an input at a daemon whose name has passed to
+	// another disk. It may only answer that input.
+	InputWhileRetired(input any)
+}
+
+// ExtendedHost is what an application with Hooks may ask beside Host.
+type ExtendedHost interface {
+	Host
+	// IsPrimary says whether this daemon is the primary by its record, also before
+	// it may speak for the site.
+	IsPrimary() bool
+	// Record is the epoch record in force, as far as this daemon knows.
+	Record() protocol.EpochRecord
+	// PrimaryHeardMs is when the primary was last heard.
+	PrimaryHeardMs() int64
+	// Peers lists all known daemons, this one too; Known those of one part,
+	// without this one. Neither asks whether they are alive.
+	Peers() []protocol.Node
+	Known(part string) []protocol.Node
+	// State is the replicated state; at a primary it may be ahead of what is safe.
+	// A snapshot replaces it, so it must not be kept.
+	State() *ledger.State
+	// Settled says whether all copies hold all that is in State.
+	Settled() bool
+	// SubmitCommands is Submit for commands. They are applied together with others
+	// that wait, once the write before has ended.
+	SubmitCommands(then func(ok bool), commands ...ledger.Command)
+	// MemberStatus is what this daemon believes of itself and of its peers.
+	MemberStatus() MemberStatus
+}
+
+// MemberStatus is what a controller believes of itself and of its peers.
+type MemberStatus struct {
+	Role         string
+	DiskBroken   bool
+	Retired      bool
+	WitnessBlank bool
+	// Away lists the witnesses that the primary has missed for long.
+	Away  []string
+	Peers []PeerStatus
+}
+
+// PeerStatus is a peer and when it was last heard of (-1: never).
+type PeerStatus struct {
+	protocol.Node
+	AgoMs int64 `json:"agoMs"`
+}
+
+func (h host) IsPrimary() bool                   { return h.m.isPrimary() }
+func (h host) Record() protocol.EpochRecord      { return h.m.record }
+func (h host) PrimaryHeardMs() int64             { return h.m.election.heardMs }
+func (h host) Peers() []protocol.Node            { return h.m.roster.Nodes() }
+func (h host) Known(part string) []protocol.Node { return h.m.roster.NodesOf(part) }
+func (h host) State() *ledger.State              { return h.m.state }
+
+func (h host) Settled() bool {
+	return h.m.replication.committed >= h.m.state.Position.Number
+}
+
+func (h host) SubmitCommands(then func(ok bool), commands ...ledger.Command) {
+	h.m.submit(then, commands...)
+}
+
+func (h host) MemberStatus() MemberStatus {
+	m := h.m
+	status := MemberStatus{
+		Role: roleNames[m.election.role], DiskBroken: m.broken, Retired: m.retired, WitnessBlank: m.witness.Blank(),
+	}
+	for _, seat := range m.away() {
+		status.Away = append(status.Away, seat.Name)
+	}
+	for _, place := range m.roster.Nodes() {
+		if place.Name == m.set.Self.Name {
+			continue
+		}
+		agoMs, seen := m.roster.SilentMs(m.nowMs, place.Name)
+		if !seen {
+			agoMs = -1
+		}
+		status.Peers = append(status.Peers, PeerStatus{place, agoMs})
+	}
+	return status
+}
--- a/internal/consensus/index.go
+++ b/internal/consensus/index.go
@@ -23,32 +23,32 @@
 	toldMs  int64
 }
 
-func (m *Machine) ageMs() int64 {
-	if m.active() {
+func (a *nativeApplication) ageMs() int64 {
+	if a.host.Active() {
 		return 0
 	}
-	return m.nowMs - m.election.heardMs
+	return a.host.NowMs() - a.host.PrimaryHeardMs()
 }
 
-func (m *Machine) lookUp(e protocol.Envelope, ask protocol.LookUp) {
-	m.index.looked++
+func (a *nativeApplication) lookUp(e protocol.Envelope, ask protocol.LookUp) {
+	a.index.looked++
 	key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Behind: m.described == nil}
-	if m.described != nil {
-		if service, ok := m.described.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
-			m.index.counts[key.String()]++
-			line := m.table.Look(key, m.described, m.state, m.softNow())
+	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: a.host.State().Position, AgeMs: a.ageMs(), Behind: a.described == nil}
+	if a.described != nil {
+		if service, ok := a.described.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
+			a.index.counts[key.String()]++
+			line := a.table.Look(key, a.described, a.host.State(), a.softNow())
 			answer.Holders, answer.Loading = line.Holders, line.Loading
-			answer.TurnMs = turnOf(m.softNow(), key, line)
-			if len(line.Holders) == 0 && len(m.index.waiting) < waitingMost {
-				if m.index.waiting[key] == nil {
-					m.index.waiting[key] = map[string]int64{}
+			answer.TurnMs = turnOf(a.softNow(), key, line)
+			if len(line.Holders) == 0 && len(a.index.waiting) < waitingMost {
+				if a.index.waiting[key] == nil {
+					a.index.waiting[key] = map[string]int64{}
 				}
-				m.index.waiting[key][e.From.Name] = m.nowMs
+				a.index.waiting[key][e.From.Name] = a.host.NowMs()
 			}
 		}
 	}
-	m.reply(e, answer)
+	a.host.Send(e.From, answer)
 }
 
 // turnOf is the turn of a key that no runner holds.
@@ -59,90 +59,90 @@
 	return soft.Turns[key.Item().String()]
 }
 
-func (m *Machine) softNow() protocol.Hints {
-	if m.isPrimary() {
-		return m.duty.soft(m.nowMs)
+func (a *nativeApplication) softNow() protocol.Hints {
+	if a.host.IsPrimary() {
+		return a.duty.soft(a.host.NowMs())
 	}
-	return m.replication.soft
+	return a.hints
 }
 
 // tellWaiting tells routers that asked lately of what has become loaded.
-func (m *Machine) tellWaiting() {
-	if m.described == nil {
+func (a *nativeApplication) tellWaiting() {
+	if a.described == nil {
 		return
 	}
-	keys := make([]choice.Key, 0, len(m.index.waiting))
-	for key := range m.index.waiting {
+	keys := make([]choice.Key, 0, len(a.index.waiting))
+	for key := range a.index.waiting {
 		keys = append(keys, key)
 	}
 	// In one order, so that a run can be repeated exactly.
 	sort.Slice(keys, func(i, j int) bool { return keys[i].String() < keys[j].String() })
 	for _, key := range keys {
-		routers := m.index.waiting[key]
+		routers := a.index.waiting[key]
 		for name, atMs := range routers {
-			if m.nowMs-atMs > waitingMs {
+			if a.host.NowMs()-atMs > waitingMs {
 				delete(routers, name)
 			}
 		}
 		line := choice.Line{}
 		if len(routers) > 0 {
-			line = m.table.Look(key, m.described, m.state, m.softNow())
+			line = a.table.Look(key, a.described, a.host.State(), a.softNow())
 		}
 		if len(line.Holders) > 0 {
-			for _, place := range m.roster.NodesOf(protocol.RoleRouter) {
+			for _, place := range a.host.Known(protocol.RoleRouter) {
 				if _, asked := routers[place.Name]; asked {
-					m.send(place, protocol.LookUpReply{Key: key.String(), At: m.state.Position, AgeMs: m.ageMs(), Holders: line.Holders})
+					a.host.Send(place, protocol.LookUpReply{Key: key.String(), At: a.host.State().Position, AgeMs: a.ageMs(), Holders: line.Holders})
 				}
 			}
 		}
 		if len(routers) == 0 || len(line.Holders) > 0 {
-			delete(m.index.waiting, key)
+			delete(a.index.waiting, key)
 		}
 	}
 }
 
 // tellWaited tells a router what is loaded of what its requests wait for.
-func (m *Machine) tellWaited(to protocol.Node, keys []protocol.LookUp) {
-	if m.described == nil {
+func (a *nativeApplication) tellWaited(to protocol.Node, keys []protocol.LookUp) {
+	if a.described == nil {
 		return
 	}
 	for _, ask := range keys {
 		key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-		line := m.table.Look(key, m.described, m.state, m.softNow())
+		line := a.table.Look(key, a.described, a.host.State(), a.softNow())
 		if len(line.Holders) > 0 {
-			m.send(to, protocol.LookUpReply{Key: key.String(), At: m.state.Position, Holders: line.Holders})
+			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.State().Position, Holders: line.Holders})
 			continue
 		}
-		if turnMs := turnOf(m.softNow(), key, line); turnMs > 0 {
-			m.send(to, protocol.LookUpReply{Key: key.String(), At: m.state.Position, Loading: line.Loading, TurnMs: turnMs})
+		if turnMs := turnOf(a.softNow(), key, line); turnMs > 0 {
+			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.State().Position, Loading: line.Loading, TurnMs: turnMs})
 		}
-		if service, ok := m.described.Service(ask.Service); ok && service.Allows(ask.Model) {
-			m.duty.waited(m.nowMs, ask.Model, ask.Adapter)
+		if service, ok := a.described.Service(ask.Service); ok && service.Allows(ask.Model) {
+			a.duty.waited(a.host.NowMs(), ask.Model, ask.Adapter)
 		}
 	}
 }
 
 // tickIndex brings the demand to the primary.
-func (m *Machine) tickIndex() {
-	if m.nowMs-m.index.toldMs < demandMs {
+func (a *nativeApplication) tickIndex() {
+	if a.host.NowMs()-a.index.toldMs < demandMs {
 		return
 	}
-	m.index.toldMs = m.nowMs
+	a.index.toldMs = a.host.NowMs()
 	// Burdens and darkness are not rows, so the table is compiled anew at times.
-	m.table.Forget()
-	m.tellWaiting()
-	if len(m.index.counts) == 0 {
+	a.table.Forget()
+	a.tellWaiting()
+	if len(a.index.counts) == 0 {
 		return
 	}
-	demand := protocol.DemandReport{Counts: m.index.counts}
-	m.index.counts = map[string]int64{}
-	if m.record.Primary != "" {
-		m.sendName(m.record.Primary, demand)
+	demand := protocol.DemandReport{Counts: a.index.counts}
+	a.index.counts = map[string]int64{}
+	if primary := a.host.Primary(); primary.Name != "" {
+		a.host.Send(primary, demand)
 	}
 }
 
-func (m *Machine) demanded(said protocol.DemandReport) {
-	if m.isPrimary() {
-		m.duty.demanded(m.nowMs, said)
+func (a *nativeApplication) demanded(said protocol.DemandReport) {
+	if a.host.IsPrimary() {
+		a.duty.demanded(a.host.NowMs(), said)
 	}
 }
--- a/internal/consensus/index_test.go
+++ b/internal/consensus/index_test.go
@@ -10,7 +10,7 @@
 )
 
 // asks brings a router's look-up and gives the answers that leave.
-func asks(m *Machine, nowMs int64, service, model string) []protocol.LookUpReply {
+func asks(m nativePrimary, nowMs int64, service, model string) []protocol.LookUpReply {
 	return indexed(m.Step(nowMs, protocol.Envelope{
 		Site: "s", To: "a", From: protocol.Node{Name: "e", Address: "e:1", Part: protocol.RoleRouter, Incarnation: "1"},
 		Body: protocol.LookUp{ID: 7, Service: service, Model: model},
@@ -32,33 +32,33 @@
 	item := ledger.Holding{Size: 6}
 	cases := []struct {
 		about          string
-		do             func(m *Machine)
+		do             func(m nativePrimary)
 		service, model string
 		holders        int
 		loading        bool
 		turnMs         int64
 		counted        bool
 	}{
-		{"held by one", func(m *Machine) { m.state.Rows["r"].Held["m"] = item }, "v", "m", 1, false, 0, true},
-		{"held by two", func(m *Machine) { m.state.Rows["r"].Held["m"], m.state.Rows["q"].Held["m"] = item, item }, "v", "m", 2, false, 0, true},
-		{"held by a leaver", func(m *Machine) {
+		{"held by one", func(m nativePrimary) { m.state.Rows["r"].Held["m"] = item }, "v", "m", 1, false, 0, true},
+		{"held by two", func(m nativePrimary) { m.state.Rows["r"].Held["m"], m.state.Rows["q"].Held["m"] = item, item }, "v", "m", 2, false, 0, true},
+		{"held by a leaver", func(m nativePrimary) {
 			m.state.Rows["r"].Held["m"] = item
 			m.state.Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, "v", "m", 0, false, 0, true},
-		{"held by a dark one", func(m *Machine) {
+		{"held by a dark one", func(m nativePrimary) {
 			m.state.Rows["r"].Held["m"] = item
 			m.duty.seen["r"].okMs = m.nowMs - darkMs - 100
 		}, "v", "m", 0, false, 0, true},
-		{"being loaded", func(m *Machine) {
+		{"being loaded", func(m nativePrimary) {
 			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionLoad, Model: "m", Size: 6}
 		}, "v", "m", 0, true, 0, true},
-		{"being unloaded", func(m *Machine) {
+		{"being unloaded", func(m nativePrimary) {
 			m.state.Rows["r"].Held["m"] = item
 			m.state.Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionUnload, Model: "m"}
 		}, "v", "m", 0, false, 0, true},
-		{"its turn is known", func(m *Machine) { m.duty.turns = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
-		{"no such service", func(*Machine) {}, "x", "m", 0, false, 0, false},
-		{"not a model of the service", func(*Machine) {}, "v", "x", 0, false, 0, false},
+		{"its turn is known", func(m nativePrimary) { m.duty.turns = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
+		{"no such service", func(nativePrimary) {}, "x", "m", 0, false, 0, false},
+		{"not a model of the service", func(nativePrimary) {}, "v", "x", 0, false, 0, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -38,8 +38,7 @@
 		return
 	}
 	m.leaving = departure{wanted: true, id: in.ID, untilMs: m.nowMs + m.set.LeaveTimeoutMs}
-	// The older interface lists its members itself; there nobody takes over.
-	if m.set.Application == nil {
+	if m.set.StopWithoutHandover {
 		m.stepDown("planned stop")
 		m.depart("planned stop")
 		return
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -6,15 +6,12 @@
 	"encoding/json"
 	"fmt"
 	"slices"
-	"strings"
 
 	"github.com/cockroachdb/errors"
 
 	"myrtlewinch/internal/election/witness"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/failuredetector"
-	"myrtlewinch/internal/native/choice"
-	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/storage"
@@ -22,15 +19,29 @@
 
 // Settings is what a controller knows before it knows anyone.
 type Settings struct {
-	Site     string
-	Self     protocol.Node
-	Seeds    []string
-	Platform string
+	Site  string
+	Self  protocol.Node
+	Seeds []string
 	// GapMs replaces the usual gap between the orders of two holders.
 	GapMs int64
-	// Application, where there is one, takes the place of descriptions, the index,
-	// the duty and the orders of this project's own interface.
+	// Application is what runs on top of the replicated state. It must be set.
 	Application Application
+	// Hooks, where set, tells the application of more than Application does.
+	Hooks Hooks
+	// Bootstrap says who makes the first record of a site. BootstrapByOperator
+	// needs Hooks.
+	Bootstrap BootstrapMode
+	// StopWithoutHandover makes a planned stop step down at once, without handing
+	// this daemon's copy and vote to others first: for sites whose members are
+	// listed by their operator, where no other daemon may take them.
+	StopWithoutHandover bool
+	// PeersForRouters tells routers of all known daemons. Else they learn of the
+	// controllers only.
+	PeersForRouters bool
+	// QuietAfterRecoveryMs is how long a primary that goes on from an operator's
+	// Recover waits until it speaks for the site, so that leases of the lost
+	// primary have run out.
+	QuietAfterRecoveryMs int64
 	// MaxLosses is how many disks may be lost at once: so many further copies has
 	// the state beside the primary's. Nought counts as one.
 	MaxLosses int
@@ -77,12 +88,10 @@
 	local   []protocol.Envelope
 	witness *witness.Acceptor
 	state   *ledger.State
-	// described is the description in force, compiled; nil while none is.
-	described *description.Description
-	record    protocol.EpochRecord
-	ballot    protocol.Ballot
-	saves     map[uint64]func(ok bool)
-	saved     uint64
+	record  protocol.EpochRecord
+	ballot  protocol.Ballot
+	saves   map[uint64]func(ok bool)
+	saved   uint64
 	// minCopies is how many disks must have a change before it is answered.
 	minCopies int
 	// firstDisk says that the disk was there at the first start of the site.
@@ -105,10 +114,6 @@
 	peersMs     int64
 	election    election
 	replication replication
-	offer       offer
-	index       index
-	duty        duty
-	table       choice.Table
 	startMs     int64
 }
 
@@ -157,53 +162,24 @@
 	if err := m.state.Take(keys); err != nil {
 		return nil, errors.Wrap(err, "the control state on the disk can't be read")
 	}
-	if set.Application == nil {
-		if err := m.describe(); err != nil {
-			return nil, err
-		}
-	}
 	m.roster = failuredetector.New(set.Self, set.Seeds, places)
 	m.election = election{heardMs: nowMs}
 	m.replication = replication{waits: set.Timing, synced: m.state.Position, taken: m.state.Position}
-	m.offer.forget()
-	m.index = index{waiting: map[choice.Key]map[string]int64{}, counts: map[string]int64{}}
-	m.duty = newDuty()
 	m.startMs, m.peersMs = nowMs, nowMs-rememberMs
 	m.firstDisk = keys[bootstrapKey] != ""
-	if set.Application != nil {
-		set.Application.StateChanged(host{m})
+	if set.Hooks != nil {
+		set.Hooks.Attach(host{m})
 	}
+	set.Application.StateChanged(host{m})
 	return m, nil
 }
 
-// describe compiles the description in force.
-func (m *Machine) describe() error {
-	m.table.Forget()
-	if m.state.Revision.Number == 0 {
-		m.described = nil
-		return nil
-	}
-	d, faults := description.Read([]byte(m.state.Revision.Text), m.set.Site)
-	if len(faults) > 0 {
-		return errors.Newf("the description in force can't be read: %s", strings.Join(faults, "; "))
-	}
-	m.described = d
-	return nil
-}
-
 func (m *Machine) ownSeat() protocol.MemberID {
 	return protocol.MemberID{Name: m.set.Self.Name, Incarnation: m.set.Self.Incarnation}
 }
 
-// Inputs beside those of package wire.
+// Inputs beside those of package protocol.
 type (
-	// HandOver is a description, or a change of named parts, to be taken.
-	HandOver struct {
-		ID   uint64
-		Base uint64
-		Text string
-		Part bool
-	}
 	// Bootstrap is the operator's explicit act that begins a site.
 	Bootstrap struct {
 		ID        uint64
@@ -243,12 +219,6 @@
 		if !in.Ok {
 			m.breakDisk()
 		}
-	case protocol.RunnerReportResult:
-		m.reported(in)
-	case protocol.RunnerListResult:
-		m.listed(in)
-	case HandOver:
-		m.handOver(in)
 	case Bootstrap:
 		if in.Recover {
 			m.recoverFrom(in)
@@ -260,12 +230,10 @@
 	case SetSeeds:
 		m.set.Seeds = in.Seeds
 		m.roster.SetSeeds(in.Seeds)
-	case Look:
-		m.look(in)
 	case protocol.Tick:
 		m.tick()
 	default:
-		if m.set.Application == nil || !m.set.Application.HandleInput(host{m}, input) {
+		if !m.set.Application.HandleInput(host{m}, input) {
 			panic(fmt.Sprintf("control: unknown input %T", input))
 		}
 	}
@@ -284,14 +252,10 @@
 	m.tickElection()
 	m.tickDeparture()
 	m.tickReplication()
-	if m.set.Application != nil {
+	if m.set.Bootstrap == BootstrapBySeeds {
 		m.tickFounding()
-		m.set.Application.Tick(host{m})
-	} else {
-		m.tickOffer()
-		m.tickIndex()
-		m.tickDuty()
 	}
+	m.set.Application.Tick(host{m})
 	m.rememberPeers()
 }
 
@@ -325,7 +289,7 @@
 		return
 	}
 	m.roster.Observe(m.nowMs, e.From)
-	if m.set.Application != nil && m.set.Application.HandleMessage(host{m}, e) {
+	if m.set.Application.HandleMessage(host{m}, e) {
 		return
 	}
 	switch body := e.Body.(type) {
@@ -378,22 +342,16 @@
 		m.takeSnapshot(e, body)
 	case protocol.AppendReply:
 		m.followed(e.From, body)
-	case protocol.RouterPoll:
-		m.asked(e, body)
-	case protocol.LookUp:
-		m.lookUp(e, body)
-	case protocol.DemandReport:
-		m.demanded(body)
 	default:
 		m.count(errkind.Malformed)
 	}
 }
 
-// known is what another daemon is told of the site. A router of a service map
-// needs the controllers only, and all routers ask at once while a primary is
+// known is what another daemon is told of the site. Where routers need the
+// controllers only, they get no more: all of them ask at once while a primary is
 // missing.
 func (m *Machine) known(to protocol.Node) []protocol.Node {
-	if m.set.Application == nil || to.Part != protocol.RoleRouter {
+	if m.set.PeersForRouters || to.Part != protocol.RoleRouter {
 		return m.roster.Nodes()
 	}
 	return append(m.roster.NodesOf(protocol.RoleController), m.set.Self)
--- a/internal/consensus/machine_test.go
+++ b/internal/consensus/machine_test.go
@@ -25,7 +25,7 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			self := protocol.Node{Name: "a", Address: "a:1", Zone: "z", Part: protocol.RoleController, Incarnation: "1"}
-			m, err := New(Settings{Site: "s", Self: self}, map[string]string{}, 100_000)
+			m, err := New(Settings{Site: "s", Self: self, Application: &rowApplication{}}, map[string]string{}, 100_000)
 			qt.Assert(t, err, qt.IsNil)
 			m.record = protocol.EpochRecord{Epoch: 2, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}
 			m.Step(100_001, protocol.Envelope{
--- a/internal/consensus/offer.go
+++ b/internal/consensus/offer.go
@@ -62,39 +62,39 @@
 	Revision uint64 `json:"revision"`
 }
 
-func (m *Machine) drop(id uint64, kind errkind.Kind, detail string, faults []string) {
-	m.answer(id, protocol.Rejection{Kind: kind, Detail: detail, Faults: faults, Revision: m.offer.current.Number, Primary: m.record.Primary})
+func (a *nativeApplication) drop(id uint64, kind errkind.Kind, detail string, faults []string) {
+	a.host.Answer(id, protocol.Rejection{Kind: kind, Detail: detail, Faults: faults, Revision: a.offer.current.Number, Primary: a.host.Record().Primary})
 }
 
-func (m *Machine) handOver(in HandOver) {
+func (a *nativeApplication) handOver(in HandOver) {
 	switch {
 	case len(in.Text) > description.Most:
-		m.drop(in.ID, errkind.TooLarge, "a description may have at most 1 MiB", nil)
-	case m.record.Epoch == 0:
-		m.drop(in.ID, errkind.NotBootstrapped, "this site is not founded", nil)
-	case !m.isPrimary():
-		m.drop(in.ID, errkind.NotPrimary, "the primary takes descriptions", nil)
-	case !m.active():
-		m.drop(in.ID, errkind.NotAccepted, "the pair is not whole yet", nil)
-	case len(m.offer.line) >= lineMost:
-		m.drop(in.ID, errkind.NotAccepted, "too many descriptions wait", nil)
+		a.drop(in.ID, errkind.TooLarge, "a description may have at most 1 MiB", nil)
+	case a.host.Epoch() == 0:
+		a.drop(in.ID, errkind.NotBootstrapped, "this site is not founded", nil)
+	case !a.host.IsPrimary():
+		a.drop(in.ID, errkind.NotPrimary, "the primary takes descriptions", nil)
+	case !a.host.Active():
+		a.drop(in.ID, errkind.NotAccepted, "the pair is not whole yet", nil)
+	case len(a.offer.line) >= lineMost:
+		a.drop(in.ID, errkind.NotAccepted, "too many descriptions wait", nil)
 	default:
-		m.offer.line = append(m.offer.line, in)
-		m.nextOffer()
+		a.offer.line = append(a.offer.line, in)
+		a.nextOffer()
 	}
 }
 
 // nextOffer takes the first of the line that has no fault. One at a time, so
 // that of two with one base the second loses.
-func (m *Machine) nextOffer() {
-	o := &m.offer
-	for o.pending == nil && len(o.line) > 0 && m.active() {
+func (a *nativeApplication) nextOffer() {
+	o := &a.offer
+	for o.pending == nil && len(o.line) > 0 && a.host.Active() {
 		in := o.line[0]
 		// Faults are told at once; only a sound one waits for the holds that
 		// the primary before may have given.
 		if in.Base != o.current.Number {
 			o.line = o.line[1:]
-			m.drop(in.ID, errkind.StaleBase, "the description in force is another by now", nil)
+			a.drop(in.ID, errkind.StaleBase, "the description in force is another by now", nil)
 			continue
 		}
 		text := []byte(in.Text)
@@ -103,7 +103,7 @@
 			text, faults = description.Patch([]byte(o.current.Text), text)
 		}
 		if len(faults) == 0 {
-			_, faults = description.Read(text, m.set.Site)
+			_, faults = description.Read(text, a.settings.Site)
 		}
 		if len(faults) > 0 || len(text) > description.Most {
 			o.line = o.line[1:]
@@ -111,112 +111,112 @@
 			if len(faults) == 0 {
 				kind = errkind.TooLarge
 			}
-			m.drop(in.ID, kind, "the description has no effect", faults)
+			a.drop(in.ID, kind, "the description has no effect", faults)
 			continue
 		}
-		if m.nowMs < m.election.takesMs {
+		if a.host.NowMs() < a.acceptFromMs {
 			return
 		}
 		o.line = o.line[1:]
-		o.pending = &candidate{from: in, number: o.current.Number + 1, text: string(text), sinceMs: m.nowMs}
+		o.pending = &candidate{from: in, number: o.current.Number + 1, text: string(text), sinceMs: a.host.NowMs()}
 		o.count++
-		o.pending.token = fmt.Sprintf("%s-%d-%d", protocol.Digest(string(text)), m.record.Epoch, o.count)
-		m.note("revision %d is offered to the routers", o.pending.number)
-		m.nudge()
-		m.tickOffer()
+		o.pending.token = fmt.Sprintf("%s-%d-%d", protocol.Digest(string(text)), a.host.Epoch(), o.count)
+		a.host.Logf("revision %d is offered to the routers", o.pending.number)
+		a.nudge()
+		a.tickOffer()
 	}
 }
 
 // nudge makes the routers ask at once rather than at their next turn.
-func (m *Machine) nudge() {
-	for _, place := range m.roster.NodesOf(protocol.RoleRouter) {
-		m.send(place, protocol.PollRequest{Epoch: m.record.Epoch})
+func (a *nativeApplication) nudge() {
+	for _, place := range a.host.Known(protocol.RoleRouter) {
+		a.host.Send(place, protocol.PollRequest{Epoch: a.host.Epoch()})
 	}
 }
 
-func (m *Machine) tickOffer() {
-	o := &m.offer
-	if !m.active() {
+func (a *nativeApplication) tickOffer() {
+	o := &a.offer
+	if !a.host.Active() {
 		return
 	}
 	if o.pending == nil {
-		m.nextOffer()
+		a.nextOffer()
 		return
 	}
 	if o.pending.given {
 		return
 	}
-	if !m.routersReady() {
+	if !a.routersReady() {
 		// Nothing was written, so it can't come into force any more.
-		if m.nowMs-o.pending.sinceMs >= giveUpMs {
+		if a.host.NowMs()-o.pending.sinceMs >= giveUpMs {
 			id := o.pending.from.ID
 			o.pending = nil
-			m.drop(id, errkind.NotAccepted, "too few routers acknowledged it", nil)
-			m.nudge()
-			m.nextOffer()
+			a.drop(id, errkind.NotAccepted, "too few routers acknowledged it", nil)
+			a.nudge()
+			a.nextOffer()
 		}
 		return
 	}
 	o.pending.given = true
 	pending := o.pending
-	m.submit(func(ok bool) {
+	a.host.SubmitCommands(func(ok bool) {
 		if !ok {
-			m.drop(pending.from.ID, errkind.AcceptanceUnknown, "it may be in force; read the description to find out", nil)
+			a.drop(pending.from.ID, errkind.AcceptanceUnknown, "it may be in force; read the description to find out", nil)
 			return
 		}
-		m.offer.current = ledger.Revision{Number: pending.number, Text: pending.text}
-		m.offer.token = pending.token
-		m.offer.pending = nil
-		m.note("revision %d is in force", pending.number)
-		m.answer(pending.from.ID, Accepted{Revision: pending.number})
-		m.nudge()
-		m.nextOffer()
-	}, ledger.Accept{Text: pending.text, Epoch: m.record.Epoch})
+		a.offer.current = ledger.Revision{Number: pending.number, Text: pending.text}
+		a.offer.token = pending.token
+		a.offer.pending = nil
+		a.host.Logf("revision %d is in force", pending.number)
+		a.host.Answer(pending.from.ID, Accepted{Revision: pending.number})
+		a.nudge()
+		a.nextOffer()
+	}, ledger.Accept{Text: pending.text, Epoch: a.host.Epoch()})
 }
 
 // routersReady says whether every router that counts has acknowledged the
 // pending revision or can't use the present one any more. Routers may renew
 // each other's holds by majority, so a majority must have acknowledged, which
 // ends that; and what those gave before must have run out.
-func (m *Machine) routersReady() bool {
-	o := &m.offer
+func (a *nativeApplication) routersReady() bool {
+	o := &a.offer
 	acked, givenMs := 0, int64(0)
 	for _, hold := range o.holds {
 		if hold.acked != o.pending.token {
-			if m.nowMs < hold.untilMs {
+			if a.host.NowMs() < hold.untilMs {
 				return false
 			}
 			continue
 		}
 		givenMs = max(givenMs, hold.givenMs)
 	}
-	if m.described == nil {
+	if a.described == nil {
 		return true
 	}
-	for _, member := range m.described.Routers {
-		if o.acked(m.nowMs, member.Name) {
+	for _, member := range a.described.Routers {
+		if o.acked(a.host.NowMs(), member.Name) {
 			acked++
 		}
 	}
-	if acked == len(m.described.Routers) {
+	if acked == len(a.described.Routers) {
 		return true
 	}
-	return 2*acked > len(m.described.Routers) && m.nowMs >= givenMs
+	return 2*acked > len(a.described.Routers) && a.host.NowMs() >= givenMs
 }
 
 // endOffer ends what an ended primacy can't settle.
-func (m *Machine) endOffer() {
-	o := &m.offer
+func (a *nativeApplication) endOffer() {
+	o := &a.offer
 	line, pending := o.line, o.pending
 	o.line, o.pending = nil, nil
 	o.forget()
 	for _, in := range line {
-		m.drop(in.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
+		a.drop(in.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
 	}
 	// One that was never written can't come into force; one that was has been
 	// answered by its write's end.
 	if pending != nil && !pending.given {
-		m.drop(pending.from.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
+		a.drop(pending.from.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
 	}
 }
 
@@ -259,11 +259,11 @@
 
 // counts says whether a router is listed in the description in force, or in
 // none as long as there is none.
-func (m *Machine) counts(name string) bool {
-	if m.described == nil {
+func (a *nativeApplication) counts(name string) bool {
+	if a.described == nil {
 		return false
 	}
-	for _, member := range m.described.Routers {
+	for _, member := range a.described.Routers {
 		if member.Name == name {
 			return true
 		}
@@ -272,38 +272,38 @@
 }
 
 // asked answers a router. Only a router that counts is given a hold.
-func (m *Machine) asked(e protocol.Envelope, ask protocol.RouterPoll) {
-	if !m.active() {
+func (a *nativeApplication) asked(e protocol.Envelope, ask protocol.RouterPoll) {
+	if !a.host.Active() {
 		return
 	}
-	o := &m.offer
+	o := &a.offer
 	seat := protocol.MemberID{Name: e.From.Name, Incarnation: e.From.Incarnation}
-	number, retired := o.register(m.record.Epoch, seat, ask.Number)
+	number, retired := o.register(a.host.Epoch(), seat, ask.Number)
 	if retired {
-		m.reply(e, protocol.RouterUpdate{EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch, Number: number, Retired: true})
+		a.host.Send(e.From, protocol.RouterUpdate{EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: a.host.Epoch(), Number: number, Retired: true})
 		return
 	}
 	word := protocol.RouterUpdate{
-		EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: m.record.Epoch,
+		EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: a.host.Epoch(),
 		Revision: o.current.Number, Sum: o.token, Number: number,
-		Leaving: m.duty.marks(m.state), Peers: m.roster.Nodes(),
+		Leaving: a.duty.marks(a.host.State()), Peers: a.host.Peers(),
 	}
 	if ask.Revision != o.current.Number && ask.Held != word.Sum {
 		word.Text = o.current.Text
 	}
 	hold := o.holds[seat]
-	if m.counts(e.From.Name) && o.current.Number > 0 {
+	if a.counts(e.From.Name) && o.current.Number > 0 {
 		if hold == nil {
 			hold = &routerHold{}
 			o.holds[seat] = hold
 		}
 		hold.acked = ask.Held
-		hold.givenMs = m.nowMs + ask.GivenMs
+		hold.givenMs = a.host.NowMs() + ask.GivenMs
 		// A router that has not acknowledged is given no more time on the
 		// present revision while a next one is pending.
 		if o.pending == nil || ask.Held == o.pending.token {
 			word.Renew = true
-			hold.untilMs = m.nowMs + RouterHoldMs
+			hold.untilMs = a.host.NowMs() + RouterHoldMs
 		}
 	}
 	if o.pending != nil {
@@ -312,10 +312,10 @@
 			word.PendingText = o.pending.text
 		}
 	}
-	m.reply(e, word)
-	m.tellWaited(e.From, ask.Waiting)
+	a.host.Send(e.From, word)
+	a.tellWaited(e.From, ask.Waiting)
 	// An acknowledgement may be the last that was waited for.
 	if o.pending != nil {
-		m.tickOffer()
+		a.tickOffer()
 	}
 }
--- a/internal/consensus/offer_test.go
+++ b/internal/consensus/offer_test.go
@@ -42,7 +42,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			m := &Machine{nowMs: nowMs, described: &description.Description{Routers: []description.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}}}
+			m := &nativeApplication{host: host{&Machine{nowMs: nowMs}}, described: &description.Description{Routers: []description.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}}}
 			m.offer.pending = &candidate{token: "t"}
 			m.offer.holds = holds(test.holds)
 			qt.Assert(t, m.routersReady(), qt.Equals, test.ready)
--- a/internal/consensus/office.go
+++ b/internal/consensus/office.go
@@ -48,7 +48,7 @@
 	self := protocol.Node{
 		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.RoleController, Incarnation: keys["incarnation"],
 	}
-	machine, err := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, keys, clock.NowMs())
+	machine, err := NewNative(NativeSettings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, keys, clock.NowMs())
 	if err != nil {
 		d.Close()
 		return nil, err
--- a/internal/consensus/place.go
+++ b/internal/consensus/place.go
@@ -35,27 +35,27 @@
 }
 
 // place gives at most one new order a turn and a runner, first copies first.
-func (m *Machine) place() {
-	d := &m.duty
-	if m.nowMs-d.placeMs < placeMs || !m.settled() {
+func (a *nativeApplication) place() {
+	d := &a.duty
+	if a.host.NowMs()-d.placeMs < placeMs || !a.settled() {
 		return
 	}
-	d.placeMs = m.nowMs
-	needs := m.needs()
-	lines := m.lines(needs)
-	m.takeTurns(interleaved(lines))
-	m.takeShares()
+	d.placeMs = a.host.NowMs()
+	needs := a.needs()
+	lines := a.lines(needs)
+	a.takeTurns(interleaved(lines))
+	a.takeShares()
 	// A service whose first can't be placed, say an adapter whose model lacks,
 	// goes on with its next before it loses its turn.
 	for _, line := range lines {
 		for _, n := range line {
-			if m.placeOne(n) {
+			if a.placeOne(n) {
 				return
 			}
 		}
 	}
 	for _, n := range needs {
-		if n.copies > 0 && m.placeOne(n) {
+		if n.copies > 0 && a.placeOne(n) {
 			return
 		}
 	}
@@ -63,34 +63,34 @@
 
 // needs lists what is wanted more often than it is held: one copy before two,
 // then what has been lacking longest once that is long, then who asks most.
-func (m *Machine) needs() []need {
+func (a *nativeApplication) needs() []need {
 	var out []need
 	add := func(item ledger.Item, size, wanted int64) {
 		n := need{item: item, size: size, wanted: int(wanted)}
-		if w := m.duty.wants[item]; w != nil {
-			n.score = w.now(m.nowMs)
-			if w.wanted(m.nowMs) {
+		if w := a.duty.wants[item]; w != nil {
+			n.score = w.now(a.host.NowMs())
+			if w.wanted(a.host.NowMs()) {
 				n.wanted = max(n.wanted, 1)
 			}
 			if n.score >= busyScore {
 				n.wanted = max(n.wanted, 2)
 			}
 		}
-		n.copies = m.copiesOf(item)
+		n.copies = a.copiesOf(item)
 		// What is about to go with its runner is moved ahead, also if nobody
 		// asked for it in the last moment.
-		if n.wanted == 0 && n.copies == 0 && n.score >= keptScore && m.leaverHolds(item) {
+		if n.wanted == 0 && n.copies == 0 && n.score >= keptScore && a.leaverHolds(item) {
 			n.wanted = 1
 		}
-		if w := m.duty.wants[item]; w != nil {
+		if w := a.duty.wants[item]; w != nil {
 			switch {
 			case n.copies > 0 || n.wanted == 0:
 				w.lackMs = 0
 			case w.lackMs == 0:
-				w.lackMs = m.nowMs
+				w.lackMs = a.host.NowMs()
 			}
 			if w.lackMs > 0 {
-				n.lackMs = m.nowMs - w.lackMs
+				n.lackMs = a.host.NowMs() - w.lackMs
 			}
 		}
 		if n.copies < n.wanted {
@@ -98,13 +98,13 @@
 		}
 	}
 	based := map[string]int64{}
-	for _, a := range m.described.Adapters {
+	for _, a := range a.described.Adapters {
 		based[a.Model] = max(based[a.Model], min(a.Copies, 1))
 	}
-	for _, model := range m.described.Models {
+	for _, model := range a.described.Models {
 		add(ledger.Item{Model: model.Name}, model.Size, max(model.Copies, based[model.Name]))
 	}
-	for _, a := range m.described.Adapters {
+	for _, a := range a.described.Adapters {
 		add(ledger.Item{Model: a.Model, Adapter: a.Name}, a.Size, a.Copies)
 	}
 	sort.SliceStable(out, func(i, j int) bool {
@@ -121,9 +121,9 @@
 }
 
 // serviceOf names the first service that the model is for.
-func (m *Machine) serviceOf(model string) string {
-	for i := range m.described.Services {
-		if s := &m.described.Services[i]; s.Allows(model) {
+func (a *nativeApplication) serviceOf(model string) string {
+	for i := range a.described.Services {
+		if s := &a.described.Services[i]; s.Allows(model) {
 			return s.Name
 		}
 	}
@@ -133,7 +133,7 @@
 // lines sorts the first copies that lack by service, the service that has had
 // none for longest first: a crowd for all the models of one service would hold
 // up every other service behind it.
-func (m *Machine) lines(needs []need) [][]need {
+func (a *nativeApplication) lines(needs []need) [][]need {
 	at := map[string]int{}
 	var services []string
 	var lines [][]need
@@ -141,7 +141,7 @@
 		if n.copies > 0 {
 			continue
 		}
-		service := m.serviceOf(n.item.Model)
+		service := a.serviceOf(n.item.Model)
 		if _, known := at[service]; !known {
 			at[service] = len(lines)
 			services = append(services, service)
@@ -150,7 +150,7 @@
 		lines[at[service]] = append(lines[at[service]], n)
 	}
 	sort.SliceStable(services, func(i, j int) bool {
-		return m.duty.turnsMs[services[i]] < m.duty.turnsMs[services[j]]
+		return a.duty.turnsMs[services[i]] < a.duty.turnsMs[services[j]]
 	})
 	out := make([][]need, 0, len(lines))
 	for _, service := range services {
@@ -175,9 +175,9 @@
 }
 
 // usable says whether a runner may be counted on to hold things.
-func (m *Machine) usable(runner *description.Runner) (*ledger.Row, bool) {
-	row, s := m.state.Rows[runner.Name], m.duty.seen[runner.Name]
-	if row == nil || s == nil || m.nowMs-s.okMs > darkMs || m.leaves(row) {
+func (a *nativeApplication) usable(runner *description.Runner) (*ledger.Row, bool) {
+	row, s := a.host.State().Rows[runner.Name], a.duty.seen[runner.Name]
+	if row == nil || s == nil || a.host.NowMs()-s.okMs > darkMs || a.leaves(row) {
 		return nil, false
 	}
 	return row, true
@@ -185,11 +185,11 @@
 
 // leaverHolds says whether a runner that is leaving, and no other, would take
 // the item with it.
-func (m *Machine) leaverHolds(item ledger.Item) bool {
-	for i := range m.described.Runners {
-		row := m.state.Rows[m.described.Runners[i].Name]
+func (a *nativeApplication) leaverHolds(item ledger.Item) bool {
+	for i := range a.described.Runners {
+		row := a.host.State().Rows[a.described.Runners[i].Name]
 		if row != nil && row.Holds(item) && item.Model != "" {
-			if _, usable := m.usable(&m.described.Runners[i]); !usable && m.leaves(row) {
+			if _, usable := a.usable(&a.described.Runners[i]); !usable && a.leaves(row) {
 				return true
 			}
 		}
@@ -198,15 +198,15 @@
 }
 
 // leaves says whether the runner's present incarnation is marked.
-func (m *Machine) leaves(row *ledger.Row) bool {
-	listed := m.duty.listing[row.Runner]
-	return m.state.Leaving(row) || listed.Leaving && listed.Incarnation == row.Incarnation
+func (a *nativeApplication) leaves(row *ledger.Row) bool {
+	listed := a.duty.listing[row.Runner]
+	return a.host.State().Leaving(row) || listed.Leaving && listed.Incarnation == row.Incarnation
 }
 
-func (m *Machine) copiesOf(item ledger.Item) int {
+func (a *nativeApplication) copiesOf(item ledger.Item) int {
 	copies := 0
-	for i := range m.described.Runners {
-		if row, ok := m.usable(&m.described.Runners[i]); ok && (row.Holds(item) || row.Loading(item)) {
+	for i := range a.described.Runners {
+		if row, ok := a.usable(&a.described.Runners[i]); ok && (row.Holds(item) || row.Loading(item)) {
 			copies++
 		}
 	}
@@ -214,10 +214,10 @@
 }
 
 // pools lists the pools whose runners may hold the model.
-func (m *Machine) pools(model string) map[string]bool {
+func (a *nativeApplication) pools(model string) map[string]bool {
 	pools := map[string]bool{}
-	for i := range m.described.Services {
-		if s := &m.described.Services[i]; s.Allows(model) {
+	for i := range a.described.Services {
+		if s := &a.described.Services[i]; s.Allows(model) {
 			for _, pool := range s.Pools {
 				pools[pool] = true
 			}
@@ -235,13 +235,13 @@
 }
 
 // placeOne gives the order that brings the need closer, if there is one.
-func (m *Machine) placeOne(n need) bool {
-	pools := m.pools(n.item.Model)
+func (a *nativeApplication) placeOne(n need) bool {
+	pools := a.pools(n.item.Model)
 	zones := map[string]int{}
 	var spots []spot
-	for i := range m.described.Runners {
-		runner := &m.described.Runners[i]
-		row, ok := m.usable(runner)
+	for i := range a.described.Runners {
+		runner := &a.described.Runners[i]
+		row, ok := a.usable(runner)
 		if !ok {
 			continue
 		}
@@ -251,18 +251,18 @@
 		}
 		// What a runner has that the ledger does not know takes room too: an
 		// order of a lost primary may have been under way.
-		if said := m.duty.seen[runner.Name].report; row.Intent == nil && (said.LastState == protocol.OrderUnderWay || !row.Agrees(said)) {
+		if said := a.duty.seen[runner.Name].report; row.Intent == nil && (said.LastState == protocol.OrderUnderWay || !row.Agrees(said)) {
 			continue
 		}
 		// An adapter goes only where its model is.
-		if !pools[runner.Pool] || row.Intent != nil || !m.duty.seen[runner.Name].fenced(m.nowMs, m.set.GapMs) || n.item.Adapter != "" && !row.Holds(ledger.Item{Model: n.item.Model}) {
+		if !pools[runner.Pool] || row.Intent != nil || !a.duty.seen[runner.Name].fenced(a.host.NowMs(), a.settings.GapMs) || n.item.Adapter != "" && !row.Holds(ledger.Item{Model: n.item.Model}) {
 			continue
 		}
 		room := min(runner.Room, row.Room)
 		spots = append(spots, spot{row: row, room: room, free: room - row.Taken()})
 	}
 	for i := range spots {
-		runner, _ := m.described.Runner(spots[i].row.Runner)
+		runner, _ := a.described.Runner(spots[i].row.Runner)
 		spots[i].zoneHas = zones[runner.Zone]
 	}
 	sort.SliceStable(spots, func(i, j int) bool {
@@ -271,19 +271,19 @@
 		}
 		return spots[i].free > spots[j].free
 	})
-	pace := m.described.Store.LoadsPer10s
+	pace := a.described.Store.LoadsPer10s
 	for _, s := range spots {
 		if s.free >= n.size {
-			if !m.duty.pace.take(m.nowMs, pace) {
+			if !a.duty.pace.take(a.host.NowMs(), pace) {
 				return true
 			}
-			m.order(s.row, protocol.ActionLoad, n.item, n.size)
+			a.order(s.row, protocol.ActionLoad, n.item, n.size)
 			return true
 		}
 	}
 	// Room is made only when the load could follow, on the runner where least
 	// is lost by it.
-	if !m.duty.pace.ready(m.nowMs, pace) {
+	if !a.duty.pace.ready(a.host.NowMs(), pace) {
 		return true
 	}
 	var victim *ledger.Row
@@ -293,7 +293,7 @@
 		if s.room < n.size {
 			continue
 		}
-		first, cost, ok := m.clear(s, n)
+		first, cost, ok := a.clear(s, n)
 		if ok && (victim == nil || cost < lowest) {
 			victim, worst, lowest = s.row, first, cost
 		}
@@ -301,7 +301,7 @@
 	if victim == nil {
 		return false
 	}
-	m.order(victim, protocol.ActionUnload, worst, victim.Held[worst.String()].Size)
+	a.order(victim, protocol.ActionUnload, worst, victim.Held[worst.String()].Size)
 	return true
 }
 
@@ -314,18 +314,18 @@
 
 // clear finds what would have to go on a runner for the need: the least used
 // first. It gives the first thing to unload, and what all of it is worth.
-func (m *Machine) clear(s spot, n need) (first ledger.Item, cost float64, ok bool) {
+func (a *nativeApplication) clear(s spot, n need) (first ledger.Item, cost float64, ok bool) {
 	var groups []group
 	for _, name := range slices.Sorted(maps.Keys(s.row.Held)) {
 		item := parseItem(name)
 		if item.Adapter != "" {
 			// Only a need for an adapter may push single adapters out.
-			if score, may := m.spare(s.row, item, n); may && n.item.Adapter != "" {
+			if score, may := a.spare(s.row, item, n); may && n.item.Adapter != "" {
 				groups = append(groups, group{item, s.row.Held[name].Size, score})
 			}
 			continue
 		}
-		if g, may := m.groupOf(s.row, item, n); may && item.Model != n.item.Model {
+		if g, may := a.groupOf(s.row, item, n); may && item.Model != n.item.Model {
 			groups = append(groups, g)
 		}
 	}
@@ -345,15 +345,15 @@
 }
 
 // groupOf gathers a model with its adapters, if all of it may go.
-func (m *Machine) groupOf(row *ledger.Row, model ledger.Item, n need) (group, bool) {
-	score, may := m.spare(row, model, n)
+func (a *nativeApplication) groupOf(row *ledger.Row, model ledger.Item, n need) (group, bool) {
+	score, may := a.spare(row, model, n)
 	g := group{model, row.Held[model.String()].Size, score}
 	for _, name := range slices.Sorted(maps.Keys(row.Held)) {
 		adapter := parseItem(name)
 		if adapter.Model != model.Model || adapter.Adapter == "" {
 			continue
 		}
-		_, adapterMay := m.spare(row, adapter, n)
+		_, adapterMay := a.spare(row, adapter, n)
 		may = may && adapterMay
 		g.size += row.Held[name].Size
 		// Adapters go before their model.
@@ -363,29 +363,29 @@
 }
 
 // spare says whether an item may be dropped for the need, and its demand.
-func (m *Machine) spare(row *ledger.Row, item ledger.Item, n need) (float64, bool) {
-	since, known := m.duty.seen[row.Runner].since[item.String()]
-	if !known || m.nowMs-since < stayMs {
+func (a *nativeApplication) spare(row *ledger.Row, item ledger.Item, n need) (float64, bool) {
+	since, known := a.duty.seen[row.Runner].since[item.String()]
+	if !known || a.host.NowMs()-since < stayMs {
 		return 0, false
 	}
 	score := 0.0
-	if w := m.duty.wants[item]; w != nil {
-		score = w.now(m.nowMs)
+	if w := a.duty.wants[item]; w != nil {
+		score = w.now(a.host.NowMs())
 	}
 	wanted := 0
 	if item.Adapter == "" {
-		if model, ok := m.described.Model(item.Model); ok {
+		if model, ok := a.described.Model(item.Model); ok {
 			wanted = int(model.Copies)
 		}
-	} else if adapter, ok := m.described.Adapter(item.Adapter); ok {
+	} else if adapter, ok := a.described.Adapter(item.Adapter); ok {
 		wanted = int(adapter.Copies)
 	}
-	copies := m.copiesOf(item)
+	copies := a.copiesOf(item)
 	switch {
 	case copies <= wanted:
 		// What operators want held stays.
 		return 0, false
-	case copies == 1 && score >= 1 && m.shielded(m.serviceOf(item.Model), m.serviceOf(n.item.Model)):
+	case copies == 1 && score >= 1 && a.shielded(a.serviceOf(item.Model), a.serviceOf(n.item.Model)):
 		return 0, false
 	case n.copies > 0:
 		// A further copy is worth less than any other's last one.
@@ -398,35 +398,35 @@
 
 // shielded says whether what one service is asked for may not go for another,
 // since that one has its share of all room already and this one has no more.
-func (m *Machine) shielded(from, by string) bool {
+func (a *nativeApplication) shielded(from, by string) bool {
 	if from == by {
 		return false
 	}
-	fair := m.duty.fair
-	return m.duty.shares[by] >= fair && m.duty.shares[from] <= fair
+	fair := a.duty.fair
+	return a.duty.shares[by] >= fair && a.duty.shares[from] <= fair
 }
 
 // takeShares sums what each service's models and adapters take, and what an
 // even share is among the services that have any.
-func (m *Machine) takeShares() {
-	d := &m.duty
+func (a *nativeApplication) takeShares() {
+	d := &a.duty
 	d.shares = map[string]int64{}
 	services := int64(0)
-	for i := range m.described.Services {
-		if len(m.described.Services[i].Models) > 0 {
+	for i := range a.described.Services {
+		if len(a.described.Services[i].Models) > 0 {
 			services++
 		}
 	}
 	var rooms int64
-	for i := range m.described.Runners {
-		runner := &m.described.Runners[i]
-		row, ok := m.usable(runner)
+	for i := range a.described.Runners {
+		runner := &a.described.Runners[i]
+		row, ok := a.usable(runner)
 		if !ok {
 			continue
 		}
 		rooms += min(runner.Room, row.Room)
 		for name, held := range row.Held {
-			d.shares[m.serviceOf(parseItem(name).Model)] += held.Size
+			d.shares[a.serviceOf(parseItem(name).Model)] += held.Size
 		}
 	}
 	d.fair = rooms / max(1, services)
@@ -442,16 +442,16 @@
 }
 
 // order writes the intent to the pair, and only then sends it.
-func (m *Machine) order(row *ledger.Row, action string, item ledger.Item, size int64) {
+func (a *nativeApplication) order(row *ledger.Row, action string, item ledger.Item, size int64) {
 	name := row.Runner
 	if action == protocol.ActionLoad {
-		m.duty.turnsMs[m.serviceOf(item.Model)] = m.nowMs
+		a.duty.turnsMs[a.serviceOf(item.Model)] = a.host.NowMs()
 	}
-	m.duty.seen[name].orders++
-	m.note("%s: %s %s", name, action, item)
-	m.submit(func(ok bool) {
+	a.duty.seen[name].orders++
+	a.host.Logf("%s: %s %s", name, action, item)
+	a.host.SubmitCommands(func(ok bool) {
 		if ok {
-			m.sendOrder(name)
+			a.sendOrder(name)
 		}
 	}, ledger.Intend{Runner: name, Incarnation: row.Incarnation, Action: action, Item: item, Size: size})
 }
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -1,8 +1,6 @@
 package consensus
 
 import (
-	"maps"
-
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
@@ -180,7 +178,7 @@
 	c.line = nil
 	change := protocol.Change{Before: m.state.Position, At: protocol.Position{Epoch: m.record.Epoch, Number: number}}
 	change.Rows = m.state.Do(change.At, commands)
-	m.stateChanged(change.Rows)
+	m.set.Application.StateChanged(host{m})
 	c.keepRecent(change)
 	c.writing, c.writeMs = true, m.nowMs
 	m.keepRows(storage.Write{Set: change.Rows}, change.At, func() {
@@ -234,7 +232,7 @@
 		return
 	}
 	// As many disks may be lost at once as there are further copies.
-	if m.set.Application != nil && len(m.record.Replicas) < m.minCopies {
+	if len(m.record.Replicas) < m.minCopies {
 		return
 	}
 	done := c.synced.Number
@@ -273,8 +271,8 @@
 		return
 	}
 	m.replication.sentMs = m.nowMs
-	if m.set.Application == nil {
-		m.replication.soft = m.duty.soft(m.nowMs)
+	if m.set.Hooks != nil {
+		m.replication.soft = m.set.Hooks.Hints()
 	}
 	for _, place := range m.roster.NodesOf(protocol.RoleController) {
 		m.sendFollow(place)
@@ -430,7 +428,6 @@
 // there were any. What is compiled from the state, such as a large
 // configuration, is brought up to it once for all of them.
 func (m *Machine) takeChanges(from protocol.Node, changes []protocol.Change) bool {
-	changed := map[string]string{}
 	took := false
 	for _, change := range changes {
 		if change.Before != m.replication.taken || m.broken {
@@ -442,11 +439,10 @@
 			break
 		}
 		took = true
-		maps.Copy(changed, change.Rows)
 		m.keepRows(storage.Write{Set: change.Rows}, change.At, func() { m.tellFollowed(from) })
 	}
 	if took {
-		m.stateChanged(changed)
+		m.set.Application.StateChanged(host{m})
 	}
 	return took
 }
@@ -460,7 +456,9 @@
 		}
 	}
 	m.replication.soft = said.Soft
-	m.table.Forget()
+	if m.set.Hooks != nil {
+		m.set.Hooks.HintsReceived(said.Soft)
+	}
 	m.noteContact(said.Contact)
 	if said.MayLeave && m.leaving.wanted {
 		m.depart("nothing is left to hand over")
@@ -508,7 +506,7 @@
 		return
 	}
 	m.state = fresh
-	m.stateChanged(said.Rows)
+	m.set.Application.StateChanged(host{m})
 	m.note("took a snapshot at change %d", said.At.Number)
 	m.keepRows(storage.Write{ClearPrefix: ledger.Prefix, Set: said.Rows}, said.At, func() { m.tellFollowed(e.From) })
 }
@@ -525,18 +523,3 @@
 		Taken: m.replication.taken, Heard: m.replication.heard.sequence,
 	})
 }
-
-// stateChanged brings what is compiled from the state up to it.
-func (m *Machine) stateChanged(rows map[string]string) {
-	if m.set.Application != nil {
-		m.set.Application.StateChanged(host{m})
-		return
-	}
-	m.table.Forget()
-	if _, ok := rows[ledger.Prefix+"revision"]; ok {
-		if err := m.describe(); err != nil {
-			m.note("%v", err)
-		}
-	}
-	m.tellWaiting()
-}
--- a/internal/consensus/retired.go
+++ b/internal/consensus/retired.go
@@ -54,11 +54,11 @@
 // stepRetired answers who looks, and refuses all else.
 func (m *Machine) stepRetired(input any) {
 	switch in := input.(type) {
-	case Look:
-		m.look(in)
-	case HandOver:
-		m.drop(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
 	case Bootstrap:
 		m.answer(in.ID, protocol.Rejection{Kind: errkind.AlreadyBootstrapped, Detail: "this daemon is retired"})
+	default:
+		if m.set.Hooks != nil {
+			m.set.Hooks.InputWhileRetired(input)
+		}
 	}
 }
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -39,12 +39,6 @@
 	Routers  []RouterStatus           `json:"routers"`
 }
 
-// PeerStatus is a peer and when it was last heard of (-1: never).
-type PeerStatus struct {
-	protocol.Node
-	AgoMs int64 `json:"agoMs"`
-}
-
 // RouterStatus is a router's hold as the primary counts it.
 type RouterStatus struct {
 	Name   string `json:"name"`
@@ -60,50 +54,39 @@
 	Past     []ledger.Past
 }
 
-func (m *Machine) look(in Look) {
+func (a *nativeApplication) look(in Look) {
 	if in.Page != "status" {
-		revision := m.state.Revision
-		if m.isPrimary() {
-			revision = m.offer.current
+		revision := a.host.State().Revision
+		if a.host.IsPrimary() {
+			revision = a.offer.current
 		}
-		m.answer(in.ID, Described{Revision: revision, Sure: m.active(), Primary: m.record.Primary, Past: append([]ledger.Past{}, m.state.Past...)})
+		a.host.Answer(in.ID, Described{Revision: revision, Sure: a.host.Active(), Primary: a.host.Record().Primary, Past: append([]ledger.Past{}, a.host.State().Past...)})
 		return
 	}
+	member := a.host.MemberStatus()
 	s := Status{
-		Site: m.set.Site, Name: m.set.Self.Name, Part: m.set.Self.Part, Incarnation: m.set.Self.Incarnation,
-		Role: roleNames[m.election.role], Active: m.active(), Orders: m.mayOrder(), DiskBroken: m.broken, Retired: m.retired,
-		WitnessBlank: m.witness.Blank(), Record: m.record, Position: m.state.Position, Revision: m.state.Revision.Number,
-		LookUps: m.index.looked, Platform: -1,
-	}
-	for _, seat := range m.away() {
-		s.Away = append(s.Away, seat.Name)
+		Site: a.settings.Site, Name: a.host.Self().Name, Part: a.host.Self().Part, Incarnation: a.host.Self().Incarnation,
+		Role: member.Role, Active: a.host.Active(), Orders: a.mayOrder(), DiskBroken: member.DiskBroken, Retired: member.Retired,
+		WitnessBlank: member.WitnessBlank, Record: a.host.Record(), Away: member.Away, Peers: member.Peers, Position: a.host.State().Position, Revision: a.host.State().Revision.Number,
+		LookUps: a.index.looked, Platform: -1,
 	}
-	if m.offer.pending != nil {
-		s.Pending = m.offer.pending.number
-	}
-	for _, place := range m.roster.Nodes() {
-		agoMs, seen := m.roster.SilentMs(m.nowMs, place.Name)
-		if !seen {
-			agoMs = -1
-		}
-		if place.Name != m.set.Self.Name {
-			s.Peers = append(s.Peers, PeerStatus{place, agoMs})
-		}
+	if a.offer.pending != nil {
+		s.Pending = a.offer.pending.number
 	}
 	// The page is read on another thread, so it gets rows of its own.
 	copied := ledger.New()
-	_ = copied.Take(m.state.Rowset())
+	_ = copied.Take(a.host.State().Rowset())
 	for _, row := range copied.Rows {
 		s.Rows = append(s.Rows, row)
 	}
 	sort.Slice(s.Rows, func(i, j int) bool { return s.Rows[i].Runner < s.Rows[j].Runner })
-	s.Leaving = m.duty.marks(m.state)
-	if m.isPrimary() && m.duty.platformOkMs > 0 {
-		s.Platform = m.nowMs - m.duty.platformOkMs
+	s.Leaving = a.duty.marks(a.host.State())
+	if a.host.IsPrimary() && a.duty.platformOkMs > 0 {
+		s.Platform = a.host.NowMs() - a.duty.platformOkMs
 	}
-	for seat, hold := range m.offer.holds {
-		s.Routers = append(s.Routers, RouterStatus{seat.Name, hold.untilMs - m.nowMs, hold.acked})
+	for seat, hold := range a.offer.holds {
+		s.Routers = append(s.Routers, RouterStatus{seat.Name, hold.untilMs - a.host.NowMs(), hold.acked})
 	}
 	sort.Slice(s.Routers, func(i, j int) bool { return s.Routers[i].Name < s.Routers[j].Name })
-	m.answer(in.ID, s)
+	a.host.Answer(in.ID, s)
 }
--- a/internal/consensus/turn.go
+++ b/internal/consensus/turn.go
@@ -16,11 +16,11 @@
 // nowhere may be held: by the pace of the store, and where room must be made
 // first also by how long what is held stays. It is an estimate; what is built
 // on it must only be told honestly.
-func (m *Machine) takeTurns(needs []need) {
-	d := &m.duty
+func (a *nativeApplication) takeTurns(needs []need) {
+	d := &a.duty
 	d.turns = map[string]int64{}
-	stepMs := int64(10_000 / (float64(max(1, m.described.Store.LoadsPer10s)) * (1 - spare)))
-	free, rooms := m.space()
+	stepMs := int64(10_000 / (float64(max(1, a.described.Store.LoadsPer10s)) * (1 - spare)))
+	free, rooms := a.space()
 	atMs := d.loadMs
 	for _, n := range needs {
 		if n.copies > 0 {
@@ -41,7 +41,7 @@
 		}
 		turnMs = min(turnMs, turnMost)
 		d.turns[n.item.String()] = turnMs
-		if w := d.wants[n.item]; w != nil && w.now(m.nowMs) >= 1 {
+		if w := d.wants[n.item]; w != nil && w.now(a.host.NowMs()) >= 1 {
 			w.untilMs = max(w.untilMs, w.askedMs+turnMs+backMs)
 		}
 	}
@@ -56,10 +56,10 @@
 
 // space sums the room of the runners that may be given things, and what of it
 // is free.
-func (m *Machine) space() (free, rooms int64) {
-	for i := range m.described.Runners {
-		runner := &m.described.Runners[i]
-		if row, ok := m.usable(runner); ok {
+func (a *nativeApplication) space() (free, rooms int64) {
+	for i := range a.described.Runners {
+		runner := &a.described.Runners[i]
+		if row, ok := a.usable(runner); ok {
 			room := min(runner.Room, row.Room)
 			rooms += room
 			free += room - row.Taken()
--- a/internal/consensus/witnesses.go
+++ b/internal/consensus/witnesses.go
@@ -95,7 +95,7 @@
 // than a site was founded with.
 func (m *Machine) furtherWitness() (int, protocol.MemberID, bool) {
 	have, want := len(m.record.Witnesses), 2*m.set.MaxLosses+1
-	if m.set.Application == nil || have >= want {
+	if have >= want {
 		return 0, protocol.MemberID{}, false
 	}
 	seat, ok := m.outsider()
--- a/internal/simulation/modelcheck/fingerprint.go
+++ b/internal/simulation/modelcheck/fingerprint.go
@@ -17,7 +17,7 @@
 // skippedFields hold effects that were taken already, caches, or a counter that
 // only names writes. Leaving one out that had a meaning would join states that
 // differ, so nothing else belongs here.
-var skippedFields = map[string]bool{"out": true, "local": true, "saved": true, "sorted": true, "sum": true, "table": true}
+var skippedFields = map[string]bool{"out": true, "local": true, "saved": true, "sorted": true, "sum": true}
 
 // lengthOnlyFields are tables of callbacks by number of write: the cluster's own
 // list of writes under way stands for them.
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -246,7 +246,7 @@
 	}
 	walk(reflect.TypeFor[consensus.Machine]())
 	qt.Assert(t, slices.Sorted(maps.Keys(left)), qt.DeepEquals, []string{
-		"consensus.Machine.local", "consensus.Machine.out", "consensus.Machine.saved", "consensus.Machine.saves", "consensus.Machine.table",
+		"consensus.Machine.local", "consensus.Machine.out", "consensus.Machine.saved", "consensus.Machine.saves",
 		"failuredetector.Detector.sorted", "failuredetector.Detector.sum",
 	})
 }
