--- a/internal/consensus/duty.go
+++ b/internal/consensus/duty.go
@@ -14,7 +14,7 @@
 const (
 	platformMs = 300
 	reportMs   = 400
-	// runnerSilentMs is how long a runner may be silent and still be offered.
+	// darkMs is how long a runner may be silent and still be offered.
 	darkMs       = 1500
 	orderMs      = 600
 	demandHalfMs = 10_000
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -7,7 +7,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// stallMs passes between the last possible order of one holder and the
+// gapMs passes between the last possible order of one holder and the
 // first of the next.
 const gapMs = 3000
 
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -25,11 +25,11 @@
 	untilMs int64
 }
 
-// drainingMemoryMs is how much longer than others a daemon that is stopping waits
+// leavingMs is how much longer than others a daemon that is stopping waits
 // before it takes over from a primary that is gone.
 const leavingMs = 500
 
-// drainStartMs is the usual time that a planned stop may take.
+// leaveMs is the usual time that a planned stop may take.
 const leaveMs = 4000
 
 // beginDeparture begins a planned stop.
--- a/internal/consensus/place.go
+++ b/internal/consensus/place.go
@@ -14,7 +14,7 @@
 	placeMs = 200
 	// stayMs is how long a loaded item stays at least, against thrash.
 	stayMs = 8_000
-	// loadExpectedMs is how long a thing that is asked for may lack before it gets its
+	// turnMs is how long a thing that is asked for may lack before it gets its
 	// turn, whoever asks more for what is held.
 	turnMs = 3_000
 	// keptScore is the demand at which a leaver's thing is moved: someone asked
--- a/internal/consensus/timing.go
+++ b/internal/consensus/timing.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// lastStepMs is the time between two steps of a machine, by which each stage of a
+// stepMs is the time between two steps of a machine, by which each stage of a
 // repair may be late.
 const stepMs = 50
 
@@ -60,7 +60,7 @@
 // all takes until their parts are with others, from the moment of the loss: the
 // primary is missed and the lease runs out, one election, then the copies and
 // the votes one after the other. A sync takes syncMs, a message there and back
-// roundTripMs; showMs and fullMs are those of Settings.
+// roundTripMs; showMs and awayMs are those of Settings.
 func (t Timing) RecoveryMs(losses int, syncMs, roundTripMs, showMs, awayMs int64) int64 {
 	// The primary's last renewal may be granted right before it is lost; its last
 	// word may be older. Who asks too early repeats its question.
--- a/internal/consensus/witnesses.go
+++ b/internal/consensus/witnesses.go
@@ -6,10 +6,10 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// fullMs is how long a witness is silent before another daemon takes its seat.
+// awayMs is how long a witness is silent before another daemon takes its seat.
 const awayMs = 30_000
 
-// primarySilentMs is how long the peer of a seat has not answered this primacy.
+// silentMs is how long the peer of a seat has not answered this primacy.
 func (m *Machine) silentMs(seat protocol.MemberID) int64 {
 	c := m.replication.peers[seat.Name]
 	if seat == m.ownSeat() {
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -22,7 +22,7 @@
 	leaveWait = 300 * time.Millisecond
 )
 
-// shutdownMarginMs is kept of a planned stop's grace for all but the hand-over: the last
+// endMs is kept of a planned stop's grace for all but the hand-over: the last
 // messages, open calls of operators, the end of the process.
 const endMs = 1500
 
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -51,7 +51,7 @@
 		row  string
 		// safeMs is how long a write takes; never is that its end is unknown.
 		safeMs int64
-		// writeWindowMs and orderMs are when the row is written and the first order
+		// writeMs and orderMs are when the row is written and the first order
 		// leaves, after the start; a tick or two may be needed.
 		writeMs, orderMs int64
 	}{
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -37,7 +37,7 @@
 	// closed.
 	clientDialTimeout = 300 * time.Millisecond
 	clientIdleTimeout = time.Second
-	// primarySilentMs is how long the other side may acknowledge nothing before a
+	// silentMs is how long the other side may acknowledge nothing before a
 	// connection counts as broken; a machine without power says nothing itself.
 	silentMs = 2000
 	// headBytes bounds the head of a response, clientHeadBytes that of one for
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -19,12 +19,12 @@
 	// pendingMs is how long a router that acknowledged a next revision goes
 	// on with the present one after the question whose answer said "pending".
 	pendingMs = 1500
-	// drainStartMs is how old the last word on leaving runners may be at a send.
+	// leaveMs is how old the last word on leaving runners may be at a send.
 	leaveMs = 2000
 	// ownReadMs is when the router reads the platform for itself.
 	ownReadMs  = 1000
 	platformMs = 300
-	// missDelayedMs is how long a miss waits for its look-up before it counts as held.
+	// missMs is how long a miss waits for its look-up before it counts as held.
 	missMs = 50
 	// unansweredMs ends a request whose look-up was never answered, and one
 	// for which there is no word from control.
@@ -37,7 +37,7 @@
 	cutMs      = 1000
 	cutEntryMs = 600_000
 	takenMost  = 65_536
-	// unhealthyMs keeps a runner that just failed from being the first choice.
+	// suspectMs keeps a runner that just failed from being the first choice.
 	suspectMs = 1000
 	silentMs  = 300
 	// waitingMost bounds the keys that a question names.
--- a/internal/native/router/request.go
+++ b/internal/native/router/request.go
@@ -89,7 +89,7 @@
 	mayHaveRun bool
 	runner     string
 	tried      map[protocol.LeavingRunner]bool
-	// loadExpectedMs is when what it needs may be held, by the index's last word, or
+	// turnMs is when what it needs may be held, by the index's last word, or
 	// nought.
 	turnMs int64
 	// last is the kind a request gets when no further go is to be had.
--- a/internal/native/router/server.go
+++ b/internal/native/router/server.go
@@ -47,7 +47,7 @@
 	self    protocol.Node
 	under   atomic.Int64
 	names   atomic.Uint64
-	// lastReceivedMs is when the last request came.
+	// lastMs is when the last request came.
 	lastMs atomic.Int64
 }
 
@@ -208,7 +208,7 @@
 	}
 }
 
-// startAttempt makes one go and relays its answer. Abort says that a part of a
+// goTo makes one go and relays its answer. Abort says that a part of a
 // telling was relayed and the rest will never come.
 func (g *Server) goTo(w http.ResponseWriter, r *http.Request, id uint64, to StartAttempt, input json.RawMessage) (ended AttemptEnded, abort bool) {
 	ended.ID = id
--- a/internal/simulation/eventqueue/eventqueue.go
+++ b/internal/simulation/eventqueue/eventqueue.go
@@ -36,10 +36,10 @@
 // After schedules an event after a delay; a negative delay counts as none.
 func (q *Queue) After(delayMs int64, run func()) { q.At(q.nowMs+delayMs, run) }
 
-// RunUntil runs all events up to and including those at shutdownMarginMs, with the ones
-// that they schedule in that span, and leaves the clock at shutdownMarginMs. It returns
+// RunUntil runs all events up to and including those at endMs, with the ones
+// that they schedule in that span, and leaves the clock at endMs. It returns
 // early, with the clock where it stands, when an event calls Stop. The clock
-// never goes back: where shutdownMarginMs has passed, nothing happens.
+// never goes back: where endMs has passed, nothing happens.
 func (q *Queue) RunUntil(endMs int64) {
 	q.stopped = false
 	for len(q.pending) > 0 && q.pending[0].atMs <= endMs {
--- a/internal/simulation/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -18,7 +18,7 @@
 	// startMs is the virtual time at which a cluster begins.
 	startMs = 1_000_000_000
 	tickMs  = 50
-	// messageMs and writeWindowMs are the default durations.
+	// messageMs and writeMs are the default durations.
 	messageMs = 1
 	writeMs   = 2
 	seedCount = 3
--- a/internal/simulation/modelcheck/fault.go
+++ b/internal/simulation/modelcheck/fault.go
@@ -156,14 +156,14 @@
 const (
 	// overtakenMs lets the messages of the next tick pass.
 	overtakenMs = 60
-	// deadlineSlackMs is past a resend, so that the answer to the second may come first.
+	// lateMs is past a resend, so that the answer to the second may come first.
 	lateMs = 1200
 	// slowWriteMs is a slow write; stalledWriteMs one that stalls.
 	slowWriteMs    = 60
 	stalledWriteMs = 1700
 	// returnMs is a restart.
 	returnMs = 300
-	// streamSilenceMs is longer than a lease; takeOverMs is past the take-over, too.
+	// silenceMs is longer than a lease; takeOverMs is past the take-over, too.
 	silenceMs  = 1700
 	takeOverMs = 3200
 )
--- a/internal/simulation/modelcheck/recovery.go
+++ b/internal/simulation/modelcheck/recovery.go
@@ -12,7 +12,7 @@
 // recovery checks that the cluster serves again after the last fault: within
 // the bound there must be a primary that acknowledges a write.
 type recovery struct {
-	// waitingSinceMs is the end of the fault that is being recovered from.
+	// sinceMs is the end of the fault that is being recovered from.
 	sinceMs int64
 	write   int
 	writeMs int64
--- a/internal/simulation/scalesim/runner.go
+++ b/internal/simulation/scalesim/runner.go
@@ -15,7 +15,7 @@
 	calls  int64
 	busy   bool
 	active int
-	// reportedMs is when it last told its state.
+	// toldMs is when it last told its state.
 	toldMs int64
 }
 
