--- /dev/null
+++ b/internal/simulation/invariants/retries.go
@@ -0,0 +1,115 @@
+package invariants
+
+import (
+	"cmp"
+	"fmt"
+	"maps"
+	"slices"
+)
+
+// retryRatio is the part of the first attempts of a window that retries may
+// make up, besides the allowance.
+const retryRatio = 0.2
+
+// attempt is one sending of a request from a router to a runner.
+type attempt struct {
+	atMs  int64
+	retry bool
+}
+
+// attemptLog lists the attempts of each service.
+type attemptLog struct {
+	byService map[string][]attempt
+	// seen holds the requests that had an attempt since their client sent them.
+	seen map[requestKey]bool
+}
+
+func newAttemptLog() attemptLog {
+	return attemptLog{byService: map[string][]attempt{}, seen: map[requestKey]bool{}}
+}
+
+func (l *attemptLog) add(atMs int64, key requestKey) {
+	l.byService[key.service] = append(l.byService[key.service], attempt{atMs: atMs, retry: l.seen[key]})
+	l.seen[key] = true
+}
+
+// retryLog counts attempts at both ends: as routers wrote them, and as runners
+// received them.
+type retryLog struct {
+	sent, arrived attemptLog
+	// allowance is the number of retries in a window that is always allowed.
+	allowance int64
+}
+
+func newRetryLog(allowance int64) retryLog {
+	return retryLog{sent: newAttemptLog(), arrived: newAttemptLog(), allowance: allowance}
+}
+
+// forget makes the next attempt of a request a first one again.
+func (l *retryLog) forget(key requestKey) {
+	delete(l.arrived.seen, key)
+	delete(l.sent.seen, key)
+}
+
+// violations looks for windows with too many retries, at both ends and for
+// each service.
+func (l *retryLog) violations() []Violation {
+	var found []Violation
+	for _, log := range []attemptLog{l.arrived, l.sent} {
+		for _, service := range slices.Sorted(maps.Keys(log.byService)) {
+			worst, exceeded := l.worstWindow(log.byService[service])
+			if !exceeded {
+				continue
+			}
+			detail := fmt.Sprintf("%s: %d second goes and %d first within 10 s", service, worst.retries, worst.firsts)
+			found = append(found, Violation{Rule: RuleSecondGoes, AtMs: worst.endMs, Detail: detail})
+		}
+	}
+	return found
+}
+
+// window is the attempts of the RetryWindowMs before endMs.
+type window struct {
+	endMs           int64
+	retries, firsts int
+}
+
+func (w *window) count(a attempt, by int) {
+	if a.retry {
+		w.retries += by
+	} else {
+		w.firsts += by
+	}
+}
+
+// worstWindow slides a window over the attempts of a service. It gives the
+// first window that exceeds the budget, or else the one with most retries.
+func (l *retryLog) worstWindow(attempts []attempt) (worst window, exceeded bool) {
+	slices.SortStableFunc(attempts, func(a, b attempt) int { return cmp.Compare(a.atMs, b.atMs) })
+	var sliding window
+	oldest := 0
+	for _, newest := range attempts {
+		sliding.endMs = newest.atMs
+		sliding.count(newest, 1)
+		for attempts[oldest].atMs <= newest.atMs-RetryWindowMs {
+			sliding.count(attempts[oldest], -1)
+			oldest++
+		}
+		if float64(sliding.retries) > retryRatio*float64(sliding.firsts)+float64(l.allowance) {
+			return sliding, true
+		}
+		if sliding.retries > worst.retries {
+			worst = sliding
+		}
+	}
+	return worst, false
+}
+
+// WorstRetryWindow gives the most retries of a service that runners received
+// within ten seconds, and the first attempts of the same ten seconds.
+func (c *Checker) WorstRetryWindow(service string) (retries, firsts int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	worst, _ := c.retries.worstWindow(c.retries.arrived.byService[service])
+	return worst.retries, worst.firsts
+}
--- /dev/null
+++ b/internal/simulation/invariants/runners.go
@@ -0,0 +1,124 @@
+package invariants
+
+// incarnationKey identifies one life of a runner's process.
+type incarnationKey struct{ runner, incarnation string }
+
+// order is an order as a runner received it.
+type order struct {
+	atMs   int64
+	holder string
+}
+
+// limits are those of an accepted description.
+type limits struct {
+	acceptedMs int64
+	// capacities are by runner; 0 or none means that the description sets none.
+	capacities map[string]int64
+}
+
+// runnerLog is what was observed of orders, loads and leaving runners.
+type runnerLog struct {
+	// leavingLearnedMs is when a router or controller could first read that a
+	// runner leaves.
+	leavingLearnedMs map[incarnationKey]int64
+	orders           []order
+	// loadsMs lists when loads from the weight store began.
+	loadsMs []int64
+	// loadLimit is the number of loads within loadWindowMs that the newest
+	// description allows; previousLoadLimit is that of the one before.
+	loadLimit, previousLoadLimit int64
+	// limits are those of the newest description, or nil before the first.
+	limits *limits
+}
+
+func newRunnerLog(loadLimit int64) runnerLog {
+	return runnerLog{leavingLearnedMs: map[incarnationKey]int64{}, loadLimit: loadLimit}
+}
+
+// LeavingLearned records that a daemon read from the platform that a runner is
+// leaving. Only the first time counts.
+func (c *Checker) LeavingLearned(atMs int64, runner, incarnation string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	key := incarnationKey{runner, incarnation}
+	if _, known := c.runners.leavingLearnedMs[key]; !known {
+		c.runners.leavingLearnedMs[key] = atMs
+	}
+}
+
+// OrderReceived records an order of a lease holder as a runner received it.
+func (c *Checker) OrderReceived(atMs int64, runner, holder string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if count := len(c.runners.orders); count > 0 {
+		last := c.runners.orders[count-1]
+		if last.holder != holder && atMs-last.atMs < HolderGapMs {
+			c.report(RuleTwoHolders, atMs, "%s ordered %s %d ms after %s did", holder, runner, atMs-last.atMs, last.holder)
+		}
+	}
+	c.runners.orders = append(c.runners.orders, order{atMs: atMs, holder: holder})
+}
+
+// OrderCount counts the orders that runners received.
+func (c *Checker) OrderCount() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.runners.orders)
+}
+
+// LimitsAccepted records the limits of a description that was accepted: the
+// loads that the weight store allows in ten seconds, and the runners' capacities.
+func (c *Checker) LimitsAccepted(atMs, loadsPer10s int64, capacities map[string]int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runners.previousLoadLimit = c.runners.loadLimit
+	c.runners.loadLimit = loadsPer10s
+	c.runners.limits = &limits{acceptedMs: atMs, capacities: capacities}
+}
+
+// loadLimitAt is the number of loads that the window up to a time may have: the
+// larger one if the limit changed within the window.
+func (l *runnerLog) loadLimitAt(atMs int64) int64 {
+	if l.limits != nil && atMs < l.limits.acceptedMs+loadWindowMs {
+		return max(l.previousLoadLimit, l.loadLimit)
+	}
+	return l.loadLimit
+}
+
+// LoadStarted records that a runner began to load from the weight store.
+func (c *Checker) LoadStarted(atMs int64, runner, model string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.runners.loadsMs = append(c.runners.loadsMs, atMs)
+	var within int64
+	for _, startedMs := range c.runners.loadsMs {
+		if startedMs > atMs-loadWindowMs {
+			within++
+		}
+	}
+	if within > c.runners.loadLimitAt(atMs) {
+		c.report(RuleStorePace, atMs, "%d loads within 10 s, %s of %s the last", within, model, runner)
+	}
+}
+
+// CapacityAssigned records what a runner was told to hold altogether, and the
+// capacity that it has.
+func (c *Checker) CapacityAssigned(atMs int64, runner string, assigned, capacity int64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if assigned > c.runners.capacityAt(atMs, runner, capacity) {
+		c.report(RuleRoom, atMs, "%s was told to hold %d of %d", runner, assigned, c.runners.capacityAt(atMs, runner, capacity))
+	}
+}
+
+// capacityAt is the smaller one of a runner's own capacity and that of the
+// description, which counts once it must be in force.
+func (l *runnerLog) capacityAt(atMs int64, runner string, capacity int64) int64 {
+	if l.limits == nil || atMs <= l.limits.acceptedMs+InForceDeadlineMs {
+		return capacity
+	}
+	if described := l.limits.capacities[runner]; described > 0 {
+		return min(capacity, described)
+	}
+	return capacity
+}
--- a/internal/simulation/localcluster/bad_input_test.go
+++ b/internal/simulation/localcluster/bad_input_test.go
@@ -196,7 +196,7 @@
 		}
 		workload.Models, workload.Adapters = workload.Models[:1], nil
 		for range 10 {
-			c.Assert(client.SendOne(workload), qt.Equals, "telling broke off")
+			c.Assert(client.SendOne(workload), qt.Equals, testbackend.OutcomeBrokeInStream)
 		}
 	}
 	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
--- a/internal/simulation/localcluster/cluster_test.go
+++ b/internal/simulation/localcluster/cluster_test.go
@@ -43,7 +43,7 @@
 				workload.Models = workload.Models[:min(2, len(workload.Models))]
 				answered := 0
 				for range 400 {
-					if client.SendOne(workload) == "answered" {
+					if client.SendOne(workload) == testbackend.OutcomeAnswered {
 						answered++
 					}
 					if answered == 5 {
--- a/internal/simulation/localcluster/cut_streams_test.go
+++ b/internal/simulation/localcluster/cut_streams_test.go
@@ -39,8 +39,8 @@
 	answers := func() {
 		for _, workload := range client.Workloads {
 			c.Assert(cluster.retryFor(patience, func() error {
-				if kind := client.SendOne(workload); kind != "answered" {
-					return errors.New(kind)
+				if outcome := client.SendOne(workload); outcome != testbackend.OutcomeAnswered {
+					return errors.New(string(outcome))
 				}
 				return nil
 			}), qt.IsNil, qt.Commentf("%s", workload.Service))
@@ -83,13 +83,14 @@
 		})
 	}
 	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
-	ended := map[string]int{}
-	for _, kinds := range client.Outcomes() {
-		for kind, count := range kinds {
-			ended[kind] += count
+	ended := map[testbackend.Outcome]int{}
+	for _, counts := range client.Outcomes() {
+		for outcome, count := range counts {
+			ended[outcome] += count
 		}
 	}
 	t.Log(ended)
-	c.Assert(ended[string(errkind.OutcomeUnknown)] > 0 && ended["telling broke off"] > 0, qt.IsTrue, qt.Commentf("%v", ended))
-	c.Assert(ended["wrong"]+ended["nonsense"], qt.Equals, 0, qt.Commentf("%v", ended))
+	c.Assert(ended[testbackend.Outcome(errkind.OutcomeUnknown)] > 0, qt.IsTrue, qt.Commentf("%v", ended))
+	c.Assert(ended[testbackend.OutcomeBrokeInStream] > 0, qt.IsTrue, qt.Commentf("%v", ended))
+	c.Assert(ended[testbackend.OutcomeWrong]+ended[testbackend.OutcomeMalformed], qt.Equals, 0, qt.Commentf("%v", ended))
 }
--- a/internal/simulation/localcluster/faults_test.go
+++ b/internal/simulation/localcluster/faults_test.go
@@ -16,6 +16,7 @@
 
 	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/simulation/testbackend"
 	"myrtlewinch/internal/threads"
 )
 
@@ -204,5 +205,5 @@
 	}
 	stop()
 	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
-	c.Assert(client.Outcomes()["page"]["answered"] > 0, qt.IsTrue)
+	c.Assert(client.Outcomes()["page"][testbackend.OutcomeAnswered] > 0, qt.IsTrue)
 }
--- a/internal/simulation/localcluster/rolling_test.go
+++ b/internal/simulation/localcluster/rolling_test.go
@@ -43,11 +43,11 @@
 	}
 	stop()
 	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
-	for service, kinds := range client.Outcomes() {
-		for kind, count := range kinds {
-			well := kind == "answered" || errkind.Kind(kind).Response().NotExecuted
-			c.Assert(well, qt.IsTrue, qt.Commentf("%s: %d of %s", service, count, kind))
+	for service, counts := range client.Outcomes() {
+		for outcome, count := range counts {
+			expected := outcome == testbackend.OutcomeAnswered || errkind.Kind(outcome).Response().NotExecuted
+			c.Assert(expected, qt.IsTrue, qt.Commentf("%s: %d of %s", service, count, outcome))
 		}
 	}
-	c.Assert(client.Outcomes()["page"]["answered"] > 0, qt.IsTrue)
+	c.Assert(client.Outcomes()["page"][testbackend.OutcomeAnswered] > 0, qt.IsTrue)
 }
--- a/internal/simulation/nativesim/bugs_test.go
+++ b/internal/simulation/nativesim/bugs_test.go
@@ -28,7 +28,7 @@
 func TestBrokenVariants(t *testing.T) {
 	cases := []struct {
 		about  string
-		rule   string
+		rule   invariants.Rule
 		spoil  func(w *World)
 		played Scenario
 	}{
@@ -86,7 +86,7 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			t.Parallel()
-			fired := map[string]bool{}
+			fired := map[invariants.Rule]bool{}
 			// The moment that a variant needs comes about in a quarter of the seeds
 			// or more; which ones depends on the timing of all the rest.
 			for seed := int64(1); seed <= 24 && !fired[test.rule]; seed++ {
@@ -95,8 +95,8 @@
 				for _, r := range w.runners {
 					r.backend.Checker, r.backend.AcceptOldRevisions = w.Checker, w.acceptOldRevisions
 				}
-				for _, breach := range w.Play(test.played).Violations {
-					fired[breach.Rule] = true
+				for _, violation := range w.Play(test.played).Violations {
+					fired[violation.Rule] = true
 				}
 			}
 			qt.Assert(t, fired[test.rule], qt.IsTrue, qt.Commentf("fired: %v", fired))
@@ -108,7 +108,7 @@
 // brought about by routers whose holds never run out.
 func TestBrokenRevisions(t *testing.T) {
 	t.Parallel()
-	fired := map[string]bool{}
+	fired := map[invariants.Rule]bool{}
 	for seed := int64(1); seed <= 4; seed++ {
 		w := New(example(t, "zagreb"), seed)
 		w.Bugs.SkipSocketCheck = true
@@ -129,8 +129,8 @@
 				w.Run(1000)
 			}
 		}, 2000})
-		for _, breach := range r.Violations {
-			fired[breach.Rule] = true
+		for _, violation := range r.Violations {
+			fired[violation.Rule] = true
 		}
 	}
 	qt.Assert(t, fired["in force"], qt.IsTrue, qt.Commentf("fired: %v", fired))
@@ -161,8 +161,8 @@
 			w.Bugs.HideRenewals = kept
 			r := w.Play(Scenario{"", renewByPeers, 10_000})
 			fired := false
-			for _, breach := range r.Violations {
-				fired = fired || breach.Rule == "in force"
+			for _, violation := range r.Violations {
+				fired = fired || violation.Rule == "in force"
 			}
 			qt.Assert(t, fired, qt.Equals, kept, qt.Commentf("%s: %v", site, r.Violations))
 			qt.Assert(t, w.operator.outcomes["accepted"], qt.Equals, 2)
--- a/internal/simulation/nativesim/clocks_test.go
+++ b/internal/simulation/nativesim/clocks_test.go
@@ -12,43 +12,104 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Wall clocks may jump: nothing but the log may read one. The state machines
-// read no clock at all, and the shells count monotonic time through Clock.
-// Goroutines start in crew alone.
+const sourceRoot = "../../.."
+
+// virtualTimePackages are the packages that are told the time and never read or
+// wait for it themselves. Their shells, which do, are in realTimeFiles.
+var virtualTimePackages = []string{
+	"internal/bounds",
+	"internal/config",
+	"internal/consensus",
+	"internal/controller",
+	"internal/election/witness",
+	"internal/failuredetector",
+	"internal/native/choice",
+	"internal/native/description",
+	"internal/native/ledger",
+	"internal/native/router",
+	"internal/placement",
+	"internal/placement/demand",
+	"internal/placement/index",
+	"internal/placement/planner",
+	"internal/placement/runnerstate",
+	"internal/placement/weightstore",
+	"internal/simulation/eventqueue",
+	"internal/simulation/faultsim",
+	"internal/simulation/nativesim",
+	"internal/simulation/scalesim",
+}
+
+// realTimeFiles are the files of virtualTimePackages that run a state machine
+// on real sockets and timers.
+var realTimeFiles = []string{
+	"internal/consensus/office.go",
+	"internal/controller/daemon.go",
+	"internal/native/router/server.go",
+}
+
+// goroutinePackage is the only one that starts goroutines.
+const goroutinePackage = "internal/threads"
+
+// Wall clocks may jump, so nothing but the log may read one. State machines
+// read no clock at all; the shells round them count monotonic time. Goroutines
+// are started by one package alone.
 func TestNoWallClockAndNoStrayGoroutine(t *testing.T) {
 	c := qt.New(t)
-	machines := map[string]bool{"consensus": true, "router": true, "witness": true, "failuredetector": true, "ledger": true, "choice": true, "nativesim": true, "description": true, "faultsim": true, "placement": true, "planner": true, "runnerstate": true, "demand": true, "index": true, "weightstore": true, "config": true, "bounds": true, "eventqueue": true, "scalesim": true}
-	shells := map[string]bool{"office.go": true, "gate.go": true}
+	virtualTime, realTime := map[string]bool{}, map[string]bool{}
+	for _, folder := range virtualTimePackages {
+		found, err := filepath.Glob(filepath.Join(sourceRoot, folder, "*.go"))
+		c.Assert(err, qt.IsNil)
+		c.Assert(len(found) > 0, qt.IsTrue, qt.Commentf("%s is gone: name its successor", folder))
+		virtualTime[folder] = true
+	}
+	for _, file := range realTimeFiles {
+		found, err := filepath.Glob(filepath.Join(sourceRoot, file))
+		c.Assert(err, qt.IsNil)
+		c.Assert(found, qt.HasLen, 1, qt.Commentf("%s is gone: name its successor", file))
+		realTime[file] = true
+	}
 	files := 0
-	err := filepath.WalkDir("../../..", func(path string, entry fs.DirEntry, err error) error {
+	err := filepath.WalkDir(sourceRoot, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
 			return err
 		}
 		files++
-		folder, name := filepath.Base(filepath.Dir(path)), filepath.Base(path)
-		file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+		name, err := filepath.Rel(sourceRoot, path)
 		if err != nil {
 			return err
 		}
-		ast.Inspect(file, func(n ast.Node) bool {
-			if _, ok := n.(*ast.GoStmt); ok && folder != "threads" {
-				t.Errorf("%s starts a goroutine", path)
-			}
-			call, ok := n.(*ast.SelectorExpr)
-			if !ok {
-				return true
-			}
-			if from, ok := call.X.(*ast.Ident); ok && from.Name == "time" && machines[folder] && !shells[name] {
-				t.Errorf("%s reads or waits for time: time.%s", path, call.Sel.Name)
-			}
-			// These would take the monotonic part off a time.
-			if strings.HasPrefix(call.Sel.Name, "Unix") {
-				t.Errorf("%s uses wall time: %s", path, call.Sel.Name)
-			}
-			return true
-		})
-		return nil
+		folder := filepath.Dir(name)
+		return checkClocks(t, path, folder == goroutinePackage, virtualTime[folder] && !realTime[name])
 	})
 	c.Assert(err, qt.IsNil)
 	c.Assert(files > 50, qt.IsTrue)
 }
+
+// checkClocks checks one file: whether it starts goroutines, reads wall time,
+// or with virtualTime uses package time at all.
+func checkClocks(t *testing.T, path string, mayStartGoroutines, virtualTime bool) error {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, 0)
+	if err != nil {
+		return err
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		if _, ok := n.(*ast.GoStmt); ok && !mayStartGoroutines {
+			t.Errorf("%s starts a goroutine", path)
+		}
+		selector, ok := n.(*ast.SelectorExpr)
+		if !ok {
+			return true
+		}
+		from, ok := selector.X.(*ast.Ident)
+		if ok && from.Name == "time" && virtualTime {
+			t.Errorf("%s reads or waits for time: time.%s", path, selector.Sel.Name)
+		}
+		// These would take the monotonic part off a time.
+		if strings.HasPrefix(selector.Sel.Name, "Unix") {
+			t.Errorf("%s uses wall time: %s", path, selector.Sel.Name)
+		}
+		return true
+	})
+	return nil
+}
--- a/internal/simulation/nativesim/proofs_test.go
+++ b/internal/simulation/nativesim/proofs_test.go
@@ -11,27 +11,37 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The table of proofs says nothing that is not in the code, and leaves no rule
-// out: each rule, scenario, fault, variant and test that it names is there.
+const (
+	// proofRows is the number of rows of the table in docs/proofs.md.
+	proofRows = 12
+	// ruleCount is the number of rules of package invariants.
+	ruleCount = 14
+)
+
+var (
+	rulePattern   = regexp.MustCompile(`(?:Rule\w+ +Rule = |report\(|Rule: +)"([a-z ]+)"`)
+	codePattern   = regexp.MustCompile("`([^`]+)`")
+	quotedPattern = regexp.MustCompile(`"([^"]+)"`)
+	testPattern   = regexp.MustCompile("`(Test[^`]+)`")
+)
+
+// proofSources is what the table of proofs may name.
+type proofSources struct {
+	// rules, scenarios and faults are by name.
+	rules, scenariosAndFaults map[string]bool
+	// tests is the text of all test files.
+	tests string
+}
+
+// The table of docs/proofs.md says nothing that is not in the code, and leaves
+// no rule out: each rule, scenario, fault, broken variant and test that it
+// names is there.
 func TestProofsTableIsTrue(t *testing.T) {
 	c := qt.New(t)
 	page, err := os.ReadFile("../../../docs/proofs.md")
 	c.Assert(err, qt.IsNil)
-	tests := sources(c, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
-	book := sources(c, func(name string) bool {
-		return filepath.Base(filepath.Dir(name)) == "invariants" && !strings.HasSuffix(name, "_test.go")
-	})
-	ruled := map[string]bool{}
-	for _, match := range regexp.MustCompile(`(?:report\(|Violation\{)"([a-z ]+)"`).FindAllStringSubmatch(book, -1) {
-		ruled[match[1]] = true
-	}
-	known := map[string]bool{}
-	for name := range Scenarios {
-		known[name] = true
-	}
-	for _, f := range faults {
-		known[f.name] = true
-	}
+	known := readProofSources(c)
+	c.Assert(known.rules, qt.HasLen, ruleCount)
 	named, rows := map[string]bool{}, 0
 	for _, line := range strings.Split(string(page), "\n") {
 		cells := strings.Split(line, "|")
@@ -39,32 +49,70 @@
 			continue
 		}
 		rows++
-		for _, match := range regexp.MustCompile("`([^`]+)`").FindAllStringSubmatch(cells[2], -1) {
-			named[match[1]] = true
-			c.Check(ruled[match[1]], qt.IsTrue, qt.Commentf("no rule is called %q", match[1]))
+		checkProofRow(c, known, cells)
+		for _, rule := range matches(codePattern, cells[2]) {
+			named[rule] = true
 		}
-		for _, match := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(cells[3], -1) {
-			c.Check(known[match[1]], qt.IsTrue, qt.Commentf("no scenario or fault is called %q", match[1]))
-		}
-		for _, match := range regexp.MustCompile(`"([^"]+)"`).FindAllStringSubmatch(cells[4], -1) {
-			c.Check(strings.Contains(tests, `{"`+match[1]+`", "`), qt.IsTrue, qt.Commentf("no variant is called %q", match[1]))
-		}
-		for _, match := range regexp.MustCompile("`(Test[^`]+)`").FindAllStringSubmatch(cells[3]+cells[4], -1) {
-			c.Check(strings.Contains(tests, "func "+match[1]+"("), qt.IsTrue, qt.Commentf("no test is called %s", match[1]))
-		}
-		c.Check(strings.ContainsAny(cells[4], "\"`"), qt.IsTrue, qt.Commentf("nothing shows that the check of %q fires", cells[1]))
 	}
-	c.Assert(rows, qt.Equals, 12)
-	for rule := range ruled {
+	c.Assert(rows, qt.Equals, proofRows)
+	for rule := range known.rules {
 		c.Check(named[rule], qt.IsTrue, qt.Commentf("the rule %q is in no row", rule))
 	}
 }
 
-// sources gives the text of the project's files of a kind.
-func sources(c *qt.C, of func(name string) bool) string {
+// checkProofRow checks one row: what must never happen, its rules, what
+// provokes it, and the broken variants that make the rules fire.
+func checkProofRow(c *qt.C, known proofSources, cells []string) {
+	c.Helper()
+	for _, rule := range matches(codePattern, cells[2]) {
+		c.Check(known.rules[rule], qt.IsTrue, qt.Commentf("no rule is called %q", rule))
+	}
+	for _, name := range matches(quotedPattern, cells[3]) {
+		c.Check(known.scenariosAndFaults[name], qt.IsTrue, qt.Commentf("no scenario or fault is called %q", name))
+	}
+	for _, variant := range matches(quotedPattern, cells[4]) {
+		c.Check(strings.Contains(known.tests, `{"`+variant+`", "`), qt.IsTrue, qt.Commentf("no variant is called %q", variant))
+	}
+	for _, test := range matches(testPattern, cells[3]+cells[4]) {
+		c.Check(strings.Contains(known.tests, "func "+test+"("), qt.IsTrue, qt.Commentf("no test is called %s", test))
+	}
+	c.Check(strings.ContainsAny(cells[4], "\"`"), qt.IsTrue, qt.Commentf("nothing shows that the check of %q fires", cells[1]))
+}
+
+// matches gives the first group of each match.
+func matches(pattern *regexp.Regexp, text string) []string {
+	var groups []string
+	for _, match := range pattern.FindAllStringSubmatch(text, -1) {
+		groups = append(groups, match[1])
+	}
+	return groups
+}
+
+func readProofSources(c *qt.C) proofSources {
+	c.Helper()
+	known := proofSources{rules: map[string]bool{}, scenariosAndFaults: map[string]bool{}}
+	known.tests = sources(c, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
+	checker := sources(c, func(name string) bool {
+		return filepath.Base(filepath.Dir(name)) == "invariants" && !strings.HasSuffix(name, "_test.go")
+	})
+	for _, rule := range matches(rulePattern, checker) {
+		known.rules[rule] = true
+	}
+	for name := range Scenarios {
+		known.scenariosAndFaults[name] = true
+	}
+	for _, f := range faults {
+		known.scenariosAndFaults[f.name] = true
+	}
+	return known
+}
+
+// sources gives the text of the project's Go files that are chosen by path.
+func sources(c *qt.C, chosen func(path string) bool) string {
+	c.Helper()
 	var all strings.Builder
 	err := filepath.WalkDir("../../..", func(path string, entry fs.DirEntry, err error) error {
-		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || !of(path) {
+		if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || !chosen(path) {
 			return err
 		}
 		text, err := os.ReadFile(path)
--- a/internal/simulation/testbackend/connection_cutter.go
+++ b/internal/simulation/testbackend/connection_cutter.go
@@ -8,64 +8,74 @@
 	"myrtlewinch/internal/threads"
 )
 
-// ConnectionCutter stands on the way to a back end and cuts streams off in the middle:
-// after so many bytes towards it, or so many back.
+const (
+	// unlimited lets all bytes of a connection pass.
+	unlimited = -1
+	// copyBufferBytes is the most that is passed on in one step.
+	copyBufferBytes = 4096
+)
+
+// ConnectionCutter is a TCP proxy before a back end that cuts connections after
+// so many bytes of requests or of responses.
 type ConnectionCutter struct {
-	listener net.Listener
-	target   string
-	// RequestLimit and Back are how many bytes of each stream pass, or below nought
-	// for all.
+	// RequestLimit and ResponseLimit are how many bytes of each connection pass
+	// towards the back end and from it; below 0 all do.
 	RequestLimit, ResponseLimit atomic.Int64
-	// Cuts counts the streams that were cut off.
+	// Cuts counts the connections that were cut.
 	Cuts atomic.Int64
+
+	listener net.Listener
+	target   string
 }
 
-// NewConnectionCutter listens before a back end; nothing is cut yet.
+// NewConnectionCutter makes a cutter from a listener to a back end's address.
+// It cuts nothing until a limit is set.
 func NewConnectionCutter(listener net.Listener, target string) *ConnectionCutter {
 	c := &ConnectionCutter{listener: listener, target: target}
 	c.Reset()
 	return c
 }
 
-// Reset lets all pass again.
+// Reset takes both limits away.
 func (c *ConnectionCutter) Reset() {
-	c.RequestLimit.Store(-1)
-	c.ResponseLimit.Store(-1)
+	c.RequestLimit.Store(unlimited)
+	c.ResponseLimit.Store(unlimited)
 }
 
-// Serve carries streams until the listener is closed.
+// Serve accepts connections until the listener is closed.
 func (c *ConnectionCutter) Serve() {
 	for {
-		near, err := c.listener.Accept()
+		client, err := c.listener.Accept()
 		if err != nil {
 			return
 		}
-		far, err := net.Dial("tcp", c.target)
+		backend, err := net.Dial("tcp", c.target)
 		if err != nil {
-			_ = near.Close()
+			_ = client.Close()
 			continue
 		}
 		var once sync.Once
-		end := func() { once.Do(func() { _, _ = near.Close(), far.Close() }) }
-		threads.Go(func() { c.copyUpTo(far, near, &c.RequestLimit, end) })
-		threads.Go(func() { c.copyUpTo(near, far, &c.ResponseLimit, end) })
+		closeBoth := func() { once.Do(func() { _, _ = client.Close(), backend.Close() }) }
+		threads.Go(func() { c.copyUpTo(backend, client, &c.RequestLimit, closeBoth) })
+		threads.Go(func() { c.copyUpTo(client, backend, &c.ResponseLimit, closeBoth) })
 	}
 }
 
-// copyUpTo passes bytes on until one side ends or the bound is reached.
-func (c *ConnectionCutter) copyUpTo(to, from net.Conn, bound *atomic.Int64, end func()) {
-	defer end()
-	passed, buffer := int64(0), make([]byte, 4096)
+// copyUpTo passes bytes on until one side ends or the limit is reached.
+func (c *ConnectionCutter) copyUpTo(to, from net.Conn, limit *atomic.Int64, closeBoth func()) {
+	defer closeBoth()
+	var passed int64
+	buffer := make([]byte, copyBufferBytes)
 	for {
-		n, err := from.Read(buffer)
-		most := bound.Load()
+		n, readErr := from.Read(buffer)
+		most := limit.Load()
 		if most >= 0 && passed+int64(n) > most {
 			_, _ = to.Write(buffer[:max(0, most-passed)])
 			c.Cuts.Add(1)
 			return
 		}
 		passed += int64(n)
-		if _, failed := to.Write(buffer[:n]); failed != nil || err != nil {
+		if _, err := to.Write(buffer[:n]); err != nil || readErr != nil {
 			return
 		}
 	}
--- a/internal/simulation/testbackend/platform.go
+++ b/internal/simulation/testbackend/platform.go
@@ -16,7 +16,7 @@
 	runners map[string]protocol.ListedRunner
 }
 
-// NewPlatform makes an empty platform.
+// NewPlatform makes a platform without runners.
 func NewPlatform() *Platform { return &Platform{runners: map[string]protocol.ListedRunner{}} }
 
 // List gives the runners in order of name.
@@ -38,7 +38,8 @@
 	p.runners[listed.Name] = listed
 }
 
-// MarkLeaving marks the present incarnation of a runner as leaving.
+// MarkLeaving marks the present incarnation of a runner as leaving, and tells
+// whether there is such a runner.
 func (p *Platform) MarkLeaving(name string) (protocol.ListedRunner, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -57,29 +58,50 @@
 	delete(p.runners, name)
 }
 
+const (
+	listPath      = "/runners"
+	runnerPath    = "/runners/"
+	leavingSuffix = "/leaving"
+)
+
 // ServeHTTP serves the list, and lets runners and people change it.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	name, one := strings.CutPrefix(r.URL.Path, "/runners/")
+	name, isRunner := strings.CutPrefix(r.URL.Path, runnerPath)
+	leaver, isLeaving := strings.CutSuffix(name, leavingSuffix)
 	switch {
-	case r.URL.Path == "/runners" && r.Method == http.MethodGet:
+	case r.URL.Path == listPath && r.Method == http.MethodGet:
 		writeJSON(w, http.StatusOK, p.List())
-	case one && r.Method == http.MethodPut:
-		var listed protocol.ListedRunner
-		if readJSON(w, r, &listed) {
-			listed.Name = name
-			p.Put(listed)
-			writeJSON(w, http.StatusOK, listed)
-		}
-	case one && r.Method == http.MethodDelete:
+	case isRunner && r.Method == http.MethodPut:
+		p.servePut(w, r, name)
+	case isRunner && r.Method == http.MethodDelete:
 		p.Remove(name)
 		writeJSON(w, http.StatusOK, map[string]string{"removed": name})
-	case one && strings.HasSuffix(name, "/leaving") && r.Method == http.MethodPost:
-		if listed, ok := p.MarkLeaving(strings.TrimSuffix(name, "/leaving")); ok {
-			writeJSON(w, http.StatusOK, listed)
-			return
-		}
-		fallthrough
+	case isRunner && isLeaving && r.Method == http.MethodPost:
+		p.serveLeaving(w, r, leaver)
 	default:
-		writeJSON(w, http.StatusNotFound, errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: r.URL.Path, Ran: "no"})
+		writeUnknownPage(w, r)
+	}
+}
+
+func (p *Platform) servePut(w http.ResponseWriter, r *http.Request, name string) {
+	var listed protocol.ListedRunner
+	if !readJSON(w, r, &listed) {
+		return
 	}
+	listed.Name = name
+	p.Put(listed)
+	writeJSON(w, http.StatusOK, listed)
+}
+
+func (p *Platform) serveLeaving(w http.ResponseWriter, r *http.Request, name string) {
+	listed, ok := p.MarkLeaving(name)
+	if !ok {
+		writeUnknownPage(w, r)
+		return
+	}
+	writeJSON(w, http.StatusOK, listed)
+}
+
+func writeUnknownPage(w http.ResponseWriter, r *http.Request) {
+	writeJSON(w, http.StatusNotFound, errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: r.URL.Path, Ran: "no"})
 }
--- a/internal/simulation/testbackend/runner.go
+++ b/internal/simulation/testbackend/runner.go
@@ -1,5 +1,6 @@
-// Package testbackend holds the stand-ins for what lies outside the system: the
-// runners with their weight store, the platform, and the senders.
+// Package testbackend holds the stand-ins for what lies outside the system on
+// its own interface: runners with their weight store, the platform that lists
+// them, and clients.
 package testbackend
 
 import (
@@ -12,43 +13,54 @@
 	"myrtlewinch/internal/simulation/invariants"
 )
 
-// Runner is a back end: it holds what it is told to, within its room, and
-// runs what it holds. It is a state machine too; its door is elsewhere.
+// Runner is a back end: it loads and unloads models as ordered, within its
+// capacity, and runs requests for those that it holds. It is a state machine
+// that is told the time; RunnerServer puts it on the network. It is not safe
+// for use by several goroutines at once.
 type Runner struct {
-	Name, Incarnation string
-	Capacity          int64
-	LoadMs            int64
-	Checker           *invariants.Checker
-	// AcceptOldRevisions makes it run under any revision, for showing that the system
-	// does not lean on the runners' guard alone.
+	Name string
+	// Incarnation tells one life of the runner's process from the next.
+	Incarnation string
+	// Capacity bounds the sum of the sizes of what it holds.
+	Capacity int64
+	// LoadMs is how long a load takes; an unload takes a tenth of it.
+	LoadMs int64
+	// Checker is told what happens; nil for none.
+	Checker *invariants.Checker
+	// AcceptOldRevisions makes it run requests under any revision, to show that
+	// the system does not rely on the runners' own guard.
 	AcceptOldRevisions bool
 
-	epoch       uint64
-	lastOrder   uint64
-	lastState   string
+	// epoch is the least one whose orders are accepted.
+	epoch     uint64
+	lastOrder uint64
+	lastState string
+	// order is the one under way, which ends at orderEndsMs.
 	order       protocol.Order
 	orderEndsMs int64
-	held        map[string]protocol.HeldItem
-	revision    uint64
-	started     map[string]bool
-	running     int64
+	held        map[ledger.Item]protocol.HeldItem
+	// revision is that of the newest request that was run.
+	revision uint64
+	// started holds the requests that have begun to run.
+	started map[string]bool
+	running int64
 }
 
 // NewRunner makes a runner that holds nothing.
-func NewRunner(name, incarnation string, room, loadMs int64, checker *invariants.Checker) *Runner {
+func NewRunner(name, incarnation string, capacity, loadMs int64, checker *invariants.Checker) *Runner {
 	return &Runner{
-		Name: name, Incarnation: incarnation, Capacity: room, LoadMs: loadMs, Checker: checker,
-		held: map[string]protocol.HeldItem{}, started: map[string]bool{},
+		Name: name, Incarnation: incarnation, Capacity: capacity, LoadMs: loadMs, Checker: checker,
+		held: map[ledger.Item]protocol.HeldItem{}, started: map[string]bool{},
 	}
 }
 
-// completeOrder ends an order whose time has come.
+// completeOrder ends the order under way once its time has come.
 func (r *Runner) completeOrder(nowMs int64) {
 	if r.lastState != protocol.OrderUnderWay || nowMs < r.orderEndsMs {
 		return
 	}
 	r.lastState = protocol.OrderDone
-	item := ledger.Item{Model: r.order.Model, Adapter: r.order.Adapter}.String()
+	item := ledger.Item{Model: r.order.Model, Adapter: r.order.Adapter}
 	if r.order.Action == protocol.ActionLoad {
 		r.held[item] = protocol.HeldItem{Model: r.order.Model, Adapter: r.order.Adapter, Size: r.order.Size}
 		return
@@ -56,7 +68,7 @@
 	delete(r.held, item)
 }
 
-// Report is the runner's word on itself.
+// Report is the runner's report on itself.
 func (r *Runner) Report(nowMs int64) protocol.RunnerReport {
 	r.completeOrder(nowMs)
 	report := protocol.RunnerReport{
@@ -73,86 +85,105 @@
 	return report
 }
 
-// RaiseEpoch takes the epoch of whoever reads the report as the least that is heeded.
+// RaiseEpoch makes orders of lower epochs be rejected from now on.
 func (r *Runner) RaiseEpoch(epoch uint64) { r.epoch = max(r.epoch, epoch) }
 
-// AcceptOrder takes an order, or refuses one of a lower epoch, for another
+// AcceptOrder begins an order. It rejects one of a lower epoch, for another
 // incarnation, or while another is under way. A repeat changes nothing.
-func (r *Runner) AcceptOrder(nowMs int64, o protocol.Order) (protocol.RunnerReport, errkind.Kind) {
+func (r *Runner) AcceptOrder(nowMs int64, order protocol.Order) (report protocol.RunnerReport, rejected errkind.Kind) {
 	r.completeOrder(nowMs)
 	switch {
-	case o.Incarnation != r.Incarnation:
+	case order.Incarnation != r.Incarnation:
 		return protocol.RunnerReport{}, errkind.WrongIncarnation
-	case o.Epoch < r.epoch:
+	case order.Epoch < r.epoch:
 		return protocol.RunnerReport{}, errkind.LowerEpoch
 	}
 	if r.Checker != nil {
-		r.Checker.OrderReceived(nowMs, r.Name, o.Holder, o.Epoch)
+		r.Checker.OrderReceived(nowMs, r.Name, order.Holder)
 	}
-	r.epoch = o.Epoch
-	if o.Number <= r.lastOrder {
+	r.epoch = order.Epoch
+	if order.Number <= r.lastOrder {
 		return r.Report(nowMs), ""
 	}
 	if r.lastState == protocol.OrderUnderWay {
 		return protocol.RunnerReport{}, errkind.RunnerRejected
 	}
-	r.order, r.lastOrder, r.lastState = o, o.Number, protocol.OrderUnderWay
-	r.orderEndsMs = nowMs + r.LoadMs/10
-	if o.Action == protocol.ActionLoad {
-		r.orderEndsMs = nowMs + r.LoadMs
-		taken := o.Size
-		for _, held := range r.held {
-			taken += held.Size
-		}
-		if r.Checker != nil {
-			r.Checker.LoadStarted(nowMs, r.Name, o.Model)
-			r.Checker.CapacityAssigned(nowMs, r.Name, taken, r.Capacity)
-		}
-		if taken > r.Capacity {
-			r.lastState = protocol.OrderFailed
-		}
+	r.order, r.lastOrder, r.lastState = order, order.Number, protocol.OrderUnderWay
+	if order.Action == protocol.ActionLoad {
+		r.beginLoad(nowMs)
+	} else {
+		r.orderEndsMs = nowMs + r.LoadMs/10
 	}
 	return r.Report(nowMs), ""
 }
 
-// StartRequest starts a request, or says that it did not run it.
+// beginLoad begins the load that was ordered; it fails if the capacity does not
+// suffice.
+func (r *Runner) beginLoad(nowMs int64) {
+	r.orderEndsMs = nowMs + r.LoadMs
+	assigned := r.order.Size
+	for _, held := range r.held {
+		assigned += held.Size
+	}
+	if r.Checker != nil {
+		r.Checker.LoadStarted(nowMs, r.Name, r.order.Model)
+		r.Checker.CapacityAssigned(nowMs, r.Name, assigned, r.Capacity)
+	}
+	if assigned > r.Capacity {
+		r.lastState = protocol.OrderFailed
+	}
+}
+
+// StartRequest begins to run a request of a router, or says that it did not.
+// FinishRequest ends it.
 func (r *Runner) StartRequest(nowMs int64, call router.RunRequest, routerName string) *router.RunRejection {
 	r.completeOrder(nowMs)
-	no := false
-	drop := func(kind errkind.Kind) *router.RunRejection {
-		return &router.RunRejection{Kind: string(kind), Request: call.Request, Ran: &no, Revision: r.revision}
-	}
 	if r.Checker != nil {
 		r.Checker.RequestArrived(nowMs, call.Service, call.Request, r.Name, r.Incarnation)
 	}
+	if kind := r.reasonToDrop(call); kind != "" {
+		ran := false
+		return &router.RunRejection{Kind: string(kind), Request: call.Request, Ran: &ran, Revision: r.revision}
+	}
+	r.started[call.Service+"/"+call.Request] = true
+	r.running++
+	if r.Checker != nil {
+		r.Checker.RequestStarted(nowMs, invariants.Execution{
+			Service: call.Service, Request: call.Request, Runner: r.Name, Router: routerName,
+			Repeatable: call.Repeatable, Revision: call.Revision,
+		})
+	}
+	return nil
+}
+
+// reasonToDrop says why a request is not run, or nothing. It notes the revision
+// of a request that is not too old.
+func (r *Runner) reasonToDrop(call router.RunRequest) errkind.Kind {
 	if call.Incarnation != r.Incarnation {
-		return drop(errkind.WrongIncarnation)
+		return errkind.WrongIncarnation
 	}
 	if call.Revision < r.revision && !r.AcceptOldRevisions {
-		return drop(errkind.StaleRevision)
+		return errkind.StaleRevision
 	}
 	r.revision = call.Revision
-	if call.Model != "" {
-		_, model := r.held[call.Model]
-		_, adapter := r.held[ledger.Item{Model: call.Model, Adapter: call.Adapter}.String()]
-		if !model || !adapter {
-			return drop(errkind.NotHeld)
-		}
-	}
-	id := call.Service + "/" + call.Request
-	if r.started[id] && !call.Repeatable {
-		return drop(errkind.DuplicateRequest)
-	}
-	r.started[id] = true
-	r.running++
-	if r.Checker != nil {
-		r.Checker.RequestStarted(nowMs, call.Service, call.Request, r.Name, call.Repeatable, routerName, call.Revision)
+	if call.Model != "" && !r.holds(call.Model, call.Adapter) {
+		return errkind.NotHeld
 	}
-	return nil
+	if r.started[call.Service+"/"+call.Request] && !call.Repeatable {
+		return errkind.DuplicateRequest
+	}
+	return ""
 }
 
-// UnloadAll drops everything that is held, without a new incarnation.
-func (r *Runner) UnloadAll() { r.held = map[string]protocol.HeldItem{} }
+// holds tells whether a model is held, and the adapter if one is named.
+func (r *Runner) holds(model, adapter string) bool {
+	_, modelHeld := r.held[ledger.Item{Model: model}]
+	_, adapterHeld := r.held[ledger.Item{Model: model, Adapter: adapter}]
+	return modelHeld && adapterHeld
+}
 
-// FinishRequest ends a request that Run started.
+// FinishRequest ends a request that StartRequest began.
 func (r *Runner) FinishRequest() { r.running-- }
+
+// UnloadAll forgets everything that is held, without a new incarnation.
+func (r *Runner) UnloadAll() { r.held = map[ledger.Item]protocol.HeldItem{} }
--- a/internal/simulation/testbackend/runner_server.go
+++ b/internal/simulation/testbackend/runner_server.go
@@ -14,95 +14,135 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// RunnerServer is a runner's door to the network.
+// maxBodyBytes bounds the bodies that the stand-ins read.
+const maxBodyBytes = 32 << 20
+
+// RunnerServer serves a runner over HTTP.
 type RunnerServer struct {
-	mu     sync.Mutex
-	runner *Runner
-	nowMs  func() int64
-	// WorkMs is how long a plain answer takes, and each piece of a telling.
+	// WorkMs is how long a plain answer takes, and each piece of a stream.
 	WorkMs int64
+	// Pieces is the number of pieces of each streamed answer.
 	Pieces int
-	// BreakStreams makes every telling break off after its first piece.
+	// BreakStreams makes every stream break off after its first piece.
 	BreakStreams bool
+
+	nowMs func() int64
+	// mu guards the runner.
+	mu     sync.Mutex
+	runner *Runner
 }
 
-// NewRunnerServer opens a door.
+// NewRunnerServer makes a server for a runner.
 func NewRunnerServer(runner *Runner, nowMs func() int64, workMs int64, pieces int) *RunnerServer {
 	return &RunnerServer{runner: runner, nowMs: nowMs, WorkMs: workMs, Pieces: pieces}
 }
 
 // ServeHTTP answers reports, orders and requests.
-func (d *RunnerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *RunnerServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method + " " + r.URL.Path {
 	case "GET /report":
-		epoch, _ := strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
-		d.mu.Lock()
-		d.runner.RaiseEpoch(epoch)
-		report := d.runner.Report(d.nowMs())
-		d.mu.Unlock()
-		writeJSON(w, http.StatusOK, report)
+		s.serveReport(w, r)
 	case "POST /orders":
-		var order protocol.Order
-		if !readJSON(w, r, &order) {
-			return
-		}
-		d.mu.Lock()
-		report, kind := d.runner.AcceptOrder(d.nowMs(), order)
-		d.mu.Unlock()
-		if kind != "" {
-			writeJSON(w, http.StatusConflict, errkind.ErrorBody{Kind: kind, Ran: "no"})
-			return
-		}
-		writeJSON(w, http.StatusOK, report)
+		s.serveOrder(w, r)
 	case "POST /run":
-		var call router.RunRequest
-		if readJSON(w, r, &call) {
-			d.run(w, r, call)
-		}
+		s.serveRun(w, r)
 	default:
 		writeJSON(w, http.StatusNotFound, errkind.ErrorBody{Kind: errkind.UnknownPage})
 	}
 }
 
-func (d *RunnerServer) run(w http.ResponseWriter, r *http.Request, call router.RunRequest) {
-	d.mu.Lock()
-	drop := d.runner.StartRequest(d.nowMs(), call, "")
-	incarnation := d.runner.Incarnation
-	d.mu.Unlock()
+func (s *RunnerServer) serveReport(w http.ResponseWriter, r *http.Request) {
+	epoch, _ := strconv.ParseUint(r.URL.Query().Get("epoch"), 10, 64)
+	s.mu.Lock()
+	s.runner.RaiseEpoch(epoch)
+	report := s.runner.Report(s.nowMs())
+	s.mu.Unlock()
+	writeJSON(w, http.StatusOK, report)
+}
+
+func (s *RunnerServer) serveOrder(w http.ResponseWriter, r *http.Request) {
+	var order protocol.Order
+	if !readJSON(w, r, &order) {
+		return
+	}
+	s.mu.Lock()
+	report, rejected := s.runner.AcceptOrder(s.nowMs(), order)
+	s.mu.Unlock()
+	if rejected != "" {
+		writeJSON(w, http.StatusConflict, errkind.ErrorBody{Kind: rejected, Ran: "no"})
+		return
+	}
+	writeJSON(w, http.StatusOK, report)
+}
+
+func (s *RunnerServer) serveRun(w http.ResponseWriter, r *http.Request) {
+	var call router.RunRequest
+	if !readJSON(w, r, &call) {
+		return
+	}
+	s.mu.Lock()
+	drop := s.runner.StartRequest(s.nowMs(), call, "")
+	s.mu.Unlock()
 	if drop != nil {
 		writeJSON(w, http.StatusConflict, drop)
 		return
 	}
 	defer func() {
-		d.mu.Lock()
-		d.runner.FinishRequest()
-		d.mu.Unlock()
+		s.mu.Lock()
+		s.runner.FinishRequest()
+		s.mu.Unlock()
 	}()
-	if !call.Streaming {
-		if !d.wait(r) {
-			return
-		}
-		text, _ := json.Marshal(map[string]string{"service": call.Service, "model": call.Model, "said": "answer to " + call.Request})
-		writeJSON(w, http.StatusOK, router.RunResponse{Request: call.Request, Incarnation: incarnation, Answer: text})
+	if call.Streaming {
+		s.writeStream(w, r, call)
+	} else {
+		s.writeAnswer(w, r, call)
+	}
+}
+
+// answerText is what a plain answer to a request says.
+func answerText(id string) string { return "answer to " + id }
+
+// plainAnswer is the answer to a request that is not streamed.
+type plainAnswer struct {
+	Model   string `json:"model"`
+	Said    string `json:"said"`
+	Service string `json:"service"`
+}
+
+func (s *RunnerServer) writeAnswer(w http.ResponseWriter, r *http.Request, call router.RunRequest) {
+	if !s.wait(r) {
 		return
 	}
+	text, err := json.Marshal(plainAnswer{Model: call.Model, Said: answerText(call.Request), Service: call.Service})
+	if err != nil {
+		panic("testbackend: an answer can't be encoded: " + err.Error())
+	}
+	writeJSON(w, http.StatusOK, router.RunResponse{Request: call.Request, Incarnation: s.runner.Incarnation, Answer: text})
+}
+
+// writeStream writes one piece a line, and the end mark as the last line.
+func (s *RunnerServer) writeStream(w http.ResponseWriter, r *http.Request, call router.RunRequest) {
 	encoder := json.NewEncoder(w)
-	flush := http.NewResponseController(w)
-	for piece := 1; piece <= d.Pieces; piece++ {
-		if !d.wait(r) {
+	controller := http.NewResponseController(w)
+	line := router.RunResponse{Request: call.Request, Incarnation: s.runner.Incarnation}
+	for piece := 1; piece <= s.Pieces; piece++ {
+		if !s.wait(r) {
 			return
 		}
-		if d.BreakStreams && piece == 2 {
+		if s.BreakStreams && piece == 2 {
 			panic(http.ErrAbortHandler)
 		}
-		_ = encoder.Encode(router.RunResponse{Request: call.Request, Incarnation: incarnation, Chunk: piece, Text: fmt.Sprintf("piece %d of %s", piece, call.Request)})
-		_ = flush.Flush()
+		line.Chunk, line.Text = piece, fmt.Sprintf("piece %d of %s", piece, call.Request)
+		_ = encoder.Encode(line)
+		_ = controller.Flush()
 	}
-	_ = encoder.Encode(router.RunResponse{Request: call.Request, Incarnation: incarnation, End: &d.Pieces})
+	_ = encoder.Encode(router.RunResponse{Request: call.Request, Incarnation: s.runner.Incarnation, End: &s.Pieces})
 }
 
-func (d *RunnerServer) wait(r *http.Request) bool {
-	timer := time.NewTimer(time.Duration(d.WorkMs) * time.Millisecond)
+// wait passes the time that work takes, and tells whether the router still
+// waits for the answer.
+func (s *RunnerServer) wait(r *http.Request) bool {
+	timer := time.NewTimer(time.Duration(s.WorkMs) * time.Millisecond)
 	defer timer.Stop()
 	select {
 	case <-r.Context().Done():
@@ -112,8 +152,9 @@
 	}
 }
 
+// readJSON reads a request's body, or answers that it can't be read.
 func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 32<<20))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(text, into)
 	}
@@ -126,7 +167,7 @@
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	text, _ := json.Marshal(value)
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set("Content-Length", fmt.Sprint(len(text)))
+	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
 	w.WriteHeader(status)
 	_, _ = w.Write(text)
 }
