--- a/internal/controller/contact_test.go
+++ b/internal/controller/contact_test.go
@@ -15,8 +15,8 @@
 	primary := protocol.Node{Name: "core-2", Address: "10.0.0.2:7", Part: protocol.RoleController}
 	router := protocol.Node{Name: "edge-1", Address: "10.0.1.1:7", Part: protocol.RoleRouter}
 	for _, contact := range []bool{true, false} {
-		s := New(Settings{Self: wordSelf, ControlPort: "80"}, wordFormat{})
-		h := &followerHost{wordHost: wordHost{outOfContact: !contact, controllers: []protocol.Node{primary}}, primary: primary}
+		s := New(Settings{Self: testSelf, ControlPort: "80"}, versionFormat{})
+		h := &followerHost{stubHost: stubHost{outOfContact: !contact, controllers: []protocol.Node{primary}}, primary: primary}
 		s.HandleMessage(h, protocol.Envelope{From: router, Body: protocol.IndexLookUp{ID: 1, Service: "llm"}})
 		qt.Assert(t, len(h.sent) > 0, qt.Equals, contact)
 		s.HandleInput(h, ReadConfig{ID: 2})
@@ -28,7 +28,7 @@
 
 // followerHost is a machine that is not the primary.
 type followerHost struct {
-	wordHost
+	stubHost
 	primary protocol.Node
 }
 
@@ -50,8 +50,8 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			order := softOrder{3, 7}
-			qt.Assert(t, order.later(IndexSnapshot{Epoch: test.epoch, Sequence: test.sequence}), qt.Equals, test.later)
+			order := snapshotVersion{3, 7}
+			qt.Assert(t, order.advance(IndexSnapshot{Epoch: test.epoch, Sequence: test.sequence}), qt.Equals, test.later)
 		})
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,3 +1,11 @@
+// Package controller is the control plane of the users' platform. The primary
+// controller accepts configurations from operators and distributes them to the
+// routers, follows the runners that the platform lists, and orders them to load
+// and unload models. The other controllers answer look-ups from snapshots that
+// the primary sends them, and one of them takes over when the primary fails.
+//
+// Controller is the state machine: a consensus.Application that is driven by
+// its Host and reads no clock and no socket. Daemon runs it as a process.
 package controller
 
 import (
@@ -11,283 +19,222 @@
 	"myrtlewinch/internal/protocol"
 )
 
-const (
-	// softMs is how often the primary tells the other controllers what its
-	// ledger holds, so that they can answer look-ups too.
-	softMs = 500
-	// routerMs is how long a router counts for the budget of second tries
-	// after it was last heard of.
-	routerMs = 30_000
-	// demandMs is how often a follower tells the demand that it met.
-	demandMs = 500
-)
-
-// Settings is what a steward knows before it knows anyone.
+// Settings is what a controller is started with.
 type Settings struct {
-	Self        protocol.Node
-	Bounds      bounds.Bounds
+	Self   protocol.Node
+	Bounds bounds.Bounds
+	// ListAddress is where the platform lists the runners; ListPerSec is how
+	// many calls a second the platform accepts there from the whole site.
 	ListAddress string
 	ListPerSec  float64
 	// ControlPort is the port at which every controller serves operators.
+	// Redirects to the primary name it.
 	ControlPort string
 }
 
-// Controller is the tenant of a controller. It reads no clock and no socket.
+// Controller is the state machine of one controller process. All its methods
+// run on the goroutine of the consensus machine.
 type Controller struct {
-	set    Settings
-	format ConfigFormat
-	keeper *placement.Manager
-	maps   maps
-	// routers says when each router last asked.
-	routers  map[string]int64
-	softMs   int64
-	demandMs int64
-	serving  bool
-	// orders says how far this primary is with the right to order.
-	orders  orders
-	roll    roll
-	leaving leaving
-	// softSequence counts the index snapshots that this primary told of, and
-	// softOrder is the newest that this follower took.
-	softSequence uint64
-	softOrder    softOrder
-}
-
-// New makes a steward that knows no map.
-func New(set Settings, format ConfigFormat) *Controller {
+	settings Settings
+	format   ConfigFormat
+	// placement holds the runners, the index and the planner.
+	placement *placement.Manager
+	// isPrimary is true from BecamePrimary to LostPrimacy. The primary may act
+	// only while Host.Active says that its lease holds.
+	isPrimary   bool
+	config      configState
+	submissions submissionQueue
+	orders      orderRight
+	index       indexExchange
+	routers     routerRegistry
+}
+
+var _ consensus.Application = (*Controller)(nil)
+
+// New makes a controller that has no configuration yet. The format parses the
+// configurations that operators submit.
+func New(settings Settings, format ConfigFormat) *Controller {
 	return &Controller{
-		set: set, format: format, routers: map[string]int64{}, maps: newMaps(),
-		keeper: placement.New(set.Bounds, set.Self.Name, set.ListAddress, set.ListPerSec),
+		settings: settings, format: format,
+		placement:   placement.New(settings.Bounds, settings.Self.Name, settings.ListAddress, settings.ListPerSec),
+		submissions: submissionQueue{maxHistory: maxHistory},
+		routers:     newRouterRegistry(),
 	}
 }
 
-// StateChanged reads the map in force anew; it may not be safe on all copies yet, so
-// only a follower, which answers nobody, goes by it.
-func (s *Controller) StateChanged(h consensus.Host) {
-	if !s.serving {
-		s.maps.load(h, s.format)
-		s.keeper.SetMap(s.maps.current.document)
+// StateChanged reads the configuration again after the replicated state has
+// changed. The primary ignores it: it applies its own changes once they are
+// committed. A follower may read one that is not committed yet; that is safe
+// because it answers no operator and updates no router.
+func (c *Controller) StateChanged(h consensus.Host) {
+	if !c.isPrimary {
+		c.config.load(h, c.format)
+		c.placement.SetMap(c.config.active.parsed)
 	}
 }
 
-// BecamePrimary is the start of this daemon's primacy.
-func (s *Controller) BecamePrimary(h consensus.Host) {
-	s.serving = true
-	s.maps.load(h, s.format)
-	s.keeper.SetMap(s.maps.current.document)
-	s.beginOrders(h)
-	s.roll = roll{}
-	s.leaving.take(s.keeper.LeavingRunners())
-	// Routers hear at once who is primary now.
-	s.tellRouters(h)
-	s.maps.begin(s, h)
+// BecamePrimary starts this controller's primacy.
+func (c *Controller) BecamePrimary(h consensus.Host) {
+	c.isPrimary = true
+	c.config.load(h, c.format)
+	c.placement.SetMap(c.config.active.parsed)
+	c.beginOrderRight(h)
+	c.routers.beginPrimacy(c.placement.LeavingRunners())
+	// Routers learn of the new primary at once rather than at their next poll.
+	c.updateRouters(h)
+	c.beginSubmissions(h)
 }
 
-// LostPrimacy is the end of this daemon's primacy.
-func (s *Controller) LostPrimacy(h consensus.Host) {
-	s.serving = false
-	s.keeper.BecomeFollower()
-	s.maps.end(h, s)
-	s.routers = map[string]int64{}
+// LostPrimacy ends this controller's primacy.
+func (c *Controller) LostPrimacy(h consensus.Host) {
+	c.isPrimary = false
+	c.placement.BecomeFollower()
+	c.routers.endPrimacy()
+	c.rejectWaitingSubmissions(h)
 }
 
-// HandleMessage takes a message of a router or of a peer.
-func (s *Controller) HandleMessage(h consensus.Host, e protocol.Envelope) bool {
+// HandleMessage handles a message of a router or of another controller. It
+// returns false for a type that it does not know.
+func (c *Controller) HandleMessage(h consensus.Host, e protocol.Envelope) bool {
 	switch body := e.Body.(type) {
 	case protocol.ConfigPoll:
-		s.asked(h, e.From, body)
+		c.handlePoll(h, e.From, body)
 	case protocol.IndexLookUp:
-		// Cut off, this daemon may know of runners that have long left. A router
-		// that hears nothing asks another controller.
-		if !h.QuorumContact() {
-			h.Count(string(errkind.NoContact))
-			return true
-		}
-		h.Send(e.From, s.keeper.LookUp(h.NowMs(), e.From, body))
-		// Someone waits, so the next tick is too late.
-		if body.Waits {
-			s.hurry(h)
-		}
+		c.handleLookUp(h, e.From, body)
 	case IndexSnapshot:
-		if s.serving || body.Epoch < h.Epoch() || !s.softOrder.later(body) {
-			h.Count(string(errkind.Overtaken))
-		} else {
-			s.keeper.ApplySnapshot(h.NowMs(), body.Ledger)
-		}
+		c.handleIndexSnapshot(h, body)
 	case DemandReport:
-		if s.serving {
-			s.keeper.AddDemand(h.NowMs(), body.Counts)
-		}
+		c.handleDemandReport(h, body)
 	default:
 		return false
 	}
 	return true
 }
 
-// HandleInput takes what operators ask and what calls outward brought.
-func (s *Controller) HandleInput(h consensus.Host, input any) bool {
+// HandleInput handles a request of an operator or the result of a call to the
+// platform or to a runner. It returns false for a type that it does not know.
+func (c *Controller) HandleInput(h consensus.Host, input any) bool {
 	switch in := input.(type) {
-	case SubmitConfig:
-		s.maps.handOver(s, h, in)
-	case ReadConfig:
-		if !s.serving || !h.Active() {
-			s.notPrimary(h, in.ID)
-		} else if s.maps.current.version == 0 {
-			h.Answer(in.ID, protocol.Rejection{Kind: errkind.NotAccepted, Detail: "no map is in force yet"})
-		} else {
-			h.Answer(in.ID, ConfigText{Version: s.maps.current.version, Text: s.maps.current.text})
-		}
-	case ReadStatus:
-		h.Answer(in.ID, s.status(h))
-	case protocol.RunnerList:
-		if s.serving && s.keeper.HandleRunnerList(h.NowMs(), in) {
-			s.leaving.take(s.keeper.LeavingRunners())
-			s.tellRouters(h)
-		}
-	case protocol.RunnerStateResult:
-		if s.serving {
-			s.keeper.HandleRunnerState(h.NowMs(), in)
-			s.hurry(h)
-		}
-	case protocol.RunnerOrderResult:
-		if s.serving {
-			s.keeper.HandleOrderResult(h.NowMs(), in)
-			s.hurry(h)
-		}
+	case OperatorRequest:
+		c.handleOperatorRequest(h, in)
+	case protocol.FleetResult:
+		c.handleFleetResult(h, in)
 	default:
 		return false
 	}
 	return true
 }
 
-// Tick goes on with what time brings.
-func (s *Controller) Tick(h consensus.Host) {
-	if s.serving {
-		s.tickPrimary(h)
-		return
-	}
-	if h.NowMs()-s.demandMs >= demandMs {
-		s.tellDemand(h)
-	}
-}
-
-// hurry goes on with the ledger without waiting for the next tick; a follower
-// tells the primary at once of those who wait.
-func (s *Controller) hurry(h consensus.Host) {
-	switch {
-	case !s.serving:
-		if s.keeper.HasWaitingRequests() {
-			s.tellDemand(h)
-		}
-	case h.Active():
-		s.goOn(h)
+func (c *Controller) handleOperatorRequest(h consensus.Host, request OperatorRequest) {
+	switch request := request.(type) {
+	case SubmitConfig:
+		c.handleSubmitConfig(h, request)
+	case ReadConfig:
+		c.handleReadConfig(h, request)
+	case ReadStatus:
+		c.reply(h, request.ID, c.status(h))
 	}
 }
 
-// goOn carries out what the ledger has due.
-func (s *Controller) goOn(h consensus.Host) {
-	calls, tells := s.keeper.Tick(h.NowMs(), h.LeaseUntilMs())
-	for _, call := range calls {
-		if order, is := call.Body.(protocol.RunnerOrder); is {
-			h.Logf("order %d to %s: %s %s %s", order.Number, order.Runner, action(order.Load), order.Model, order.Adapter)
-		}
-		h.Call(call.Address, call.Body)
+func (c *Controller) handleFleetResult(h consensus.Host, result protocol.FleetResult) {
+	// A result that comes after the end of a primacy is of no use: the next
+	// primary makes its own calls.
+	if !c.isPrimary {
+		return
 	}
-	for _, tell := range tells {
-		h.Send(tell.To, tell.Index)
+	switch result := result.(type) {
+	case protocol.RunnerList:
+		c.handleRunnerList(h, result)
+	case protocol.RunnerStateResult:
+		c.placement.HandleRunnerState(h.NowMs(), result)
+		c.advancePlacement(h)
+	case protocol.RunnerOrderResult:
+		c.placement.HandleOrderResult(h.NowMs(), result)
+		c.advancePlacement(h)
 	}
 }
 
-func action(load bool) string {
-	if load {
-		return "load"
+// handleRunnerList tells the routers at once when other runners are leaving
+// than before.
+func (c *Controller) handleRunnerList(h consensus.Host, list protocol.RunnerList) {
+	if c.placement.HandleRunnerList(h.NowMs(), list) {
+		c.routers.setLeaving(c.placement.LeavingRunners())
+		c.updateRouters(h)
 	}
-	return "unload"
 }
 
-func (s *Controller) tellDemand(h consensus.Host) {
-	s.demandMs = h.NowMs()
-	if counts := s.keeper.DrainDemand(); len(counts) > 0 && h.Primary().Name != "" {
-		h.Send(h.Primary(), DemandReport{Counts: counts})
+// Tick does the periodic work.
+func (c *Controller) Tick(h consensus.Host) {
+	if c.isPrimary {
+		c.tickPrimary(h)
+	} else {
+		c.tickFollower(h)
 	}
 }
 
-func (s *Controller) tickPrimary(h consensus.Host) {
+func (c *Controller) tickPrimary(h consensus.Host) {
 	if !h.Active() {
 		return
 	}
-	s.maps.next(s, h)
-	s.keeper.SetEpoch(h.Epoch())
-	s.takeOrders(h)
-	s.goOn(h)
-	if h.NowMs()-s.softMs >= softMs {
-		s.softMs = h.NowMs()
-		s.softSequence++
-		image := IndexSnapshot{Epoch: h.Epoch(), Sequence: s.softSequence, Ledger: s.keeper.Snapshot()}
-		for _, place := range h.Controllers() {
-			h.Send(place, image)
-		}
-	}
+	c.processSubmissions(h)
+	c.placement.SetEpoch(h.Epoch())
+	c.claimOrderRight(h)
+	c.runPlacement(h)
+	c.sendSnapshots(h)
 }
 
-// asked answers a router's constant question. What the router has is not sent
-// again, so that the answer costs the same however large the site is.
-func (s *Controller) asked(h consensus.Host, from protocol.Node, ask protocol.ConfigPoll) {
-	if !s.serving || !h.Active() {
-		return
-	}
-	s.routers[from.Name] = h.NowMs()
-	word := s.word(h)
-	word.EchoMs = ask.EchoMs
-	if ask.Version != word.Version && s.maps.send(h.NowMs(), from) {
-		word.Packed = s.maps.current.packed
-	}
-	if ask.LeavingSum == word.LeavingSum {
-		word.Leaving = nil
+// advancePlacement runs the placement now rather than at the next tick, where
+// this controller may act.
+func (c *Controller) advancePlacement(h consensus.Host) {
+	if h.Active() {
+		c.runPlacement(h)
 	}
-	if ask.ControllersSum == word.ControllersSum {
-		word.Controllers = nil
-	}
-	h.Send(from, word)
 }
 
-// word is what routers are told now, without the map itself.
-func (s *Controller) word(h consensus.Host) protocol.ConfigUpdate {
-	s.roll.call(s, h)
-	return protocol.ConfigUpdate{
-		Epoch: h.Epoch(), Version: s.maps.current.version, Sum: s.maps.current.sum,
-		Leaving: s.leaving.ids, LeavingSum: s.leaving.sum, AgeMs: s.keeper.ListAgeMs(h.NowMs()),
-		Routers: s.roll.routers, Controllers: s.roll.controllers, ControllersSum: s.roll.sum,
+// runPlacement makes the calls that the placement has due, and sends routers
+// the changes of the index that concern them.
+func (c *Controller) runPlacement(h consensus.Host) {
+	calls, updates := c.placement.Tick(h.NowMs(), h.LeaseUntilMs())
+	for _, call := range calls {
+		if order, isOrder := call.Body.(protocol.RunnerOrder); isOrder {
+			logOrder(h, order)
+		}
+		h.Call(call.Address, call.Body)
+	}
+	for _, update := range updates {
+		h.Send(update.To, update.Index)
 	}
 }
 
-// tellRouters tells every router at once what changed.
-func (s *Controller) tellRouters(h consensus.Host) {
-	if !h.Active() {
-		return
-	}
-	word := s.word(h)
-	now := []uint64{word.Version, word.Epoch}
-	isNew := !slices.Equal(s.maps.told, now)
-	s.maps.told = now
-	for _, place := range h.Routers() {
-		word.Packed = nil
-		if isNew && s.maps.send(h.NowMs(), place) {
-			word.Packed = s.maps.current.packed
-		}
-		h.Send(place, word)
+func logOrder(h consensus.Host, order protocol.RunnerOrder) {
+	action := "unload"
+	if order.Load {
+		action = "load"
 	}
+	h.Logf("order %d to %s: %s %s %s", order.Number, order.Runner, action, order.Model, order.Adapter)
 }
 
-// notPrimary sends an operator to the primary, where a majority stood behind it
-// just now. Without that it may be one no longer, and the operator would go
-// round in a circle.
-func (s *Controller) notPrimary(h consensus.Host, id uint64) {
-	said := protocol.Rejection{Kind: errkind.NotPrimary, Detail: "the primary answers this"}
+// mayAnswerOperators says whether this controller is the primary and its lease
+// holds.
+func (c *Controller) mayAnswerOperators(h consensus.Host) bool { return c.isPrimary && h.Active() }
+
+// redirectToPrimary rejects an operator's request that only the primary may
+// answer. It names the primary only where a majority recently confirmed it: an
+// outdated name could send the operator round in a circle.
+func (c *Controller) redirectToPrimary(h consensus.Host, id uint64) {
+	rejection := protocol.Rejection{Kind: errkind.NotPrimary, Detail: "the primary answers this"}
 	primary := h.Primary()
-	alive := slices.ContainsFunc(h.Controllers(), func(p protocol.Node) bool { return p.Name == primary.Name })
-	if host, _, err := net.SplitHostPort(primary.Address); err == nil && alive && h.QuorumContact() {
-		said.Primary = net.JoinHostPort(host, s.set.ControlPort)
+	isPrimary := func(n protocol.Node) bool { return n.Name == primary.Name }
+	isAlive := slices.ContainsFunc(h.Controllers(), isPrimary)
+	host, _, err := net.SplitHostPort(primary.Address)
+	if err == nil && isAlive && h.QuorumContact() {
+		rejection.Primary = net.JoinHostPort(host, c.settings.ControlPort)
 	}
-	h.Answer(id, said)
+	reject(h, id, rejection)
 }
+
+// reply answers an operator's request.
+func (c *Controller) reply(h consensus.Host, id uint64, reply OperatorReply) { h.Answer(id, reply) }
+
+// reject answers an operator's request with the reason why it has no outcome.
+func reject(h consensus.Host, id uint64, rejection protocol.Rejection) { h.Answer(id, rejection) }
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -18,122 +18,137 @@
 )
 
 const (
-	tickMs    = 50
-	leaveWait = 300 * time.Millisecond
+	// tickMs is the time between two ticks of the machine.
+	tickMs = 50
+	// flushTime is left for the last messages to go out at a planned stop, such
+	// as the one that tells the next primary to take over.
+	flushTime = 300 * time.Millisecond
+	// exitMs is the part of a planned stop's grace time that is kept for all but
+	// the handover: last messages, open calls of operators, the process's end.
+	exitMs = 1500
 )
 
-// endMs is kept of a planned stop's grace for all but the hand-over: the last
-// messages, open calls of operators, the end of the process.
-const endMs = 1500
-
-// LeaveTimeoutMs is how long, in ms, a planned stop may take to hand over: a successor
-// that has just begun is whole after the catch-up time, and the platform ends
-// the process after its grace.
+// ShutdownHandoverMs is how long, in ms, a planned stop may take to hand over.
+// A replacement that starts now is complete after the catch-up time, and the
+// platform kills the process after its grace time.
 func ShutdownHandoverMs(b bounds.Bounds) int64 {
-	return max(leaveWait.Milliseconds(), min(b.CatchUpMs, b.GraceMs-endMs))
+	return max(flushTime.Milliseconds(), min(b.CatchUpMs, b.GraceMs-exitMs))
 }
 
-// DaemonSettings is the place of a controller process.
+// DaemonSettings is what a controller process is started with.
 type DaemonSettings struct {
-	Site  string
-	Self  protocol.Node
+	// Site is the name that all processes of the site share.
+	Site string
+	// Self is this process as its peers know it. NewDaemon sets the part and
+	// the incarnation.
+	Self protocol.Node
+	// Seeds are the addresses of controllers at which peers are looked for.
 	Seeds []string
 	// Losses is how many disks may be lost at once.
-	Losses     int
+	Losses int
+	// FirstStart says that the site is being founded by this start.
 	FirstStart bool
 	Bounds     bounds.Bounds
-	// ListAddress is where the platform lists runners, ListPerSec how many
-	// calls a second it takes from all daemons.
+	// ListAddress, ListPerSec and ControlPort are those of Settings.
 	ListAddress string
 	ListPerSec  float64
 	ControlPort string
-	Data        string
+	// Data is the data folder.
+	Data string
 }
 
-// Daemon is a controller as a process: its machine in a shell.
+// Daemon is a controller as a process: its state machine in a process.Runtime.
 type Daemon struct {
-	shell *process.Runtime
-	// doors are the pages that operators use.
-	doors http.Handler
-	// seeds are those of the settings as they are now.
+	runtime *process.Runtime
+	// operatorAPI serves operators.
+	operatorAPI http.Handler
+	// seeds are those of the settings file as it is now.
 	seeds atomic.Pointer[[]string]
-	// handOver bounds a planned stop's hand-over.
-	handOver time.Duration
+	// handoverTimeout bounds the handover of a planned stop.
+	handoverTimeout time.Duration
 }
 
-// NewDaemon opens the data folder and makes the controller; nothing runs yet.
-// Doors makes the pages that operators use.
-func NewDaemon(set DaemonSettings, format ConfigFormat, exchanger process.OutboundCaller, doors func(*process.Runtime) http.Handler, peers, web net.Listener, logger *log.Logger) (*Daemon, error) {
+// NewDaemon opens the data folder and makes the controller. Nothing runs before
+// AddTasks. The caller makes the calls to the platform and its runners;
+// newOperatorAPI makes the handler that serves operators at the web listener.
+func NewDaemon(settings DaemonSettings, format ConfigFormat, caller process.OutboundCaller, newOperatorAPI func(*process.Runtime) http.Handler, peers, web net.Listener, logger *log.Logger) (*Daemon, error) {
 	clock := process.NewClock()
-	machine, d, err := set.machine(storage.Open, format, clock)
+	machine, store, err := settings.openMachine(storage.Open, format, clock)
 	if err != nil {
 		return nil, err
 	}
-	set.Self.Part, set.Self.Incarnation = protocol.RoleController, d.Rows()["incarnation"]
-	o := &Daemon{handOver: time.Duration(ShutdownHandoverMs(set.Bounds)) * time.Millisecond}
-	o.seeds.Store(&set.Seeds)
-	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { o.doors.ServeHTTP(w, r) })
-	o.shell = process.New(process.Options{
-		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Caller: exchanger,
+	settings.Self.Part, settings.Self.Incarnation = protocol.RoleController, store.Rows()["incarnation"]
+	d := &Daemon{handoverTimeout: time.Duration(ShutdownHandoverMs(settings.Bounds)) * time.Millisecond}
+	d.seeds.Store(&settings.Seeds)
+	// The API needs the runtime and the runtime needs a handler, so the handler
+	// looks the API up when it is called.
+	handler := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { d.operatorAPI.ServeHTTP(w, r) })
+	d.runtime = process.New(process.Options{
+		Site: settings.Site, Self: settings.Self, Clock: clock, Log: logger, TickMs: tickMs, Caller: caller,
 		Reopen: func() (process.Machine, *storage.Store, error) {
-			return o.anew(set).machine(storage.Reopen, format, clock)
+			return d.restartSettings(settings).openMachine(storage.Reopen, format, clock)
 		},
-	}, machine, d, peers, web, handler)
-	o.doors = doors(o.shell)
-	return o, nil
+	}, machine, store, peers, web, handler)
+	d.operatorAPI = newOperatorAPI(d.runtime)
+	return d, nil
 }
 
-// anew is what a machine knows that begins anew in the same process.
-func (o *Daemon) anew(set DaemonSettings) DaemonSettings {
-	// A site is founded at its first start alone.
-	set.FirstStart = false
-	set.Seeds = *o.seeds.Load()
-	return set
+// restartSettings returns the settings for a machine that is restarted within
+// the same process, as after a fault of the disk.
+func (d *Daemon) restartSettings(settings DaemonSettings) DaemonSettings {
+	// A site is founded only once.
+	settings.FirstStart = false
+	settings.Seeds = *d.seeds.Load()
+	return settings
 }
 
-// machine opens the data folder and makes a controller from what it holds.
-func (set DaemonSettings) machine(open func(folder, site string) (*storage.Store, error), format ConfigFormat, clock process.Clock) (process.Machine, *storage.Store, error) {
-	d, err := open(set.Data, set.Site)
+// openMachine opens the data folder and makes a machine from what it holds.
+func (s DaemonSettings) openMachine(open func(folder, site string) (*storage.Store, error), format ConfigFormat, clock process.Clock) (process.Machine, *storage.Store, error) {
+	store, err := open(s.Data, s.Site)
 	if err != nil {
 		return nil, nil, err
 	}
-	keys := d.Rows()
-	set.Self.Part, set.Self.Incarnation = protocol.RoleController, keys["incarnation"]
-	tenant := New(Settings{
-		Self: set.Self, Bounds: set.Bounds, ListAddress: set.ListAddress, ListPerSec: set.ListPerSec, ControlPort: set.ControlPort,
-	}, format)
-	machine, err := consensus.New(consensus.Settings{
-		Site: set.Site, Self: set.Self, Seeds: set.Seeds, Application: tenant, MaxLosses: set.Losses, FirstStart: set.FirstStart,
-		// A holder's order may be a moment on its way.
-		GapMs: set.Bounds.LeaseMs + set.Bounds.ThawMs,
-		// The next loss may come once a lost machine is back for this long.
-		WitnessTimeoutMs: consensus.WitnessTimeoutFor(set.Bounds.CatchUpMs),
-		ReplicaGraceMs:   consensus.ReplicaGraceFor(set.Bounds.CatchUpMs),
-		Timing:           consensus.TimingFor(set.Bounds.CatchUpMs),
-		LeaveTimeoutMs:   ShutdownHandoverMs(set.Bounds),
-	}, keys, clock.NowMs())
+	keys := store.Rows()
+	s.Self.Part, s.Self.Incarnation = protocol.RoleController, keys["incarnation"]
+	machine, err := consensus.New(s.consensusSettings(format), keys, clock.NowMs())
 	if err != nil {
-		d.Close()
+		store.Close()
 		return nil, nil, err
 	}
-	return machine, d, nil
+	return machine, store, nil
+}
+
+func (s DaemonSettings) consensusSettings(format ConfigFormat) consensus.Settings {
+	application := New(Settings{
+		Self: s.Self, Bounds: s.Bounds, ListAddress: s.ListAddress, ListPerSec: s.ListPerSec, ControlPort: s.ControlPort,
+	}, format)
+	return consensus.Settings{
+		Site: s.Site, Self: s.Self, Seeds: s.Seeds, Application: application, MaxLosses: s.Losses, FirstStart: s.FirstStart,
+		// An order may be delivered this long after the holder's lease ended.
+		GapMs: s.Bounds.LeaseMs + s.Bounds.ThawMs,
+		// The next loss may come once a lost machine is back for this long.
+		WitnessTimeoutMs: consensus.WitnessTimeoutFor(s.Bounds.CatchUpMs),
+		ReplicaGraceMs:   consensus.ReplicaGraceFor(s.Bounds.CatchUpMs),
+		Timing:           consensus.TimingFor(s.Bounds.CatchUpMs),
+		LeaveTimeoutMs:   ShutdownHandoverMs(s.Bounds),
+	}
 }
 
-// AddTasks adds the controller's duties to a crew.
-func (o *Daemon) AddTasks(c *threads.Group) { o.shell.AddTasks(c) }
+// AddTasks adds the goroutines of the controller to a group.
+func (d *Daemon) AddTasks(group *threads.Group) { d.runtime.AddTasks(group) }
 
-// Shutdown hands the copy, the vote and the primacy of this daemon to others
-// before a planned stop, as far as there are any and within LeaveTimeoutMs.
-func (o *Daemon) Shutdown() {
-	ctx, cancel := context.WithTimeout(context.Background(), o.handOver+leaveWait)
+// Shutdown hands the replica, the vote and the primacy of this process over to
+// others before a planned stop. It returns after ShutdownHandoverMs at the
+// latest, whether or not there were others.
+func (d *Daemon) Shutdown() {
+	ctx, cancel := context.WithTimeout(context.Background(), d.handoverTimeout+flushTime)
 	defer cancel()
-	o.shell.Call(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
-	// The last messages, such as the word to the next primary, are on their way.
-	time.Sleep(leaveWait)
+	d.runtime.Call(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
+	time.Sleep(flushTime)
 }
 
-// Reseed takes the seeds of changed settings.
-func (o *Daemon) Reseed(seeds []string) {
-	o.seeds.Store(&seeds)
-	o.shell.Submit(consensus.SetSeeds{Seeds: seeds})
+// Reseed replaces the seeds by those of a changed settings file.
+func (d *Daemon) Reseed(seeds []string) {
+	d.seeds.Store(&seeds)
+	d.runtime.Submit(consensus.SetSeeds{Seeds: seeds})
 }
--- a/internal/controller/daemon_test.go
+++ b/internal/controller/daemon_test.go
@@ -22,13 +22,13 @@
 		c.Cleanup(func() { at.Close() })
 		return at
 	}
-	set := DaemonSettings{Site: "s", Self: wordSelf, Seeds: []string{"a:7"}, FirstStart: true, Data: c.TempDir()}
+	set := DaemonSettings{Site: "s", Self: testSelf, Seeds: []string{"a:7"}, FirstStart: true, Data: c.TempDir()}
 	doors := func(*process.Runtime) http.Handler { return http.NotFoundHandler() }
-	o, err := NewDaemon(set, wordFormat{}, nil, doors, listen(), listen(), log.New(io.Discard))
+	o, err := NewDaemon(set, versionFormat{}, nil, doors, listen(), listen(), log.New(io.Discard))
 	c.Assert(err, qt.IsNil)
 	for _, seeds := range [][]string{{"a:7"}, {"b:7", "c:7"}} {
 		o.Reseed(seeds)
-		anew := o.anew(set)
+		anew := o.restartSettings(set)
 		c.Check(anew.Seeds, qt.DeepEquals, seeds)
 		c.Check(anew.FirstStart, qt.IsFalse)
 		c.Check(anew.Data, qt.Equals, set.Data)
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -9,211 +9,225 @@
 	"myrtlewinch/internal/consensus"
 )
 
-// The configuration is one register with compare-and-set: an order names the
-// version that it builds on, and each version has at most one successor. The
-// history keeps that successor in a row of its own, under the version that was
-// built on, so that an order is looked up without reading any other row.
+// The configuration is one register with compare-and-set: a submission names its
+// base version, and each version has at most one successor. The history keeps
+// that successor in a row of its own, under the base version, so that one read
+// tells whether a submission that comes again was accepted. This is what makes
+// submissions idempotent: an operator who got no answer submits again.
+
+// Keys of the replicated rows.
 const (
-	// historyRow says which successors are kept.
+	// historyRow holds a historyRange.
 	historyRow = "history"
-	// successorPrefix comes before the version that was built on.
+	// successorPrefix is followed by a base version. The row holds a successor.
 	successorPrefix = "history/"
-	// refusedRow lists the refusals that a later order could contradict.
-	refusedRow = "refused"
-	// legacyRow is the list of accepted orders as earlier releases kept it.
+	// rejectedRow holds the list of rejections that a later submission could
+	// contradict.
+	rejectedRow = "refused"
+	// legacyRow holds the accepted submissions as earlier releases kept them.
 	legacyRow = "taken"
 )
 
 const (
-	// historyMost is how many accepted orders are kept: those of a day of
-	// 11,000 changes and half as many again.
-	historyMost = 16_384
-	// refusedMost bounds the refusals that are kept.
-	refusedMost = 64
+	// maxHistory is how many accepted submissions are kept: half as many again
+	// as come on a day of 11,000 changes.
+	maxHistory = 16_384
+	// maxRejections bounds the rejections that are kept.
+	maxRejections = 64
 )
 
-// successor is the order that was accepted on top of a version.
+// successor is the submission that was accepted on top of a base version.
 type successor struct {
+	// Version is the version that it brought into force.
 	Version uint64 `json:"version"`
-	Sum     string `json:"sum"`
+	// Sum identifies the submission; see SubmitConfig.sum.
+	Sum string `json:"sum"`
 }
 
-// history says which successors are kept. Of orders that build on a version
-// below OldestBase nothing is known.
-type history struct {
+// historyRange says which successors are kept. Nothing is known of submissions
+// whose base version is below OldestBase.
+type historyRange struct {
 	OldestBase uint64 `json:"oldestBase"`
 	Count      int    `json:"count"`
 }
 
-// refusal is an order that was refused while the version that it builds on lay
-// ahead. Should that version come into force, the order stays refused.
-type refusal struct {
+// rejection is a submission that was rejected before its base version was in
+// force. It stays rejected when that version comes into force.
+type rejection struct {
 	Sum  string `json:"sum"`
 	Base uint64 `json:"base"`
 }
 
-// standing is what the history says of an order.
-type standing int
+// submissionStatus is what the history says of a submission.
+type submissionStatus int
 
 const (
-	// standingNext: the order builds on the current version.
-	standingNext standing = iota
-	// standingAccepted: the order was accepted before.
-	standingAccepted
-	// standingStale: the order was not accepted and never will be.
-	standingStale
-	// standingAhead: the version that it builds on has not been in force.
-	standingAhead
-	// standingUnknown: the order is older than what is kept.
-	standingUnknown
+	// submissionIsNext means that its base version is in force.
+	submissionIsNext submissionStatus = iota
+	// submissionWasAccepted means that it was accepted before.
+	submissionWasAccepted
+	// submissionIsStale means that it was not accepted and never will be.
+	submissionIsStale
+	// submissionIsAhead means that its base version has not been in force.
+	submissionIsAhead
+	// submissionIsTooOld means that the history does not reach back to it.
+	submissionIsTooOld
 )
 
 func successorKey(base uint64) string { return successorPrefix + strconv.FormatUint(base, 10) }
 
-// readHistory reads what is kept; an unreadable row keeps nothing.
-func readHistory(h consensus.Host, current uint64) history {
-	kept := history{}
-	text := h.Row(historyRow)
-	if text == "" {
-		return history{OldestBase: current}
+// lookUpSubmission finds out what became of a submission. The version is the
+// one that it brought into force, where it was accepted.
+func lookUpSubmission(h consensus.Host, current, base uint64, sum string) (submissionStatus, uint64) {
+	next, found := readSuccessor(h, base)
+	switch {
+	case found && next.Sum == sum:
+		return submissionWasAccepted, next.Version
+	case found:
+		return submissionIsStale, 0
+	case base == current && isRejected(h, sum):
+		return submissionIsStale, 0
+	case base == current:
+		return submissionIsNext, 0
+	case base > current:
+		return submissionIsAhead, 0
+	case base < readHistoryRange(h, current).OldestBase:
+		return submissionIsTooOld, 0
+	}
+	return submissionIsStale, 0
+}
+
+// readHistoryRange reads what is kept. Without a readable row that is nothing
+// below the current version.
+func readHistoryRange(h consensus.Host, current uint64) historyRange {
+	row := h.Row(historyRow)
+	if row == "" {
+		return historyRange{OldestBase: current}
 	}
-	if err := json.Unmarshal([]byte(text), &kept); err != nil {
-		h.Logf("the history of accepted orders can't be read: %v", err)
-		return history{OldestBase: current}
+	var kept historyRange
+	if err := json.Unmarshal([]byte(row), &kept); err != nil {
+		h.Logf("the history of accepted submissions can't be read: %v", err)
+		return historyRange{OldestBase: current}
 	}
 	return kept
 }
 
-// readSuccessor gives the order that was accepted on top of a version.
+// readSuccessor returns the submission that was accepted on top of a version.
 func readSuccessor(h consensus.Host, base uint64) (successor, bool) {
-	next := successor{}
-	text := h.Row(successorKey(base))
-	if text == "" {
-		return next, false
+	row := h.Row(successorKey(base))
+	if row == "" {
+		return successor{}, false
 	}
-	if err := json.Unmarshal([]byte(text), &next); err != nil {
-		h.Logf("the order accepted on top of version %d can't be read: %v", base, err)
-		return next, false
+	var next successor
+	if err := json.Unmarshal([]byte(row), &next); err != nil {
+		h.Logf("the submission accepted on top of version %d can't be read: %v", base, err)
+		return successor{}, false
 	}
 	return next, true
 }
 
-// standingOf looks an order up. The version is the one that it was accepted
-// under, where it was.
-func standingOf(h consensus.Host, current, base uint64, sum string) (standing, uint64) {
-	next, found := readSuccessor(h, base)
-	switch {
-	case found && next.Sum == sum:
-		return standingAccepted, next.Version
-	case found:
-		return standingStale, 0
-	case base == current && isRefused(h, sum):
-		return standingStale, 0
-	case base == current:
-		return standingNext, 0
-	case base > current:
-		return standingAhead, 0
-	case base < readHistory(h, current).OldestBase:
-		return standingUnknown, 0
-	}
-	return standingStale, 0
-}
-
-// acceptedRows are the rows that note an accepted order. Where more than most
-// would be kept, the oldest is forgotten in the same write.
-func acceptedRows(h consensus.Host, base, version uint64, sum string, most int) map[string]string {
-	kept := readHistory(h, base)
-	rows := map[string]string{successorKey(base): encode(successor{version, sum})}
+// acceptedRows returns the rows that record an accepted submission, and drops
+// the oldest ones of the history where it would exceed its limit.
+func acceptedRows(h consensus.Host, base, version uint64, sum string, limit int) map[string]string {
+	kept := readHistoryRange(h, base)
+	rows := map[string]string{successorKey(base): encodeRow(successor{version, sum})}
 	kept.Count++
-	for kept.Count > most {
+	for kept.Count > limit {
 		oldest, found := readSuccessor(h, kept.OldestBase)
 		if !found {
-			// The chain is broken, so nothing before this order can be told.
-			kept = history{OldestBase: base, Count: 1}
+			// The chain is broken, so nothing before this submission is known.
+			kept = historyRange{OldestBase: base, Count: 1}
 			break
 		}
 		rows[successorKey(kept.OldestBase)] = ""
 		kept.OldestBase = oldest.Version
 		kept.Count--
 	}
-	rows[historyRow] = encode(kept)
-	refused := readRefused(h)
-	// A refusal on a version that has been passed needs no row any more.
-	left := slices.DeleteFunc(slices.Clone(refused), func(r refusal) bool { return r.Base < version })
-	if len(left) < len(refused) {
-		rows[refusedRow] = encodeList(left)
-	}
+	rows[historyRow] = encodeRow(kept)
+	dropOldRejections(h, rows, version)
 	return rows
 }
 
-func readRefused(h consensus.Host) []refusal {
-	var refused []refusal
-	text := h.Row(refusedRow)
-	if text == "" {
+// dropOldRejections adds the row without the rejections whose base version has
+// been passed: the history answers for those.
+func dropOldRejections(h consensus.Host, rows map[string]string, version uint64) {
+	rejected := readRejections(h)
+	isPassed := func(r rejection) bool { return r.Base < version }
+	left := slices.DeleteFunc(slices.Clone(rejected), isPassed)
+	if len(left) < len(rejected) {
+		rows[rejectedRow] = encodeListRow(left)
+	}
+}
+
+func readRejections(h consensus.Host) []rejection {
+	row := h.Row(rejectedRow)
+	if row == "" {
 		return nil
 	}
-	if err := json.Unmarshal([]byte(text), &refused); err != nil {
-		h.Logf("the refused orders can't be read: %v", err)
+	var rejected []rejection
+	if err := json.Unmarshal([]byte(row), &rejected); err != nil {
+		h.Logf("the rejected submissions can't be read: %v", err)
 	}
-	return refused
+	return rejected
 }
 
-func isRefused(h consensus.Host, sum string) bool {
-	return slices.ContainsFunc(readRefused(h), func(r refusal) bool { return r.Sum == sum })
+func isRejected(h consensus.Host, sum string) bool {
+	return slices.ContainsFunc(readRejections(h), func(r rejection) bool { return r.Sum == sum })
 }
 
-// refusedRows are the rows that note a refusal; false says that there is no
-// room for one.
-func refusedRows(h consensus.Host, base uint64, sum string) (map[string]string, bool) {
-	refused := readRefused(h)
-	if len(refused) >= refusedMost {
+// rejectedRows returns the rows that record a rejection, or false where no more
+// can be kept.
+func rejectedRows(h consensus.Host, base uint64, sum string) (map[string]string, bool) {
+	rejected := readRejections(h)
+	if len(rejected) >= maxRejections {
 		return nil, false
 	}
-	return map[string]string{refusedRow: encodeList(append(refused, refusal{sum, base}))}, true
+	return map[string]string{rejectedRow: encodeListRow(append(rejected, rejection{sum, base}))}, true
 }
 
-// legacyOrder is an accepted order as earlier releases kept it.
-type legacyOrder struct {
+// legacyAcceptance is an accepted submission as earlier releases kept it.
+type legacyAcceptance struct {
 	Sum     string `json:"sum"`
 	Version uint64 `json:"version"`
 }
 
-// migratedRows turn the list of earlier releases into a history, or are nil
-// where there is no such list. It does not tell what its first order was built
-// on, so that one is left out.
+// migratedRows returns the rows that turn the list of earlier releases into a
+// history, or nil where there is no such list. The list does not say what its
+// first submission was built on, so that one is left out.
 func migratedRows(h consensus.Host, current uint64) map[string]string {
-	text := h.Row(legacyRow)
-	if text == "" {
+	row := h.Row(legacyRow)
+	if row == "" {
 		return nil
 	}
-	var orders []legacyOrder
-	if err := json.Unmarshal([]byte(text), &orders); err != nil {
-		h.Logf("the accepted orders of an earlier release can't be read: %v", err)
+	var accepted []legacyAcceptance
+	if err := json.Unmarshal([]byte(row), &accepted); err != nil {
+		h.Logf("the accepted submissions of an earlier release can't be read: %v", err)
 	}
-	kept := history{OldestBase: current}
+	kept := historyRange{OldestBase: current}
 	rows := map[string]string{legacyRow: ""}
-	if len(orders) > 0 {
-		kept = history{OldestBase: orders[0].Version, Count: len(orders) - 1}
-		for i, order := range orders[1:] {
-			rows[successorKey(orders[i].Version)] = encode(successor{order.Version, order.Sum})
+	if len(accepted) > 0 {
+		kept = historyRange{OldestBase: accepted[0].Version, Count: len(accepted) - 1}
+		for i, next := range accepted[1:] {
+			rows[successorKey(accepted[i].Version)] = encodeRow(successor{next.Version, next.Sum})
 		}
 	}
-	rows[historyRow] = encode(kept)
+	rows[historyRow] = encodeRow(kept)
 	return rows
 }
 
-func encode(value any) string {
+// encodeRow writes a value as a row.
+func encodeRow(value any) string {
 	text, err := json.Marshal(value)
 	if err != nil {
-		panic(fmt.Sprintf("steward: a row can't be written: %v", err))
+		panic(fmt.Sprintf("controller: a row can't be encoded: %v", err))
 	}
 	return string(text)
 }
 
-// encodeList writes a list as a row; an empty one needs none.
-func encodeList[T any](list []T) string {
+// encodeListRow writes a list as a row. An empty list needs no row.
+func encodeListRow[T any](list []T) string {
 	if len(list) == 0 {
 		return ""
 	}
-	return encode(list)
+	return encodeRow(list)
 }
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -14,22 +14,22 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// begunHeld is a steward that serves, on a machine whose writes wait.
-func begunHeld(rows map[string]string) (*heldHost, *Controller) {
-	h := newHeldHost()
+// newPendingPrimary is a steward that serves, on a machine whose writes wait.
+func newPendingPrimary(rows map[string]string) (*pendingHost, *Controller) {
+	h := newPendingHost()
 	// No order to runners is at stake here.
-	h.rows[ordererRow] = wordSelf.Name
+	h.rows[ordererRow] = testSelf.Name
 	for key, text := range rows {
 		h.rows[key] = text
 	}
-	s := New(Settings{Self: wordSelf}, wordFormat{})
+	s := New(Settings{Self: testSelf}, versionFormat{})
 	s.BecamePrimary(h)
 	return h, s
 }
 
 // chain accepts versions 1 to last, each on top of the one before.
-func chain(h *heldHost, s *Controller, last uint64) {
-	for version := s.maps.current.version + 1; version <= last; version++ {
+func chain(h *pendingHost, s *Controller, last uint64) {
+	for version := s.config.active.version + 1; version <= last; version++ {
 		s.HandleInput(h, chained(1000+version, version))
 		h.end(true)
 	}
@@ -40,7 +40,7 @@
 }
 
 // lastTold gives the answer to an order that is not written, in words.
-func lastTold(h *heldHost, s *Controller, in SubmitConfig) string {
+func lastTold(h *pendingHost, s *Controller, in SubmitConfig) string {
 	delete(h.told, in.ID)
 	s.HandleInput(h, in)
 	return strings.Join(h.told[in.ID], ", ")
@@ -50,9 +50,9 @@
 // primary.
 func TestEachAcceptedOrderIsAcknowledgedAgain(t *testing.T) {
 	const accepted = 700
-	h, s := begunHeld(nil)
+	h, s := newPendingPrimary(nil)
 	chain(h, s, accepted)
-	next := New(Settings{Self: wordSelf}, wordFormat{})
+	next := New(Settings{Self: testSelf}, versionFormat{})
 	next.BecamePrimary(h)
 	for version := uint64(1); version <= accepted; version++ {
 		for _, primary := range []*Controller{s, next} {
@@ -68,8 +68,8 @@
 func TestHistoryIsBounded(t *testing.T) {
 	const most, accepted = 5, 12
 	const first = uint64(accepted - most + 1)
-	h, s := begunHeld(nil)
-	s.maps.historyMost = most
+	h, s := newPendingPrimary(nil)
+	s.submissions.maxHistory = most
 	chain(h, s, accepted)
 	for version := uint64(1); version <= accepted; version++ {
 		want := string(errkind.AcceptanceUnknown) + " 12"
@@ -85,31 +85,31 @@
 		}
 	}
 	qt.Assert(t, rows, qt.Equals, most)
-	qt.Assert(t, h.counts[countUnknown], qt.Equals, int(first-1))
+	qt.Assert(t, h.counts[countTooOld], qt.Equals, int(first-1))
 	// What can't be read was never accepted, however old.
 	qt.Assert(t, lastTold(h, s, SubmitConfig{ID: 1, BaseVersion: 2, Text: "nonsense"}), qt.Equals, string(errkind.FaultyDescription))
 }
 
 // A bound that was lowered takes all surplus rows away with the next order.
 func TestHistoryShrinks(t *testing.T) {
-	h, s := begunHeld(nil)
+	h, s := newPendingPrimary(nil)
 	chain(h, s, 9)
-	s.maps.historyMost = 3
+	s.submissions.maxHistory = 3
 	chain(h, s, 10)
 	qt.Assert(t, lastTold(h, s, chained(1, 8)), qt.Equals, "taken 8")
 	qt.Assert(t, lastTold(h, s, chained(1, 7)), qt.Equals, string(errkind.AcceptanceUnknown)+" 10")
-	qt.Assert(t, readHistory(h, 10), qt.Equals, history{OldestBase: 7, Count: 3})
+	qt.Assert(t, readHistoryRange(h, 10), qt.Equals, historyRange{OldestBase: 7, Count: 3})
 }
 
 // An accepted order writes a few short rows beside the map, however many were
 // accepted before.
 func TestAnOrderWritesFewBytes(t *testing.T) {
-	h, s := begunHeld(nil)
+	h, s := newPendingPrimary(nil)
 	chain(h, s, 500)
 	s.HandleInput(h, chained(1, 501))
 	bytes := 0
 	for _, key := range h.writes[0].keys {
-		if key != mapRow {
+		if key != configRow {
 			bytes += len(key) + len(h.rows[key])
 		}
 	}
@@ -120,16 +120,16 @@
 // What an earlier release kept is read once: its orders are acknowledged
 // again, and what it forgot gets no clear answer.
 func TestHistoryOfAnEarlierRelease(t *testing.T) {
-	_, old := begunHeld(nil)
-	var legacy []legacyOrder
+	_, old := newPendingPrimary(nil)
+	var legacy []legacyAcceptance
 	for version := uint64(200); version <= 327; version++ {
-		legacy = append(legacy, legacyOrder{Sum: chained(1, version).sum(), Version: version})
+		legacy = append(legacy, legacyAcceptance{Sum: chained(1, version).sum(), Version: version})
 	}
 	text, err := json.Marshal(legacy)
 	qt.Assert(t, err, qt.IsNil)
-	inForce, faults := old.maps.build(wordFormat{}, SubmitConfig{Text: "version 327"})
+	inForce, faults := old.buildConfig(SubmitConfig{Text: "version 327"})
 	qt.Assert(t, faults, qt.HasLen, 0)
-	h, s := begunHeld(map[string]string{legacyRow: string(text), mapRow: encode(keptMap{327, inForce.packed})})
+	h, s := newPendingPrimary(map[string]string{legacyRow: string(text), configRow: encodeRow(storedConfig{327, inForce.packed})})
 
 	// Orders wait until the rows are safe.
 	s.HandleInput(h, chained(1, 300))
@@ -144,20 +144,20 @@
 	qt.Assert(t, lastTold(h, s, SubmitConfig{ID: 1, BaseVersion: 300, Text: "version 305"}), qt.Equals, string(errkind.StaleBase)+" 327")
 	chain(h, s, 328)
 	qt.Assert(t, lastTold(h, s, chained(1, 328)), qt.Equals, "taken 328")
-	qt.Assert(t, readHistory(h, 328), qt.Equals, history{OldestBase: 200, Count: 128})
+	qt.Assert(t, readHistoryRange(h, 328), qt.Equals, historyRange{OldestBase: 200, Count: 128})
 }
 
 // What an earlier release kept can't be read: none of it is refused.
 func TestUnreadableHistoryRefusesNothing(t *testing.T) {
-	inForce, _ := new(maps).build(wordFormat{}, SubmitConfig{Text: "version 9"})
-	kept := encode(keptMap{9, inForce.packed})
+	inForce, _ := New(Settings{Self: testSelf}, versionFormat{}).buildConfig(SubmitConfig{Text: "version 9"})
+	kept := encodeRow(storedConfig{9, inForce.packed})
 	for name, rows := range map[string]map[string]string{
-		"list of an earlier release": {legacyRow: "[", mapRow: kept},
-		"history":                    {historyRow: "[", mapRow: kept},
-		"no history":                 {mapRow: kept},
+		"list of an earlier release": {legacyRow: "[", configRow: kept},
+		"history":                    {historyRow: "[", configRow: kept},
+		"no history":                 {configRow: kept},
 	} {
 		t.Run(name, func(t *testing.T) {
-			h, s := begunHeld(rows)
+			h, s := newPendingPrimary(rows)
 			for len(h.writes) > 0 {
 				h.end(true)
 			}
@@ -174,7 +174,7 @@
 func TestARefusedOrderStaysRefused(t *testing.T) {
 	c := qt.New(t)
 	stale := string(errkind.StaleBase)
-	h, s := begunHeld(nil)
+	h, s := newPendingPrimary(nil)
 	chain(h, s, 1)
 	early := SubmitConfig{ID: 1, BaseVersion: 2, Text: "version 3 early"}
 	s.HandleInput(h, early)
@@ -182,7 +182,7 @@
 	h.end(true)
 	c.Assert(h.told[1], qt.DeepEquals, []string{stale + " 1"})
 	chain(h, s, 2)
-	next := New(Settings{Self: wordSelf}, wordFormat{})
+	next := New(Settings{Self: testSelf}, versionFormat{})
 	next.BecamePrimary(h)
 	for _, primary := range []*Controller{s, next} {
 		c.Assert(lastTold(h, primary, early), qt.Equals, stale+" 2")
@@ -191,13 +191,13 @@
 	// Another order on that version is taken, and then nothing of the refusal
 	// needs to be kept.
 	chain(h, s, 3)
-	c.Assert(h.rows[refusedRow], qt.Equals, "")
+	c.Assert(h.rows[rejectedRow], qt.Equals, "")
 	c.Assert(lastTold(h, s, early), qt.Equals, stale+" 3")
 }
 
 // Refusals as stale are counted.
 func TestStaleOrdersAreCounted(t *testing.T) {
-	h, s := begunHeld(nil)
+	h, s := newPendingPrimary(nil)
 	chain(h, s, 3)
 	for id, base := range []uint64{0, 1, 2} {
 		s.HandleInput(h, SubmitConfig{ID: uint64(id), BaseVersion: base, Text: "version 9"})
@@ -208,15 +208,15 @@
 // The copied state stays small enough for a snapshot in one message, beside the
 // largest map.
 func TestHistoryFitsASnapshot(t *testing.T) {
-	row := encode(successor{math.MaxUint64, protocol.Digest("")})
-	bytes := historyMost * (len(successorKey(math.MaxUint64)) + len(row) + len("state/kept/"))
+	row := encodeRow(successor{math.MaxUint64, protocol.Digest("")})
+	bytes := maxHistory * (len(successorKey(math.MaxUint64)) + len(row) + len("state/kept/"))
 	t.Logf("%d bytes", bytes)
 	qt.Assert(t, bytes < protocol.MaxFrameBytes/4, qt.IsTrue)
 }
 
 // A refusal whose write has no known end is no clear answer.
 func TestARefusalOfUnknownEnd(t *testing.T) {
-	h, s := begunHeld(nil)
+	h, s := newPendingPrimary(nil)
 	s.HandleInput(h, SubmitConfig{ID: 1, BaseVersion: 2, Text: "version 3"})
 	h.end(false)
 	qt.Assert(t, h.told[1], qt.DeepEquals, []string{string(errkind.AcceptanceUnknown)})
@@ -224,8 +224,8 @@
 
 // The refusals that are kept are bounded; what finds no room is not refused.
 func TestRefusalsAreBounded(t *testing.T) {
-	h, s := begunHeld(nil)
-	for i := range uint64(refusedMost) {
+	h, s := newPendingPrimary(nil)
+	for i := range uint64(maxRejections) {
 		s.HandleInput(h, SubmitConfig{ID: i, BaseVersion: 7, Text: fmt.Sprintf("version 9 of %d", i)})
 		h.end(true)
 	}
@@ -235,10 +235,10 @@
 
 // A follower whose state changes elsewhere does not read the map anew.
 func TestFollowerReadsAMapOnce(t *testing.T) {
-	h, s := begunHeld(nil)
+	h, s := newPendingPrimary(nil)
 	chain(h, s, 1)
 	reads := &countingFormat{}
-	follower := New(Settings{Self: wordSelf}, reads)
+	follower := New(Settings{Self: testSelf}, reads)
 	for range 3 {
 		follower.StateChanged(h)
 	}
@@ -249,11 +249,11 @@
 }
 
 type countingFormat struct {
-	wordFormat
+	versionFormat
 	count int
 }
 
 func (f *countingFormat) Parse(text []byte) (*config.Configuration, []string) {
 	f.count++
-	return f.wordFormat.Parse(text)
+	return f.versionFormat.Parse(text)
 }
--- a/internal/controller/host_test.go
+++ b/internal/controller/host_test.go
@@ -6,58 +6,58 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// heldHost is a machine whose writes wait until the test says how they end.
-type heldHost struct {
-	*wordHost
+// pendingHost is a machine whose writes wait until the test says how they end.
+type pendingHost struct {
+	*stubHost
 	active   bool
 	primary  protocol.Node
 	ordersMs int64
-	writes   []heldWrite
+	writes   []pendingWrite
 	calls    []protocol.OutboundCall
 	// told are the answers to each id, in words.
 	told   map[uint64][]string
 	counts map[string]int
 }
 
-type heldWrite struct {
+type pendingWrite struct {
 	keys []string
 	then func(ok bool)
 }
 
-func newHeldHost() *heldHost {
-	return &heldHost{
-		wordHost: &wordHost{nowMs: 10_000, rows: map[string]string{}}, active: true, primary: wordSelf,
+func newPendingHost() *pendingHost {
+	return &pendingHost{
+		stubHost: &stubHost{nowMs: 10_000, rows: map[string]string{}}, active: true, primary: testSelf,
 		ordersMs: 10_000, told: map[uint64][]string{}, counts: map[string]int{},
 	}
 }
 
-func (h *heldHost) Count(name string)      { h.counts[name]++ }
-func (h *heldHost) Active() bool           { return h.active }
-func (h *heldHost) Primary() protocol.Node { return h.primary }
-func (h *heldHost) OrdersFromMs() int64    { return h.ordersMs }
+func (h *pendingHost) Count(name string)      { h.counts[name]++ }
+func (h *pendingHost) Active() bool           { return h.active }
+func (h *pendingHost) Primary() protocol.Node { return h.primary }
+func (h *pendingHost) OrdersFromMs() int64    { return h.ordersMs }
 
-func (h *heldHost) Call(address string, body any) {
+func (h *pendingHost) Call(address string, body any) {
 	h.calls = append(h.calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
 // Submit shows the rows at once, as a primary's own state does.
-func (h *heldHost) Submit(rows map[string]string, then func(ok bool)) {
+func (h *pendingHost) Submit(rows map[string]string, then func(ok bool)) {
 	var keys []string
 	for key, text := range rows {
 		h.rows[key] = text
 		keys = append(keys, key)
 	}
-	h.writes = append(h.writes, heldWrite{keys, then})
+	h.writes = append(h.writes, pendingWrite{keys, then})
 }
 
 // end ends the first write that waits.
-func (h *heldHost) end(ok bool) {
+func (h *pendingHost) end(ok bool) {
 	write := h.writes[0]
 	h.writes = h.writes[1:]
 	write.then(ok)
 }
 
-func (h *heldHost) Answer(id uint64, body any) {
+func (h *pendingHost) Answer(id uint64, body any) {
 	text := fmt.Sprintf("%T", body)
 	switch said := body.(type) {
 	case ConfigAccepted:
--- /dev/null
+++ b/internal/controller/lookups.go
@@ -0,0 +1,95 @@
+package controller
+
+import (
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+const (
+	// snapshotIntervalMs is how often the primary sends the other controllers a
+	// snapshot of the index, so that they can answer look-ups too.
+	snapshotIntervalMs = 500
+	// demandIntervalMs is how often a follower reports to the primary the
+	// demand of the look-ups that it answered.
+	demandIntervalMs = 500
+)
+
+// indexExchange is the state of what controllers tell each other so that all
+// of them can answer look-ups and the primary knows the whole demand.
+type indexExchange struct {
+	snapshotSentMs int64
+	demandSentMs   int64
+	// sequence counts the snapshots that this controller has sent.
+	sequence uint64
+	// applied is the newest snapshot that this controller has received.
+	applied snapshotVersion
+}
+
+// handleLookUp answers a look-up from the index. A controller without contact
+// to a majority stays silent, because its index may list runners that are long
+// gone; the router then asks another controller.
+func (c *Controller) handleLookUp(h consensus.Host, from protocol.Node, lookUp protocol.IndexLookUp) {
+	if !h.QuorumContact() {
+		h.Count(string(errkind.NoContact))
+		return
+	}
+	h.Send(from, c.placement.LookUp(h.NowMs(), from, lookUp))
+	if lookUp.Waits {
+		c.expediteLookUp(h)
+	}
+}
+
+// expediteLookUp acts on the demand of a request that waits without delay: the
+// primary plans at once, a follower reports the demand to the primary.
+func (c *Controller) expediteLookUp(h consensus.Host) {
+	if c.isPrimary {
+		c.advancePlacement(h)
+	} else if c.placement.HasWaitingRequests() {
+		c.reportDemand(h)
+	}
+}
+
+// handleIndexSnapshot brings a follower's index up to date.
+func (c *Controller) handleIndexSnapshot(h consensus.Host, snapshot IndexSnapshot) {
+	if c.isPrimary || snapshot.Epoch < h.Epoch() || !c.index.applied.advance(snapshot) {
+		h.Count(string(errkind.Overtaken))
+		return
+	}
+	c.placement.ApplySnapshot(h.NowMs(), snapshot.Ledger)
+}
+
+// handleDemandReport adds the demand that a follower met to the primary's.
+func (c *Controller) handleDemandReport(h consensus.Host, report DemandReport) {
+	if c.isPrimary {
+		c.placement.AddDemand(h.NowMs(), report.Counts)
+	}
+}
+
+func (c *Controller) tickFollower(h consensus.Host) {
+	if h.NowMs()-c.index.demandSentMs >= demandIntervalMs {
+		c.reportDemand(h)
+	}
+}
+
+// reportDemand sends the primary the demand since the last report. Where no
+// primary is known it is dropped: it would be outdated by the time there is one.
+func (c *Controller) reportDemand(h consensus.Host) {
+	c.index.demandSentMs = h.NowMs()
+	if counts := c.placement.DrainDemand(); len(counts) > 0 && h.Primary().Name != "" {
+		h.Send(h.Primary(), DemandReport{Counts: counts})
+	}
+}
+
+// sendSnapshots sends the index to the other controllers when it is due.
+func (c *Controller) sendSnapshots(h consensus.Host) {
+	if h.NowMs()-c.index.snapshotSentMs < snapshotIntervalMs {
+		return
+	}
+	c.index.snapshotSentMs = h.NowMs()
+	c.index.sequence++
+	snapshot := IndexSnapshot{Epoch: h.Epoch(), Sequence: c.index.sequence, Ledger: c.placement.Snapshot()}
+	for _, controller := range h.Controllers() {
+		h.Send(controller, snapshot)
+	}
+}
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -7,42 +7,47 @@
 	"myrtlewinch/internal/placement/demand"
 )
 
-// IndexSnapshot tells the other controllers what the primary's ledger holds. It is a
-// hint: they answer look-ups from it and decide nothing by it.
+// The messages between controllers. They are gob-encoded, which matches fields
+// by name, so the names of exported fields are part of the wire format.
+
+// IndexSnapshot is the primary's index. The other controllers answer look-ups
+// from it; they decide nothing by it.
 type IndexSnapshot struct {
+	// Epoch is that of the primary.
 	Epoch uint64
-	// Sequence grows with each snapshot of a primary.
+	// Sequence grows with each snapshot of the primary.
 	Sequence uint64
 	Ledger   placement.IndexSnapshot
 }
 
-// softOrder is the newest index snapshot that a follower took.
-type softOrder struct {
-	epoch, sequence uint64
-}
+// DemandReport tells the primary which look-ups another controller has answered
+// since its last report.
+type DemandReport struct{ Counts demand.Counts }
 
-// later says whether a snapshot is newer than all before, and notes it. One
-// that was overtaken on its way would bring back runners that have left.
-func (o *softOrder) later(soft IndexSnapshot) bool {
-	if soft.Epoch < o.epoch || soft.Epoch == o.epoch && soft.Sequence <= o.sequence {
+// snapshotVersion orders snapshots. The zero value is older than all of them.
+type snapshotVersion struct{ epoch, sequence uint64 }
+
+// advance moves to the version of a snapshot and returns true if that is newer.
+// Applying an older one, which was overtaken on its way, would bring back
+// runners that have left.
+func (v *snapshotVersion) advance(snapshot IndexSnapshot) bool {
+	isOlderEpoch := snapshot.Epoch < v.epoch
+	isRepeated := snapshot.Epoch == v.epoch && snapshot.Sequence <= v.sequence
+	if isOlderEpoch || isRepeated {
 		return false
 	}
-	*o = softOrder{soft.Epoch, soft.Sequence}
+	*v = snapshotVersion{snapshot.Epoch, snapshot.Sequence}
 	return true
 }
 
-// DemandReport tells the primary what look-ups another controller answered.
-type DemandReport struct{ Counts demand.Counts }
-
-// The names under which the messages of this package are known between daemons.
-// They are not derived from the Go package, so that daemons of the release
-// before understand them.
+// The names of the messages on the wire. They are constants of their own, so
+// that the Go names can change while daemons of the release before are running.
 const (
-	softWireName   = "myrtlewinch/steward.Soft"
-	demandWireName = "myrtlewinch/steward.Demand"
+	indexSnapshotWireName = "myrtlewinch/steward.Soft"
+	demandReportWireName  = "myrtlewinch/steward.Demand"
 )
 
 func init() {
-	gob.RegisterName(softWireName, IndexSnapshot{})
-	gob.RegisterName(demandWireName, DemandReport{})
+	gob.RegisterName(indexSnapshotWireName, IndexSnapshot{})
+	gob.RegisterName(demandReportWireName, DemandReport{})
 }
--- a/internal/controller/orders.go
+++ b/internal/controller/orders.go
@@ -2,45 +2,50 @@
 
 import "myrtlewinch/internal/consensus"
 
-// ordererRow names who was the last to order runners. Holders may not take
-// turns within the lease, so a new one waits it out; one that finds its own
-// name knows that nobody has ordered since, and one that finds none, that
-// nobody ever has.
+// ordererRow is the replicated row with the name of the controller that last
+// had the right to order runners.
+//
+// Two controllers must not give orders to one runner within the lease time, so
+// a new primary waits until the one before can't order any more. It need not
+// wait where the row has its own name (nobody else has ordered since) or where
+// there is no row (nobody ever has).
 const ordererRow = "orderer"
 
-// orders is the state of the right to order.
-type orders int
+// orderRight is the progress of a primary towards the right to order runners.
+type orderRight int
 
 const (
-	ordersNone orders = iota
-	// ordersAsked: the row is on its way to the copies.
-	ordersAsked
-	ordersTaken
+	orderRightNone orderRight = iota
+	// orderRightRequested means that the row is being replicated.
+	orderRightRequested
+	orderRightHeld
 )
 
-// beginOrders is what a new primary may do about orders at once.
-func (s *Controller) beginOrders(h consensus.Host) {
-	s.orders = ordersNone
+// beginOrderRight sets what a new primary may order at once.
+func (c *Controller) beginOrderRight(h consensus.Host) {
+	c.orders = orderRightNone
 	if h.Row(ordererRow) == h.Self().Name {
-		s.orders = ordersTaken
-		s.keeper.BecomePrimary(h.NowMs(), h.Epoch(), h.NowMs())
+		c.orders = orderRightHeld
+		c.placement.BecomePrimary(h.NowMs(), h.Epoch(), h.NowMs())
 		return
 	}
-	s.keeper.BecomePrimary(h.NowMs(), h.Epoch(), h.OrdersFromMs())
-	s.keeper.ForbidOrders(h.OrdersFromMs())
+	c.placement.BecomePrimary(h.NowMs(), h.Epoch(), h.OrdersFromMs())
+	c.placement.ForbidOrders(h.OrdersFromMs())
 }
 
-// takeOrders takes the right to order once the one before can't have ordered
-// for long enough; no order leaves before the row is safe.
-func (s *Controller) takeOrders(h consensus.Host) {
-	if s.orders != ordersNone || h.Row(ordererRow) != "" && h.NowMs() < h.OrdersFromMs() {
+// claimOrderRight claims the right to order as soon as the primary before can't
+// order any more. Orders are allowed once the claim is committed.
+func (c *Controller) claimOrderRight(h consensus.Host) {
+	hasPredecessor := h.Row(ordererRow) != ""
+	mustWait := hasPredecessor && h.NowMs() < h.OrdersFromMs()
+	if c.orders != orderRightNone || mustWait {
 		return
 	}
-	s.orders = ordersAsked
-	h.Submit(map[string]string{ordererRow: h.Self().Name}, func(ok bool) {
-		if ok {
-			s.orders = ordersTaken
-			s.keeper.AllowOrders(h.NowMs())
+	c.orders = orderRightRequested
+	h.Submit(map[string]string{ordererRow: h.Self().Name}, func(committed bool) {
+		if committed {
+			c.orders = orderRightHeld
+			c.placement.AllowOrders(h.NowMs())
 		}
 	})
 }
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -11,10 +11,10 @@
 )
 
 // engineFormat reads a map of one engine, whatever is written.
-type engineFormat struct{ wordFormat }
+type engineFormat struct{ versionFormat }
 
 func (f engineFormat) Parse(text []byte) (*config.Configuration, []string) {
-	d, faults := f.wordFormat.Parse(text)
+	d, faults := f.versionFormat.Parse(text)
 	if d != nil {
 		d.Services = []config.Service{{Name: "llm", Engine: &config.Engine{
 			Slots: 8, WeightMemoryMb: 100, LoadsPerSec: 10, Models: []config.Model{{Name: "m1", SizeMb: 10, LoadMs: 500}},
@@ -24,8 +24,8 @@
 	return d, faults
 }
 
-// platformOf answers what the steward asks outward, and counts its orders.
-func platformOf(h *heldHost, s *Controller) (orders int) {
+// answerCalls answers what the steward asks outward, and counts its orders.
+func answerCalls(h *pendingHost, s *Controller) (orders int) {
 	calls := h.calls
 	h.calls = nil
 	for _, call := range calls {
@@ -55,7 +55,7 @@
 		// leaves, after the start; a tick or two may be needed.
 		writeMs, orderMs int64
 	}{
-		{"own name: at once", wordSelf.Name, 100, never, 0},
+		{"own name: at once", testSelf.Name, 100, never, 0},
 		{"none: at once", "", 0, 0, 0},
 		{"none, but not before the row is safe", "", 600, 0, 600},
 		{"another's: after the gap", "core-2", 0, gapMs, gapMs},
@@ -65,8 +65,8 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			h := newHeldHost()
-			before := New(Settings{Self: wordSelf}, engineFormat{})
+			h := newPendingHost()
+			before := New(Settings{Self: testSelf}, engineFormat{})
 			before.BecamePrimary(h)
 			before.HandleInput(h, SubmitConfig{Text: "version 1"})
 			h.end(true)
@@ -75,18 +75,18 @@
 			}
 			beganMs := h.nowMs
 			h.ordersMs = beganMs + gapMs
-			s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
+			s := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
 			s.BecamePrimary(h)
 			writeMs, orderMs, endMs := never, never, never
 			for ; h.nowMs < beganMs+4000; h.nowMs += 50 {
 				s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 				s.Tick(h)
-				if orders := platformOf(h, s); orders > 0 && orderMs == never {
+				if orders := answerCalls(h, s); orders > 0 && orderMs == never {
 					orderMs = h.nowMs - beganMs
 				}
 				if len(h.writes) > 0 && writeMs == never {
 					c.Check(h.writes[0].keys, qt.DeepEquals, []string{ordererRow})
-					c.Check(h.rows[ordererRow], qt.Equals, wordSelf.Name)
+					c.Check(h.rows[ordererRow], qt.Equals, testSelf.Name)
 					writeMs, endMs = h.nowMs-beganMs, h.nowMs+test.safeMs
 				}
 				if len(h.writes) > 0 && test.safeMs != never && h.nowMs >= endMs {
@@ -108,9 +108,9 @@
 // A primacy that ended gives no orders, also if its row became safe after all.
 func TestOrdersEnd(t *testing.T) {
 	c := qt.New(t)
-	h := newHeldHost()
-	h.rows[ordererRow] = wordSelf.Name
-	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
+	h := newPendingHost()
+	h.rows[ordererRow] = testSelf.Name
+	s := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
 	s.BecamePrimary(h)
 	s.HandleInput(h, SubmitConfig{Text: "version 1"})
 	h.end(true)
@@ -119,7 +119,7 @@
 	for endMs := h.nowMs + 2000; h.nowMs < endMs; h.nowMs += 50 {
 		s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
 		s.Tick(h)
-		orders += platformOf(h, s)
+		orders += answerCalls(h, s)
 	}
 	c.Assert(orders, qt.Equals, 0)
 	c.Assert(h.writes, qt.HasLen, 0)
--- a/internal/controller/routers.go
+++ b/internal/controller/routers.go
@@ -5,48 +5,169 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// rollMs is for how long what was counted of the daemons stands. Hundreds of
-// routers ask within it, and each answer would go through all of them.
-const rollMs = 100
-
-// roll is what routers are told of the daemons of the site.
-type roll struct {
-	calledMs    int64
-	called      bool
-	routers     int
-	controllers []protocol.Node
-	sum         uint64
-}
-
-// call counts anew where the last count is too old.
-func (r *roll) call(s *Controller, h consensus.Host) {
-	if r.called && h.NowMs()-r.calledMs < rollMs {
+const (
+	// routerTimeoutMs is for how long after its last sign of life a router
+	// counts among those that share the retry budget.
+	routerTimeoutMs = 30_000
+	// summaryMaxAgeMs is for how long the summary of the site is reused.
+	// Hundreds of routers poll within that time, and computing it goes through
+	// all of them.
+	summaryMaxAgeMs = 100
+	// resendIntervalMs is for how long a configuration that was sent to a router
+	// is assumed to be in transit. Over a thin link a router polls several times
+	// before a large one has arrived, and sending it again would only delay it.
+	resendIntervalMs = 700
+	// maxConfigsSent bounds the record of routers that were sent the
+	// configuration; it includes their earlier incarnations.
+	maxConfigsSent = 4096
+)
+
+// routerRegistry is what the primary knows of the routers and what it tells
+// them beside the configuration.
+type routerRegistry struct {
+	// lastSeenMs has the time of each router's last sign of life, by name.
+	lastSeenMs map[string]int64
+	// configSent has the last configuration that was sent to each router. A
+	// restarted router is another key, since its incarnation differs.
+	configSent map[protocol.Node]sentConfig
+	// announced is what all routers were last sent without polling.
+	announced announcement
+	summary   siteSummary
+	leaving   leavingRunners
+}
+
+type sentConfig struct {
+	version uint64
+	atMs    int64
+}
+
+// announcement identifies an update that was sent to all routers. The zero value
+// is none: a primary's epoch is never 0.
+type announcement struct{ version, epoch uint64 }
+
+// siteSummary is what routers are told about the processes of the site.
+type siteSummary struct {
+	isComputed     bool
+	computedMs     int64
+	routers        int
+	controllers    []protocol.Node
+	controllersSum uint64
+}
+
+// leavingRunners is the list of runners that are leaving, with its hash.
+type leavingRunners struct {
+	ids []string
+	sum uint64
+}
+
+func newRouterRegistry() routerRegistry {
+	return routerRegistry{lastSeenMs: map[string]int64{}, configSent: map[protocol.Node]sentConfig{}}
+}
+
+func (r *routerRegistry) beginPrimacy(leaving []string) {
+	r.summary = siteSummary{}
+	r.setLeaving(leaving)
+}
+
+func (r *routerRegistry) endPrimacy() {
+	r.announced = announcement{}
+	r.lastSeenMs = map[string]int64{}
+	clear(r.configSent)
+}
+
+func (r *routerRegistry) setLeaving(ids []string) {
+	r.leaving = leavingRunners{ids, protocol.DigestStrings(ids)}
+}
+
+// shouldSendConfig says whether a version is to be sent to a router, and records
+// that it is. It is false while that version is assumed to be in transit.
+func (r *routerRegistry) shouldSendConfig(nowMs int64, router protocol.Node, version uint64) bool {
+	last := r.configSent[router]
+	inTransit := last.version == version && nowMs-last.atMs < resendIntervalMs
+	if inTransit {
+		return false
+	}
+	if len(r.configSent) > maxConfigsSent {
+		clear(r.configSent)
+	}
+	r.configSent[router] = sentConfig{version, nowMs}
+	return true
+}
+
+// refreshSummary computes the summary again where it is too old.
+func (r *routerRegistry) refreshSummary(h consensus.Host) {
+	if r.summary.isComputed && h.NowMs()-r.summary.computedMs < summaryMaxAgeMs {
 		return
 	}
-	r.called, r.calledMs = true, h.NowMs()
-	r.routers = s.countRouters(h)
-	// Words that were sent share the list, so a new one is made each time.
-	r.controllers = append(h.Controllers(), h.Self())
-	r.sum = protocol.DigestNodes(r.controllers)
+	// Messages that were sent share the list, so it is never changed in place.
+	controllers := append(h.Controllers(), h.Self())
+	r.summary = siteSummary{
+		isComputed: true, computedMs: h.NowMs(), routers: r.count(h),
+		controllers: controllers, controllersSum: protocol.DigestNodes(controllers),
+	}
 }
 
-// countRouters is how many routers may spend the budget of second tries.
-func (s *Controller) countRouters(h consensus.Host) int {
-	for _, place := range h.Routers() {
-		s.routers[place.Name] = max(s.routers[place.Name], h.NowMs())
+// count returns how many routers share the retry budget: those that are alive
+// or were seen lately. It is at least 1.
+func (r *routerRegistry) count(h consensus.Host) int {
+	for _, router := range h.Routers() {
+		r.lastSeenMs[router.Name] = max(r.lastSeenMs[router.Name], h.NowMs())
 	}
-	for name, atMs := range s.routers {
-		if h.NowMs()-atMs > routerMs {
-			delete(s.routers, name)
+	for name, seenMs := range r.lastSeenMs {
+		if h.NowMs()-seenMs > routerTimeoutMs {
+			delete(r.lastSeenMs, name)
 		}
 	}
-	return max(1, len(s.routers))
+	return max(1, len(r.lastSeenMs))
 }
 
-// leaving is what routers are told of the runners that leave.
-type leaving struct {
-	ids []string
-	sum uint64
+// handlePoll answers a router's poll. What the router has already is left out,
+// so the answer costs the same however large the site is.
+func (c *Controller) handlePoll(h consensus.Host, from protocol.Node, poll protocol.ConfigPoll) {
+	if !c.isPrimary || !h.Active() {
+		return
+	}
+	c.routers.lastSeenMs[from.Name] = h.NowMs()
+	update := c.configUpdate(h)
+	update.EchoMs = poll.EchoMs
+	if poll.Version != update.Version && c.routers.shouldSendConfig(h.NowMs(), from, update.Version) {
+		update.Packed = c.config.active.packed
+	}
+	if poll.LeavingSum == update.LeavingSum {
+		update.Leaving = nil
+	}
+	if poll.ControllersSum == update.ControllersSum {
+		update.Controllers = nil
+	}
+	h.Send(from, update)
+}
+
+// updateRouters sends all routers an update without waiting for their polls. The
+// configuration itself goes along only where the version or the primary is new.
+func (c *Controller) updateRouters(h consensus.Host) {
+	if !h.Active() {
+		return
+	}
+	update := c.configUpdate(h)
+	current := announcement{update.Version, update.Epoch}
+	isNew := c.routers.announced != current
+	c.routers.announced = current
+	for _, router := range h.Routers() {
+		update.Packed = nil
+		if isNew && c.routers.shouldSendConfig(h.NowMs(), router, update.Version) {
+			update.Packed = c.config.active.packed
+		}
+		h.Send(router, update)
+	}
 }
 
-func (l *leaving) take(ids []string) { l.ids, l.sum = ids, protocol.DigestStrings(ids) }
+// configUpdate is what routers are told now, without the configuration itself.
+func (c *Controller) configUpdate(h consensus.Host) protocol.ConfigUpdate {
+	c.routers.refreshSummary(h)
+	summary, leaving := &c.routers.summary, &c.routers.leaving
+	return protocol.ConfigUpdate{
+		Epoch: h.Epoch(), Version: c.config.active.version, Sum: c.config.active.sum,
+		Leaving: leaving.ids, LeavingSum: leaving.sum, AgeMs: c.placement.ListAgeMs(h.NowMs()),
+		Routers: summary.routers, Controllers: summary.controllers, ControllersSum: summary.controllersSum,
+	}
+}
--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -2,26 +2,31 @@
 
 import "myrtlewinch/internal/consensus"
 
-// Status is what a controller believes.
+// Status is the status page of a controller: what it believes, which may be
+// outdated where it is cut off.
 type Status struct {
 	Name    string `json:"name"`
 	Epoch   uint64 `json:"epoch"`
 	Primary string `json:"primary"`
-	Active  bool   `json:"active"`
+	// Active says that this controller is the primary and its lease holds.
+	Active bool `json:"active"`
+	// Version is that of the configuration in force.
 	Version uint64 `json:"version"`
-	Routers int    `json:"routers"`
-	// Controllers are the live peers.
+	// Routers counts the routers that polled the primary lately; 0 elsewhere.
+	Routers int `json:"routers"`
+	// Controllers are the other controllers that are alive.
 	Controllers []string `json:"controllers"`
-	Ledger      any      `json:"ledger"`
+	// Placement is the status of the runners and of the planner.
+	Placement any `json:"ledger"`
 }
 
-func (s *Controller) status(h consensus.Host) Status {
+func (c *Controller) status(h consensus.Host) Status {
 	status := Status{
-		Name: s.set.Self.Name, Epoch: h.Epoch(), Primary: h.Primary().Name, Active: s.serving && h.Active(),
-		Version: s.maps.current.version, Routers: len(s.routers), Ledger: s.keeper.Status(),
+		Name: c.settings.Self.Name, Epoch: h.Epoch(), Primary: h.Primary().Name, Active: c.mayAnswerOperators(h),
+		Version: c.config.active.version, Routers: len(c.routers.lastSeenMs), Placement: c.placement.Status(),
 	}
-	for _, place := range h.Controllers() {
-		status.Controllers = append(status.Controllers, place.Name)
+	for _, controller := range h.Controllers() {
+		status.Controllers = append(status.Controllers, controller.Name)
 	}
 	return status
 }
--- a/internal/controller/submissions_test.go
+++ b/internal/controller/submissions_test.go
@@ -23,7 +23,7 @@
 		return SubmitConfig{ID: id, BaseVersion: builtOn, Text: text}
 	}
 	type scene struct {
-		h *heldHost
+		h *pendingHost
 		s *Controller
 	}
 	give := func(x scene, orders ...SubmitConfig) {
@@ -32,7 +32,7 @@
 		}
 	}
 	inForce := func(x scene, text string) {
-		give(x, put(100, x.s.maps.current.version, text))
+		give(x, put(100, x.s.config.active.version, text))
 		x.h.end(true)
 		delete(x.h.told, 100)
 	}
@@ -63,7 +63,7 @@
 		{"the same again at the next primary", func(x scene) {
 			inForce(x, "version 1")
 			inForce(x, "version 2")
-			next := New(Settings{Self: wordSelf}, wordFormat{})
+			next := New(Settings{Self: testSelf}, versionFormat{})
 			next.BecamePrimary(x.h)
 			give(scene{x.h, next}, put(1, 1, "version 2"))
 		}, told{1: {"taken 2"}}, 2, 0},
@@ -109,7 +109,7 @@
 			give(x, put(1, 0, "version 1"))
 			x.h.end(false)
 			x.s.LostPrimacy(x.h)
-			for _, key := range []string{mapRow, historyRow, successorKey(0)} {
+			for _, key := range []string{configRow, historyRow, successorKey(0)} {
 				delete(x.h.rows, key)
 			}
 			x.s.BecamePrimary(x.h)
@@ -160,14 +160,14 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			h := newHeldHost()
+			h := newPendingHost()
 			// No order to runners is at stake here.
-			h.rows[ordererRow] = wordSelf.Name
-			s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}, ControlPort: "80"}, wordFormat{})
+			h.rows[ordererRow] = testSelf.Name
+			s := New(Settings{Self: testSelf, Bounds: bounds.Bounds{}, ControlPort: "80"}, versionFormat{})
 			s.BecamePrimary(h)
 			test.do(scene{h, s})
 			c.Check(h.told, qt.DeepEquals, test.want)
-			c.Check(s.maps.current.version, qt.Equals, test.version)
+			c.Check(s.config.active.version, qt.Equals, test.version)
 			c.Check(h.writes, qt.HasLen, test.writes)
 		})
 	}
@@ -176,16 +176,16 @@
 // More than a bounded number can't wait.
 func TestOrdersThatWaitAreBounded(t *testing.T) {
 	c := qt.New(t)
-	h := newHeldHost()
-	h.rows[ordererRow] = wordSelf.Name
-	s := New(Settings{Self: wordSelf}, wordFormat{})
+	h := newPendingHost()
+	h.rows[ordererRow] = testSelf.Name
+	s := New(Settings{Self: testSelf}, versionFormat{})
 	s.BecamePrimary(h)
-	for id := range uint64(queueMost + 2) {
+	for id := range uint64(maxWaitingSubmissions + 2) {
 		s.HandleInput(h, SubmitConfig{ID: id, Text: "version 1"})
 	}
-	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{queueMost + 1: {string(errkind.NotAccepted)}})
+	c.Assert(h.told, qt.DeepEquals, map[uint64][]string{maxWaitingSubmissions + 1: {string(errkind.NotAccepted)}})
 	h.end(true)
-	for id := range uint64(queueMost + 1) {
+	for id := range uint64(maxWaitingSubmissions + 1) {
 		c.Assert(h.told[id], qt.DeepEquals, []string{"taken 1"})
 	}
 }
--- a/internal/controller/updates_test.go
+++ b/internal/controller/updates_test.go
@@ -13,10 +13,10 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// wordFormat reads a map that is only its version.
-type wordFormat struct{}
+// versionFormat reads a map that is only its version.
+type versionFormat struct{}
 
-func (wordFormat) Parse(text []byte) (*config.Configuration, []string) {
+func (versionFormat) Parse(text []byte) (*config.Configuration, []string) {
 	var d config.Configuration
 	if _, err := fmt.Sscanf(string(text), "version %d", &d.Version); err != nil {
 		return nil, []string{err.Error()}
@@ -24,10 +24,10 @@
 	return &d, nil
 }
 
-func (wordFormat) ApplyChange(_, change []byte) ([]byte, []string) { return change, nil }
+func (versionFormat) ApplyChange(_, change []byte) ([]byte, []string) { return change, nil }
 
-// wordHost is a machine whose copies are always safe at once.
-type wordHost struct {
+// stubHost is a machine whose copies are always safe at once.
+type stubHost struct {
 	nowMs                int64
 	rows                 map[string]string
 	controllers, routers []protocol.Node
@@ -37,31 +37,31 @@
 	outOfContact bool
 }
 
-var wordSelf = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.RoleController}
-
-func (h *wordHost) NowMs() int64           { return h.nowMs }
-func (h *wordHost) Active() bool           { return true }
-func (h *wordHost) QuorumContact() bool    { return !h.outOfContact }
-func (h *wordHost) LeaseUntilMs() int64    { return h.nowMs + 2000 }
-func (h *wordHost) OrdersFromMs() int64    { return h.nowMs }
-func (h *wordHost) Self() protocol.Node    { return wordSelf }
-func (h *wordHost) Epoch() uint64          { return 1 }
-func (h *wordHost) Primary() protocol.Node { return wordSelf }
-func (h *wordHost) Controllers() []protocol.Node {
+var testSelf = protocol.Node{Name: "core-1", Address: "c:1", Part: protocol.RoleController}
+
+func (h *stubHost) NowMs() int64           { return h.nowMs }
+func (h *stubHost) Active() bool           { return true }
+func (h *stubHost) QuorumContact() bool    { return !h.outOfContact }
+func (h *stubHost) LeaseUntilMs() int64    { return h.nowMs + 2000 }
+func (h *stubHost) OrdersFromMs() int64    { return h.nowMs }
+func (h *stubHost) Self() protocol.Node    { return testSelf }
+func (h *stubHost) Epoch() uint64          { return 1 }
+func (h *stubHost) Primary() protocol.Node { return testSelf }
+func (h *stubHost) Controllers() []protocol.Node {
 	return append([]protocol.Node{}, h.controllers...)
 }
-func (h *wordHost) Routers() []protocol.Node  { return h.routers }
-func (h *wordHost) Row(key string) string     { return h.rows[key] }
-func (h *wordHost) Call(string, any)          {}
-func (h *wordHost) Answer(_ uint64, body any) { h.answers = append(h.answers, body) }
-func (h *wordHost) Logf(string, ...any)       {}
-func (h *wordHost) Count(string)              {}
-
-func (h *wordHost) Send(to protocol.Node, body any) {
+func (h *stubHost) Routers() []protocol.Node  { return h.routers }
+func (h *stubHost) Row(key string) string     { return h.rows[key] }
+func (h *stubHost) Call(string, any)          {}
+func (h *stubHost) Answer(_ uint64, body any) { h.answers = append(h.answers, body) }
+func (h *stubHost) Logf(string, ...any)       {}
+func (h *stubHost) Count(string)              {}
+
+func (h *stubHost) Send(to protocol.Node, body any) {
 	h.sent = append(h.sent, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
-func (h *wordHost) Submit(rows map[string]string, then func(ok bool)) {
+func (h *stubHost) Submit(rows map[string]string, then func(ok bool)) {
 	for key, text := range rows {
 		h.rows[key] = text
 	}
@@ -69,7 +69,7 @@
 }
 
 // said gives the words that were sent since the last time.
-func (h *wordHost) said() []protocol.ConfigUpdate {
+func (h *stubHost) said() []protocol.ConfigUpdate {
 	var out []protocol.ConfigUpdate
 	for _, send := range h.sent {
 		if word, ok := send.Body.(protocol.ConfigUpdate); ok {
@@ -88,15 +88,15 @@
 	return out
 }
 
-func begun(routers int) (*wordHost, *Controller) {
-	h := &wordHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(protocol.RoleController, 4), routers: placed(protocol.RoleRouter, routers)}
-	s := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}}, wordFormat{})
+func newPrimary(routers int) (*stubHost, *Controller) {
+	h := &stubHost{nowMs: 10_000, rows: map[string]string{}, controllers: placed(protocol.RoleController, 4), routers: placed(protocol.RoleRouter, routers)}
+	s := New(Settings{Self: testSelf, Bounds: bounds.Bounds{}}, versionFormat{})
 	s.BecamePrimary(h)
 	s.HandleInput(h, SubmitConfig{ID: 1, Text: "version 1" + strings.Repeat(" model", 10_000)})
 	return h, s
 }
 
-func ask(h *wordHost, s *Controller, in protocol.ConfigPoll) protocol.ConfigUpdate {
+func ask(h *stubHost, s *Controller, in protocol.ConfigPoll) protocol.ConfigUpdate {
 	h.said()
 	s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.RoleRouter}, Body: in})
 	return h.said()[0]
@@ -104,7 +104,7 @@
 
 // What a router has already is not told again, whatever part of it that is.
 func TestWordsLeaveOutWhatIsThere(t *testing.T) {
-	h, s := begun(2)
+	h, s := newPrimary(2)
 	s.HandleInput(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "p1", Service: "pages", LeftMs: 500, Leaving: true}}})
 	full := ask(h, s, protocol.ConfigPoll{EchoMs: 9})
 	qt.Assert(t, full.EchoMs, qt.Equals, int64(9))
@@ -125,7 +125,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			h.nowMs += onWayMs
+			h.nowMs += resendIntervalMs
 			word := ask(h, s, test.ask)
 			qt.Assert(t, len(word.Packed) > 0, qt.Equals, test.text)
 			qt.Assert(t, len(word.Leaving) > 0, qt.Equals, test.leaving)
@@ -139,7 +139,7 @@
 // A new map and a new leaver go to every router at once, the map only where
 // it is new.
 func TestChangesAreTold(t *testing.T) {
-	h, s := begun(3)
+	h, s := newPrimary(3)
 	words := h.said()
 	qt.Assert(t, words, qt.HasLen, 6)
 	for _, word := range words[3:] {
@@ -166,13 +166,13 @@
 		want    bool
 	}{
 		{"at once", 10, "1", false, false},
-		{"long after", onWayMs, "1", false, true},
+		{"long after", resendIntervalMs, "1", false, true},
 		{"another life", 10, "2", false, true},
 		{"a newer map", 10, "1", true, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			h, s := begun(0)
+			h, s := newPrimary(0)
 			from := protocol.Node{Name: "router-x", Address: "x:1", Part: protocol.RoleRouter, Incarnation: "1"}
 			sent := func() bool {
 				h.said()
@@ -192,23 +192,23 @@
 
 // A map lies packed in the copied state, and a follower reads it from there.
 func TestFollowerReadsTheRow(t *testing.T) {
-	h, _ := begun(1)
-	var kept keptMap
-	qt.Assert(t, json.Unmarshal([]byte(h.rows[mapRow]), &kept), qt.IsNil)
-	qt.Assert(t, len(h.rows[mapRow]) < 2_000, qt.IsTrue)
-	follower := New(Settings{Self: wordSelf, Bounds: bounds.Bounds{}}, wordFormat{})
+	h, _ := newPrimary(1)
+	var kept storedConfig
+	qt.Assert(t, json.Unmarshal([]byte(h.rows[configRow]), &kept), qt.IsNil)
+	qt.Assert(t, len(h.rows[configRow]) < 2_000, qt.IsTrue)
+	follower := New(Settings{Self: testSelf, Bounds: bounds.Bounds{}}, versionFormat{})
 	follower.StateChanged(h)
-	qt.Assert(t, follower.maps.current.version, qt.Equals, uint64(1))
-	qt.Assert(t, len(follower.maps.current.text), qt.Equals, len("version 1")+60_000)
+	qt.Assert(t, follower.config.active.version, qt.Equals, uint64(1))
+	qt.Assert(t, len(follower.config.active.text), qt.Equals, len("version 1")+60_000)
 }
 
 // The constant question costs the same however many routers there are.
 func BenchmarkAsked(b *testing.B) {
 	for _, routers := range []int{89, 330} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
-			h, s := begun(routers)
+			h, s := newPrimary(routers)
 			from := h.routers[0]
-			in := protocol.ConfigPoll{Version: 1, LeavingSum: s.leaving.sum, ControllersSum: s.roll.sum}
+			in := protocol.ConfigPoll{Version: 1, LeavingSum: s.routers.leaving.sum, ControllersSum: s.routers.summary.controllersSum}
 			for i := range b.N {
 				// As many ask in each ms as the routers there are would.
 				h.nowMs = 10_000 + int64(i)*300/int64(routers)
--- a/internal/protocol/runners.go
+++ b/internal/protocol/runners.go
@@ -126,3 +126,19 @@
 	// OutcomeNotSent means that no byte of the order was written.
 	OutcomeNotSent
 )
+
+// FleetCall is implemented by the outbound calls to the users' platform and its
+// runners: ListRunners, GetRunnerState and RunnerOrder.
+type FleetCall interface{ isFleetCall() }
+
+func (ListRunners) isFleetCall()    {}
+func (GetRunnerState) isFleetCall() {}
+func (RunnerOrder) isFleetCall()    {}
+
+// FleetResult is implemented by the outcomes of FleetCalls: RunnerList,
+// RunnerStateResult and RunnerOrderResult.
+type FleetResult interface{ isFleetResult() }
+
+func (RunnerList) isFleetResult()        {}
+func (RunnerStateResult) isFleetResult() {}
+func (RunnerOrderResult) isFleetResult() {}
