--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -135,7 +135,7 @@
 				m.sendKeeps()
 			}
 		}
-		m.tendRecord()
+		m.planRecord()
 	}
 }
 
@@ -406,9 +406,9 @@
 	if s.role == primary {
 		m.adopt(record, s.ballot)
 		m.countLease()
-		m.advance()
+		m.commit()
 		// Who is entitled by it should know at the next tick.
-		m.replication.sentMs = m.nowMs - m.waits.AppendIntervalMs
+		m.primary.SentMs = m.nowMs - m.waits.AppendIntervalMs
 		return
 	}
 	if s.completes {
@@ -496,7 +496,7 @@
 	m.election.leaseUntilMs = 0
 	m.election.nextMs = m.nowMs + m.waits.RenewMs
 	m.election.heardMs = m.nowMs
-	m.endReplication()
+	m.primary.End()
 	m.set.Application.LostPrimacy(host{m})
 	if f := m.election.founding; f != nil {
 		m.election.founding = nil
@@ -511,7 +511,7 @@
 		return
 	}
 	epoch, voters := m.record.Epoch, m.record.Voters()
-	peer, paired := m.nextPrimary()
+	peer, paired := m.members().Successor()
 	m.losePrimacy(why)
 	m.election.nextMs = m.nowMs + 2*m.waits.LeaseMs
 	for _, voter := range voters {
--- /dev/null
+++ b/internal/consensus/follower.go
@@ -0,0 +1,144 @@
+package consensus
+
+import (
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/storage"
+)
+
+// acceptPrimary says whether a message of a primary counts, and adopts its record.
+func (m *Machine) acceptPrimary(from protocol.Node, record protocol.EpochRecord, ballot protocol.Ballot) bool {
+	if record.Epoch < m.record.Epoch || record.Primary != from.Name || record.Epoch == 0 {
+		m.count(errkind.LowerEpoch)
+		return false
+	}
+	if record.Epoch > m.record.Epoch && m.isPrimary() {
+		m.losePrimacy("a higher epoch serves")
+	}
+	m.adopt(record, ballot)
+	return true
+}
+
+// notePrimaryAlive notes that the primary lives. A message that answers what this
+// daemon said long ago was delayed on its way, and tells nothing of now.
+func (m *Machine) notePrimaryAlive(echo protocol.ClockEcho) {
+	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.waits.ElectionTimeoutMs {
+		m.count(errkind.Overtaken)
+		return
+	}
+	m.election.heardMs = m.nowMs
+	// A candidate that hears from the primary after all has no more cause.
+	if m.election.role == asking {
+		m.retreat(0)
+	}
+}
+
+// handleAppend follows the primary.
+func (m *Machine) handleAppend(e protocol.Envelope, message protocol.Append) {
+	rival := m.isPrimary() && message.Record.Epoch == m.record.Epoch
+	if rival || !m.acceptPrimary(e.From, message.Record, message.Ballot) {
+		return
+	}
+	// Changes chain, so those of a message that was overtaken still count; all
+	// else in it is older than what is known here.
+	if m.follower.Overtaken(message.Record.Epoch, message.Sequence) {
+		m.count(errkind.Overtaken)
+	} else {
+		m.notePrimaryAlive(message.Contact)
+		m.applyHeader(message)
+	}
+	if !m.applyChanges(e.From, message.Changes) {
+		m.acknowledge(e.From)
+	}
+}
+
+// applyHeader takes what a primary's message says beside the changes.
+func (m *Machine) applyHeader(message protocol.Append) {
+	if len(message.Peers) > 0 {
+		m.follower.NodesDigest = 0
+		if m.roster.AddNodes(m.nowMs, message.Peers) {
+			m.follower.NodesDigest = message.PeersSum
+		}
+	}
+	m.hints = message.Soft
+	if m.set.Hooks != nil {
+		m.set.Hooks.HintsReceived(message.Soft)
+	}
+	m.follower.NoteContact(m.nowMs, m.startMs, message.Contact)
+	if message.MayLeave && m.leaving.wanted {
+		m.depart("nothing is left to hand over")
+	}
+}
+
+// applyChanges applies those that go on from what this disk has, and says whether
+// there were any. What is compiled from the state, such as a large configuration,
+// is brought up to it once for all of them.
+func (m *Machine) applyChanges(from protocol.Node, changes []protocol.Change) bool {
+	applied := false
+	for _, change := range changes {
+		if !m.follower.GoesOn(change) || m.broken {
+			continue
+		}
+		if err := m.state.Take(change.Rows); err != nil {
+			m.note("a change can't be read: %v", err)
+			m.count(errkind.Malformed)
+			break
+		}
+		applied = true
+		m.writeRows(storage.Write{Set: change.Rows}, change.At, func() { m.acknowledge(from) })
+	}
+	if applied {
+		m.set.Application.StateChanged(host{m})
+	}
+	return applied
+}
+
+// handleSnapshot replaces this daemon's state by the primary's.
+func (m *Machine) handleSnapshot(e protocol.Envelope, snapshot protocol.Snapshot) {
+	if m.isPrimary() || m.broken || !m.acceptPrimary(e.From, snapshot.Record, protocol.Ballot{}) {
+		return
+	}
+	if !m.follower.IsNewer(snapshot.At) {
+		m.count(errkind.Overtaken)
+		m.acknowledge(e.From)
+		return
+	}
+	if !m.follower.Overtaken(snapshot.Record.Epoch, snapshot.Sequence) {
+		m.notePrimaryAlive(snapshot.Contact)
+	}
+	state := ledger.New()
+	if err := state.Take(snapshot.Rows); err != nil {
+		m.note("a snapshot can't be read: %v", err)
+		m.count(errkind.Malformed)
+		return
+	}
+	m.state = state
+	m.set.Application.StateChanged(host{m})
+	m.note("took a snapshot at change %d", snapshot.At.Number)
+	write := storage.Write{ClearPrefix: ledger.Prefix, Set: snapshot.Rows}
+	m.writeRows(write, snapshot.At, func() { m.acknowledge(e.From) })
+}
+
+// acknowledge tells the primary how far this disk is. A daemon whose disk failed
+// says nothing, so that another takes its part.
+func (m *Machine) acknowledge(to protocol.Node) {
+	if m.broken {
+		return
+	}
+	m.send(to, protocol.AppendReply{
+		Epoch: m.record.Epoch, At: m.follower.Durable, WitnessBlank: m.witness.Blank(), PeersSum: m.follower.NodesDigest,
+		Contact: protocol.ClockEcho{SentMs: m.nowMs, StartMs: m.startMs}, Leaving: m.leaving.wanted,
+		Taken: m.follower.Received, Heard: m.follower.NewestSequence(),
+	})
+}
+
+// inContact says whether a majority stood behind what this daemon knows within
+// the last lease: as the primary by its lease, else by the primary's echo. What
+// is handed out without it may have been replaced long ago.
+func (m *Machine) inContact() bool {
+	if m.isPrimary() {
+		return m.active()
+	}
+	return m.follower.HasContact(m.nowMs, m.waits.LeaseMs)
+}
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -89,7 +89,7 @@
 func (h host) State() *ledger.State              { return h.m.state }
 
 func (h host) Settled() bool {
-	return h.m.replication.committed >= h.m.state.Position.Number
+	return h.m.primary.Committed >= h.m.state.Position.Number
 }
 
 func (h host) SubmitCommands(then func(ok bool), commands ...ledger.Command) {
@@ -101,7 +101,7 @@
 	status := MemberStatus{
 		Role: roleNames[m.election.role], DiskBroken: m.broken, Retired: m.retired, WitnessBlank: m.witness.Blank(),
 	}
-	for _, seat := range m.away() {
+	for _, seat := range m.silentWitnesses() {
 		status.Away = append(status.Away, seat.Name)
 	}
 	for _, place := range m.roster.Nodes() {
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -12,8 +12,10 @@
 	"myrtlewinch/internal/election/witness"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/failuredetector"
+	"myrtlewinch/internal/membership"
 	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/replication"
 	"myrtlewinch/internal/storage"
 )
 
@@ -109,12 +111,19 @@
 	roster  *failuredetector.Detector
 	// peers is the list last kept on the disk, peersSum what names it, and
 	// peersMs when it was written.
-	peers       string
-	peersSum    uint64
-	peersMs     int64
-	election    election
-	replication replication
-	startMs     int64
+	peers    string
+	peersSum uint64
+	peersMs  int64
+	election election
+	// primary and follower are this daemon's parts in replication, planner that of
+	// the primary in membership.
+	primary  replication.Primary
+	follower replication.Follower
+	planner  membership.Planner
+	// hints is what the primary knows that needs no disk, at a follower as it was
+	// last received.
+	hints   protocol.Hints
+	startMs int64
 }
 
 // New makes a controller from what its disk holds.
@@ -128,7 +137,7 @@
 	minCopies := set.MaxLosses + 1
 	set.MaxLosses = max(set.MaxLosses, 1)
 	if set.WitnessTimeoutMs == 0 {
-		set.WitnessTimeoutMs = awayMs
+		set.WitnessTimeoutMs = usualWitnessTimeoutMs
 	}
 	if set.ReplicaGraceMs == 0 {
 		set.ReplicaGraceMs = set.Timing.ElectionTimeoutMs
@@ -164,7 +173,8 @@
 	}
 	m.roster = failuredetector.New(set.Self, set.Seeds, places)
 	m.election = election{heardMs: nowMs}
-	m.replication = replication{waits: set.Timing, synced: m.state.Position, taken: m.state.Position}
+	m.primary = replication.NewPrimary(set.Timing.replicationTiming())
+	m.follower = replication.NewFollower(m.state.Position)
 	m.startMs, m.peersMs = nowMs, nowMs-rememberMs
 	m.firstDisk = keys[bootstrapKey] != ""
 	if set.Hooks != nil {
@@ -316,7 +326,7 @@
 			return
 		}
 		answer, changed := m.witness.Prepare(m.nowMs, e.From.Name, body)
-		answer.At = m.replication.synced
+		answer.At = m.follower.Durable
 		m.saveWitness(changed, func() { m.reply(e, answer) })
 	case protocol.Accept:
 		answer, changed := m.witness.Accept(m.nowMs, body)
@@ -337,11 +347,11 @@
 	case protocol.TransferPrimary:
 		m.transferred(e.From, body)
 	case protocol.Append:
-		m.follow(e, body)
+		m.handleAppend(e, body)
 	case protocol.Snapshot:
-		m.takeSnapshot(e, body)
+		m.handleSnapshot(e, body)
 	case protocol.AppendReply:
-		m.followed(e.From, body)
+		m.handleAppendReply(e.From, body)
 	default:
 		m.count(errkind.Malformed)
 	}
--- a/internal/consensus/timing.go
+++ b/internal/consensus/timing.go
@@ -89,3 +89,7 @@
 }
 
 const usualShowMs = 400
+
+// usualWitnessTimeoutMs is how long a witness is silent before another daemon
+// takes its place, where nothing else is set.
+const usualWitnessTimeoutMs = 30_000
--- /dev/null
+++ b/internal/membership/planner.go
@@ -0,0 +1,88 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+
+	"myrtlewinch/internal/protocol"
+)
+
+// Planner plans the next record of a primary. The zero value is ready.
+type Planner struct {
+	// reported is the witness that was last reported to stay away without
+	// anyone to take its place.
+	reported string
+}
+
+// Plan is what is to be recorded next, if anything.
+type Plan struct {
+	// Record is the next record, to be recorded if Change is set.
+	Record protocol.EpochRecord
+	Change bool
+	// LogLine is empty where there is nothing new to say. It may be set without a
+	// change.
+	LogLine string
+}
+
+// Next plans the record that follows the view's. It changes one member at a time.
+// Replicas go first, as without them nothing is written. A majority of the
+// witnesses before a change must agree as well as one of those after it, so each
+// later candidate learns of the change from some witness of whatever set it knows.
+func (p *Planner) Next(v *View) Plan {
+	next := v.Record
+	next.Epoch++
+	next.Before = v.Record.Witnesses
+	if change, ok := v.nextReplicas(); ok {
+		next.Replicas, next.Gone = change.replicas, change.gone
+		return Plan{Record: next, Change: true, LogLine: change.reason}
+	}
+	// Once a new set of witnesses is recorded, the one before need not agree any
+	// more.
+	if v.witnessSetChanging() {
+		return Plan{Record: next, Change: true}
+	}
+	change, warning, ok := p.nextWitness(v)
+	if !ok {
+		return Plan{LogLine: warning}
+	}
+	next.Witnesses, next.Gone = change.apply(v.Record)
+	return Plan{Record: next, Change: true, LogLine: change.reason}
+}
+
+// nextWitness returns the change that the witnesses need, if any, or else a
+// warning, once, where one stays away that nobody can replace.
+func (p *Planner) nextWitness(v *View) (change witnessChange, warning string, ok bool) {
+	if change, ok = v.returnedWitness(); ok {
+		return change, "", true
+	}
+	if change, ok = v.furtherWitness(); ok {
+		return change, "", true
+	}
+	replace := v.witnessesToReplace()
+	if len(replace) == 0 {
+		p.reported = ""
+		return witnessChange{}, "", false
+	}
+	if spare, found := v.spareWitness(); found {
+		return v.replaceWitness(replace[0], spare), "", true
+	}
+	if p.reported == replace[0].Name {
+		return witnessChange{}, "", false
+	}
+	p.reported = replace[0].Name
+	return witnessChange{}, fmt.Sprintf("witness %s stays away and no other core machine can take its place; the next loss stops control", p.reported), false
+}
+
+// apply returns the witnesses after the change, and the disks that are gone for
+// good: one that came back with another disk has lost the one before.
+func (c witnessChange) apply(record protocol.EpochRecord) (witnesses, gone []protocol.MemberID) {
+	witnesses, gone = slices.Clone(record.Witnesses), record.Gone
+	if c.index == len(witnesses) {
+		return append(witnesses, c.witness), gone
+	}
+	if old := witnesses[c.index]; old.Name == c.witness.Name {
+		gone = record.GoneWith(old)
+	}
+	witnesses[c.index] = c.witness
+	return witnesses, gone
+}
--- /dev/null
+++ b/internal/membership/replicas.go
@@ -0,0 +1,88 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+
+	"myrtlewinch/internal/protocol"
+)
+
+// replicaChange is a change of the replicas by one member.
+type replicaChange struct {
+	replicas []protocol.MemberID
+	// gone are the disks whose names have passed to another disk.
+	gone   []protocol.MemberID
+	reason string
+}
+
+// nextReplicas returns the change that the replicas need, if any: one member at a
+// time. A lost or leaving replica is given up only once another has taken its
+// place; the exception is what is beyond the wanted number.
+func (v *View) nextReplicas() (replicaChange, bool) {
+	lost, surplus := v.lostAndSurplus()
+	// A new primary takes recorded replicas for reliable until their time to
+	// answer is over, so that none is recruited needlessly. Of the members none is
+	// given up on the strength of one that has not answered.
+	wanted, reliable, proven := v.wantedReplicas(), v.countReplicas(v.reliableReplica), v.countReplicas(v.provenReplica)
+	switch {
+	case proven >= wanted && lost != protocol.MemberID{}:
+		return v.dropReplica(lost, "enough others are"), true
+	case proven > wanted && surplus != protocol.MemberID{}:
+		return v.dropReplica(surplus, "more are kept than must be"), true
+	case reliable >= wanted:
+		return replicaChange{}, false
+	}
+	recruit, found := v.recruit(lost)
+	if !found {
+		return replicaChange{}, false
+	}
+	gone := v.Record.Gone
+	// A disk that came back blank under a member's name takes over the name.
+	if old, ok := v.Record.Member(recruit.Name); ok && old != recruit {
+		gone = v.Record.GoneWith(old)
+	}
+	reason := fmt.Sprintf("recruiting %s as a copy", recruit.Name)
+	return replicaChange{append(v.replicasWithout(lost), recruit), gone, reason}, true
+}
+
+// lostAndSurplus returns the last replica that can't be relied on, and the last
+// other one than the primary's that can; each is zero where there is none.
+func (v *View) lostAndSurplus() (lost, surplus protocol.MemberID) {
+	for _, id := range v.Record.Replicas {
+		switch {
+		case id == v.self():
+		case v.reliableReplica(id):
+			surplus = id
+		default:
+			lost = id
+		}
+	}
+	return lost, surplus
+}
+
+func (v *View) dropReplica(dropped protocol.MemberID, reason string) replicaChange {
+	reason = fmt.Sprintf("%s is a copy no longer; %s", dropped.Name, reason)
+	return replicaChange{v.replicasWithout(dropped), v.Record.Gone, reason}
+}
+
+func (v *View) replicasWithout(dropped protocol.MemberID) []protocol.MemberID {
+	isDropped := func(id protocol.MemberID) bool { return id == dropped }
+	return slices.DeleteFunc(slices.Clone(v.Record.Replicas), isDropped)
+}
+
+// recruit picks a caught-up daemon that is no replica, in another zone than the
+// primary's if there is one.
+func (v *View) recruit(lost protocol.MemberID) (protocol.MemberID, bool) {
+	var best protocol.MemberID
+	found, bestElsewhere := false, false
+	for id, node := range v.staying() {
+		if id == lost || v.Record.HasReplica(id) || !v.caughtUp(id) {
+			continue
+		}
+		elsewhere := node.Zone != v.Self.Zone
+		if !found || elsewhere && !bestElsewhere {
+			best, found, bestElsewhere = id, true, elsewhere
+		}
+	}
+	return best, found
+}
--- /dev/null
+++ b/internal/membership/witnesses.go
@@ -0,0 +1,94 @@
+package membership
+
+import (
+	"fmt"
+	"slices"
+
+	"myrtlewinch/internal/protocol"
+)
+
+// witnessChange sets one place in the list of witnesses; the place right after
+// the last one adds a witness.
+type witnessChange struct {
+	index   int
+	witness protocol.MemberID
+	reason  string
+}
+
+// SilentWitnesses lists the witnesses that have not answered this primary for
+// longer than the witness time-out.
+func (v *View) SilentWitnesses() []protocol.MemberID {
+	var silent []protocol.MemberID
+	for _, id := range v.Record.Witnesses {
+		if v.silentMs(id) > v.WitnessTimeoutMs {
+			silent = append(silent, id)
+		}
+	}
+	return silent
+}
+
+// silentMs is how long the daemon of a member has not answered this primary, on
+// whatever disk.
+func (v *View) silentMs(id protocol.MemberID) int64 {
+	if id == v.self() {
+		return 0
+	}
+	heardMs := v.Primary.BeganMs
+	if progress := v.Primary.Tracker.Named(id.Name); progress != nil {
+		heardMs = max(heardMs, progress.HeardMs)
+	}
+	return v.NowMs - heardMs
+}
+
+// returnedWitness returns the first witness whose daemon came back with another
+// disk, which takes its own place.
+func (v *View) returnedWitness() (witnessChange, bool) {
+	for i, id := range v.Record.Witnesses {
+		progress := v.Primary.Tracker.Named(id.Name)
+		if progress == nil || progress.Incarnation == id.Incarnation || v.NowMs-progress.HeardMs > v.LiveMs {
+			continue
+		}
+		returned := protocol.MemberID{Name: id.Name, Incarnation: progress.Incarnation}
+		return witnessChange{i, returned, "taking in the new witness disk of " + id.Name}, true
+	}
+	return witnessChange{}, false
+}
+
+// furtherWitness adds a witness where more losses are to be borne than the site
+// was founded for.
+func (v *View) furtherWitness() (witnessChange, bool) {
+	have := len(v.Record.Witnesses)
+	if have >= v.wantedWitnesses() {
+		return witnessChange{}, false
+	}
+	id, ok := v.spareWitness()
+	return witnessChange{have, id, id.Name + " becomes a further witness"}, ok
+}
+
+// witnessesToReplace lists the witnesses that are silent for long, then the first
+// one whose daemon is stopping as planned.
+func (v *View) witnessesToReplace() []protocol.MemberID {
+	replace := v.SilentWitnesses()
+	leaving := slices.IndexFunc(v.Record.Witnesses, func(id protocol.MemberID) bool {
+		return v.Primary.Tracker.Leaving(id) || id == v.self() && v.Leaving
+	})
+	if leaving >= 0 {
+		replace = append(replace, v.Record.Witnesses[leaving])
+	}
+	return replace
+}
+
+// spareWitness returns a caught-up daemon that is no witness.
+func (v *View) spareWitness() (protocol.MemberID, bool) {
+	for id := range v.staying() {
+		if !hasName(v.Record.Witnesses, id.Name) && v.caughtUp(id) {
+			return id, true
+		}
+	}
+	return protocol.MemberID{}, false
+}
+
+func (v *View) replaceWitness(old, spare protocol.MemberID) witnessChange {
+	reason := fmt.Sprintf("%s takes the place of witness %s, which stays away or leaves", spare.Name, old.Name)
+	return witnessChange{slices.Index(v.Record.Witnesses, old), spare, reason}
+}
--- /dev/null
+++ b/internal/replication/log.go
@@ -0,0 +1,77 @@
+package replication
+
+import "myrtlewinch/internal/protocol"
+
+const (
+	// maxLogChanges is how many changes the log keeps.
+	maxLogChanges = 256
+	// maxLogBytes bounds the rows of the log, and so the message that brings
+	// them to a follower. Changes of a large row soon take more bytes than a
+	// snapshot, which holds each row once.
+	maxLogBytes = 1 << 20
+)
+
+// Log holds the recent changes of a primary, for followers that lack them. A
+// follower that lacks an older change needs a snapshot.
+type Log struct {
+	// base is the position right before the oldest change.
+	base    protocol.Position
+	changes []protocol.Change
+	// bytes is the size of the rows in changes.
+	bytes int
+}
+
+// NewLog returns an empty log that goes on from base.
+func NewLog(base protocol.Position) Log { return Log{base: base} }
+
+// Append adds the newest change, and drops the oldest ones beyond the bounds.
+// The newest change is kept however large it is.
+func (l *Log) Append(change protocol.Change) {
+	l.changes = append(l.changes, change)
+	l.bytes += rowBytes(change.Rows)
+	for len(l.changes) > maxLogChanges || l.bytes > maxLogBytes && len(l.changes) > 1 {
+		oldest := l.changes[0]
+		l.base = oldest.At
+		l.bytes -= rowBytes(oldest.Rows)
+		l.changes = l.changes[1:]
+	}
+}
+
+// Clear drops all changes. The base stays.
+func (l *Log) Clear() { l.changes, l.bytes = nil, 0 }
+
+// Changes returns all changes, the oldest first. The list must not be changed.
+func (l *Log) Changes() []protocol.Change { return l.changes }
+
+// After returns the changes with a number above the given one.
+func (l *Log) After(number uint64) []protocol.Change {
+	var after []protocol.Change
+	for _, change := range l.changes {
+		if change.At.Number > number {
+			after = append(after, change)
+		}
+	}
+	return after
+}
+
+// Contains says whether the log goes on from a position: it is the base, or that
+// of one of the changes. A follower at any other position needs a snapshot.
+func (l *Log) Contains(at protocol.Position) bool {
+	if at == l.base {
+		return true
+	}
+	for _, change := range l.changes {
+		if change.At == at {
+			return true
+		}
+	}
+	return false
+}
+
+func rowBytes(rows map[string]string) int {
+	bytes := 0
+	for key, value := range rows {
+		bytes += len(key) + len(value)
+	}
+	return bytes
+}
--- /dev/null
+++ b/internal/replication/primary.go
@@ -0,0 +1,234 @@
+package replication
+
+import (
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+)
+
+// Primary is the primary's part of replication. After a primacy it keeps
+// Committed and the sequence, and holds nothing else.
+type Primary struct {
+	timing Timing
+	// Tracker holds the followers' progress; nil of followers while this daemon
+	// is not the primary.
+	Tracker Tracker
+	Log     Log
+	// Committed is the number of the last change that all replicas hold. At the
+	// start of a primacy it is the last that this disk held, since any of those
+	// may have been acknowledged by the primary before.
+	Committed uint64
+	// Sequence numbers the messages of this primacy to followers.
+	Sequence uint64
+	// SentMs is when appends were last sent to all followers.
+	SentMs int64
+	// BeganMs is when the primacy began.
+	BeganMs int64
+	// queue holds writes that wait for the disk to be free, pending those that
+	// wait to be committed.
+	queue   []queuedWrite
+	pending []pendingWrite
+	// writing says that a change is being written to this disk, since writeMs.
+	writing bool
+	writeMs int64
+}
+
+type queuedWrite struct {
+	commands []ledger.Command
+	done     func(ok bool)
+}
+
+type pendingWrite struct {
+	number uint64
+	done   func(ok bool)
+}
+
+// NewPrimary returns the part of a daemon that has not been primary yet.
+func NewPrimary(timing Timing) Primary { return Primary{timing: timing} }
+
+// Begin starts a primacy whose state is at the position. Each replica has until
+// graceMs from now to show itself, since the primary before may be lost for good.
+func (p *Primary) Begin(nowMs int64, at protocol.Position, replicas []protocol.MemberID, graceMs int64) {
+	p.Tracker = NewTracker(p.timing)
+	p.Log = NewLog(at)
+	p.Committed = at.Number
+	p.Sequence = 0
+	p.BeganMs = nowMs
+	p.writing = false
+	for _, id := range replicas {
+		p.Tracker.Set(id.Name, Progress{Incarnation: id.Incarnation, HeardMs: nowMs - p.timing.LiveMs + graceMs})
+	}
+}
+
+// End ends a primacy. Every write that waits is answered with false, as its
+// outcome is unknown.
+func (p *Primary) End() {
+	pending, queue := p.pending, p.queue
+	p.pending, p.queue = nil, nil
+	p.Tracker.followers = nil
+	p.Log.Clear()
+	p.writing = false
+	for _, write := range pending {
+		write.done(false)
+	}
+	for _, write := range queue {
+		write.done(false)
+	}
+}
+
+// Enqueue adds a write. Its commands are applied with the next change; done is
+// called once that is committed, or with false when that can't be known any more.
+func (p *Primary) Enqueue(commands []ledger.Command, done func(ok bool)) {
+	p.queue = append(p.queue, queuedWrite{commands, done})
+}
+
+// MayWrite says whether writes wait and the disk is free for the next change.
+func (p *Primary) MayWrite() bool { return !p.writing && len(p.queue) > 0 }
+
+// TakeQueue returns the commands of all writes that wait, which become pending
+// as the change with the number.
+func (p *Primary) TakeQueue(number uint64) []ledger.Command {
+	var commands []ledger.Command
+	for _, write := range p.queue {
+		commands = append(commands, write.commands...)
+		p.pending = append(p.pending, pendingWrite{number, write.done})
+	}
+	p.queue = nil
+	return commands
+}
+
+// BeginWrite logs a change that is being written to this disk.
+func (p *Primary) BeginWrite(nowMs int64, change protocol.Change) {
+	p.Log.Append(change)
+	p.writing, p.writeMs = true, nowMs
+}
+
+// EndWrite notes that the change is on this disk.
+func (p *Primary) EndWrite() { p.writing = false }
+
+// DiskStalls says whether this disk has taken too long for a write.
+func (p *Primary) DiskStalls(nowMs int64) bool {
+	return p.writing && nowMs-p.writeMs > p.timing.DiskStallMs
+}
+
+// Commit raises Committed to the last change that this disk, up to durable, and
+// the other members of all the replica sets hold. It does nothing as long as one
+// of them is not known.
+func (p *Primary) Commit(durable uint64, self string, replicaSets ...[]protocol.MemberID) bool {
+	common, known := durable, true
+	for _, replicas := range replicaSets {
+		if common, known = p.Tracker.CommonAcknowledged(replicas, self, common); !known {
+			return false
+		}
+	}
+	p.Committed = max(p.Committed, common)
+	return true
+}
+
+// AnswerCommitted answers the writes that are committed, in order. An answer may
+// enqueue further writes.
+func (p *Primary) AnswerCommitted() {
+	for len(p.pending) > 0 && p.pending[0].number <= p.Committed {
+		next := p.pending[0]
+		p.pending = p.pending[1:]
+		next.done(true)
+	}
+}
+
+// Follower returns the progress of a node, which is made where there is none.
+func (p *Primary) Follower(node protocol.Node) *Progress {
+	progress := p.Tracker.Named(node.Name)
+	if progress == nil {
+		p.Tracker.Set(node.Name, Progress{Incarnation: node.Incarnation})
+		progress = p.Tracker.Named(node.Name)
+	}
+	return progress
+}
+
+// SnapshotDue says whether a snapshot is to be sent. One is on its way at a time;
+// meanwhile the follower gets appends without changes.
+func (p *Primary) SnapshotDue(nowMs int64, follower *Progress) bool {
+	return follower.NeedsSnapshot && follower.retryDue(nowMs, p.timing.RetryMs)
+}
+
+// Snapshot makes the message that replaces a follower's whole state.
+func (p *Primary) Snapshot(nowMs int64, follower *Progress, record protocol.EpochRecord, at protocol.Position, rows map[string]string) protocol.Snapshot {
+	follower.SentMs, follower.Sent = nowMs, at.Number
+	p.Sequence++
+	return protocol.Snapshot{Sequence: p.Sequence, Contact: follower.Clock, Record: record, At: at, Rows: rows}
+}
+
+// AddChanges gives the message the next sequence number and the changes that the
+// follower is to be sent.
+func (p *Primary) AddChanges(nowMs int64, follower *Progress, message *protocol.Append) {
+	// The time runs from the last change that came through, not from the last
+	// that was sent: a storm of changes would put it off for ever.
+	unacknowledged := !follower.NeedsSnapshot && follower.Acknowledged < follower.Sent
+	if unacknowledged && follower.retryDue(nowMs, p.timing.RetryMs) {
+		follower.Sent, follower.SentMs = follower.Acknowledged, nowMs
+	}
+	p.Sequence++
+	message.Sequence = p.Sequence
+	if follower.NeedsSnapshot {
+		return
+	}
+	message.Changes = p.Log.After(follower.Sent)
+	if len(message.Changes) == 0 {
+		return
+	}
+	if follower.Sent == follower.Acknowledged {
+		follower.SentMs = nowMs
+	}
+	follower.Sent, follower.SentSequence = message.Last.Number, p.Sequence
+}
+
+// ReplyResult says what an acknowledgement was worth.
+type ReplyResult int
+
+const (
+	// ReplyCounted moved the follower's progress; more may be committed.
+	ReplyCounted ReplyResult = iota
+	// ReplyOvertaken says less than one that came before it, and was ignored: a
+	// disk never goes back.
+	ReplyOvertaken
+	// ReplyOffLog is of a position from which the log doesn't go on; the follower
+	// gets a snapshot.
+	ReplyOffLog
+)
+
+// HandleReply takes a follower's acknowledgement; last is the number of the
+// primary's newest change.
+func (p *Primary) HandleReply(nowMs int64, from protocol.Node, reply protocol.AppendReply, last uint64) ReplyResult {
+	follower := p.Follower(from)
+	if follower.Incarnation != from.Incarnation {
+		p.Tracker.Set(from.Name, Progress{Incarnation: from.Incarnation})
+		follower = p.Tracker.Named(from.Name)
+	}
+	if reply.At.Less(follower.Durable) {
+		return ReplyOvertaken
+	}
+	follower.Durable, follower.Answered, follower.RecordEpoch = reply.At, true, reply.Epoch
+	follower.HeardMs, follower.NodesDigest = nowMs, reply.PeersSum
+	follower.Clock, follower.Leaving = reply.Contact, reply.Leaving
+	if !p.Log.Contains(reply.At) {
+		p.requireSnapshot(nowMs, follower, last)
+		return ReplyOffLog
+	}
+	follower.NeedsSnapshot = false
+	if reply.At.Number > follower.Acknowledged {
+		follower.SentMs = nowMs
+	}
+	follower.acknowledge(nowMs, reply.At.Number, last)
+	follower.Sent = max(follower.Sent, follower.Acknowledged)
+	follower.resendGap(reply)
+	return ReplyCounted
+}
+
+// requireSnapshot has a snapshot sent at once to a follower from whose position
+// the log doesn't go on.
+func (p *Primary) requireSnapshot(nowMs int64, follower *Progress, last uint64) {
+	follower.acknowledge(nowMs, 0, last)
+	if !follower.NeedsSnapshot {
+		follower.NeedsSnapshot = true
+		follower.SentMs = nowMs - p.timing.RetryMs
+	}
+}
