--- a/internal/placement/polling.go
+++ b/internal/placement/polling.go
@@ -119,8 +119,9 @@
 // scans, by turns.
 func (m *Manager) scanRunners(nowMs, leaseUntilMs int64) {
 	pollsLeft := pollsPerScan + len(m.sortedRunners)/runnersPerExtraPoll
+	first := m.nextScanned
 	for i := range m.sortedRunners {
-		at := (m.nextScanned + i) % len(m.sortedRunners)
+		at := (first + i) % len(m.sortedRunners)
 		r := m.sortedRunners[at]
 		if !polled(r) {
 			continue
