--- a/internal/consensus/application.go
+++ b/internal/consensus/application.go
@@ -52,8 +52,8 @@
 	// once they are safe on all copies that must have them, or with false when
 	// that can't be known any more.
 	Submit(rows map[string]string, then func(ok bool))
-	Send(to protocol.Node, body any)
-	Call(address string, body any)
+	Send(to protocol.Node, body protocol.Message)
+	Call(address string, body protocol.OutboundRequest)
 	Answer(id uint64, body any)
 	Logf(format string, args ...any)
 	Count(name string)
@@ -87,9 +87,9 @@
 	h.m.submit(then, ledger.Put{Rows: rows})
 }
 
-func (h host) Send(to protocol.Node, body any) { h.m.send(to, body) }
+func (h host) Send(to protocol.Node, body protocol.Message) { h.m.send(to, body) }
 
-func (h host) Call(address string, body any) {
+func (h host) Call(address string, body protocol.OutboundRequest) {
 	h.m.out.Calls = append(h.m.out.Calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -181,7 +181,7 @@
 			m := w.nodes[name].machine
 			w.kill(primary)
 			m.askPromises(false)
-			var refusal any = protocol.PrepareReply{Ballot: m.election.ballot, Highest: test.highest}
+			var refusal protocol.Message = protocol.PrepareReply{Ballot: m.election.ballot, Highest: test.highest}
 			if test.keeps {
 				m.keep(m.record, true)
 				refusal = protocol.AcceptReply{Ballot: m.election.ballot, Highest: test.highest, Record: m.record}
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -422,9 +422,9 @@
 	m.stepDown("disk defect")
 }
 
-func (m *Machine) reply(e protocol.Envelope, body any) { m.send(e.From, body) }
+func (m *Machine) reply(e protocol.Envelope, body protocol.Message) { m.send(e.From, body) }
 
-func (m *Machine) send(to protocol.Node, body any) {
+func (m *Machine) send(to protocol.Node, body protocol.Message) {
 	if to.Name == m.set.Self.Name {
 		m.local = append(m.local, protocol.Envelope{Site: m.set.Site, From: m.set.Self, To: to.Name, Body: body})
 		return
@@ -432,7 +432,7 @@
 	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
-func (m *Machine) sendName(name string, body any) {
+func (m *Machine) sendName(name string, body protocol.Message) {
 	if place, ok := m.roster.Node(name); ok {
 		m.send(place, body)
 	}
--- a/internal/consensus/machine_witness_test.go
+++ b/internal/consensus/machine_witness_test.go
@@ -14,10 +14,10 @@
 	ballot := protocol.Ballot{Round: 90, Name: "core-9"}
 	cases := []struct {
 		about string
-		ask   func(m *Machine) any
+		ask   func(m *Machine) protocol.Message
 	}{
-		{"a promise", func(*Machine) any { return protocol.Prepare{Ballot: ballot} }},
-		{"a record", func(m *Machine) any {
+		{"a promise", func(*Machine) protocol.Message { return protocol.Prepare{Ballot: ballot} }},
+		{"a record", func(m *Machine) protocol.Message {
 			next := m.record
 			next.Epoch++
 			return protocol.Accept{Ballot: ballot, Record: next}
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -22,7 +22,7 @@
 }
 
 // from makes a message of one member to another.
-func (w *core) from(from, to string, body any) protocol.Envelope {
+func (w *core) from(from, to string, body protocol.Message) protocol.Envelope {
 	return protocol.Envelope{Site: "s", From: w.nodes[from].place, To: to, Body: body}
 }
 
@@ -32,15 +32,15 @@
 	cases := []struct {
 		about string
 		// late makes the message before the write that it must not undo.
-		late func(m *Machine) any
+		late func(m *Machine) protocol.Message
 	}{
-		{"a snapshot", func(m *Machine) any {
+		{"a snapshot", func(m *Machine) protocol.Message {
 			return protocol.Snapshot{Sequence: m.primary.Sequence, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()}
 		}},
-		{"a snapshot that no sequence tells from a later one", func(m *Machine) any {
+		{"a snapshot that no sequence tells from a later one", func(m *Machine) protocol.Message {
 			return protocol.Snapshot{Sequence: 1 << 40, Record: m.record, At: m.state.Position, Rows: m.state.Rowset()}
 		}},
-		{"a change that was taken before", func(m *Machine) any {
+		{"a change that was taken before", func(m *Machine) protocol.Message {
 			return protocol.Append{Sequence: m.primary.Sequence, Record: m.record, Ballot: m.election.ballot, Changes: m.primary.Log.Changes()}
 		}},
 	}
--- a/internal/controller/host_test.go
+++ b/internal/controller/host_test.go
@@ -36,7 +36,7 @@
 func (h *pendingHost) Primary() protocol.Node { return h.primary }
 func (h *pendingHost) OrdersFromMs() int64    { return h.ordersMs }
 
-func (h *pendingHost) Call(address string, body any) {
+func (h *pendingHost) Call(address string, body protocol.OutboundRequest) {
 	h.calls = append(h.calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -1,10 +1,9 @@
 package controller
 
 import (
-	"encoding/gob"
-
 	"myrtlewinch/internal/placement"
 	"myrtlewinch/internal/placement/demand"
+	"myrtlewinch/internal/protocol"
 )
 
 // The messages between controllers. They are gob-encoded, which matches fields
@@ -48,6 +47,12 @@
 )
 
 func init() {
-	gob.RegisterName(indexSnapshotWireName, IndexSnapshot{})
-	gob.RegisterName(demandReportWireName, DemandReport{})
+	protocol.RegisterMessage(indexSnapshotWireName, IndexSnapshot{})
+	protocol.RegisterMessage(demandReportWireName, DemandReport{})
 }
+
+// PeerMessage marks IndexSnapshot as a message between daemons.
+func (IndexSnapshot) PeerMessage() {}
+
+// PeerMessage marks DemandReport as a message between daemons.
+func (DemandReport) PeerMessage() {}
--- a/internal/controller/updates_test.go
+++ b/internal/controller/updates_test.go
@@ -50,14 +50,14 @@
 func (h *stubHost) Controllers() []protocol.Node {
 	return append([]protocol.Node{}, h.controllers...)
 }
-func (h *stubHost) Routers() []protocol.Node  { return h.routers }
-func (h *stubHost) Row(key string) string     { return h.rows[key] }
-func (h *stubHost) Call(string, any)          {}
-func (h *stubHost) Answer(_ uint64, body any) { h.answers = append(h.answers, body) }
-func (h *stubHost) Logf(string, ...any)       {}
-func (h *stubHost) Count(string)              {}
-
-func (h *stubHost) Send(to protocol.Node, body any) {
+func (h *stubHost) Routers() []protocol.Node              { return h.routers }
+func (h *stubHost) Row(key string) string                 { return h.rows[key] }
+func (h *stubHost) Call(string, protocol.OutboundRequest) {}
+func (h *stubHost) Answer(_ uint64, body any)             { h.answers = append(h.answers, body) }
+func (h *stubHost) Logf(string, ...any)                   {}
+func (h *stubHost) Count(string)                          {}
+
+func (h *stubHost) Send(to protocol.Node, body protocol.Message) {
 	h.sent = append(h.sent, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -391,7 +391,7 @@
 
 func (m *Machine) usable() bool { return m.nowMs < m.usableUntil() }
 
-func (m *Machine) send(to protocol.Node, body any) {
+func (m *Machine) send(to protocol.Node, body protocol.Message) {
 	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -37,7 +37,7 @@
 	return b.out
 }
 
-func (b *bench) take(body any) protocol.Effects {
+func (b *bench) take(body protocol.Message) protocol.Effects {
 	return b.step(protocol.Envelope{Site: "zagreb", From: core, Body: body})
 }
 
--- a/internal/native/router/prolong_test.go
+++ b/internal/native/router/prolong_test.go
@@ -25,7 +25,7 @@
 	return false
 }
 
-func (b *bench) from(place protocol.Node, body any) {
+func (b *bench) from(place protocol.Node, body protocol.Message) {
 	b.step(protocol.Envelope{Site: "zagreb", From: place, Body: body})
 }
 
--- a/internal/protocol/bodies.go
+++ b/internal/protocol/bodies.go
@@ -2,7 +2,6 @@
 
 import (
 	"crypto/sha256"
-	"encoding/gob"
 	"encoding/hex"
 )
 
@@ -11,7 +10,7 @@
 	Site string
 	From Node
 	To   string
-	Body any
+	Body Message
 }
 
 // Heartbeat goes to the few watchers that the sender's place on the ring
@@ -316,46 +315,3 @@
 
 // DemandReport tells the primary what look-ups a follower answered.
 type DemandReport struct{ Counts map[string]int64 }
-
-// wirePrefix begins the name under which a type of message is known on the
-// connections between daemons. It is not derived from the Go package, so that
-// daemons of the release before understand this one.
-const wirePrefix = "myrtlewinch/wire."
-
-// register names each type of message on the wire. A Go type may be renamed;
-// its name here, and the names of its fields, stay as they are.
-func register(bodies map[string]any) {
-	for name, body := range bodies {
-		gob.RegisterName(wirePrefix+name, body)
-	}
-}
-
-func init() {
-	register(map[string]any{
-		"Heartbeat": Heartbeat{},
-		"Hello":     PeersRequest{},
-		"Known":     PeersReply{},
-		"Sightings": HeartbeatReports{},
-		"Promise":   Prepare{},
-		"Promised":  PrepareReply{},
-		"Keep":      Accept{},
-		"Kept":      AcceptReply{},
-		"Renew":     RenewLease{},
-		"Release":   ReleaseLease{},
-		"Transfer":  TransferPrimary{},
-		"Opinion":   PrimaryQuery{},
-		"Opined":    PrimaryReply{},
-		"Follow":    Append{},
-		"Snapshot":  Snapshot{},
-		"Followed":  AppendReply{},
-		"Ask":       RouterPoll{},
-		"Word":      RouterUpdate{},
-		"Nudge":     PollRequest{},
-		"Prolong":   ExtendLease{},
-		"Prolonged": ExtendLeaseReply{},
-		"LookUp":    LookUp{},
-		"Index":     LookUpReply{},
-		"Demand":    DemandReport{},
-		"Retire":    Retire{},
-	})
-}
--- a/internal/protocol/configuration.go
+++ b/internal/protocol/configuration.go
@@ -46,10 +46,3 @@
 	Controllers    []Node
 	ControllersSum uint64
 }
-
-func init() {
-	register(map[string]any{
-		"MapAsk":  ConfigPoll{},
-		"MapWord": ConfigUpdate{},
-	})
-}
--- a/internal/protocol/effects.go
+++ b/internal/protocol/effects.go
@@ -10,7 +10,7 @@
 type Send struct {
 	To      string
 	Address string
-	Body    any
+	Body    Message
 }
 
 // DiskWrite is a change of the disk; its end comes back as Saved with the number.
@@ -45,7 +45,7 @@
 // OutboundCall goes outward, over HTTP: to a runner or to the platform.
 type OutboundCall struct {
 	Address string
-	Body    any
+	Body    OutboundRequest
 }
 
 // Effects is what a state machine returns from a step.
--- a/internal/protocol/index.go
+++ b/internal/protocol/index.go
@@ -52,10 +52,3 @@
 	// Loading says that a runner is loading the model.
 	Loading bool
 }
-
-func init() {
-	register(map[string]any{
-		"MapLookUp": IndexLookUp{},
-		"MapIndex":  IndexReply{},
-	})
-}
--- /dev/null
+++ b/internal/protocol/outbound.go
@@ -0,0 +1,22 @@
+package protocol
+
+// OutboundRequest is the body of an OutboundCall: a call over HTTP to the
+// platform or to a runner.
+type OutboundRequest interface{ outboundRequest() }
+
+func (ListRunners) outboundRequest()    {}
+func (GetRunnerState) outboundRequest() {}
+func (RunnerOrder) outboundRequest()    {}
+func (OrderCall) outboundRequest()      {}
+func (ReportCall) outboundRequest()     {}
+func (PlatformCall) outboundRequest()   {}
+
+// OutboundResult is what an OutboundCall brought. The process puts it before
+// the machine as an input, exactly once for each call.
+type OutboundResult interface{ outboundResult() }
+
+func (RunnerList) outboundResult()         {}
+func (RunnerStateResult) outboundResult()  {}
+func (RunnerOrderResult) outboundResult()  {}
+func (RunnerReportResult) outboundResult() {}
+func (RunnerListResult) outboundResult()   {}
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -228,7 +228,7 @@
 }
 
 // sendMessage adds a message to another daemon to the effects.
-func (m *Machine) sendMessage(to protocol.Node, body any) {
+func (m *Machine) sendMessage(to protocol.Node, body protocol.Message) {
 	m.effects.Sends = append(m.effects.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -70,7 +70,7 @@
 
 func (b *bed) step(input any) protocol.Effects { return b.m.Step(b.nowMs, input) }
 
-func (b *bed) from(place protocol.Node, body any) protocol.Effects {
+func (b *bed) from(place protocol.Node, body protocol.Message) protocol.Effects {
 	return b.step(protocol.Envelope{Site: "site", From: place, To: selfPlace.Name, Body: body})
 }
 
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -207,7 +207,7 @@
 		defer close(done)
 		_ = group.Run()
 	})
-	put := func(body any) {
+	put := func(body protocol.Message) {
 		g.shell.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
 	}
 	text, _ := json.Marshal(document)
--- a/internal/simulation/endurance/wire_test.go
+++ b/internal/simulation/endurance/wire_test.go
@@ -27,7 +27,7 @@
 	}
 	for _, test := range []struct {
 		name    string
-		body    any
+		body    protocol.Message
 		count   int
 		atMost  int
 		tooMuch bool
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -21,7 +21,7 @@
 	// input changes an input; nil is swallowed.
 	input func(input any) any
 	// send changes the body of a message.
-	send func(body any) any
+	send func(body protocol.Message) protocol.Message
 	// write changes a write.
 	write func(write storage.Write) storage.Write
 }
@@ -105,7 +105,7 @@
 
 // hidingRecords doesn't tell candidates what record a witness keeps.
 func hidingRecords(member string, machine Stepper) Stepper {
-	return &interceptor{machine: machine, send: func(body any) any {
+	return &interceptor{machine: machine, send: func(body protocol.Message) protocol.Message {
 		if promised, ok := body.(protocol.PrepareReply); ok {
 			promised.Record, promised.Kept = protocol.EpochRecord{}, protocol.Ballot{}
 			return promised
@@ -196,7 +196,7 @@
 		return hashOf(c.members[0].machine)
 	}
 	other := protocol.Node{Name: "member-2", Address: "10.0.0.2:7", Part: protocol.RoleController, Incarnation: "member-2-disk"}
-	from := func(body any) protocol.Envelope {
+	from := func(body protocol.Message) protocol.Envelope {
 		return protocol.Envelope{Site: site, From: other, To: "member-1", Body: body}
 	}
 	qt.Assert(t, machine(), qt.Equals, machine())
