--- a/internal/simulation/faultsim/faults_network.go
+++ b/internal/simulation/faultsim/faults_network.go
@@ -29,15 +29,15 @@
 	}},
 	{"router cut off from runners", (*Simulation).cutRouterFromRunners},
 	{"messages lost", func(sim *Simulation) {
-		sim.network.LossShare = 0.1 + 0.2*sim.random.Float64()
+		sim.network.LossRate = 0.1 + 0.2*sim.random.Float64()
 		sim.healAfter(sim.randomDelayMs())
 	}},
 	{"messages doubled", func(sim *Simulation) {
-		sim.network.DuplicateShare = 0.3
+		sim.network.DuplicateRate = 0.3
 		sim.healAfter(sim.randomDelayMs())
 	}},
 	{"messages late", func(sim *Simulation) {
-		sim.network.DelayShare, sim.network.MaxDelayMs = 0.3, 1500
+		sim.network.DelayRate, sim.network.MaxDelayMs = 0.3, 1500
 		sim.healAfter(sim.randomDelayMs())
 	}},
 	{"list away", func(sim *Simulation) {
--- a/internal/simulation/nativesim/campaign.go
+++ b/internal/simulation/nativesim/campaign.go
@@ -148,7 +148,7 @@
 		w.events.After(w.randomDurationMs(), w.Heal)
 	}},
 	{"lose and double messages", func(w *World) {
-		w.lossRate, w.duplicateRate = 0.2*w.Random.Float64(), 0.2*w.Random.Float64()
+		w.links.LossRate, w.links.DuplicateRate = 0.2*w.Random.Float64(), 0.2*w.Random.Float64()
 		w.events.After(w.randomDurationMs(), w.Heal)
 	}},
 	{"kill a router", func(w *World) {
@@ -200,8 +200,8 @@
 		})
 	}},
 	{"delay and reorder messages", func(w *World) {
-		w.delayRate, w.maxDelayMs = 0.2*w.Random.Float64(), 5000
-		w.events.After(w.randomDurationMs(), func() { w.delayRate = 0 })
+		w.links.DelayRate, w.links.MaxDelayMs = 0.2*w.Random.Float64(), 5000
+		w.events.After(w.randomDurationMs(), func() { w.links.DelayRate = 0 })
 	}},
 	{"freeze all routers", func(w *World) {
 		names := w.nodeNames(protocol.RoleRouter)
--- a/internal/simulation/nativesim/network.go
+++ b/internal/simulation/nativesim/network.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/gob"
+	"math/rand"
 
 	"myrtlewinch/internal/protocol"
 )
@@ -10,51 +11,37 @@
 // NetworkTally counts the control traffic.
 type NetworkTally struct{ Messages, Lost, LookUps, Bytes uint64 }
 
+const (
+	usualLatencyMs = 3
+	// One transmission of slowOneIn takes up to slowLatencyMs.
+	slowOneIn     = 50
+	slowLatencyMs = 40
+)
+
+// drawLatencyMs draws how long an undisturbed transmission takes. The order of
+// the draws is part of what a seed means.
+func drawLatencyMs(random *rand.Rand) int64 {
+	if random.Intn(slowOneIn) == 0 {
+		return 1 + random.Int63n(slowLatencyMs)
+	}
+	return 1 + random.Int63n(usualLatencyMs)
+}
+
 // Cut stops all messages between two groups; with oneWay only from the first.
 func (w *World) Cut(from, to []string, oneWay bool) {
 	w.tracef("cut %v | %v", from, to)
-	for _, a := range from {
-		for _, b := range to {
-			if a == b {
-				continue
-			}
-			w.cuts[[2]string{a, b}] = true
-			if !oneWay {
-				w.cuts[[2]string{b, a}] = true
-			}
-		}
-	}
+	w.links.Cut(from, to, oneWay)
 }
 
-// Heal ends all cuts and all loss.
+// Heal ends all faults of the network.
 func (w *World) Heal() {
 	w.tracef("the network heals")
-	w.cuts = map[[2]string]bool{}
-	w.lossRate, w.duplicateRate, w.delayRate = 0, 0, 0
-}
-
-func (w *World) latencyMs() int64 {
-	if w.Random.Intn(50) == 0 {
-		return 1 + w.Random.Int63n(40)
-	}
-	return 1 + w.Random.Int63n(3)
+	w.links.Heal()
 }
 
-// transmit carries something from one name to another, unless the network is cut.
+// transmit carries something from one name to another, unless the link is cut.
 func (w *World) transmit(from, to string, arrive func(), lost func()) {
-	tookMs := w.latencyMs()
-	if w.delayRate > 0 && w.Random.Float64() < w.delayRate {
-		tookMs += w.Random.Int63n(w.maxDelayBetween(from, to))
-	}
-	w.events.After(tookMs, func() {
-		if w.cuts[[2]string{from, to}] {
-			if lost != nil {
-				lost()
-			}
-			return
-		}
-		arrive()
-	})
+	w.links.Transmit(from, to, w.maxDelayBetween(from, to), arrive, lost)
 }
 
 // maxRequestDelayMs bounds how late a request or its answer comes: what a router
@@ -67,7 +54,7 @@
 			return maxRequestDelayMs
 		}
 	}
-	return w.maxDelayMs
+	return w.links.MaxDelayMs
 }
 
 func (w *World) send(n *node, send protocol.Send) {
@@ -79,7 +66,7 @@
 	if _, isLookUp := send.Body.(protocol.LookUp); isLookUp {
 		w.Network.LookUps++
 	}
-	if w.lossRate > 0 && w.Random.Float64() < w.lossRate {
+	if w.links.DrawLoss() {
 		w.Network.Lost++
 		return
 	}
@@ -92,7 +79,7 @@
 		w.Network.Bytes += encodedSize(envelope)
 	}
 	times := 1
-	if w.duplicateRate > 0 && w.Random.Float64() < w.duplicateRate {
+	if w.links.DrawDuplicate() {
 		times = 2
 	}
 	for range times {
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -70,7 +70,7 @@
 func (a *clientRequest) forward(to router.StartAttempt) {
 	w := a.world
 	r := w.runners[to.Runner]
-	cut := w.cuts[[2]string{a.router.name, to.Runner}]
+	cut := !w.links.IsOpen(a.router.name, to.Runner)
 	// A refused or unreachable stream is known before a byte is written.
 	if r == nil || !r.up || cut {
 		w.events.After(1, func() { a.attemptEnded(router.NotSent, 0) })
--- a/internal/simulation/nativesim/scenario.go
+++ b/internal/simulation/nativesim/scenario.go
@@ -175,10 +175,10 @@
 	"orders on the way when holders change": {"orders arrive seconds after their holder died", func(w *World) {
 		w.clients.uniformModels = true
 		for range 4 {
-			w.delayRate, w.maxDelayMs = 0.5, 9000
+			w.links.DelayRate, w.links.MaxDelayMs = 0.5, 9000
 			w.Run(3000 + w.Random.Int63n(2000))
 			p := w.Primary()
-			w.delayRate = 0
+			w.links.DelayRate = 0
 			if p != "" {
 				w.Kill(p)
 			}
--- a/internal/simulation/nativesim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -13,7 +13,9 @@
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/simulation/eventqueue"
 	"myrtlewinch/internal/simulation/invariants"
+	"myrtlewinch/internal/simulation/network"
 	"myrtlewinch/internal/simulation/testbackend"
+	"myrtlewinch/internal/simulation/tracelog"
 )
 
 const (
@@ -30,20 +32,14 @@
 	Description     *description.Description
 	Random          *rand.Rand
 
-	events   *eventqueue.Queue
-	nodes    map[string]*node
-	nodeAt   map[string]string
-	runners  map[string]*runner
-	platform *testbackend.Platform
-	// cuts holds the directed pairs that no message passes.
-	cuts map[[2]string]bool
-	// lossRate of messages are lost and duplicateRate come twice.
-	lossRate, duplicateRate float64
-	// delayRate of what passes the network comes up to maxDelayMs late.
-	delayRate          float64
-	maxDelayMs         int64
+	events             *eventqueue.Queue
+	nodes              map[string]*node
+	nodeAt             map[string]string
+	runners            map[string]*runner
+	platform           *testbackend.Platform
+	links              *network.Network
 	seeds              []string
-	trace              []string
+	trace              *tracelog.Log
 	operator           operator
 	clients            clients
 	Network            NetworkTally
@@ -102,8 +98,10 @@
 		Seed: seed, DescriptionText: text, Description: d, Random: rand.New(rand.NewSource(seed)),
 		Checker: invariants.New(d.Store.LoadsPer10s, d.SecondGoes),
 		nodes:   map[string]*node{}, nodeAt: map[string]string{}, runners: map[string]*runner{},
-		platform: testbackend.NewPlatform(), cuts: map[[2]string]bool{}, recovering: map[string]bool{}, events: eventqueue.New(startMs),
+		platform: testbackend.NewPlatform(), recovering: map[string]bool{}, events: eventqueue.New(startMs),
+		trace: tracelog.New(maxTraceLines),
 	}
+	w.links = network.New(w.events, w.Random, drawLatencyMs)
 	for i, member := range d.Controllers {
 		n := w.addNode(member, protocol.RoleController)
 		n.disk = &simDisk{keys: map[string]string{}, incarnation: member.Name + "-disk-0"}
@@ -140,14 +138,11 @@
 }
 
 func (w *World) tracef(format string, args ...any) {
-	w.trace = append(w.trace, fmt.Sprintf("%8d ", w.events.NowMs())+fmt.Sprintf(format, args...))
-	if len(w.trace) > maxTraceLines {
-		w.trace = w.trace[len(w.trace)-maxTraceLines:]
-	}
+	w.trace.Addf(w.events.NowMs(), format, args...)
 }
 
 // Trace gives the latest of what happened.
-func (w *World) Trace() string { return strings.Join(w.trace, "\n") }
+func (w *World) Trace() string { return w.trace.String() }
 
 // Run lets virtual time pass.
 func (w *World) Run(ms int64) { w.events.RunFor(ms) }
--- a/internal/simulation/network/network.go
+++ b/internal/simulation/network/network.go
@@ -16,19 +16,19 @@
 // Latency draws how many milliseconds an undisturbed transmission takes.
 type Latency func(random *rand.Rand) int64
 
-// Network carries transmissions between endpoints. The shares are
+// Network carries transmissions between endpoints. The rates are
 // probabilities between 0 and 1; the caller sets them at any time, and Heal
 // resets them. A Network is not safe for concurrent use.
 type Network struct {
-	// LossShare is the share of messages that are lost.
-	LossShare float64
-	// DuplicateShare is the share of messages that arrive twice.
-	DuplicateShare float64
-	// DelayShare is the share of transmissions that are delayed beyond the
+	// LossRate is the share of messages that are lost.
+	LossRate float64
+	// DuplicateRate is the share of messages that arrive twice.
+	DuplicateRate float64
+	// DelayRate is the share of transmissions that are delayed beyond the
 	// usual latency, by up to MaxDelayMs.
-	DelayShare float64
+	DelayRate float64
 	// MaxDelayMs bounds the additional delay; it must be above 0 while
-	// DelayShare is.
+	// DelayRate is.
 	MaxDelayMs int64
 
 	queue   *eventqueue.Queue
@@ -71,7 +71,7 @@
 		healed = append(healed, link)
 	}
 	n.cuts = map[Link]bool{}
-	n.LossShare, n.DuplicateShare, n.DelayShare, n.MaxDelayMs = 0, 0, 0, 0
+	n.LossRate, n.DuplicateRate, n.DelayRate, n.MaxDelayMs = 0, 0, 0, 0
 	return healed
 }
 
@@ -83,19 +83,19 @@
 
 // IsUnreliable says whether messages may be lost, duplicated or delayed.
 func (n *Network) IsUnreliable() bool {
-	return n.LossShare > 0 || n.DuplicateShare > 0 || n.DelayShare > 0
+	return n.LossRate > 0 || n.DuplicateRate > 0 || n.DelayRate > 0
 }
 
 // DrawLoss draws whether a message is lost.
-func (n *Network) DrawLoss() bool { return n.draw(n.LossShare) }
+func (n *Network) DrawLoss() bool { return n.draw(n.LossRate) }
 
 // DrawDuplicate draws whether a message arrives twice.
-func (n *Network) DrawDuplicate() bool { return n.draw(n.DuplicateShare) }
+func (n *Network) DrawDuplicate() bool { return n.draw(n.DuplicateRate) }
 
-// draw draws no number where the share is 0, so that a network without faults
+// draw draws no number where the rate is 0, so that a network without faults
 // leaves the sequence of random numbers as it is.
-func (n *Network) draw(share float64) bool {
-	return share > 0 && n.random.Float64() < share
+func (n *Network) draw(rate float64) bool {
+	return rate > 0 && n.random.Float64() < rate
 }
 
 // Transmit schedules an arrival at the other end of a link. A link that is cut
@@ -103,7 +103,7 @@
 // delay is at most maxDelayMs.
 func (n *Network) Transmit(from, to string, maxDelayMs int64, arrive, lost func()) {
 	tookMs := n.latency(n.random)
-	if n.draw(n.DelayShare) {
+	if n.draw(n.DelayRate) {
 		tookMs += n.random.Int63n(maxDelayMs)
 	}
 	n.queue.After(tookMs, func() {
--- a/internal/simulation/network/network_test.go
+++ b/internal/simulation/network/network_test.go
@@ -61,7 +61,7 @@
 
 func TestTransmitIsDelayedByAtMostTheBound(t *testing.T) {
 	n, queue := newNetwork()
-	n.DelayShare = 1
+	n.DelayRate = 1
 	var latestMs int64
 	for range 1000 {
 		n.Transmit("a", "b", 20, func() { latestMs = max(latestMs, queue.NowMs()) }, nil)
@@ -75,7 +75,7 @@
 	qt.Check(t, n.DrawLoss(), qt.IsFalse)
 	qt.Check(t, n.DrawDuplicate(), qt.IsFalse)
 	qt.Check(t, n.random.Int63(), qt.Equals, rand.New(rand.NewSource(1)).Int63())
-	n.LossShare, n.DuplicateShare = 1, 1
+	n.LossRate, n.DuplicateRate = 1, 1
 	qt.Check(t, n.DrawLoss(), qt.IsTrue)
 	qt.Check(t, n.DrawDuplicate(), qt.IsTrue)
 	qt.Check(t, n.IsUnreliable(), qt.IsTrue)
