--- a/internal/controller/host_test.go
+++ b/internal/controller/host_test.go
@@ -6,7 +6,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// pendingHost is a machine whose writes wait until the test says how they end.
+// pendingHost is a host whose writes stay pending until the test ends them.
 type pendingHost struct {
 	*stubHost
 	active   bool
@@ -14,9 +14,9 @@
 	ordersMs int64
 	writes   []pendingWrite
 	calls    []protocol.OutboundCall
-	// told are the answers to each id, in words.
-	told   map[uint64][]string
-	counts map[string]int
+	// answered has the answers to each request ID, as text.
+	answered map[uint64][]string
+	counts   map[string]int
 }
 
 type pendingWrite struct {
@@ -27,7 +27,7 @@
 func newPendingHost() *pendingHost {
 	return &pendingHost{
 		stubHost: &stubHost{nowMs: 10_000, rows: map[string]string{}}, active: true, primary: testSelf,
-		ordersMs: 10_000, told: map[uint64][]string{}, counts: map[string]int{},
+		ordersMs: 10_000, answered: map[uint64][]string{}, counts: map[string]int{},
 	}
 }
 
@@ -40,7 +40,7 @@
 	h.calls = append(h.calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
-// Submit shows the rows at once, as a primary's own state does.
+// Submit makes the rows readable at once, as a primary's host does.
 func (h *pendingHost) Submit(rows map[string]string, then func(ok bool)) {
 	var keys []string
 	for key, text := range rows {
@@ -50,8 +50,8 @@
 	h.writes = append(h.writes, pendingWrite{keys, then})
 }
 
-// end ends the first write that waits.
-func (h *pendingHost) end(ok bool) {
+// endWrite ends the oldest pending write; ok says whether it was committed.
+func (h *pendingHost) endWrite(ok bool) {
 	write := h.writes[0]
 	h.writes = h.writes[1:]
 	write.then(ok)
@@ -59,17 +59,17 @@
 
 func (h *pendingHost) Answer(id uint64, body any) {
 	text := fmt.Sprintf("%T", body)
-	switch said := body.(type) {
+	switch answer := body.(type) {
 	case ConfigAccepted:
-		text = fmt.Sprintf("taken %d", said.Version)
+		text = fmt.Sprintf("accepted %d", answer.Version)
 	case protocol.Rejection:
-		text = string(said.Kind)
-		if said.Revision > 0 {
-			text += fmt.Sprintf(" %d", said.Revision)
+		text = string(answer.Kind)
+		if answer.Revision > 0 {
+			text += fmt.Sprintf(" %d", answer.Revision)
 		}
-		if said.Primary != "" {
-			text += " " + said.Primary
+		if answer.Primary != "" {
+			text += " " + answer.Primary
 		}
 	}
-	h.told[id] = append(h.told[id], text)
+	h.answered[id] = append(h.answered[id], text)
 }
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -10,7 +10,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// engineFormat reads a map of one engine, whatever is written.
+// engineFormat parses versions like versionFormat, with one service that has an
+// engine.
 type engineFormat struct{ versionFormat }
 
 func (f engineFormat) Parse(text []byte) (*config.Configuration, []string) {
@@ -24,32 +25,32 @@
 	return d, faults
 }
 
-// answerCalls answers what the steward asks outward, and counts its orders.
-func answerCalls(h *pendingHost, s *Controller) (orders int) {
+// answerCalls answers the calls that the controller made, and counts its orders.
+func answerCalls(h *pendingHost, controller *Controller) (orders int) {
 	calls := h.calls
 	h.calls = nil
 	for _, call := range calls {
 		switch body := call.Body.(type) {
 		case protocol.ListRunners:
-			s.HandleInput(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
+			controller.HandleInput(h, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{{ID: "i-1", Service: "llm", Address: "a:1", Slots: 8, LeftMs: -1}}})
 		case protocol.GetRunnerState:
-			s.HandleInput(h, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{CacheTotal: 100}})
+			controller.HandleInput(h, protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number, Ok: true, State: protocol.RunnerState{CacheTotal: 100}})
 		case protocol.RunnerOrder:
 			orders++
-			s.HandleInput(h, protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: protocol.OutcomeAccepted})
+			controller.HandleInput(h, protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number, Outcome: protocol.OutcomeAccepted})
 		}
 	}
 	return orders
 }
 
-// Who may order is written down before the first order; only who finds
-// another's name waits for what that one may still do.
-func TestOrdersBegin(t *testing.T) {
+// The right to order is committed before the first order. Only a primary that
+// finds another's name in the row waits until that one can't order any more.
+func TestOrderRightIsClaimed(t *testing.T) {
 	const gapMs, never = 2000, int64(-1)
 	for _, test := range []struct {
 		name string
 		row  string
-		// safeMs is how long a write takes; never is that its end is unknown.
+		// safeMs is how long a write takes; never means that its outcome stays unknown.
 		safeMs int64
 		// writeMs and orderMs are when the row is written and the first order
 		// leaves, after the start; a tick or two may be needed.
@@ -57,11 +58,11 @@
 	}{
 		{"own name: at once", testSelf.Name, 100, never, 0},
 		{"none: at once", "", 0, 0, 0},
-		{"none, but not before the row is safe", "", 600, 0, 600},
-		{"another's: after the gap", "core-2", 0, gapMs, gapMs},
-		{"another's, and not before the row is safe", "core-2", 600, gapMs, gapMs + 600},
-		{"a row of unknown end gives no right", "", never, 0, never},
-		{"nor after another's", "core-2", never, gapMs, never},
+		{"none: once the row is committed", "", 600, 0, 600},
+		{"another's name: after the gap", "core-2", 0, gapMs, gapMs},
+		{"another's name: after the gap, once the row is committed", "core-2", 600, gapMs, gapMs + 600},
+		{"none: never while the commit is unknown", "", never, 0, never},
+		{"another's name: never while the commit is unknown", "core-2", never, gapMs, never},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -69,19 +70,19 @@
 			before := New(Settings{Self: testSelf}, engineFormat{})
 			before.BecamePrimary(h)
 			before.HandleInput(h, SubmitConfig{Text: "version 1"})
-			h.end(true)
+			h.endWrite(true)
 			if test.row != "" {
 				h.rows[ordererRow] = test.row
 			}
 			beganMs := h.nowMs
 			h.ordersMs = beganMs + gapMs
-			s := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
-			s.BecamePrimary(h)
+			controller := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
+			controller.BecamePrimary(h)
 			writeMs, orderMs, endMs := never, never, never
 			for ; h.nowMs < beganMs+4000; h.nowMs += 50 {
-				s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
-				s.Tick(h)
-				if orders := answerCalls(h, s); orders > 0 && orderMs == never {
+				controller.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+				controller.Tick(h)
+				if orders := answerCalls(h, controller); orders > 0 && orderMs == never {
 					orderMs = h.nowMs - beganMs
 				}
 				if len(h.writes) > 0 && writeMs == never {
@@ -90,9 +91,9 @@
 					writeMs, endMs = h.nowMs-beganMs, h.nowMs+test.safeMs
 				}
 				if len(h.writes) > 0 && test.safeMs != never && h.nowMs >= endMs {
-					h.end(true)
+					h.endWrite(true)
 				} else if len(h.writes) > 0 && test.safeMs == never && h.nowMs >= beganMs+3000 {
-					h.end(false)
+					h.endWrite(false)
 				}
 			}
 			c.Check(writeMs, qt.Equals, test.writeMs)
@@ -105,21 +106,22 @@
 	}
 }
 
-// A primacy that ended gives no orders, also if its row became safe after all.
-func TestOrdersEnd(t *testing.T) {
+// A controller that lost the primacy gives no orders, even if its row was
+// committed.
+func TestNoOrdersAfterLostPrimacy(t *testing.T) {
 	c := qt.New(t)
 	h := newPendingHost()
 	h.rows[ordererRow] = testSelf.Name
-	s := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
-	s.BecamePrimary(h)
-	s.HandleInput(h, SubmitConfig{Text: "version 1"})
-	h.end(true)
-	s.LostPrimacy(h)
+	controller := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
+	controller.BecamePrimary(h)
+	controller.HandleInput(h, SubmitConfig{Text: "version 1"})
+	h.endWrite(true)
+	controller.LostPrimacy(h)
 	orders := 0
 	for endMs := h.nowMs + 2000; h.nowMs < endMs; h.nowMs += 50 {
-		s.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
-		s.Tick(h)
-		orders += answerCalls(h, s)
+		controller.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+		controller.Tick(h)
+		orders += answerCalls(h, controller)
 	}
 	c.Assert(orders, qt.Equals, 0)
 	c.Assert(h.writes, qt.HasLen, 0)
