--- /dev/null
+++ b/internal/compatibility/frames_test.go
@@ -0,0 +1,105 @@
+package compatibility
+
+import (
+	"bytes"
+	"fmt"
+	"net/rpc"
+	"os"
+	"path/filepath"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	// Registers the messages between controllers.
+	_ "myrtlewinch/internal/controller"
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+)
+
+// recordedMessages is how many types of message the release before had.
+const recordedMessages = 31
+
+// connection gives the recorded bytes to a codec.
+type connection struct{ bytes.Buffer }
+
+func (*connection) Close() error { return nil }
+
+func newConnection(c *qt.C, path string) *connection {
+	text, err := os.ReadFile(path)
+	c.Assert(err, qt.IsNil)
+	return &connection{*bytes.NewBuffer(text)}
+}
+
+// A daemon of the release before sends each message to one of this release, and
+// every field arrives with its value.
+func TestDecodeEachMessageOfTheReleaseBefore(t *testing.T) {
+	frames, err := filepath.Glob(filepath.Join(releaseBefore, "frames", "*.frame"))
+	qt.Assert(t, err, qt.IsNil)
+	messages := 0
+	for _, path := range frames {
+		name := strings.TrimSuffix(filepath.Base(path), ".frame")
+		if name == "ack" {
+			continue
+		}
+		messages++
+		t.Run(name, func(t *testing.T) {
+			c := qt.New(t)
+			codec := protocol.NewServerCodec(newConnection(c, path))
+			var header rpc.Request
+			c.Assert(codec.ReadRequestHeader(&header), qt.IsNil)
+			c.Assert(header, qt.Equals, rpc.Request{ServiceMethod: "Door.Take", Seq: 7})
+			var batch []protocol.Envelope
+			c.Assert(codec.ReadRequestBody(&batch), qt.IsNil)
+			c.Assert(batch, qt.HasLen, 1)
+			want, err := os.ReadFile(strings.TrimSuffix(path, ".frame") + ".fields")
+			c.Assert(err, qt.IsNil)
+			// The order of fields in a Go type is no part of the encoding's meaning.
+			got := slices.Sorted(slices.Values(listFields(nil, "Envelope", reflect.ValueOf(batch[0]))))
+			wanted := slices.Sorted(slices.Values(strings.Split(strings.TrimSpace(string(want)), "\n")))
+			c.Assert(got, qt.DeepEquals, wanted)
+		})
+	}
+	qt.Assert(t, messages, qt.Equals, recordedMessages)
+}
+
+// The acknowledgement of a batch by a daemon of the release before is
+// understood.
+func TestDecodeTheAcknowledgementOfTheReleaseBefore(t *testing.T) {
+	c := qt.New(t)
+	codec := protocol.NewClientCodec(newConnection(c, filepath.Join(releaseBefore, "frames", "ack.frame")))
+	var header rpc.Response
+	c.Assert(codec.ReadResponseHeader(&header), qt.IsNil)
+	c.Assert(header, qt.Equals, rpc.Response{ServiceMethod: "Door.Take", Seq: 7})
+	c.Assert(codec.ReadResponseBody(&process.Ack{}), qt.IsNil)
+}
+
+// listFields lists the value of each exported field with its path, as the
+// program that recorded the frames does.
+func listFields(lines []string, path string, v reflect.Value) []string {
+	switch v.Kind() {
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			lines = listFields(lines, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
+		}
+	case reflect.Map:
+		keys := v.MapKeys()
+		slices.SortFunc(keys, func(a, b reflect.Value) int { return strings.Compare(fmt.Sprint(a), fmt.Sprint(b)) })
+		for _, key := range keys {
+			lines = listFields(lines, fmt.Sprintf("%s[%v]", path, key), v.MapIndex(key))
+		}
+	case reflect.Pointer, reflect.Interface:
+		lines = listFields(lines, path, v.Elem())
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if field := v.Type().Field(i); field.IsExported() {
+				lines = listFields(lines, path+"."+field.Name, v.Field(i))
+			}
+		}
+	default:
+		lines = append(lines, fmt.Sprintf("%s = %v", path, v))
+	}
+	return lines
+}
