--- a/internal/simulation/localcluster/cluster_test.go
+++ b/internal/simulation/localcluster/cluster_test.go
@@ -10,12 +10,16 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/simulation/testbackend"
+	"myrtlewinch/internal/threads"
 )
 
 // patience is a last resort against hanging, never part of a verdict.
 const patience = 90 * time.Second
 
+// startCluster starts the site of an example, bootstraps it, submits its
+// description and waits until its routers are ready.
 func startCluster(c *qt.C, example string) *Cluster {
+	c.Helper()
 	text, err := os.ReadFile("../../../examples/" + example)
 	c.Assert(err, qt.IsNil)
 	out := io.Discard
@@ -31,14 +35,47 @@
 	return cluster
 }
 
-// The thin whole path, at both sites' full size: founded, described, loaded,
-// asked and answered over real streams.
+// newClient makes a client of a cluster's routers.
+func newClient(cluster *Cluster, smallPerSec, otherPerSec float64) *testbackend.Client {
+	workloads := testbackend.WorkloadsOf(cluster.Description, smallPerSec, otherPerSec)
+	return testbackend.NewClient("s", cluster.RouterAddresses(), workloads, cluster.Checker, cluster.Clock.NowMs, 1)
+}
+
+// startTraffic asks for a site's commonest models until it is stopped.
+func startTraffic(c *qt.C, cluster *Cluster) (client *testbackend.Client, stop func()) {
+	c.Helper()
+	client = newClient(cluster, 20, 3)
+	nameOnlyCommonModels(client, 2)
+	var group threads.Group
+	client.AddTasks(&group)
+	done, ended := make(chan struct{}), make(chan error, 1)
+	group.StopWhen(done)
+	threads.Go(func() { ended <- group.Run() })
+	return client, func() {
+		c.Helper()
+		close(done)
+		c.Assert(<-ended, qt.IsNil)
+		client.Wait()
+	}
+}
+
+// nameOnlyCommonModels makes a client ask each service for its first models
+// alone, and for no adapters.
+func nameOnlyCommonModels(client *testbackend.Client, count int) {
+	for i := range client.Workloads {
+		workload := &client.Workloads[i]
+		workload.Models, workload.Adapters = workload.Models[:min(count, len(workload.Models))], nil
+	}
+}
+
+// Both sites at their full size: bootstrapped, described, loaded, asked and
+// answered over real connections.
 func TestRequestsAreAnsweredAtFullSize(t *testing.T) {
 	for _, example := range []string{"zagreb.json", "alexandria.json"} {
 		t.Run(example, func(t *testing.T) {
 			c := qt.New(t)
 			cluster := startCluster(c, example)
-			client := testbackend.NewClient("s", cluster.RouterAddresses(), testbackend.WorkloadsOf(cluster.Description, 1, 1), cluster.Checker, cluster.Clock.NowMs, 1)
+			client := newClient(cluster, 1, 1)
 			for _, workload := range client.Workloads {
 				workload.Models = workload.Models[:min(2, len(workload.Models))]
 				answered := 0
--- a/internal/simulation/localcluster/cut_streams_test.go
+++ b/internal/simulation/localcluster/cut_streams_test.go
@@ -1,7 +1,6 @@
 package localcluster
 
 import (
-	"net"
 	"testing"
 
 	"github.com/cockroachdb/errors"
@@ -12,16 +11,15 @@
 	"myrtlewinch/internal/threads"
 )
 
-// TestStreamsCut cuts streams to runners off in the middle of a request, of an
-// answer and of a telling, at many lengths. Nobody takes a part of an answer for the whole,
-// nothing runs twice, and what can't be known is said so.
-func TestStreamsCut(t *testing.T) {
-	c := qt.New(t)
-	cluster := startCluster(c, "alexandria.json")
-	// Every way to a runner leads over a cutter.
-	var cutters []*testbackend.ConnectionCutter
+// connectionCutters are those before all runners of a cluster.
+type connectionCutters []*testbackend.ConnectionCutter
+
+// startCutters puts a cutter before each runner.
+func startCutters(c *qt.C, cluster *Cluster) connectionCutters {
+	c.Helper()
+	var cutters connectionCutters
 	for _, listed := range cluster.Platform.List() {
-		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := listen()
 		c.Assert(err, qt.IsNil)
 		c.Cleanup(func() { _ = listener.Close() })
 		cutter := testbackend.NewConnectionCutter(listener, listed.Address)
@@ -30,26 +28,57 @@
 		listed.Address = listener.Addr().String()
 		cluster.Platform.Put(listed)
 	}
-	client := testbackend.NewClient("s", cluster.RouterAddresses(), testbackend.WorkloadsOf(cluster.Description, 1, 1), cluster.Checker, cluster.Clock.NowMs, 1)
-	for i := range client.Workloads {
-		workload := &client.Workloads[i]
-		workload.Models, workload.Adapters = workload.Models[:min(1, len(workload.Models))], nil
+	return cutters
+}
+
+func (cc connectionCutters) setLimits(request, response int64) {
+	for _, cutter := range cc {
+		cutter.RequestLimit.Store(request)
+		cutter.ResponseLimit.Store(response)
+	}
+}
+
+func (cc connectionCutters) reset() {
+	for _, cutter := range cc {
+		cutter.Reset()
 	}
-	// answers waits until each service is answered over the cutters.
-	answers := func() {
-		for _, workload := range client.Workloads {
-			c.Assert(cluster.retryFor(patience, func() error {
-				if outcome := client.SendOne(workload); outcome != testbackend.OutcomeAnswered {
-					return errors.New(string(outcome))
-				}
-				return nil
-			}), qt.IsNil, qt.Commentf("%s", workload.Service))
-		}
+}
+
+// cuts counts the connections that were cut.
+func (cc connectionCutters) cuts() int64 {
+	var cuts int64
+	for _, cutter := range cc {
+		cuts += cutter.Cuts.Load()
+	}
+	return cuts
+}
+
+// waitAnswered waits until each service is answered.
+func waitAnswered(c *qt.C, client *testbackend.Client) {
+	c.Helper()
+	for _, workload := range client.Workloads {
+		c.Assert(retryFor(patience, func() error {
+			if outcome := client.SendOne(workload); outcome != testbackend.OutcomeAnswered {
+				return errors.New(string(outcome))
+			}
+			return nil
+		}), qt.IsNil, qt.Commentf("%s", workload.Service))
 	}
-	answers()
+}
+
+// Connections to runners are cut in the middle of a request, of an answer and
+// of a stream, at many lengths. No client takes a part of an answer for the
+// whole, nothing runs twice, and an unknown outcome is said to be unknown.
+func TestStreamsCut(t *testing.T) {
+	c := qt.New(t)
+	cluster := startCluster(c, "alexandria.json")
+	cutters := startCutters(c, cluster)
+	client := newClient(cluster, 1, 1)
+	nameOnlyCommonModels(client, 1)
+	waitAnswered(c, client)
 	cases := []struct {
-		about         string
-		towards, back int64
+		name              string
+		request, response int64
 	}{
 		{"at the first byte of a request", 0, -1},
 		{"in the head of a request", 40, -1},
@@ -57,29 +86,22 @@
 		{"before an answer", -1, 0},
 		{"in the head of an answer", -1, 60},
 		{"in the body of an answer", -1, 180},
-		{"after the first piece of a telling", -1, 300},
-		{"before the end of a telling", -1, 520},
+		{"after the first piece of a stream", -1, 300},
+		{"before the end of a stream", -1, 520},
 	}
 	for _, test := range cases {
-		t.Run(test.about, func(t *testing.T) {
-			before := int64(0)
-			for _, cutter := range cutters {
-				before += cutter.Cuts.Load()
-				cutter.RequestLimit.Store(test.towards)
-				cutter.ResponseLimit.Store(test.back)
-			}
+		t.Run(test.name, func(t *testing.T) {
+			before := cutters.cuts()
+			cutters.setLimits(test.request, test.response)
 			for range 4 {
 				for _, workload := range client.Workloads {
 					client.SendOne(workload)
 				}
 			}
-			cuts := -before
-			for _, cutter := range cutters {
-				cuts += cutter.Cuts.Load()
-				cutter.Reset()
-			}
-			qt.Assert(t, cuts > 0, qt.IsTrue)
-			answers()
+			after := cutters.cuts()
+			cutters.reset()
+			qt.Assert(t, after > before, qt.IsTrue)
+			waitAnswered(c, client)
 		})
 	}
 	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
--- a/internal/simulation/localcluster/half_close_test.go
+++ b/internal/simulation/localcluster/half_close_test.go
@@ -10,9 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A client that closes its own half of a stream counts as gone. What it may
-// still read must not look like an answer: it is the runner's whole one, or
-// the stream breaks.
+// A client that closes its own half of a connection counts as disconnected.
+// What it may still read is the runner's whole answer, or the connection breaks.
 func TestHalfClosedClientGetsNoPartialAnswer(t *testing.T) {
 	c := qt.New(t)
 	cluster := startCluster(c, "alexandria.json")
@@ -29,8 +28,9 @@
 			c.Assert(stream.(*net.TCPConn).CloseWrite(), qt.IsNil)
 			text, _ := io.ReadAll(stream)
 			_ = stream.Close()
-			whole := bytes.Contains(text, []byte(`"answer"`)) || bytes.Contains(text, []byte(`"end"`)) || bytes.Contains(text, []byte(`"kind"`))
-			c.Assert(len(text) == 0 || whole || !bytes.HasSuffix(text, []byte("0\r\n\r\n")) && !bytes.Contains(text, []byte("Content-Length: 0")), qt.IsTrue, qt.Commentf("%s: %q", service, text))
+			complete := bytes.Contains(text, []byte(`"answer"`)) || bytes.Contains(text, []byte(`"end"`)) || bytes.Contains(text, []byte(`"kind"`))
+			looksEnded := bytes.HasSuffix(text, []byte("0\r\n\r\n")) || bytes.Contains(text, []byte("Content-Length: 0"))
+			c.Assert(len(text) == 0 || complete || !looksEnded, qt.IsTrue, qt.Commentf("%s: %q", service, text))
 		}
 	}
 }
--- a/internal/simulation/localcluster/measure.go
+++ b/internal/simulation/localcluster/measure.go
@@ -12,46 +12,62 @@
 	"myrtlewinch/internal/native/description"
 )
 
-const callPairs = 400
+const (
+	// callPairs is how many direct and routed calls are compared.
+	callPairs = 400
+	// measureTimeout bounds the wait for the first answer after a total loss.
+	measureTimeout = time.Minute
+)
 
-// Measure prints what only real streams show: the cost of the way through a
-// router as a ratio to a direct call, paired within one run, and how long the
-// small service is away after every daemon was killed and started.
+// Measure prints what only real connections show: the cost of the way through a
+// router as a ratio to a direct call, and how long the small service is away
+// after every daemon was killed and started.
 func (c *Cluster) Measure(out io.Writer) error {
-	small, runner, err := c.smallService()
+	service, runner, err := c.smallService()
 	if err != nil {
 		return err
 	}
+	if err := c.measureRouting(out, service, runner); err != nil {
+		return err
+	}
+	return c.measureRestart(out, service)
+}
+
+// measureRouting makes direct and routed calls in turn, so that both see the
+// same load of the machine.
+func (c *Cluster) measureRouting(out io.Writer, service *description.Service, runner *Runner) error {
 	var direct, routed []float64
 	for i := range callPairs {
-		body := []byte(fmt.Sprintf(`{"request":"direct-%d","service":%q,"revision":1,"incarnation":%q,"repeatable":true}`, i, small.Name, "first-"+runner.Name))
+		body := fmt.Sprintf(`{"request":"direct-%d","service":%q,"revision":1,"incarnation":%q,"repeatable":true}`,
+			i, service.Name, incarnationPrefix+runner.Name)
 		tookMs, err := timedPost(runner.Address, "/run", body)
 		if err != nil {
 			return err
 		}
 		direct = append(direct, tookMs)
-		edge := c.Routers[i%len(c.Routers)].Settings.HTTP
-		if tookMs, err = timedPost(edge, "/services/"+small.Name, []byte(`{}`)); err != nil {
+		router := c.Routers[i%len(c.Routers)].Settings.HTTP
+		if tookMs, err = timedPost(router, "/services/"+service.Name, `{}`); err != nil {
 			return err
 		}
 		routed = append(routed, tookMs)
 	}
 	sort.Float64s(direct)
 	sort.Float64s(routed)
-	fmt.Fprintf(out, "routed to direct call, middle of %d pairs: %.2f\n", callPairs, routed[callPairs/2]/direct[callPairs/2])
-	fmt.Fprintf(out, "routed to direct call, 95 in 100: %.2f\n", routed[callPairs*95/100]/direct[callPairs*95/100])
-	all := append(append([]*Daemon{}, c.Controllers...), c.Routers...)
-	for _, daemon := range all {
-		daemon.Kill()
-	}
+	const median, percentile95 = callPairs / 2, callPairs * 95 / 100
+	fmt.Fprintf(out, "routed to direct call, middle of %d pairs: %.2f\n", callPairs, routed[median]/direct[median])
+	fmt.Fprintf(out, "routed to direct call, 95 in 100: %.2f\n", routed[percentile95]/direct[percentile95])
+	return nil
+}
+
+// measureRestart kills and starts all daemons and waits for the first answer.
+func (c *Cluster) measureRestart(out io.Writer, service *description.Service) error {
+	c.KillAll()
 	from := time.Now()
-	for _, daemon := range all {
-		if err := c.Restart(daemon); err != nil {
-			return err
-		}
+	if err := c.RestartAll(); err != nil {
+		return err
 	}
-	err = c.retryFor(time.Minute, func() error {
-		_, err := timedPost(c.Routers[0].Settings.HTTP, "/services/"+small.Name, []byte(`{}`))
+	err := retryFor(measureTimeout, func() error {
+		_, err := timedPost(c.Routers[0].Settings.HTTP, "/services/"+service.Name, `{}`)
 		return err
 	})
 	if err != nil {
@@ -61,25 +77,27 @@
 	return nil
 }
 
-// smallService finds a repeatable service without models and a runner of its pool.
+// smallService finds a repeatable service without models, and a runner of its
+// pool.
 func (c *Cluster) smallService() (*description.Service, *Runner, error) {
 	for i := range c.Description.Services {
-		s := &c.Description.Services[i]
-		if !s.Repeatable || len(s.Models) > 0 {
+		service := &c.Description.Services[i]
+		if !service.Repeatable || len(service.Models) > 0 {
 			continue
 		}
-		for _, daemon := range c.Runners {
-			if r, ok := c.Description.Runner(daemon.Name); ok && s.Uses(r.Pool) {
-				return s, daemon, nil
+		for _, runner := range c.Runners {
+			if described, ok := c.Description.Runner(runner.Name); ok && service.Uses(described.Pool) {
+				return service, runner, nil
 			}
 		}
 	}
 	return nil, nil, errors.New("no repeatable service without models is described; nothing was measured")
 }
 
-func timedPost(address, path string, body []byte) (float64, error) {
+// timedPost makes a call that must succeed and gives how long it took, in ms.
+func timedPost(address, path, body string) (float64, error) {
 	from := time.Now()
-	status, text, err := Call(http.MethodPost, address, path, "", body)
+	status, text, err := Call(http.MethodPost, address, path, "", []byte(body))
 	if err != nil {
 		return 0, err
 	}
--- /dev/null
+++ b/internal/simulation/localcluster/misbehaving_runner_test.go
@@ -0,0 +1,135 @@
+package localcluster
+
+import (
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/errors"
+	qt "github.com/frankban/quicktest"
+
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/testbackend"
+	"myrtlewinch/internal/threads"
+)
+
+// misbehavingRunner reports as another runner does, and answers requests as it
+// is told to. Set answer only while no request is in flight.
+type misbehavingRunner struct {
+	inner  http.Handler
+	answer func(w http.ResponseWriter, request string)
+}
+
+func (r *misbehavingRunner) ServeHTTP(w http.ResponseWriter, request *http.Request) {
+	if request.URL.Path != "/run" || r.answer == nil {
+		r.inner.ServeHTTP(w, request)
+		return
+	}
+	var call struct {
+		Request string `json:"request"`
+	}
+	_ = json.NewDecoder(request.Body).Decode(&call)
+	r.answer(w, call.Request)
+}
+
+// answerOfAnotherRequest answers a request as if it were another one.
+func answerOfAnotherRequest(w http.ResponseWriter, _ string) {
+	fmt.Fprintf(w, `{"request":"another","incarnation":"first-scan-1","answer":"secret"}`)
+}
+
+// startMisbehavingRunner puts a misbehaving runner in the place of the only
+// runner of service "page", and waits until requests reach it.
+func startMisbehavingRunner(c *qt.C, cluster *Cluster) *misbehavingRunner {
+	c.Helper()
+	runner := &misbehavingRunner{inner: cluster.Runners[9].Server, answer: answerOfAnotherRequest}
+	listener, err := listen()
+	c.Assert(err, qt.IsNil)
+	server := &http.Server{Handler: runner}
+	served := make(chan error, 1)
+	threads.Go(func() { served <- server.Serve(listener) })
+	c.Cleanup(func() { _ = server.Close(); <-served })
+	for _, name := range []string{"scan-2", "scan-3"} {
+		cluster.Platform.Remove(name)
+	}
+	cluster.Platform.Put(protocol.ListedRunner{Name: "scan-1", Address: listener.Addr().String(), Incarnation: "first-scan-1"})
+	c.Assert(retryFor(patience, func() error {
+		status, text, err := askPage(cluster)
+		if err == nil && status != http.StatusBadGateway {
+			err = errors.Newf("%d %s", status, text)
+		}
+		return err
+	}), qt.IsNil)
+	return runner
+}
+
+// askPage sends a request to service "page".
+func askPage(cluster *Cluster) (status int, text string, err error) {
+	status, body, err := Call(http.MethodPost, cluster.Routers[0].Settings.HTTP, "/services/page", "", []byte(`{}`))
+	return status, string(body), err
+}
+
+// Whatever a runner sends, a client gets the runner's own whole answer to its
+// own request, or an error kind, or a broken stream.
+func TestMisbehavingRunnerNeverReachesClient(t *testing.T) {
+	c := qt.New(t)
+	cluster := startCluster(c, "alexandria.json")
+	runner := startMisbehavingRunner(c, cluster)
+	cases := []struct {
+		name   string
+		answer func(w http.ResponseWriter, request string)
+		kind   errkind.Kind
+	}{
+		{"answers another request", answerOfAnotherRequest, errkind.BrokenResponse},
+		{"answers no JSON", func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "<html>secret</html>") }, errkind.BrokenResponse},
+		{"answers as another incarnation", func(w http.ResponseWriter, request string) {
+			fmt.Fprintf(w, `{"request":%q,"incarnation":"x","answer":"secret"}`, request)
+		}, errkind.BrokenResponse},
+		{"answers too much", func(w http.ResponseWriter, request string) {
+			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret%s"}`, request, strings.Repeat("x", 9<<20))
+		}, errkind.BrokenResponse},
+		{"answers less than it announced", func(w http.ResponseWriter, request string) {
+			w.Header().Set("Content-Length", "5000")
+			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret`, request)
+		}, errkind.OutcomeUnknown},
+		{"answers an unexpected status", func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusInternalServerError) }, errkind.BrokenResponse},
+		{"redirects", func(w http.ResponseWriter, _ string) {
+			w.Header().Set("Location", "http://"+cluster.Runners[0].Address+"/run")
+			w.WriteHeader(http.StatusTemporaryRedirect)
+		}, errkind.BrokenResponse},
+		{"closes the connection", func(http.ResponseWriter, string) { panic(http.ErrAbortHandler) }, errkind.OutcomeUnknown},
+	}
+	for _, test := range cases {
+		runner.answer = test.answer
+		status, text, err := askPage(cluster)
+		c.Assert(err, qt.IsNil)
+		c.Assert(status, qt.Equals, http.StatusBadGateway, qt.Commentf("%s: %s", test.name, text))
+		var answer errkind.ErrorBody
+		c.Assert(json.Unmarshal([]byte(text), &answer), qt.IsNil)
+		c.Assert(answer.Kind, qt.Equals, test.kind, qt.Commentf(test.name))
+		c.Assert(answer.Ran, qt.Equals, "unknown")
+		c.Assert(strings.Contains(text, "secret"), qt.IsFalse, qt.Commentf(test.name))
+	}
+}
+
+// A streamed answer that breaks off never looks finished.
+func TestBrokenStreamNeverLooksFinished(t *testing.T) {
+	c := qt.New(t)
+	cluster := startCluster(c, "zagreb.json")
+	for _, r := range cluster.Runners {
+		r.Server.BreakStreams = true
+	}
+	client := newClient(cluster, 1, 1)
+	for _, workload := range client.Workloads {
+		if !workload.Streaming {
+			continue
+		}
+		workload.Models, workload.Adapters = workload.Models[:1], nil
+		for range 10 {
+			c.Assert(client.SendOne(workload), qt.Equals, testbackend.OutcomeBrokeInStream)
+		}
+	}
+	c.Assert(cluster.Checker.Violations(), qt.HasLen, 0)
+}
--- /dev/null
+++ b/internal/simulation/localcluster/operate.go
@@ -0,0 +1,127 @@
+package localcluster
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+const (
+	// witnessCount is how many controllers a site is bootstrapped with.
+	witnessCount = 3
+	// callTimeout bounds one HTTP call to a daemon.
+	callTimeout = 20 * time.Second
+	// retryPause is the pause between two tries of retryFor.
+	retryPause = 100 * time.Millisecond
+)
+
+// bootstrapRequest is the body of POST /found.
+type bootstrapRequest struct {
+	Backup    string   `json:"backup"`
+	Witnesses []string `json:"witnesses"`
+}
+
+// Bootstrap founds the site with its first three controllers as witnesses and
+// the second one as backup. It tries again until they know each other.
+func (c *Cluster) Bootstrap(within time.Duration) error {
+	var request bootstrapRequest
+	for _, daemon := range c.Controllers[:witnessCount] {
+		request.Witnesses = append(request.Witnesses, daemon.Settings.Name)
+	}
+	request.Backup = request.Witnesses[1]
+	body, err := json.Marshal(request)
+	if err != nil {
+		return errors.Wrap(err, "bootstrap")
+	}
+	return retryFor(within, func() error {
+		status, text, err := Call(http.MethodPost, c.Controllers[0].Settings.HTTP, "/found", "", body)
+		if err == nil && status != http.StatusOK {
+			err = errors.Newf("founding: %s", text)
+		}
+		return err
+	})
+}
+
+// SubmitDescription submits a description, which replaces the revision base, to
+// whichever controller is the primary. It tries again until one accepts it.
+func (c *Cluster) SubmitDescription(base string, text []byte, within time.Duration) error {
+	return retryFor(within, func() error {
+		err := errors.New("no controller")
+		for _, daemon := range c.Controllers {
+			var status int
+			var answer []byte
+			status, answer, err = Call(http.MethodPut, daemon.Settings.HTTP, "/description", base, text)
+			if err == nil && status == http.StatusOK {
+				return nil
+			}
+			if err == nil {
+				err = errors.Newf("%s: %s", daemon.Settings.Name, answer)
+			}
+		}
+		return err
+	})
+}
+
+// WaitReady waits until every router would send requests to runners.
+func (c *Cluster) WaitReady(within time.Duration) error {
+	return retryFor(within, func() error {
+		for _, daemon := range c.Routers {
+			status, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/soundness", "", nil)
+			if err != nil {
+				return err
+			}
+			if status != http.StatusOK {
+				return errors.Newf("%s: %s", daemon.Settings.Name, text)
+			}
+		}
+		return nil
+	})
+}
+
+// retryFor tries again until there is no error, or gives the last one when the
+// time is up.
+func retryFor(within time.Duration, try func() error) error {
+	end := time.Now().Add(within)
+	for {
+		err := try()
+		if err == nil || time.Now().After(end) {
+			return err
+		}
+		time.Sleep(retryPause)
+	}
+}
+
+var httpClient = http.Client{Timeout: callTimeout}
+
+// Call makes an HTTP call to a daemon. A base other than "" is the revision
+// that a change is based on.
+func Call(method, address, path, base string, body []byte) (status int, text []byte, err error) {
+	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
+	if err != nil {
+		return 0, nil, err
+	}
+	if base != "" {
+		request.Header.Set("If-Match", fmt.Sprintf("%q", base))
+	}
+	response, err := httpClient.Do(request)
+	if err != nil {
+		return 0, nil, err
+	}
+	defer response.Body.Close()
+	text, err = io.ReadAll(response.Body)
+	return response.StatusCode, text, err
+}
+
+// readStatus reads the status page of a daemon.
+func readStatus(daemon *Daemon, into any) error {
+	_, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/status", "", nil)
+	if err != nil {
+		return err
+	}
+	return json.Unmarshal(text, into)
+}
--- a/internal/simulation/localcluster/report.go
+++ b/internal/simulation/localcluster/report.go
@@ -1,62 +1,73 @@
 package localcluster
 
 import (
-	"encoding/json"
 	"fmt"
 	"io"
-	"net/http"
+
+	"github.com/cockroachdb/errors"
 
 	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/simulation/testbackend"
 )
 
-// Report says what a run showed: answers by kind, look-ups, and rules broken.
-func (c *Cluster) Report(out io.Writer, client *testbackend.Client) (broken int, err error) {
+// Report prints what a run showed: answers by kind, look-ups, and violations of
+// the rules, whose number it gives.
+func (c *Cluster) Report(out io.Writer, client *testbackend.Client) (violations int, err error) {
 	fmt.Fprintln(out, "answers by service and kind:")
 	for _, line := range client.OutcomeLines() {
 		fmt.Fprintln(out, "  "+line)
 	}
-	var sum router.Counters
-	for _, daemon := range c.Routers {
-		var s router.Status
-		if err := readStatus(daemon, &s); err != nil {
-			return 0, err
-		}
-		sum.Requests += s.Counters.Requests
-		sum.LookUps += s.Counters.LookUps
-		sum.Hits += s.Counters.Hits
-		sum.Misses += s.Counters.Misses
-		sum.MissesDelayed += s.Counters.MissesDelayed
-		sum.Attempts += s.Counters.Attempts
-		sum.Retries += s.Counters.Retries
+	sum, err := c.routerCounters()
+	if err != nil {
+		return 0, err
 	}
-	var answered uint64
-	for _, daemon := range c.Controllers {
-		var s consensus.Status
-		if err := readStatus(daemon, &s); err != nil {
-			return 0, err
-		}
-		answered += s.LookUps
+	lookUps, err := c.answeredLookUps()
+	if err != nil {
+		return 0, err
 	}
-	fmt.Fprintf(out, "requests %d, look-ups sent %d, look-ups at the index %d", sum.Requests, sum.LookUps, answered)
+	fmt.Fprintf(out, "requests %d, look-ups sent %d, look-ups at the index %d", sum.Requests, sum.LookUps, lookUps)
 	if sum.Requests > 0 {
-		fmt.Fprintf(out, " (%.3f a request)", float64(answered)/float64(sum.Requests))
+		fmt.Fprintf(out, " (%.3f a request)", float64(lookUps)/float64(sum.Requests))
 	}
 	fmt.Fprintf(out, "\nhits %d, misses %d, held beyond the miss wait %d\n", sum.Hits, sum.Misses, sum.MissesDelayed)
 	fmt.Fprintf(out, "goes %d, second goes %d, orders %d, runs %d\n", sum.Attempts, sum.Retries, c.Checker.OrderCount(), c.Checker.Executions)
-	breaches := c.Checker.Violations()
-	fmt.Fprintf(out, "rules broken: %d\n", len(breaches))
-	for _, breach := range breaches {
-		fmt.Fprintln(out, "  "+breach.String())
+	found := c.Checker.Violations()
+	fmt.Fprintf(out, "rules broken: %d\n", len(found))
+	for _, violation := range found {
+		fmt.Fprintln(out, "  "+violation.String())
 	}
-	return len(breaches), nil
+	return len(found), nil
 }
 
-func readStatus(daemon *Daemon, into any) error {
-	_, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/status", "", nil)
-	if err != nil {
-		return err
+// routerCounters sums up the counters of all routers.
+func (c *Cluster) routerCounters() (router.Counters, error) {
+	var sum router.Counters
+	for _, daemon := range c.Routers {
+		var status router.Status
+		if err := readStatus(daemon, &status); err != nil {
+			return sum, errors.Wrapf(err, "status of %s", daemon.Settings.Name)
+		}
+		sum.Requests += status.Counters.Requests
+		sum.LookUps += status.Counters.LookUps
+		sum.Hits += status.Counters.Hits
+		sum.Misses += status.Counters.Misses
+		sum.MissesDelayed += status.Counters.MissesDelayed
+		sum.Attempts += status.Counters.Attempts
+		sum.Retries += status.Counters.Retries
+	}
+	return sum, nil
+}
+
+// answeredLookUps counts the look-ups that the controllers' index answered.
+func (c *Cluster) answeredLookUps() (uint64, error) {
+	var answered uint64
+	for _, daemon := range c.Controllers {
+		var status consensus.Status
+		if err := readStatus(daemon, &status); err != nil {
+			return 0, errors.Wrapf(err, "status of %s", daemon.Settings.Name)
+		}
+		answered += status.LookUps
 	}
-	return json.Unmarshal(text, into)
+	return answered, nil
 }
--- a/internal/simulation/localcluster/settings.go
+++ b/internal/simulation/localcluster/settings.go
@@ -1,109 +1,158 @@
 package localcluster
 
 import (
+	_ "embed" // for trouble.sh
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
 
+	"github.com/cockroachdb/errors"
+
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/settings"
 )
 
-// faultScript is a script that hits the running processes one after another; what
-// came of it is for the client and the status pages to show.
-const faultScript = `#!/bin/sh
-# Stops, continues, kills and starts daemons of the site that run.sh runs here.
-# BIN is the folder of the programs. Only processes that run.sh started are hit.
+// faultScript stops, kills and starts the running processes one after another.
+// The load generator and the status pages show what came of it.
+//
+//go:embed trouble.sh
+var faultScript string
+
+const (
+	dataMode   = 0o644
+	scriptMode = 0o755
+	folderMode = 0o755
+)
+
+// runScriptHead begins run.sh, before the line of each process.
+const runScriptHead = `#!/bin/sh
+# Runs the site %s on this machine until interrupted. BIN is the folder of the programs.
 cd "$(dirname "$0")" || exit 1
 BIN=${BIN:-../bin}
-. ./names.sh
-say() { echo "$(date +%T) $*"; }
-hit() { kill -"$1" "$(cat "$2.pid")"; }
-primary() { "$BIN"/operator status --controllers "$CONTROLLERS" 2>/dev/null | awk -F'"' '$2=="name"{n=$4} $2=="active"&&/true/{print n; exit}'; }
-gone() { n=0; while [ $n -lt 30 ] && kill -0 "$(cat "$1.pid")" 2>/dev/null; do sleep 0.1; n=$((n+1)); done; }
-again() { gone "$2"; "$BIN"/"$1" --settings "$2.json" & echo $! > "$2.pid"; STARTED="$STARTED $!"; }
-trap 'kill $STARTED 2>/dev/null' INT TERM
-P=$(primary); say "stops the primary, $P, for 6 s"
-hit STOP "$P"; sleep 6; hit CONT "$P"; sleep 4
-say "stops edge-1 for 3 s"
-hit STOP edge-1; sleep 3; hit CONT edge-1; sleep 2
-P=$(primary); say "kills the primary, $P, and starts it a second later"
-hit KILL "$P"; sleep 1; again controller "$P"; sleep 6
-say "kills edge-2 and starts it at once"
-hit KILL edge-2; again router edge-2; sleep 4
-say "stops edge-3 as planned and starts it"
-hit TERM edge-3; sleep 3; again router edge-3; sleep 4
-say "the primary is now $(primary); interrupt to end what was started here"
-wait
+trap 'trap - INT TERM; kill $PIDS; wait' INT TERM
 `
 
-// WriteSettings writes the settings of a site's processes into a folder, with a shell
-// script that runs them. The script is run by a person; no program here
-// starts another.
+// siteFiles collects the files that run a site as separate processes.
+type siteFiles struct {
+	folder   string
+	lastPort int
+	platform string
+	// run is run.sh so far.
+	run strings.Builder
+	// controllers and routers are HTTP addresses.
+	controllers, routers []string
+}
+
+// WriteSettings writes the settings of a site's processes into a folder, with a
+// shell script that runs them. The ports begin after the given one. A person
+// runs the script; no program here starts another.
 func WriteSettings(d *description.Description, text []byte, folder string, port int) error {
-	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return err
+	if err := os.MkdirAll(folder, folderMode); err != nil {
+		return errors.Wrap(err, "folder")
 	}
-	address := func() string { port++; return fmt.Sprintf("127.0.0.1:%d", port) }
-	platform := address()
-	var run strings.Builder
-	fmt.Fprintf(&run, "#!/bin/sh\n# Runs the site %s on this machine until interrupted. BIN is the folder of the programs.\n", d.Site)
-	run.WriteString("cd \"$(dirname \"$0\")\" || exit 1\nBIN=${BIN:-../bin}\ntrap 'trap - INT TERM; kill $PIDS; wait' INT TERM\n")
-	// Each process's number lies in a file of its name, for trouble.sh.
-	start := func(name, format string, args ...any) {
-		fmt.Fprintf(&run, "\"$BIN\"/"+format+" & PIDS=\"$PIDS $!\"; echo $! > %s.pid\n", append(args, name)...)
+	files := &siteFiles{folder: folder, lastPort: port}
+	fmt.Fprintf(&files.run, runScriptHead, d.Site)
+	files.addPlatform()
+	files.addRunners(d.Runners)
+	if err := files.addDaemons(d); err != nil {
+		return err
 	}
-	start("platform", "testplatform --http %s", platform)
-	run.WriteString("sleep 0.5\n")
-	for _, r := range d.Runners {
-		start(r.Name, "testrunner --name %s --http %s --platform %s --room %d", r.Name, address(), platform, r.Room)
+	files.run.WriteString("wait\n")
+	return errors.Join(
+		files.write("run.sh", files.run.String(), scriptMode),
+		files.write("trouble.sh", faultScript, scriptMode),
+		files.write("description.json", string(text), dataMode),
+		files.write("names.sh", files.names(d), dataMode),
+	)
+}
+
+func (f *siteFiles) write(name, text string, mode os.FileMode) error {
+	return errors.Wrap(os.WriteFile(filepath.Join(f.folder, name), []byte(text), mode), name)
+}
+
+// nextAddress gives the address of the next port.
+func (f *siteFiles) nextAddress() string {
+	f.lastPort++
+	return fmt.Sprintf("127.0.0.1:%d", f.lastPort)
+}
+
+// start adds a process to run.sh. The process's id is written into a file of
+// its name, for trouble.sh.
+func (f *siteFiles) start(name, command string) {
+	fmt.Fprintf(&f.run, "\"$BIN\"/%s & PIDS=\"$PIDS $!\"; echo $! > %s.pid\n", command, name)
+}
+
+func (f *siteFiles) addPlatform() {
+	f.platform = f.nextAddress()
+	f.start("platform", "testplatform --http "+f.platform)
+	f.run.WriteString("sleep 0.5\n")
+}
+
+func (f *siteFiles) addRunners(runners []description.Runner) {
+	for _, r := range runners {
+		command := fmt.Sprintf("testrunner --name %s --http %s --platform %s --room %d", r.Name, f.nextAddress(), f.platform, r.Room)
+		f.start(r.Name, command)
 	}
-	var controllers, routers, witnesses []string
+}
+
+// addDaemons writes the settings of all controllers and routers and adds them
+// to run.sh.
+func (f *siteFiles) addDaemons(d *description.Description) error {
 	var all []settings.Settings
-	for i, member := range append(append([]description.Member{}, d.Controllers...), d.Routers...) {
-		s := settings.Settings{Site: d.Site, Name: member.Name, Zone: member.Zone, Address: address(), HTTP: address(), Platform: platform}
-		if i < len(d.Controllers) {
-			s.Data = filepath.Join("data", member.Name)
-			controllers = append(controllers, s.HTTP)
-			if i < 3 {
-				witnesses = append(witnesses, member.Name)
-			}
-		} else {
-			routers = append(routers, s.HTTP)
-		}
-		all = append(all, s)
+	for _, member := range d.Controllers {
+		set := f.settingsOf(d.Site, member)
+		set.Data = filepath.Join("data", member.Name)
+		f.controllers = append(f.controllers, set.HTTP)
+		all = append(all, set)
 	}
-	for i := range all {
-		for _, seed := range all[:min(3, len(d.Controllers))] {
-			all[i].Seeds = append(all[i].Seeds, seed.Address)
-		}
+	for _, member := range d.Routers {
+		set := f.settingsOf(d.Site, member)
+		f.routers = append(f.routers, set.HTTP)
+		all = append(all, set)
+	}
+	var seeds []string
+	for _, set := range all[:min(seedCount, len(d.Controllers))] {
+		seeds = append(seeds, set.Address)
+	}
+	for i, set := range all {
+		set.Seeds = seeds
 		program := "router"
-		if all[i].Data != "" {
+		if i < len(d.Controllers) {
 			program = "controller"
 		}
-		text, err := json.MarshalIndent(all[i], "", "  ")
-		if err != nil {
-			return err
-		}
-		name := all[i].Name + ".json"
-		if err := os.WriteFile(filepath.Join(folder, name), append(text, '\n'), 0o644); err != nil {
+		if err := f.addDaemon(program, set); err != nil {
 			return err
 		}
-		start(all[i].Name, "%s --settings %s", program, name)
 	}
-	run.WriteString("wait\n")
-	if err := os.WriteFile(filepath.Join(folder, "run.sh"), []byte(run.String()), 0o755); err != nil {
-		return err
+	return nil
+}
+
+func (f *siteFiles) settingsOf(site string, member description.Member) settings.Settings {
+	return settings.Settings{
+		Site: site, Name: member.Name, Zone: member.Zone,
+		Address: f.nextAddress(), HTTP: f.nextAddress(), Platform: f.platform,
 	}
-	if err := os.WriteFile(filepath.Join(folder, "trouble.sh"), []byte(faultScript), 0o755); err != nil {
-		return err
+}
+
+func (f *siteFiles) addDaemon(program string, set settings.Settings) error {
+	text, err := json.MarshalIndent(set, "", "  ")
+	if err != nil {
+		return errors.Wrapf(err, "settings of %s", set.Name)
 	}
-	if err := os.WriteFile(filepath.Join(folder, "description.json"), text, 0o644); err != nil {
-		return err
+	name := set.Name + ".json"
+	f.start(set.Name, fmt.Sprintf("%s --settings %s", program, name))
+	return f.write(name, string(text)+"\n", dataMode)
+}
+
+// names is names.sh: the addresses and names that an operator needs.
+func (f *siteFiles) names(d *description.Description) string {
+	var witnesses []string
+	for _, member := range d.Controllers[:min(witnessCount, len(d.Controllers))] {
+		witnesses = append(witnesses, member.Name)
 	}
-	names := fmt.Sprintf("CONTROLLERS=%s\nROUTERS=%s\nWITNESSES=%s\nBACKUP=%s\nPLATFORM=%s\n",
-		strings.Join(controllers, ","), strings.Join(routers, ","), strings.Join(witnesses, ","), d.Controllers[1].Name, platform)
-	return os.WriteFile(filepath.Join(folder, "names.sh"), []byte(names), 0o644)
+	return fmt.Sprintf("CONTROLLERS=%s\nROUTERS=%s\nWITNESSES=%s\nBACKUP=%s\nPLATFORM=%s\n",
+		strings.Join(f.controllers, ","), strings.Join(f.routers, ","), strings.Join(witnesses, ","),
+		d.Controllers[1].Name, f.platform)
 }
