--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -8,7 +8,7 @@
 	"github.com/charmbracelet/log"
 
 	"myrtlewinch/internal/cli"
-	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/settings"
 )
 
@@ -17,6 +17,6 @@
 	var flags settings.Flags
 	flags.Register(true)
 	cli.Run("controller", true, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
-		return consensus.NewOffice(set, peers, web, logger)
+		return controller.NewDaemon(set, peers, web, logger)
 	})
 }
--- a/internal/cli/page_test.go
+++ b/internal/cli/page_test.go
@@ -20,7 +20,7 @@
 	kinds, err := os.ReadFile("../errkind/kind.go")
 	c.Assert(err, qt.IsNil)
 	counters, fields, lines := 0, 0, 0
-	for _, folder := range []string{"consensus", "native/router", "process"} {
+	for _, folder := range []string{"consensus", "native/controller", "native/router", "process"} {
 		files, err := filepath.Glob("../" + folder + "/*.go")
 		c.Assert(err, qt.IsNil)
 		for _, name := range files {
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -29,12 +29,19 @@
 	then func(bool)
 }
 
+// inspect lets a test look at the machine as its application sees it.
+type inspect struct{ look func(h Host) }
+
 func (k *rowApplication) HandleInput(h Host, input any) bool {
-	p, ok := input.(put)
-	if ok {
-		h.Submit(map[string]string{"row": p.row}, p.then)
+	switch in := input.(type) {
+	case put:
+		h.Submit(map[string]string{"row": in.row}, in.then)
+	case inspect:
+		in.look(h)
+	default:
+		return false
 	}
-	return ok
+	return true
 }
 
 // core is a few controllers on a network without loss, in virtual time.
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -7,9 +7,9 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// gapMs passes between the last possible order of one holder and the
+// DefaultGapMs passes between the last possible order of one holder and the
 // first of the next.
-const gapMs = 3000
+const DefaultGapMs = 3000
 
 type role int
 
--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -43,18 +43,18 @@
 	}
 }
 
-// A primary whose hold has run out notices before it does anything else.
-func TestHoldRunsOut(t *testing.T) {
-	m := serving(t)
-	qt.Assert(t, m.active(), qt.IsTrue)
+// A primary whose lease has run out notices before it does anything else.
+func TestPrimacyEndsWithItsLease(t *testing.T) {
+	m, application := alonePrimary(t)
 	m.election.leaseUntilMs = m.nowMs + 100
 	m.Step(m.nowMs+99, protocol.Tick{})
 	qt.Assert(t, m.isPrimary(), qt.IsTrue)
 	m.election.leaseUntilMs = m.nowMs + 1
-	effects := m.Step(m.nowMs+1, HandOver{ID: 3, Base: 1, Text: described})
+	m.Step(m.nowMs+1, inspect{func(h Host) {
+		qt.Assert(t, application.ended, qt.Equals, 1)
+		qt.Assert(t, h.Active(), qt.IsFalse)
+	}})
 	qt.Assert(t, m.isPrimary(), qt.IsFalse)
-	qt.Assert(t, effects.Responses, qt.HasLen, 1)
-	qt.Assert(t, effects.Responses[0].Body.(protocol.Rejection).Kind.Response().NotExecuted, qt.IsTrue)
 }
 
 // One that still hears the primary keeps another from taking over.
@@ -69,7 +69,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			m := serving(t)
+			m, _ := alonePrimary(t)
 			m.losePrimacy("test")
 			m.record.Primary = "b"
 			nowMs := m.nowMs + usualTiming.ElectionTimeoutMs + usualTiming.RenewMs + 50
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -129,7 +129,7 @@
 // New makes a controller from what its disk holds.
 func New(set Settings, keys map[string]string, nowMs int64) (*Machine, error) {
 	if set.GapMs == 0 {
-		set.GapMs = gapMs
+		set.GapMs = DefaultGapMs
 	}
 	if set.Timing == (Timing{}) {
 		set.Timing = usualTiming
--- a/internal/consensus/native.go
+++ b/internal/native/controller/application.go
@@ -1,4 +1,8 @@
-package consensus
+// Package controller is the control plane of the project's own interface: the
+// acceptance of descriptions, the index that answers routers, the placement of
+// models and the orders to runners. It runs as an application on the replicated
+// state of package consensus.
+package controller
 
 import (
 	"fmt"
@@ -6,6 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
+	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/native/choice"
 	"myrtlewinch/internal/native/description"
@@ -13,8 +18,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// NativeSettings is what a controller of the own interface knows at its start.
-type NativeSettings struct {
+// Settings is what a controller of the own interface knows at its start.
+type Settings struct {
 	Site  string
 	Self  protocol.Node
 	Seeds []string
@@ -33,11 +38,11 @@
 	Part bool
 }
 
-// nativeApplication is the own interface on top of the replicated state:
+// application is the own interface on top of the replicated state:
 // descriptions, the index, the placement and the orders.
-type nativeApplication struct {
-	settings NativeSettings
-	host     ExtendedHost
+type application struct {
+	settings Settings
+	host     consensus.ExtendedHost
 	// described is the description in force, compiled; nil while none is.
 	described *description.Description
 	// compiled is the revision that described was read from.
@@ -53,28 +58,28 @@
 	acceptFromMs int64
 }
 
-func newNativeApplication(settings NativeSettings) *nativeApplication {
+func newApplication(settings Settings) *application {
 	if settings.GapMs == 0 {
-		settings.GapMs = gapMs
+		settings.GapMs = consensus.DefaultGapMs
 	}
-	a := &nativeApplication{settings: settings}
+	a := &application{settings: settings}
 	a.offer.forget()
 	a.index = index{waiting: map[choice.Key]map[string]int64{}, counts: map[string]int64{}}
 	a.duty = newDuty()
 	return a
 }
 
-// NewNative makes a controller of the own interface from what its disk holds.
-func NewNative(settings NativeSettings, keys map[string]string, nowMs int64) (*Machine, error) {
-	m, _, err := newNative(settings, keys, nowMs)
+// New makes a controller of the own interface from what its disk holds.
+func New(settings Settings, keys map[string]string, nowMs int64) (*consensus.Machine, error) {
+	m, _, err := newController(settings, keys, nowMs)
 	return m, err
 }
 
-func newNative(settings NativeSettings, keys map[string]string, nowMs int64) (*Machine, *nativeApplication, error) {
-	a := newNativeApplication(settings)
-	m, err := New(Settings{
+func newController(settings Settings, keys map[string]string, nowMs int64) (*consensus.Machine, *application, error) {
+	a := newApplication(settings)
+	m, err := consensus.New(consensus.Settings{
 		Site: settings.Site, Self: settings.Self, Seeds: settings.Seeds, GapMs: a.settings.GapMs,
-		Application: a, Hooks: a, Bootstrap: BootstrapByOperator, StopWithoutHandover: true, PeersForRouters: true,
+		Application: a, Hooks: a, Bootstrap: consensus.BootstrapByOperator, StopWithoutHandover: true, PeersForRouters: true,
 		QuietAfterRecoveryMs: RouterHoldMs,
 	}, keys, nowMs)
 	if err != nil {
@@ -87,7 +92,7 @@
 }
 
 // describe compiles the description in force.
-func (a *nativeApplication) describe() error {
+func (a *application) describe() error {
 	a.table.Forget()
 	a.compiled = a.host.State().Revision
 	if a.compiled.Number == 0 {
@@ -103,10 +108,10 @@
 }
 
 // Attach takes the machine that keeps the state.
-func (a *nativeApplication) Attach(h ExtendedHost) { a.host = h }
+func (a *application) Attach(h consensus.ExtendedHost) { a.host = h }
 
 // StateChanged brings what is compiled from the state up to it.
-func (a *nativeApplication) StateChanged(Host) {
+func (a *application) StateChanged(consensus.Host) {
 	a.table.Forget()
 	if a.host.State().Revision != a.compiled {
 		if err := a.describe(); err != nil {
@@ -117,13 +122,13 @@
 }
 
 // Elected forgets what an earlier primacy knew.
-func (a *nativeApplication) Elected() {
+func (a *application) Elected() {
 	a.acceptFromMs = a.host.NowMs() + RouterHoldMs
 	a.duty.begin(a.host.NowMs(), a.host.Epoch())
 }
 
 // BecamePrimary puts the revision of the state in force and tells the routers.
-func (a *nativeApplication) BecamePrimary(Host) {
+func (a *application) BecamePrimary(consensus.Host) {
 	a.offer.current = a.host.State().Revision
 	a.offer.token = fmt.Sprintf("%s-%d", protocol.Digest(a.offer.current.Text), a.host.Epoch())
 	a.nudge()
@@ -131,25 +136,25 @@
 
 // Bootstrapped lets descriptions be accepted at once: no router has ever been
 // given a lease.
-func (a *nativeApplication) Bootstrapped() { a.acceptFromMs = a.host.NowMs() }
+func (a *application) Bootstrapped() { a.acceptFromMs = a.host.NowMs() }
 
 // LostPrimacy ends what only a primary may do.
-func (a *nativeApplication) LostPrimacy(Host) { a.endOffer() }
+func (a *application) LostPrimacy(consensus.Host) { a.endOffer() }
 
 // Hints gives the runners' burdens and who of them is silent.
-func (a *nativeApplication) Hints() protocol.Hints {
+func (a *application) Hints() protocol.Hints {
 	a.hints = a.duty.soft(a.host.NowMs())
 	return a.hints
 }
 
 // HintsReceived takes the primary's hints at a follower.
-func (a *nativeApplication) HintsReceived(hints protocol.Hints) {
+func (a *application) HintsReceived(hints protocol.Hints) {
 	a.hints = hints
 	a.table.Forget()
 }
 
 // HandleMessage takes a message of a router or of another controller.
-func (a *nativeApplication) HandleMessage(_ Host, e protocol.Envelope) bool {
+func (a *application) HandleMessage(_ consensus.Host, e protocol.Envelope) bool {
 	switch body := e.Body.(type) {
 	case protocol.RouterPoll:
 		a.asked(e, body)
@@ -164,7 +169,7 @@
 }
 
 // HandleInput takes what an operator or a call to a runner or the platform brings.
-func (a *nativeApplication) HandleInput(_ Host, input any) bool {
+func (a *application) HandleInput(_ consensus.Host, input any) bool {
 	switch in := input.(type) {
 	case protocol.RunnerReportResult:
 		a.reported(in)
@@ -181,7 +186,7 @@
 }
 
 // InputWhileRetired shows the pages still, and takes no description.
-func (a *nativeApplication) InputWhileRetired(input any) {
+func (a *application) InputWhileRetired(input any) {
 	switch in := input.(type) {
 	case Look:
 		a.look(in)
@@ -191,10 +196,10 @@
 }
 
 // Tick does what is due by time.
-func (a *nativeApplication) Tick(Host) {
+func (a *application) Tick(consensus.Host) {
 	a.tickOffer()
 	a.tickIndex()
 	a.tickDuty()
 }
 
-func (a *nativeApplication) count(kind errkind.Kind) { a.host.Count(string(kind)) }
+func (a *application) count(kind errkind.Kind) { a.host.Count(string(kind)) }
--- a/internal/consensus/office.go
+++ b/internal/native/controller/daemon.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import (
 	"context"
@@ -14,6 +14,7 @@
 
 	"github.com/charmbracelet/log"
 
+	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/process"
@@ -30,59 +31,59 @@
 	leaveWait = 300 * time.Millisecond
 )
 
-// Office is a controller as a process: its machine in a shell, and the pages
+// Daemon is a controller as a process: its machine in a shell, and the pages
 // that operators use.
-type Office struct {
+type Daemon struct {
 	shell *process.Runtime
 	disk  *storage.Store
 }
 
-// NewOffice opens the data folder and makes the controller; nothing runs yet.
-func NewOffice(set settings.Settings, peers, web net.Listener, logger *log.Logger) (*Office, error) {
-	d, err := storage.Open(set.Data, set.Site)
+// NewDaemon opens the data folder and makes the controller; nothing runs yet.
+func NewDaemon(set settings.Settings, peers, web net.Listener, logger *log.Logger) (*Daemon, error) {
+	disk, err := storage.Open(set.Data, set.Site)
 	if err != nil {
 		return nil, err
 	}
-	keys := d.Rows()
+	keys := disk.Rows()
 	clock := process.NewClock()
 	self := protocol.Node{
 		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.RoleController, Incarnation: keys["incarnation"],
 	}
-	machine, err := NewNative(NativeSettings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, keys, clock.NowMs())
+	machine, err := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, keys, clock.NowMs())
 	if err != nil {
-		d.Close()
+		disk.Close()
 		return nil, err
 	}
-	o := &Office{disk: d}
-	o.shell = process.New(process.Options{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, d, peers, web, o)
-	return o, nil
+	d := &Daemon{disk: disk}
+	d.shell = process.New(process.Options{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, disk, peers, web, d)
+	return d, nil
 }
 
 // AddTasks adds the controller's duties to a crew.
-func (o *Office) AddTasks(c *threads.Group) { o.shell.AddTasks(c) }
+func (d *Daemon) AddTasks(c *threads.Group) { d.shell.AddTasks(c) }
 
 // Pause makes the controller stand still until it is released.
-func (o *Office) Pause() (release func()) { return o.shell.Pause() }
+func (d *Daemon) Pause() (release func()) { return d.shell.Pause() }
 
 // OverrideSync makes its disk behave as a full, failing or stalling one.
-func (o *Office) OverrideSync(sync func(*os.File) error) { o.disk.OverrideSync(sync) }
+func (d *Daemon) OverrideSync(sync func(*os.File) error) { d.disk.OverrideSync(sync) }
 
 // Shutdown steps down before a planned stop, so that the next need not wait.
-func (o *Office) Shutdown() {
-	o.shell.Submit(Leave{})
+func (d *Daemon) Shutdown() {
+	d.shell.Submit(consensus.Leave{})
 	time.Sleep(leaveWait)
 }
 
 // ServeHTTP answers operators.
-func (o *Office) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	pages := map[string]map[string]http.HandlerFunc{
-		"/description": {http.MethodGet: o.read, http.MethodPut: o.put, http.MethodPatch: o.put},
-		"/history":     {http.MethodGet: o.history},
-		"/status":      {http.MethodGet: o.status},
-		"/soundness":   {http.MethodGet: o.soundness},
-		"/counters":    {http.MethodGet: o.counters},
-		"/found":       {http.MethodPost: o.foundSite},
-		"/recover":     {http.MethodPost: o.foundSite},
+		"/description": {http.MethodGet: d.read, http.MethodPut: d.put, http.MethodPatch: d.put},
+		"/history":     {http.MethodGet: d.history},
+		"/status":      {http.MethodGet: d.status},
+		"/soundness":   {http.MethodGet: d.soundness},
+		"/counters":    {http.MethodGet: d.counters},
+		"/found":       {http.MethodPost: d.foundSite},
+		"/recover":     {http.MethodPost: d.foundSite},
 	}
 	page, ok := pages[r.URL.Path]
 	if !ok {
@@ -100,10 +101,10 @@
 	handler(w, r)
 }
 
-func (o *Office) ask(r *http.Request, ms int64, input func(id uint64) any) (any, bool) {
+func (d *Daemon) ask(r *http.Request, ms int64, input func(id uint64) any) (any, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), time.Duration(ms)*time.Millisecond)
 	defer cancel()
-	return o.shell.Call(ctx, input)
+	return d.shell.Call(ctx, input)
 }
 
 func writeJSON(w http.ResponseWriter, value any) {
@@ -117,7 +118,7 @@
 	}.Write(w)
 }
 
-func (o *Office) put(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) put(w http.ResponseWriter, r *http.Request) {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, description.Most))
 	if err != nil {
 		errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.Most)}.Write(w)
@@ -133,7 +134,7 @@
 		errkind.ErrorBody{Kind: errkind.BadRequest, Detail: "If-Match: " + given + " is not a revision"}.Write(w)
 		return
 	}
-	answer, ok := o.ask(r, answerMs, func(id uint64) any {
+	answer, ok := d.ask(r, answerMs, func(id uint64) any {
 		return HandOver{ID: id, Base: base, Text: string(text), Part: r.Method == http.MethodPatch}
 	})
 	if !ok {
@@ -149,8 +150,8 @@
 	}
 }
 
-func (o *Office) described(w http.ResponseWriter, r *http.Request) (Described, bool) {
-	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "description"} })
+func (d *Daemon) described(w http.ResponseWriter, r *http.Request) (Described, bool) {
+	answer, ok := d.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "description"} })
 	said, right := answer.(Described)
 	if !ok || !right {
 		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "no answer in time"}.Write(w)
@@ -159,8 +160,8 @@
 	return said, true
 }
 
-func (o *Office) read(w http.ResponseWriter, r *http.Request) {
-	said, ok := o.described(w, r)
+func (d *Daemon) read(w http.ResponseWriter, r *http.Request) {
+	said, ok := d.described(w, r)
 	if !ok {
 		return
 	}
@@ -178,14 +179,14 @@
 	_, _ = io.WriteString(w, said.Revision.Text)
 }
 
-func (o *Office) history(w http.ResponseWriter, r *http.Request) {
-	if said, ok := o.described(w, r); ok {
+func (d *Daemon) history(w http.ResponseWriter, r *http.Request) {
+	if said, ok := d.described(w, r); ok {
 		writeJSON(w, map[string]any{"revisions": said.Past, "sure": said.Sure})
 	}
 }
 
-func (o *Office) status(w http.ResponseWriter, r *http.Request) {
-	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
+func (d *Daemon) status(w http.ResponseWriter, r *http.Request) {
+	answer, ok := d.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
 	if !ok {
 		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "no answer in time"}.Write(w)
 		return
@@ -195,8 +196,8 @@
 
 // soundness says 200 as long as the machine's thread answers and the disk
 // takes writes; it says nothing of the site.
-func (o *Office) soundness(w http.ResponseWriter, r *http.Request) {
-	answer, ok := o.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
+func (d *Daemon) soundness(w http.ResponseWriter, r *http.Request) {
+	answer, ok := d.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "status"} })
 	status, right := answer.(Status)
 	if !ok || !right || status.DiskBroken || status.Retired {
 		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "unsound"}.Write(w)
@@ -205,9 +206,9 @@
 	writeJSON(w, map[string]any{"sound": true, "role": status.Role, "epoch": status.Record.Epoch})
 }
 
-func (o *Office) counters(w http.ResponseWriter, _ *http.Request) { writeJSON(w, o.shell.Counts()) }
+func (d *Daemon) counters(w http.ResponseWriter, _ *http.Request) { writeJSON(w, d.shell.Counts()) }
 
-func (o *Office) foundSite(w http.ResponseWriter, r *http.Request) {
+func (d *Daemon) foundSite(w http.ResponseWriter, r *http.Request) {
 	var asked struct {
 		Witnesses []string `json:"witnesses"`
 		Backup    string   `json:"backup"`
@@ -220,8 +221,8 @@
 		errkind.ErrorBody{Kind: errkind.BadRequest, Detail: err.Error()}.Write(w)
 		return
 	}
-	answer, ok := o.ask(r, answerMs, func(id uint64) any {
-		return Bootstrap{
+	answer, ok := d.ask(r, answerMs, func(id uint64) any {
+		return consensus.Bootstrap{
 			ID: id, Witnesses: asked.Witnesses, Backup: asked.Backup,
 			Recover: r.URL.Path == "/recover", Change: asked.Change, Revision: asked.Revision,
 		}
@@ -231,7 +232,7 @@
 		return
 	}
 	switch said := answer.(type) {
-	case BootstrapResult:
+	case consensus.BootstrapResult:
 		writeJSON(w, said)
 	case protocol.Rejection:
 		dropped(w, said)
--- a/internal/consensus/duty.go
+++ b/internal/native/controller/duty.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import (
 	"math"
@@ -182,7 +182,7 @@
 	}
 }
 
-func (a *nativeApplication) tickDuty() {
+func (a *application) tickDuty() {
 	if !a.host.IsPrimary() {
 		return
 	}
@@ -224,13 +224,13 @@
 }
 
 // mayOrder says whether an order given now can't cross one of another holder.
-func (a *nativeApplication) mayOrder() bool {
+func (a *application) mayOrder() bool {
 	return a.host.Active() && a.host.NowMs() >= a.host.OrdersFromMs() && a.described != nil && a.fencedAll()
 }
 
 // fencedAll says whether every listed runner that answers is fenced. One that
 // answers later, or comes later, holds up only itself.
-func (a *nativeApplication) fencedAll() bool {
+func (a *application) fencedAll() bool {
 	d := &a.duty
 	if d.allFenced {
 		return true
@@ -248,7 +248,7 @@
 	return true
 }
 
-func (a *nativeApplication) listed(in protocol.RunnerListResult) {
+func (a *application) listed(in protocol.RunnerListResult) {
 	d := &a.duty
 	if !a.host.IsPrimary() {
 		return
@@ -277,7 +277,7 @@
 	}
 }
 
-func (a *nativeApplication) reported(in protocol.RunnerReportResult) {
+func (a *application) reported(in protocol.RunnerReportResult) {
 	s := a.duty.seen[in.Runner]
 	if !a.host.IsPrimary() || s == nil {
 		return
@@ -346,7 +346,7 @@
 
 // repeatOrders sends again what the runner's reports do not name yet. The
 // number makes the repeat harmless.
-func (a *nativeApplication) repeatOrders() {
+func (a *application) repeatOrders() {
 	for _, name := range a.duty.names() {
 		row, s := a.host.State().Rows[name], a.duty.seen[name]
 		if row == nil || s == nil || row.Intent == nil || a.host.NowMs()-s.orderMs < orderMs {
@@ -367,9 +367,9 @@
 
 // settled says whether both disks hold all that is in memory: nothing that
 // was written after the last answered change may reach a runner.
-func (a *nativeApplication) settled() bool { return a.host.Settled() }
+func (a *application) settled() bool { return a.host.Settled() }
 
-func (a *nativeApplication) sendOrder(name string) {
+func (a *application) sendOrder(name string) {
 	row, s := a.host.State().Rows[name], a.duty.seen[name]
 	if row == nil || s == nil || row.Intent == nil || !a.mayOrder() || !s.fenced(a.host.NowMs(), a.settings.GapMs) {
 		return
--- a/internal/consensus/index.go
+++ b/internal/native/controller/index.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import (
 	"sort"
@@ -23,14 +23,14 @@
 	toldMs  int64
 }
 
-func (a *nativeApplication) ageMs() int64 {
+func (a *application) ageMs() int64 {
 	if a.host.Active() {
 		return 0
 	}
 	return a.host.NowMs() - a.host.PrimaryHeardMs()
 }
 
-func (a *nativeApplication) lookUp(e protocol.Envelope, ask protocol.LookUp) {
+func (a *application) lookUp(e protocol.Envelope, ask protocol.LookUp) {
 	a.index.looked++
 	key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
 	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: a.host.State().Position, AgeMs: a.ageMs(), Behind: a.described == nil}
@@ -59,7 +59,7 @@
 	return soft.Turns[key.Item().String()]
 }
 
-func (a *nativeApplication) softNow() protocol.Hints {
+func (a *application) softNow() protocol.Hints {
 	if a.host.IsPrimary() {
 		return a.duty.soft(a.host.NowMs())
 	}
@@ -67,7 +67,7 @@
 }
 
 // tellWaiting tells routers that asked lately of what has become loaded.
-func (a *nativeApplication) tellWaiting() {
+func (a *application) tellWaiting() {
 	if a.described == nil {
 		return
 	}
@@ -102,7 +102,7 @@
 }
 
 // tellWaited tells a router what is loaded of what its requests wait for.
-func (a *nativeApplication) tellWaited(to protocol.Node, keys []protocol.LookUp) {
+func (a *application) tellWaited(to protocol.Node, keys []protocol.LookUp) {
 	if a.described == nil {
 		return
 	}
@@ -123,7 +123,7 @@
 }
 
 // tickIndex brings the demand to the primary.
-func (a *nativeApplication) tickIndex() {
+func (a *application) tickIndex() {
 	if a.host.NowMs()-a.index.toldMs < demandMs {
 		return
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-func (a *nativeApplication) demanded(said protocol.DemandReport) {
+func (a *application) demanded(said protocol.DemandReport) {
 	if a.host.IsPrimary() {
 		a.duty.demanded(a.host.NowMs(), said)
 	}
--- /dev/null
+++ b/internal/native/controller/index_test.go
@@ -0,0 +1,102 @@
+package controller
+
+import (
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+)
+
+// asks brings a router's look-up and gives the answers that leave.
+func asks(p *testPrimary, nowMs int64, service, model string) []protocol.LookUpReply {
+	return indexed(p.step(nowMs, protocol.Envelope{
+		Site: "s", To: "a", From: protocol.Node{Name: "e", Address: "e:1", Part: protocol.RoleRouter, Incarnation: "1"},
+		Body: protocol.LookUp{ID: 7, Service: service, Model: model},
+	}))
+}
+
+func indexed(effects protocol.Effects) []protocol.LookUpReply {
+	var out []protocol.LookUpReply
+	for _, send := range effects.Sends {
+		if index, ok := send.Body.(protocol.LookUpReply); ok {
+			out = append(out, index)
+		}
+	}
+	return out
+}
+
+// A look-up gets one answer: who holds the thing, or when it may be held.
+func TestLookUp(t *testing.T) {
+	item := ledger.Holding{Size: 6}
+	cases := []struct {
+		about          string
+		do             func(p *testPrimary)
+		service, model string
+		holders        int
+		loading        bool
+		turnMs         int64
+		counted        bool
+	}{
+		{"held by one", func(p *testPrimary) { p.host.State().Rows["r"].Held["m"] = item }, "v", "m", 1, false, 0, true},
+		{"held by two", func(p *testPrimary) {
+			p.host.State().Rows["r"].Held["m"], p.host.State().Rows["q"].Held["m"] = item, item
+		}, "v", "m", 2, false, 0, true},
+		{"held by a leaver", func(p *testPrimary) {
+			p.host.State().Rows["r"].Held["m"] = item
+			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+		}, "v", "m", 0, false, 0, true},
+		{"held by a dark one", func(p *testPrimary) {
+			p.host.State().Rows["r"].Held["m"] = item
+			p.duty.seen["r"].okMs = p.nowMs() - darkMs - 100
+		}, "v", "m", 0, false, 0, true},
+		{"being loaded", func(p *testPrimary) {
+			p.host.State().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionLoad, Model: "m", Size: 6}
+		}, "v", "m", 0, true, 0, true},
+		{"being unloaded", func(p *testPrimary) {
+			p.host.State().Rows["r"].Held["m"] = item
+			p.host.State().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionUnload, Model: "m"}
+		}, "v", "m", 0, false, 0, true},
+		{"its turn is known", func(p *testPrimary) { p.duty.turns = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
+		{"no such service", func(*testPrimary) {}, "x", "m", 0, false, 0, false},
+		{"not a model of the service", func(*testPrimary) {}, "v", "x", 0, false, 0, false},
+	}
+	for _, test := range cases {
+		t.Run(test.about, func(t *testing.T) {
+			p := newPlacingPrimary(t)
+			test.do(p)
+			p.table.Forget()
+			answers := asks(p, p.nowMs()+1, test.service, test.model)
+			qt.Assert(t, answers, qt.HasLen, 1)
+			got := answers[0]
+			qt.Assert(t, got.ID, qt.Equals, uint64(7))
+			qt.Assert(t, got.Holders, qt.HasLen, test.holders)
+			qt.Assert(t, got.Loading, qt.Equals, test.loading)
+			qt.Assert(t, got.TurnMs, qt.Equals, test.turnMs)
+			qt.Assert(t, p.index.counts[test.service+"/"+test.model+"/"] == 1, qt.Equals, test.counted)
+		})
+	}
+}
+
+// A router that asked in vain is told once the thing is loaded, and once only.
+func TestWaitingRoutersAreTold(t *testing.T) {
+	p := newPlacingPrimary(t)
+	nowMs := p.nowMs() + 1
+	qt.Assert(t, asks(p, nowMs, "v", "m")[0].Holders, qt.HasLen, 0)
+	p.host.State().Rows["r"].Held["m"] = ledger.Holding{Size: 6}
+	p.table.Forget()
+	told := 0
+	for range 40 {
+		nowMs += 50
+		for _, s := range p.duty.seen {
+			s.okMs = nowMs
+		}
+		for _, index := range indexed(p.step(nowMs, protocol.Tick{})) {
+			qt.Assert(t, index.Holders, qt.HasLen, 1)
+			qt.Assert(t, index.ID, qt.Equals, uint64(0))
+			told++
+		}
+	}
+	qt.Assert(t, told, qt.Equals, 1)
+}
--- a/internal/consensus/offer.go
+++ b/internal/native/controller/offer.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import (
 	"fmt"
@@ -62,11 +62,11 @@
 	Revision uint64 `json:"revision"`
 }
 
-func (a *nativeApplication) drop(id uint64, kind errkind.Kind, detail string, faults []string) {
+func (a *application) drop(id uint64, kind errkind.Kind, detail string, faults []string) {
 	a.host.Answer(id, protocol.Rejection{Kind: kind, Detail: detail, Faults: faults, Revision: a.offer.current.Number, Primary: a.host.Record().Primary})
 }
 
-func (a *nativeApplication) handOver(in HandOver) {
+func (a *application) handOver(in HandOver) {
 	switch {
 	case len(in.Text) > description.Most:
 		a.drop(in.ID, errkind.TooLarge, "a description may have at most 1 MiB", nil)
@@ -86,7 +86,7 @@
 
 // nextOffer takes the first of the line that has no fault. One at a time, so
 // that of two with one base the second loses.
-func (a *nativeApplication) nextOffer() {
+func (a *application) nextOffer() {
 	o := &a.offer
 	for o.pending == nil && len(o.line) > 0 && a.host.Active() {
 		in := o.line[0]
@@ -128,13 +128,13 @@
 }
 
 // nudge makes the routers ask at once rather than at their next turn.
-func (a *nativeApplication) nudge() {
+func (a *application) nudge() {
 	for _, place := range a.host.Known(protocol.RoleRouter) {
 		a.host.Send(place, protocol.PollRequest{Epoch: a.host.Epoch()})
 	}
 }
 
-func (a *nativeApplication) tickOffer() {
+func (a *application) tickOffer() {
 	o := &a.offer
 	if !a.host.Active() {
 		return
@@ -178,7 +178,7 @@
 // pending revision or can't use the present one any more. Routers may renew
 // each other's holds by majority, so a majority must have acknowledged, which
 // ends that; and what those gave before must have run out.
-func (a *nativeApplication) routersReady() bool {
+func (a *application) routersReady() bool {
 	o := &a.offer
 	acked, givenMs := 0, int64(0)
 	for _, hold := range o.holds {
@@ -205,7 +205,7 @@
 }
 
 // endOffer ends what an ended primacy can't settle.
-func (a *nativeApplication) endOffer() {
+func (a *application) endOffer() {
 	o := &a.offer
 	line, pending := o.line, o.pending
 	o.line, o.pending = nil, nil
@@ -259,7 +259,7 @@
 
 // counts says whether a router is listed in the description in force, or in
 // none as long as there is none.
-func (a *nativeApplication) counts(name string) bool {
+func (a *application) counts(name string) bool {
 	if a.described == nil {
 		return false
 	}
@@ -272,7 +272,7 @@
 }
 
 // asked answers a router. Only a router that counts is given a hold.
-func (a *nativeApplication) asked(e protocol.Envelope, ask protocol.RouterPoll) {
+func (a *application) asked(e protocol.Envelope, ask protocol.RouterPoll) {
 	if !a.host.Active() {
 		return
 	}
--- a/internal/consensus/pace.go
+++ b/internal/native/controller/pace.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 // pace is the weight store's token bucket. It starts empty after each
 // take-over, since the holder before may just have used it up.
--- a/internal/consensus/pace_test.go
+++ b/internal/native/controller/pace_test.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import (
 	"testing"
--- a/internal/consensus/place.go
+++ b/internal/native/controller/place.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import (
 	"maps"
@@ -35,7 +35,7 @@
 }
 
 // place gives at most one new order a turn and a runner, first copies first.
-func (a *nativeApplication) place() {
+func (a *application) place() {
 	d := &a.duty
 	if a.host.NowMs()-d.placeMs < placeMs || !a.settled() {
 		return
@@ -63,7 +63,7 @@
 
 // needs lists what is wanted more often than it is held: one copy before two,
 // then what has been lacking longest once that is long, then who asks most.
-func (a *nativeApplication) needs() []need {
+func (a *application) needs() []need {
 	var out []need
 	add := func(item ledger.Item, size, wanted int64) {
 		n := need{item: item, size: size, wanted: int(wanted)}
@@ -121,7 +121,7 @@
 }
 
 // serviceOf names the first service that the model is for.
-func (a *nativeApplication) serviceOf(model string) string {
+func (a *application) serviceOf(model string) string {
 	for i := range a.described.Services {
 		if s := &a.described.Services[i]; s.Allows(model) {
 			return s.Name
@@ -133,7 +133,7 @@
 // lines sorts the first copies that lack by service, the service that has had
 // none for longest first: a crowd for all the models of one service would hold
 // up every other service behind it.
-func (a *nativeApplication) lines(needs []need) [][]need {
+func (a *application) lines(needs []need) [][]need {
 	at := map[string]int{}
 	var services []string
 	var lines [][]need
@@ -175,7 +175,7 @@
 }
 
 // usable says whether a runner may be counted on to hold things.
-func (a *nativeApplication) usable(runner *description.Runner) (*ledger.Row, bool) {
+func (a *application) usable(runner *description.Runner) (*ledger.Row, bool) {
 	row, s := a.host.State().Rows[runner.Name], a.duty.seen[runner.Name]
 	if row == nil || s == nil || a.host.NowMs()-s.okMs > darkMs || a.leaves(row) {
 		return nil, false
@@ -185,7 +185,7 @@
 
 // leaverHolds says whether a runner that is leaving, and no other, would take
 // the item with it.
-func (a *nativeApplication) leaverHolds(item ledger.Item) bool {
+func (a *application) leaverHolds(item ledger.Item) bool {
 	for i := range a.described.Runners {
 		row := a.host.State().Rows[a.described.Runners[i].Name]
 		if row != nil && row.Holds(item) && item.Model != "" {
@@ -198,12 +198,12 @@
 }
 
 // leaves says whether the runner's present incarnation is marked.
-func (a *nativeApplication) leaves(row *ledger.Row) bool {
+func (a *application) leaves(row *ledger.Row) bool {
 	listed := a.duty.listing[row.Runner]
 	return a.host.State().Leaving(row) || listed.Leaving && listed.Incarnation == row.Incarnation
 }
 
-func (a *nativeApplication) copiesOf(item ledger.Item) int {
+func (a *application) copiesOf(item ledger.Item) int {
 	copies := 0
 	for i := range a.described.Runners {
 		if row, ok := a.usable(&a.described.Runners[i]); ok && (row.Holds(item) || row.Loading(item)) {
@@ -214,7 +214,7 @@
 }
 
 // pools lists the pools whose runners may hold the model.
-func (a *nativeApplication) pools(model string) map[string]bool {
+func (a *application) pools(model string) map[string]bool {
 	pools := map[string]bool{}
 	for i := range a.described.Services {
 		if s := &a.described.Services[i]; s.Allows(model) {
@@ -235,7 +235,7 @@
 }
 
 // placeOne gives the order that brings the need closer, if there is one.
-func (a *nativeApplication) placeOne(n need) bool {
+func (a *application) placeOne(n need) bool {
 	pools := a.pools(n.item.Model)
 	zones := map[string]int{}
 	var spots []spot
@@ -314,7 +314,7 @@
 
 // clear finds what would have to go on a runner for the need: the least used
 // first. It gives the first thing to unload, and what all of it is worth.
-func (a *nativeApplication) clear(s spot, n need) (first ledger.Item, cost float64, ok bool) {
+func (a *application) clear(s spot, n need) (first ledger.Item, cost float64, ok bool) {
 	var groups []group
 	for _, name := range slices.Sorted(maps.Keys(s.row.Held)) {
 		item := parseItem(name)
@@ -345,7 +345,7 @@
 }
 
 // groupOf gathers a model with its adapters, if all of it may go.
-func (a *nativeApplication) groupOf(row *ledger.Row, model ledger.Item, n need) (group, bool) {
+func (a *application) groupOf(row *ledger.Row, model ledger.Item, n need) (group, bool) {
 	score, may := a.spare(row, model, n)
 	g := group{model, row.Held[model.String()].Size, score}
 	for _, name := range slices.Sorted(maps.Keys(row.Held)) {
@@ -363,7 +363,7 @@
 }
 
 // spare says whether an item may be dropped for the need, and its demand.
-func (a *nativeApplication) spare(row *ledger.Row, item ledger.Item, n need) (float64, bool) {
+func (a *application) spare(row *ledger.Row, item ledger.Item, n need) (float64, bool) {
 	since, known := a.duty.seen[row.Runner].since[item.String()]
 	if !known || a.host.NowMs()-since < stayMs {
 		return 0, false
@@ -398,7 +398,7 @@
 
 // shielded says whether what one service is asked for may not go for another,
 // since that one has its share of all room already and this one has no more.
-func (a *nativeApplication) shielded(from, by string) bool {
+func (a *application) shielded(from, by string) bool {
 	if from == by {
 		return false
 	}
@@ -408,7 +408,7 @@
 
 // takeShares sums what each service's models and adapters take, and what an
 // even share is among the services that have any.
-func (a *nativeApplication) takeShares() {
+func (a *application) takeShares() {
 	d := &a.duty
 	d.shares = map[string]int64{}
 	services := int64(0)
@@ -442,7 +442,7 @@
 }
 
 // order writes the intent to the pair, and only then sends it.
-func (a *nativeApplication) order(row *ledger.Row, action string, item ledger.Item, size int64) {
+func (a *application) order(row *ledger.Row, action string, item ledger.Item, size int64) {
 	name := row.Runner
 	if action == protocol.ActionLoad {
 		a.duty.turnsMs[a.serviceOf(item.Model)] = a.host.NowMs()
--- /dev/null
+++ b/internal/native/controller/place_test.go
@@ -0,0 +1,152 @@
+package controller
+
+import (
+	"strings"
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+)
+
+// newPlacingPrimary makes a primary with two runners of room 10 that answer, and two
+// models of size 6.
+func newPlacingPrimary(t *testing.T) *testPrimary {
+	t.Helper()
+	p := newTestPrimary(t)
+	text := strings.Replace(testDescription, `{"name": "m", "size": 6, "copies": 1}`, `{"name": "m", "size": 6}, {"name": "n", "size": 6}`, 1)
+	d, faults := description.Read([]byte(strings.Replace(text, `"models": ["m"]`, `"models": ["m", "n"]`, 1)), "s")
+	qt.Assert(t, faults, qt.HasLen, 0)
+	p.described = d
+	for _, name := range []string{"r", "q"} {
+		p.host.State().Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
+		p.duty.seen[name] = &seenRunner{okMs: p.nowMs(), fencedMs: 1, since: map[string]int64{}}
+	}
+	return p
+}
+
+// What is needed: what is asked for, described with copies, or about to go
+// with a runner that leaves.
+func TestNeeds(t *testing.T) {
+	held := ledger.Holding{Size: 6}
+	cases := []struct {
+		about string
+		do    func(p *testPrimary)
+		items []string
+	}{
+		{"nobody asks", func(*testPrimary) {}, nil},
+		{"one is asked for", func(p *testPrimary) { p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1) }, []string{"m"}},
+		{"it is held", func(p *testPrimary) {
+			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1)
+			p.host.State().Rows["r"].Held["m"] = held
+		}, nil},
+		{"its runner is dark", func(p *testPrimary) {
+			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1)
+			p.host.State().Rows["r"].Held["m"] = held
+			p.duty.seen["r"].okMs = p.nowMs() - darkMs - 1
+		}, []string{"m"}},
+		{"it was asked for a while ago", func(p *testPrimary) { p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1) }, nil},
+		{"and goes with its runner", func(p *testPrimary) {
+			p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
+			p.host.State().Rows["r"].Held["m"] = held
+			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+		}, []string{"m"}},
+		{"goes with one runner and is held by another", func(p *testPrimary) {
+			p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
+			p.host.State().Rows["r"].Held["m"], p.host.State().Rows["q"].Held["m"] = held, held
+			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+		}, nil},
+		{"goes with its runner, and nobody has asked for long", func(p *testPrimary) {
+			p.duty.want(p.nowMs()-60_000, ledger.Item{Model: "m"}, 1)
+			p.host.State().Rows["r"].Held["m"] = held
+			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+		}, nil},
+		{"a crowd earns a second copy, after first ones", func(p *testPrimary) {
+			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, busyScore)
+			p.host.State().Rows["r"].Held["m"] = held
+			p.duty.want(p.nowMs(), ledger.Item{Model: "n"}, 1)
+		}, []string{"n", "m"}},
+	}
+	for _, test := range cases {
+		t.Run(test.about, func(t *testing.T) {
+			p := newPlacingPrimary(t)
+			test.do(p)
+			var items []string
+			for _, n := range p.needs() {
+				items = append(items, n.item.String())
+			}
+			qt.Assert(t, items, qt.DeepEquals, test.items)
+		})
+	}
+}
+
+// Where a need goes, and what must go for it.
+func TestPlaceOne(t *testing.T) {
+	held := ledger.Holding{Size: 6}
+	cases := []struct {
+		about  string
+		do     func(p *testPrimary)
+		placed bool
+		runner string
+		action string
+	}{
+		{"where there is room", func(p *testPrimary) { p.host.State().Rows["r"].Held["n"] = held }, true, "q", protocol.ActionLoad},
+		{"not where the report says something else", func(p *testPrimary) {
+			p.duty.seen["r"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
+			p.duty.seen["q"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
+		}, false, "", ""},
+		{"not where an order of someone else is under way", func(p *testPrimary) {
+			p.duty.seen["r"].report.LastState = protocol.OrderUnderWay
+			p.duty.seen["q"].report.LastState = protocol.OrderUnderWay
+		}, false, "", ""},
+		{"not where a late order may still come", func(p *testPrimary) {
+			p.duty.seen["r"].fencedMs, p.duty.seen["q"].fencedMs = p.nowMs(), 0
+		}, false, "", ""},
+		{"nothing goes before its stay is over", func(p *testPrimary) {
+			for _, name := range []string{"r", "q"} {
+				p.host.State().Rows[name].Held["n"] = held
+				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+				p.duty.seen[name].since["n"] = p.nowMs() - stayMs + 1
+			}
+		}, false, "", ""},
+		{"the second copy goes once it is", func(p *testPrimary) {
+			for _, name := range []string{"r", "q"} {
+				p.host.State().Rows[name].Held["n"] = held
+				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+				p.duty.seen[name].since["n"] = p.nowMs() - stayMs
+			}
+		}, true, "r", protocol.ActionUnload},
+		{"what operators want held stays", func(p *testPrimary) {
+			p.described.Models[1].Copies = 2
+			for _, name := range []string{"r", "q"} {
+				p.host.State().Rows[name].Held["n"] = held
+				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+				p.duty.seen[name].since["n"] = p.nowMs() - stayMs
+			}
+		}, false, "", ""},
+	}
+	for _, test := range cases {
+		t.Run(test.about, func(t *testing.T) {
+			p := newPlacingPrimary(t)
+			// Reports agree with the rows unless the case says otherwise.
+			p.host.State().Rows["r"].Held, p.host.State().Rows["q"].Held = map[string]ledger.Holding{}, map[string]ledger.Holding{}
+			test.do(p)
+			if test.about == "where there is room" {
+				p.duty.seen["r"].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+			}
+			p.duty.pace.tokens = 1
+			p.takeShares()
+			placed := p.placeOne(need{item: ledger.Item{Model: "m"}, size: 6, wanted: 1, score: 5})
+			qt.Assert(t, placed, qt.Equals, test.placed)
+			for name, row := range p.host.State().Rows {
+				if name != test.runner {
+					qt.Assert(t, row.Intent, qt.IsNil)
+					continue
+				}
+				qt.Assert(t, row.Intent.Action, qt.Equals, test.action)
+			}
+		})
+	}
+}
--- a/internal/consensus/status.go
+++ b/internal/native/controller/status.go
@@ -1,8 +1,9 @@
-package consensus
+package controller
 
 import (
 	"sort"
 
+	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
 )
@@ -32,7 +33,7 @@
 	Revision uint64                   `json:"revision"`
 	Pending  uint64                   `json:"pending"`
 	LookUps  uint64                   `json:"lookUps"`
-	Peers    []PeerStatus             `json:"fellows"`
+	Peers    []consensus.PeerStatus   `json:"fellows"`
 	Rows     []*ledger.Row            `json:"rows"`
 	Leaving  []protocol.LeavingRunner `json:"leaving"`
 	Platform int64                    `json:"platformAgeMs"`
@@ -54,7 +55,7 @@
 	Past     []ledger.Past
 }
 
-func (a *nativeApplication) look(in Look) {
+func (a *application) look(in Look) {
 	if in.Page != "status" {
 		revision := a.host.State().Revision
 		if a.host.IsPrimary() {
--- a/internal/consensus/turn.go
+++ b/internal/native/controller/turn.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import "myrtlewinch/internal/native/ledger"
 
@@ -16,7 +16,7 @@
 // nowhere may be held: by the pace of the store, and where room must be made
 // first also by how long what is held stays. It is an estimate; what is built
 // on it must only be told honestly.
-func (a *nativeApplication) takeTurns(needs []need) {
+func (a *application) takeTurns(needs []need) {
 	d := &a.duty
 	d.turns = map[string]int64{}
 	stepMs := int64(10_000 / (float64(max(1, a.described.Store.LoadsPer10s)) * (1 - spare)))
@@ -56,7 +56,7 @@
 
 // space sums the room of the runners that may be given things, and what of it
 // is free.
-func (a *nativeApplication) space() (free, rooms int64) {
+func (a *application) space() (free, rooms int64) {
 	for i := range a.described.Runners {
 		runner := &a.described.Runners[i]
 		if row, ok := a.usable(runner); ok {
--- a/internal/consensus/turn_test.go
+++ b/internal/native/controller/turn_test.go
@@ -1,4 +1,4 @@
-package consensus
+package controller
 
 import (
 	"testing"
@@ -11,13 +11,13 @@
 // Turns are worked out by the pace, and by how long things stay once the room
 // is taken; they grow along the line and are bounded.
 func TestTakeTurns(t *testing.T) {
-	m := serving(t)
-	m.described.Store.LoadsPer10s = 10
-	m.duty.listing = nil
-	for i := range m.described.Runners {
-		name := m.described.Runners[i].Name
-		m.state.Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
-		m.duty.seen[name] = &seenRunner{okMs: m.nowMs, fencedMs: 1}
+	p := newTestPrimary(t)
+	p.described.Store.LoadsPer10s = 10
+	p.duty.listing = nil
+	for i := range p.described.Runners {
+		name := p.described.Runners[i].Name
+		p.host.State().Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
+		p.duty.seen[name] = &seenRunner{okMs: p.nowMs(), fencedMs: 1}
 	}
 	line := func(count int, size int64) []need {
 		var needs []need
@@ -37,11 +37,11 @@
 		{"more than is worth telling", line(26, 20), turnMost},
 	}
 	for _, test := range cases {
-		m.takeTurns(test.needs)
-		qt.Assert(t, m.duty.turns, qt.HasLen, len(test.needs), qt.Commentf(test.about))
+		p.takeTurns(test.needs)
+		qt.Assert(t, p.duty.turns, qt.HasLen, len(test.needs), qt.Commentf(test.about))
 		beforeMs := int64(0)
 		for _, n := range test.needs {
-			turnMs := m.duty.turns[n.item.String()]
+			turnMs := p.duty.turns[n.item.String()]
 			qt.Assert(t, turnMs >= beforeMs, qt.IsTrue, qt.Commentf(test.about))
 			beforeMs = turnMs
 		}
@@ -51,13 +51,13 @@
 
 // Who was told when to come back is still wanted then.
 func TestPlacesAreKept(t *testing.T) {
-	m := serving(t)
+	p := newTestPrimary(t)
 	item := ledger.Item{Model: "m"}
-	m.duty.want(m.nowMs, item, 1)
-	m.takeTurns([]need{{item: item, size: 6, wanted: 1, score: 1}})
-	w := m.duty.wants[item]
-	turnMs := m.duty.turns["m"]
+	p.duty.want(p.nowMs(), item, 1)
+	p.takeTurns([]need{{item: item, size: 6, wanted: 1, score: 1}})
+	w := p.duty.wants[item]
+	turnMs := p.duty.turns["m"]
 	qt.Assert(t, turnMs > 0, qt.IsTrue)
-	qt.Assert(t, w.wanted(m.nowMs+turnMs+backMs-1), qt.IsTrue)
-	qt.Assert(t, w.wanted(m.nowMs+turnMs+backMs+1), qt.IsFalse)
+	qt.Assert(t, w.wanted(p.nowMs()+turnMs+backMs-1), qt.IsTrue)
+	qt.Assert(t, w.wanted(p.nowMs()+turnMs+backMs+1), qt.IsFalse)
 }
--- a/internal/native/statediff/comparison.go
+++ b/internal/native/statediff/comparison.go
@@ -9,7 +9,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/protocol"
 )
@@ -44,7 +44,7 @@
 	b := Belief{Fields: map[string]string{}, AgesMs: map[string]int64{}}
 	switch part.Part {
 	case protocol.RoleController:
-		var s consensus.Status
+		var s controller.Status
 		if err := json.Unmarshal(text, &s); err != nil {
 			return b, err
 		}
@@ -81,7 +81,7 @@
 	}
 }
 
-func (b *Belief) controller(s consensus.Status) {
+func (b *Belief) controller(s controller.Status) {
 	b.Name = s.Name
 	ageMs := int64(-1)
 	for _, peer := range s.Peers {
--- a/internal/simulation/localcluster/daemon.go
+++ b/internal/simulation/localcluster/daemon.go
@@ -8,7 +8,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/settings"
@@ -110,7 +110,7 @@
 
 func newShell(set settings.Settings, l listeners, logger *log.Logger) (daemonShell, error) {
 	if set.Data != "" {
-		return consensus.NewOffice(set, l.peers, l.http, logger)
+		return controller.NewDaemon(set, l.peers, l.http, logger)
 	}
 	return router.NewServer(set, l.peers, l.http, logger)
 }
@@ -157,5 +157,5 @@
 // InjectDiskFault replaces what a controller's disk does for a sync, so that it
 // behaves as a full, failing or stalling one.
 func (d *Daemon) InjectDiskFault(sync func(*os.File) error) {
-	d.shell.(*consensus.Office).OverrideSync(sync)
+	d.shell.(*controller.Daemon).OverrideSync(sync)
 }
--- a/internal/simulation/localcluster/faults_test.go
+++ b/internal/simulation/localcluster/faults_test.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/simulation/testbackend"
 	"myrtlewinch/internal/threads"
@@ -44,7 +44,7 @@
 	var found *Daemon
 	s.retry(func() error {
 		for _, daemon := range s.Controllers {
-			var status consensus.Status
+			var status controller.Status
 			if !slices.Contains(except, daemon) && readStatus(daemon, &status) == nil && status.Active {
 				found = daemon
 				return nil
@@ -58,7 +58,7 @@
 // backup is the controller that has a replica besides the primary.
 func (s *faultTrial) backup() *Daemon {
 	s.c.Helper()
-	var status consensus.Status
+	var status controller.Status
 	s.c.Assert(readStatus(s.primary(), &status), qt.IsNil)
 	replica, _ := status.Record.OtherReplica(status.Name)
 	at := slices.IndexFunc(s.Controllers, func(d *Daemon) bool { return d.Settings.Name == replica.Name })
@@ -86,7 +86,7 @@
 	s.retry(func() error {
 		err := errors.New("no controller takes it")
 		for _, daemon := range s.Controllers {
-			var status consensus.Status
+			var status controller.Status
 			if readStatus(daemon, &status) != nil || !status.Active {
 				continue
 			}
@@ -109,7 +109,7 @@
 	s.primary()
 	s.retry(func() error {
 		for _, daemon := range s.Controllers {
-			var status consensus.Status
+			var status controller.Status
 			if err := readStatus(daemon, &status); err != nil {
 				return err
 			}
@@ -153,7 +153,7 @@
 	release()
 	// It finds that it was replaced, and follows.
 	s.retry(func() error {
-		var status consensus.Status
+		var status controller.Status
 		if err := readStatus(old, &status); err != nil {
 			return err
 		}
--- a/internal/simulation/localcluster/loss_test.go
+++ b/internal/simulation/localcluster/loss_test.go
@@ -10,7 +10,7 @@
 	"github.com/cockroachdb/errors"
 	qt "github.com/frankban/quicktest"
 
-	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/simulation/testbackend"
 )
 
@@ -49,7 +49,7 @@
 
 // checkFollows says why a controller does not follow at a revision yet.
 func checkFollows(daemon *Daemon, revision uint64) error {
-	var status consensus.Status
+	var status controller.Status
 	if err := readStatus(daemon, &status); err != nil {
 		return err
 	}
--- a/internal/simulation/localcluster/report.go
+++ b/internal/simulation/localcluster/report.go
@@ -6,7 +6,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/simulation/testbackend"
 )
@@ -63,7 +63,7 @@
 func (c *Cluster) answeredLookUps() (uint64, error) {
 	var answered uint64
 	for _, daemon := range c.Controllers {
-		var status consensus.Status
+		var status controller.Status
 		if err := readStatus(daemon, &status); err != nil {
 			return 0, errors.Wrapf(err, "status of %s", daemon.Settings.Name)
 		}
--- a/internal/simulation/nativesim/clocks_test.go
+++ b/internal/simulation/nativesim/clocks_test.go
@@ -24,6 +24,7 @@
 	"internal/election/witness",
 	"internal/failuredetector",
 	"internal/native/choice",
+	"internal/native/controller",
 	"internal/native/description",
 	"internal/native/ledger",
 	"internal/native/router",
@@ -42,8 +43,8 @@
 // realTimeFiles are the files of virtualTimePackages that run a state machine
 // on real sockets and timers.
 var realTimeFiles = []string{
-	"internal/consensus/office.go",
 	"internal/controller/daemon.go",
+	"internal/native/controller/daemon.go",
 	"internal/native/router/server.go",
 }
 
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -3,7 +3,7 @@
 import (
 	"fmt"
 
-	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/process"
@@ -71,7 +71,7 @@
 	self := protocol.Node{Name: n.ownName, Address: n.address, Zone: n.zone, Part: n.role}
 	if n.role == protocol.RoleController {
 		self.Incarnation = n.disk.incarnation
-		machine, err := consensus.NewNative(consensus.NativeSettings{Site: w.Description.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Bugs.HolderGapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
+		machine, err := controller.New(controller.Settings{Site: w.Description.Site, Self: self, Seeds: n.seeds, Platform: "platform", GapMs: w.Bugs.HolderGapMs}, cloned(n.disk.keys), n.clock(w.events.NowMs()))
 		if err != nil {
 			panic(fmt.Sprintf("sim: %s does not start: %v", name, err))
 		}
--- a/internal/simulation/nativesim/operator.go
+++ b/internal/simulation/nativesim/operator.go
@@ -5,6 +5,7 @@
 
 	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/protocol"
 )
@@ -108,13 +109,13 @@
 		w.clients.markers = append(w.clients.markers, mark)
 	}
 	w.askController(name, text, func(id uint64) any {
-		return consensus.HandOver{ID: id, Base: base, Text: text, Part: part}
+		return controller.HandOver{ID: id, Base: base, Text: text, Part: part}
 	}, func(body any) {
 		if w.Bugs.InvertOutcomes {
 			body = w.opposite(body)
 		}
 		switch said := body.(type) {
-		case consensus.Accepted:
+		case controller.Accepted:
 			w.tracef("operator: revision %d accepted, %s", said.Revision, mark)
 			w.operator.outcomes["accepted"]++
 			w.Checker.RevisionAccepted(w.events.NowMs(), said.Revision)
@@ -151,10 +152,10 @@
 // opposite is the wrong answer to a handing over.
 func (w *World) opposite(body any) any {
 	switch body.(type) {
-	case consensus.Accepted:
+	case controller.Accepted:
 		return protocol.Rejection{Kind: errkind.NotAccepted}
 	case protocol.Rejection:
-		return consensus.Accepted{Revision: 2}
+		return controller.Accepted{Revision: 2}
 	}
 	return body
 }
@@ -170,12 +171,12 @@
 }
 
 // status looks at a controller without anything else happening.
-func (w *World) status(n *node) consensus.Status {
-	effects := n.machine.Step(n.clock(w.events.NowMs()), consensus.Look{ID: 1, Page: "status"})
-	var status consensus.Status
+func (w *World) status(n *node) controller.Status {
+	effects := n.machine.Step(n.clock(w.events.NowMs()), controller.Look{ID: 1, Page: "status"})
+	var status controller.Status
 	rest := effects.Responses[:0]
 	for _, answer := range effects.Responses {
-		if s, ok := answer.Body.(consensus.Status); ok {
+		if s, ok := answer.Body.(controller.Status); ok {
 			status = s
 			continue
 		}
@@ -194,9 +195,9 @@
 		return
 	}
 	n := w.nodes[name]
-	effects := n.machine.Step(n.clock(w.events.NowMs()), consensus.Look{ID: 1, Page: "description"})
+	effects := n.machine.Step(n.clock(w.events.NowMs()), controller.Look{ID: 1, Page: "description"})
 	for _, answer := range effects.Responses {
-		said, ok := answer.Body.(consensus.Described)
+		said, ok := answer.Body.(controller.Described)
 		if !ok {
 			continue
 		}
@@ -215,7 +216,7 @@
 
 // checkMarkers looks whether what was once in effect, or accepted, is still a
 // part of the history, and whether the newest is in force.
-func (w *World) checkMarkers(said consensus.Described, sums map[uint64]string) {
+func (w *World) checkMarkers(said controller.Described, sums map[uint64]string) {
 	for mark, seen := range w.Checker.Markers() {
 		number := seen.Revision
 		if number == 0 || len(said.Past) == 0 || number < said.Past[0].Number {
