--- a/internal/native/controller/helpers_test.go
+++ b/internal/native/controller/helpers_test.go
@@ -101,7 +101,7 @@
 }
 
 // peerReply is what another controller says to a message of the primary.
-func (p *testPrimary) peerReply(message any) any {
+func (p *testPrimary) peerReply(message protocol.Message) protocol.Message {
 	if p.silent {
 		return nil
 	}
