--- a/internal/compatibility/data_test.go
+++ b/internal/compatibility/data_test.go
@@ -36,8 +36,8 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/bounds"
-	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/controller"
+	nativecontroller "myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/process"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/settings"
@@ -250,7 +250,7 @@
 	}
 	for i, name := range names {
 		web := listen(c)
-		made, err := consensus.NewOffice(settings.Settings{
+		made, err := nativecontroller.NewDaemon(settings.Settings{
 			Site: "zagreb", Name: name, Zone: "donji-grad", Address: seeds[i], HTTP: web.Addr().String(), Seeds: seeds,
 			Platform: "127.0.0.1:1", Data: copyData(c, "native", name),
 		}, peers[i], web, log.New(io.Discard))
