--- a/internal/proxy/attempt.go
+++ b/internal/proxy/attempt.go
@@ -1,133 +1,237 @@
 package proxy
 
-import "myrtlewinch/internal/errkind"
+import (
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+const (
+	// writeWindowMs is how long after the choice of the runner the first byte
+	// of an attempt may be written.
+	writeWindowMs = 400
+	// unreachableMs is how long a runner to which no connection could be made
+	// is left out for this request.
+	unreachableMs = 150
+	// maxFailedDials is the number of failed connections after which a request
+	// is rejected.
+	maxFailedDials = 4
+	// Urgencies of the routes' priorities 0 to 3: 0, 3, 6, 8.
+	urgencyStep = 3
+	maxUrgency  = 8
+)
 
 // Outcome classifies the end of an attempt by what is known of its effect at
 // the runner. It decides whether the request may be sent again and what its
 // client may be told.
 type Outcome int
 
-// The outcomes. After Expired, NotSent, Rejected and Misdirected the request counts
-// as not run; after Failed, Lost, Nonsense and Cut the runner may have run it.
+// The outcomes. After Expired, NotSent, Rejected and Misdirected the request
+// counts as not run; after ServerError, ResponseLost, InvalidResponse and
+// StreamBroken the runner may have run it.
 const (
 	// Completed: the response was forwarded completely, or the client
 	// disconnected.
 	Completed Outcome = iota
-	// Expired: Send.WriteByMs passed before a byte was written.
+	// Expired: StartAttempt.WriteByMs passed before a byte was written.
 	Expired
 	// NotSent: the attempt failed before a byte was written.
 	NotSent
 	// Rejected: the runner rejected the request and stated that it did not
 	// run it.
 	Rejected
-	// Misdirected: a different runner responded, or the runner does not hold the
-	// model or adapter.
+	// Misdirected: a different runner responded, or the runner does not hold
+	// the model or adapter.
 	Misdirected
-	// ServerError: the runner responded with a server error, which is kept for the
-	// client in case no other attempt succeeds.
+	// ServerError: the runner responded with a server error, which is kept for
+	// the client in case no other attempt succeeds.
 	ServerError
 	// ResponseLost: bytes were written and no usable, complete response came.
 	ResponseLost
 	// InvalidResponse: what came is not a valid response to this request.
 	InvalidResponse
-	// StreamBroken: a stream failed after a part of it was forwarded to the client.
+	// StreamBroken: a stream failed after a part of it was forwarded to the
+	// client.
 	StreamBroken
 )
 
-// attemptEnded applies the outcome of an attempt: it updates what is known of the
-// runner, then finishes the request or queues it for another attempt.
+// startAttempt starts an attempt at a runner.
+func (m *Machine) startAttempt(r *request, holder protocol.IndexHolder) {
+	if !r.budgetCredited {
+		r.budgetCredited = true
+		m.retryBudget(r.service.Name).deposit(m.settings.Bounds.RetryRatio)
+	}
+	r.attempts++
+	m.countAttempt(r)
+	r.attemptActive, r.runnerID = true, holder.ID
+	m.dequeue(r)
+	runner := m.runnerState(holder.ID)
+	runner.addInFlight(m.nowMs, 1, r.tokens)
+	runner.prefillTokens += r.Params.PromptTokens
+	r.attemptStartMs, r.prefillPending = m.nowMs, true
+	m.reply(r.ID, StartAttempt{
+		Params: AttemptParams{
+			Runner: holder.ID, Urgency: urgency(r.route.Priority),
+			LastEventID: r.lastEventID, WeightsVersion: r.weightsVersion,
+		},
+		Address: holder.Address, Route: r.route, NewConnection: !r.route.Retryable(),
+		WriteByMs: min(m.nowMs+writeWindowMs, r.deadlineMs), DeadlineMs: r.deadlineMs,
+	})
+}
+
+// countAttempt counts an attempt that begins.
+func (m *Machine) countAttempt(r *request) {
+	m.Counters.Attempts++
+	if r.attempts > 1 {
+		m.Counters.Retries++
+	}
+	if r.forwarded {
+		m.Counters.Resumes++
+	}
+}
+
+// urgency maps a route's priority, 0 first, to the urgency that runners are
+// told.
+func urgency(priority int) int {
+	return min(maxUrgency, urgencyStep*max(0, priority)-max(0, priority-2))
+}
+
+// attemptsExhausted reports whether the request has had all attempts that its
+// route allows.
+func (r *request) attemptsExhausted() bool { return r.attempts >= max(1, r.route.MaxAttempts) }
+
+// attemptEnded applies the outcome of an attempt: it updates what is known of
+// the runner, then finishes the request or queues it for another attempt.
 func (m *Machine) attemptEnded(in AttemptEnded) {
 	r := m.requests[in.ID]
 	if r == nil || !r.attemptActive {
 		return
 	}
 	m.releaseSlot(r)
-	known := m.runnerState(r.runnerID)
-	r.forwarded = r.forwarded || in.Forwarded
-	if in.LastEventID != "" {
-		r.lastEventID = in.LastEventID
-	}
-	if in.WeightsVersion > 0 {
-		r.weightsVersion = in.WeightsVersion
-	}
+	r.recordProgress(in)
 	r.waitingSinceMs = m.nowMs
 	switch in.Outcome {
 	case Completed:
-		known.recordSuccess()
-		m.recordLatency(r.route.Name, m.nowMs-r.arrivedMs)
-		delete(m.requests, r.ID)
-		m.dispatchQueue()
-		return
+		m.attemptCompleted(r)
 	case Expired:
-		// Nothing was tried, so nothing is used up.
-		m.undoAttempt(r)
+		r.undoAttempt()
 	case NotSent:
-		known.recordFailure(m.nowMs)
-		m.undoAttempt(r)
-		r.unreachable, r.unreachableUntilMs = append(r.unreachable, r.runnerID), m.nowMs+unreachableMs
-		r.lastErrorKind = errkind.NoRunner
-		if r.failedDials++; r.failedDials >= maxFailedDials {
-			m.failAfterAttempts(r)
-		}
+		m.attemptNotSent(r)
 	case Rejected:
-		known.markFull(m.nowMs)
-		r.rejectedBy = append(r.rejectedBy, r.runnerID)
-		r.lastErrorKind = errkind.RunnerRejected
+		m.attemptRejected(r)
 	case Misdirected:
-		if e := m.cache[r.key]; e != nil && !r.forwarded {
-			e.exclude(m.nowMs, r.runnerID)
-		}
-		if in.OtherRunner {
-			// Another has its address, so that life is over.
-			m.markDraining(r.runnerID)
-		}
-		r.rejectedBy = append(r.rejectedBy, r.runnerID)
-		r.lastErrorKind = errkind.RunnerRejected
+		m.attemptMisdirected(r, in.OtherRunner)
 	case ServerError, ResponseLost, InvalidResponse, StreamBroken:
-		if in.Outcome != ServerError {
-			known.recordFailure(m.nowMs)
-		}
-		r.mayHaveRun = true
-		r.hasKeptResponse = in.Outcome == ServerError
-		r.failedAt = append(r.failedAt, r.runnerID)
-		r.lastErrorKind = errkind.OutcomeUnknown
-		if in.Outcome == InvalidResponse {
-			r.lastErrorKind = errkind.BrokenResponse
-		}
-		// What may have run goes on only if it may run twice.
-		if !r.route.Retryable() || r.attempts >= max(1, r.route.MaxAttempts) || r.forwarded && r.lastEventID == "" {
-			m.failAfterAttempts(r)
-		}
-	}
-	if m.requests[r.ID] != nil {
-		m.enqueue(r)
-		if r.attempts >= max(1, r.route.MaxAttempts) {
-			m.failAfterAttempts(r)
-		}
+		m.attemptFailed(r, in.Outcome)
 	}
+	m.requeue(r)
 	m.dispatchQueue()
 }
 
-// prefillDone notes that a prompt is not being read any more.
-func (m *Machine) prefillDone(r *request) {
+// recordProgress notes how much of a response the client has.
+func (r *request) recordProgress(in AttemptEnded) {
+	r.forwarded = r.forwarded || in.Forwarded
+	if in.LastEventID != "" {
+		r.lastEventID = in.LastEventID
+	}
+	if in.WeightsVersion > 0 {
+		r.weightsVersion = in.WeightsVersion
+	}
+}
+
+// attemptCompleted finishes the request.
+func (m *Machine) attemptCompleted(r *request) {
+	m.runnerState(r.runnerID).recordSuccess()
+	m.recordLatency(r.route.Name, m.nowMs-r.arrivedMs)
+	delete(m.requests, r.ID)
+}
+
+// undoAttempt takes back an attempt of which no byte was written: it uses up
+// none of the attempts that the route allows.
+func (r *request) undoAttempt() { r.attempts-- }
+
+// attemptNotSent leaves a runner out that could not be reached.
+func (m *Machine) attemptNotSent(r *request) {
+	m.runnerState(r.runnerID).recordFailure(m.nowMs)
+	r.undoAttempt()
+	r.unreachable = append(r.unreachable, r.runnerID)
+	r.unreachableUntilMs = m.nowMs + unreachableMs
+	r.lastErrorKind = errkind.NoRunner
+	r.failedDials++
+	if r.failedDials >= maxFailedDials {
+		m.failAfterAttempts(r)
+	}
+}
+
+// attemptRejected leaves a runner out that rejected the request, and sends it
+// no other for a short time.
+func (m *Machine) attemptRejected(r *request) {
+	m.runnerState(r.runnerID).markFull(m.nowMs)
+	r.rejectedBy = append(r.rejectedBy, r.runnerID)
+	r.lastErrorKind = errkind.RunnerRejected
+}
+
+// attemptMisdirected corrects what the cache says of a runner. If another
+// runner has its address, it no longer exists.
+func (m *Machine) attemptMisdirected(r *request, otherRunner bool) {
+	if entry := m.cache[r.key]; entry != nil && !r.forwarded {
+		entry.exclude(m.nowMs, r.runnerID)
+	}
+	if otherRunner {
+		m.markDraining(r.runnerID)
+	}
+	r.rejectedBy = append(r.rejectedBy, r.runnerID)
+	r.lastErrorKind = errkind.RunnerRejected
+}
+
+// attemptFailed handles an attempt that the runner may have executed: the
+// request is sent again only if its route is retryable and, if a part of a
+// stream was forwarded, the stream can be resumed.
+func (m *Machine) attemptFailed(r *request, outcome Outcome) {
+	if outcome != ServerError {
+		m.runnerState(r.runnerID).recordFailure(m.nowMs)
+	}
+	r.mayHaveRun = true
+	r.hasKeptResponse = outcome == ServerError
+	r.failedAt = append(r.failedAt, r.runnerID)
+	r.lastErrorKind = errkind.OutcomeUnknown
+	if outcome == InvalidResponse {
+		r.lastErrorKind = errkind.BrokenResponse
+	}
+	notResumable := r.forwarded && r.lastEventID == ""
+	if !r.route.Retryable() || r.attemptsExhausted() || notResumable {
+		m.failAfterAttempts(r)
+	}
+}
+
+// requeue queues a request that is not finished, and finishes it if no attempt
+// is left.
+func (m *Machine) requeue(r *request) {
+	if m.requests[r.ID] == nil {
+		return
+	}
+	m.enqueue(r)
+	if r.attemptsExhausted() {
+		m.failAfterAttempts(r)
+	}
+}
+
+// endPrefill takes the prompt out of the runner's prefillTokens.
+func (m *Machine) endPrefill(r *request) {
 	if r.prefillPending {
 		r.prefillPending = false
 		m.runnerState(r.runnerID).prefillTokens -= r.Params.PromptTokens
 	}
 }
 
-// undoAttempt takes back a send of which no byte was written.
-func (m *Machine) undoAttempt(r *request) { r.attempts-- }
-
-// releaseSlot frees the place that a send took.
+// releaseSlot notes that an attempt ended, whatever its outcome.
 func (m *Machine) releaseSlot(r *request) {
 	r.attemptActive = false
-	m.prefillDone(r)
+	m.endPrefill(r)
 	m.runnerState(r.runnerID).addInFlight(m.nowMs, -1, -r.tokens)
-	pace := m.completionRates[r.key.service]
-	if pace == nil {
-		pace = &completionRate{}
-		m.completionRates[r.key.service] = pace
+	rate := m.completionRates[r.key.service]
+	if rate == nil {
+		rate = &completionRate{}
+		m.completionRates[r.key.service] = rate
 	}
-	pace.record(m.nowMs)
+	rate.record(m.nowMs)
 }
--- a/internal/proxy/attempttracker.go
+++ b/internal/proxy/attempttracker.go
@@ -3,79 +3,85 @@
 import "sync"
 
 const (
-	// runnerSilentMs is how long nothing came from a runner that could not be reached
-	// before its silent sends are given up; it says nothing itself when it has
-	// lost power or is cut off.
+	// runnerSilentMs is how long nothing must have come from a runner that
+	// cannot be reached before the attempts there are cancelled. A runner that
+	// lost power or its network ends no connection itself.
 	runnerSilentMs = 500
-	// maxTrackedRunners bounds the runners that are remembered.
+	// maxTrackedRunners is the number of runners at which all are forgotten.
 	maxTrackedRunners = 4096
 )
 
-// attemptTracker notes when each runner was last heard of by any send of this router,
-// and which sends may be made elsewhere.
+// attemptTracker knows when bytes last came from each runner and which
+// attempts there may be made elsewhere. It may be used from several
+// goroutines; its zero value is ready.
 type attemptTracker struct {
 	mu      sync.Mutex
-	runners map[string]*runnerAttempts
+	runners map[string]*trackedRunner
 }
 
-type runnerAttempts struct {
+// trackedRunner is the state of one runner.
+type trackedRunner struct {
 	lastReceivedMs int64
-	active         map[uint64]*cancelableAttempt
+	// active are the retryable attempts under way, by request id.
+	active map[uint64]*activeAttempt
 }
 
-// cancelableAttempt is a send under way that may run twice.
-type cancelableAttempt struct {
+// activeAttempt is an attempt under way that may be made elsewhere.
+type activeAttempt struct {
 	startMs int64
 	cancel  func()
 }
 
-func (h *attemptTracker) stateOf(runner string) *runnerAttempts {
-	if h.runners == nil || len(h.runners) >= maxTrackedRunners {
-		h.runners = map[string]*runnerAttempts{}
-	}
-	o := h.runners[runner]
-	if o == nil {
-		o = &runnerAttempts{active: map[uint64]*cancelableAttempt{}}
-		h.runners[runner] = o
-	}
-	return o
-}
-
-// start notes a send that may be given up by stop; done forgets it.
-func (h *attemptTracker) start(nowMs int64, runner string, id uint64, stop func()) (done func()) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	o := h.stateOf(runner)
-	o.active[id] = &cancelableAttempt{nowMs, stop}
+// start tracks an attempt that cancel ends; done forgets it.
+func (t *attemptTracker) start(nowMs int64, runner string, id uint64, cancel func()) (done func()) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	tracked := t.stateOf(runner)
+	tracked.active[id] = &activeAttempt{nowMs, cancel}
 	return func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		delete(o.active, id)
+		t.mu.Lock()
+		defer t.mu.Unlock()
+		delete(tracked.active, id)
 	}
 }
 
-// received notes that something came from a runner.
-func (h *attemptTracker) received(nowMs int64, runner string) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.stateOf(runner).lastReceivedMs = nowMs
+// received notes that bytes came from a runner.
+func (t *attemptTracker) received(nowMs int64, runner string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.stateOf(runner).lastReceivedMs = nowMs
 }
 
-// cancelSilent takes that a runner gave no answer to a call, and gives up the
-// sends that have heard nothing from it for long; it tells how many.
-func (h *attemptTracker) cancelSilent(nowMs int64, runner string) int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	o := h.stateOf(runner)
-	if nowMs-o.lastReceivedMs < runnerSilentMs {
+// cancelSilent is called when a runner could not be reached. If nothing has
+// come from it for runnerSilentMs it cancels the attempts there that are at
+// least as old, and returns how many.
+func (t *attemptTracker) cancelSilent(nowMs int64, runner string) int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	tracked := t.stateOf(runner)
+	if nowMs-tracked.lastReceivedMs < runnerSilentMs {
 		return 0
 	}
-	count := 0
-	for _, p := range o.active {
-		if nowMs-p.startMs >= runnerSilentMs {
-			p.cancel()
-			count++
+	cancelled := 0
+	for _, attempt := range tracked.active {
+		if nowMs-attempt.startMs >= runnerSilentMs {
+			attempt.cancel()
+			cancelled++
 		}
 	}
-	return count
+	return cancelled
+}
+
+// stateOf returns the state of a runner, and creates it on first use. The
+// caller holds the lock.
+func (t *attemptTracker) stateOf(runner string) *trackedRunner {
+	if t.runners == nil || len(t.runners) >= maxTrackedRunners {
+		t.runners = map[string]*trackedRunner{}
+	}
+	tracked := t.runners[runner]
+	if tracked == nil {
+		tracked = &trackedRunner{active: map[uint64]*activeAttempt{}}
+		t.runners[runner] = tracked
+	}
+	return tracked
 }
--- a/internal/proxy/balancer.go
+++ b/internal/proxy/balancer.go
@@ -2,154 +2,174 @@
 
 import "hash/fnv"
 
-// candidate is a runner that may take a request now.
+const (
+	// sameZoneSlack is how many requests more than the best runner of all a
+	// runner of the router's own zone may have and still be preferred.
+	sameZoneSlack = 2
+	// A runner that likely has a prompt's parts in its prefix cache is used
+	// while its load is below affinityLoadFactor times the average plus
+	// affinityLoadSlack requests.
+	affinityLoadFactor, affinityLoadSlack = 1.25, 4
+	// prefillStep is the difference in waiting prompt tokens from which on one
+	// runner counts as busier than another.
+	prefillStep = 512
+	// noCandidate is the index that choose returns for an empty list.
+	noCandidate = -1
+)
+
+// candidate is a runner that can take a request now.
 type candidate struct {
 	id string
-	// load is how many requests are thought to run or wait there.
+	// load is the estimated number of requests that execute or wait there,
+	// slots the number that can execute at the same time.
 	load, slots int
-	// prefillTokens is how many tokens of prompts are known to wait there.
+	// prefillTokens is the number of prompt tokens known to wait there.
 	prefillTokens int64
-	sameZone      bool
-	unhealthy     bool
+	// sameZone reports whether it is in the router's own zone.
+	sameZone bool
+	// unhealthy reports whether attempts there failed recently.
+	unhealthy bool
 }
 
-// selection is what a choice depends on beside the candidates.
+// selection is what the choice depends on beside the candidates.
 type selection struct {
-	// affinity names the parts of the prompt that others share; nought is none.
+	// affinity is a hash of the prompt parts that may be shared with other
+	// requests; 0 if there is none.
 	affinity uint64
-	// mostlyShared says that most of the prompt is shared, so that reading it anew
-	// costs more than waiting behind others.
+	// mostlyShared reports whether these are most of the prompt, so that it
+	// is cheaper to wait behind others than to prefill them at another runner.
 	mostlyShared bool
-	// draw is a number that differs for each request.
+	// draw is a pseudo-random number that differs between requests, and
+	// between the attempts of one request.
 	draw uint64
 }
 
-const (
-	// sameZoneSlack is by how much a runner of the own zone may be busier.
-	sameZoneSlack = 2
-	// A runner that holds the prompt's parts may have a quarter and some more
-	// than the average before another one reads them anew.
-	affinityLoadFactor, affinityLoadSlack = 1.25, 4
-)
-
-// choose gives the place of the runner to take, or -1 where there is none.
-func choose(candidates []candidate, w selection) int {
-	sound := make([]int, 0, len(candidates))
+// choose returns the index of the runner for a request, or noCandidate.
+// Unhealthy runners are chosen only if there is no other.
+func choose(candidates []candidate, s selection) int {
+	eligible := make([]int, 0, len(candidates))
 	for i := range candidates {
 		if !candidates[i].unhealthy {
-			sound = append(sound, i)
+			eligible = append(eligible, i)
 		}
 	}
-	if len(sound) == 0 {
+	if len(eligible) == 0 {
 		for i := range candidates {
-			sound = append(sound, i)
+			eligible = append(eligible, i)
 		}
 	}
 	switch {
-	case len(sound) == 0:
-		return -1
-	case w.affinity != 0 && w.mostlyShared:
-		return pickByAffinity(candidates, sound, w.affinity)
-	case w.affinity != 0:
-		return pickByRank(candidates, sound, w.affinity)
-	}
-	return pickByLoad(candidates, sound, w.draw)
+	case len(eligible) == 0:
+		return noCandidate
+	case s.affinity != 0 && s.mostlyShared:
+		return pickByAffinity(candidates, eligible, s.affinity)
+	case s.affinity != 0:
+		return pickByRank(candidates, eligible, s.affinity)
+	}
+	return pickByLoad(candidates, eligible, s.draw)
 }
 
-// pickByAffinity takes the first in the order of the parts' own hash that is not
-// too busy, so that all routers meet at the same runner without a word.
-func pickByAffinity(candidates []candidate, of []int, affinity uint64) int {
-	total := 0
-	for _, i := range of {
-		total += candidates[i].load
-	}
-	bound := affinityLoadFactor*float64(total)/float64(len(of)) + affinityLoadSlack
-	best, bestRank, least := -1, uint64(0), of[0]
-	for _, i := range of {
+// pickByAffinity returns the runner with the highest rank for the prompt parts
+// (rendezvous hashing) among those that are not too busy, so that all routers
+// choose the same one without communicating. If all are too busy it returns
+// the least loaded one.
+func pickByAffinity(candidates []candidate, eligible []int, affinity uint64) int {
+	totalLoad := 0
+	for _, i := range eligible {
+		totalLoad += candidates[i].load
+	}
+	loadLimit := affinityLoadFactor*float64(totalLoad)/float64(len(eligible)) + affinityLoadSlack
+	best, bestRank, leastLoaded := noCandidate, uint64(0), eligible[0]
+	for _, i := range eligible {
 		c := &candidates[i]
-		if c.load < candidates[least].load {
-			least = i
+		if c.load < candidates[leastLoaded].load {
+			leastLoaded = i
 		}
-		if float64(c.load) >= bound || c.load >= c.slots {
+		if float64(c.load) >= loadLimit || c.load >= c.slots {
 			continue
 		}
-		if rank := mix(affinity ^ hash(c.id)); best < 0 || rank > bestRank {
+		if rank := mix(affinity ^ hash(c.id)); best == noCandidate || rank > bestRank {
 			best, bestRank = i, rank
 		}
 	}
-	if best < 0 {
-		return least
+	if best == noCandidate {
+		return leastLoaded
 	}
 	return best
 }
 
-// pickByRank takes the less busy of the two that come first in the order of the
-// parts' own hash: what little they share is mostly kept there, and no runner
-// gets much more than its part.
-func pickByRank(candidates []candidate, of []int, affinity uint64) int {
-	first, second := -1, -1
+// pickByRank returns the less busy of the two runners with the highest rank
+// for the prompt parts. The little that is shared is mostly cached there, and
+// no runner gets much more than its share of the requests.
+func pickByRank(candidates []candidate, eligible []int, affinity uint64) int {
+	first, second := noCandidate, noCandidate
 	var firstRank, secondRank uint64
-	for _, i := range of {
+	for _, i := range eligible {
 		rank := mix(affinity ^ hash(candidates[i].id))
 		switch {
-		case first < 0 || rank > firstRank:
+		case first == noCandidate || rank > firstRank:
 			second, secondRank = first, firstRank
 			first, firstRank = i, rank
-		case second < 0 || rank > secondRank:
+		case second == noCandidate || rank > secondRank:
 			second, secondRank = i, rank
 		}
 	}
-	if second >= 0 && candidates[second].compareLoad(candidates[first]) < 0 {
+	if second != noCandidate && candidates[second].compareLoad(candidates[first]) < 0 {
 		return second
 	}
 	return first
 }
 
-// compareLoad compares two runners: prompts that wait to be read hold up all that
-// runs there, so they count before the number of requests.
-func (c candidate) compareLoad(than candidate) int {
-	if d := c.prefillTokens/prefillStep - than.prefillTokens/prefillStep; d != 0 {
-		return int(d)
-	}
-	return c.load - than.load
-}
-
-// prefillStep is how many tokens of prompts make a difference.
-const prefillStep = 512
-
-// pickByLoad draws two and takes the less busy one, since the loads are known a
-// little late; one of the own zone goes first where it is hardly busier.
-func pickByLoad(candidates []candidate, of []int, draw uint64) int {
-	pick := func(from []int, draw uint64) int {
-		a := from[draw%uint64(len(from))]
-		b := from[mix(draw)%uint64(len(from))]
-		if candidates[b].compareLoad(candidates[a]) < 0 {
-			return b
-		}
-		return a
-	}
-	best := pick(of, draw)
-	var own []int
-	for _, i := range of {
+// pickByLoad returns the less busy of two randomly drawn runners, which works
+// well with loads that are known with a delay. A runner of the router's own
+// zone, drawn the same way, is preferred if it is hardly busier.
+func pickByLoad(candidates []candidate, eligible []int, draw uint64) int {
+	best := lessBusyOfTwo(candidates, eligible, draw)
+	var inZone []int
+	for _, i := range eligible {
 		if candidates[i].sameZone {
-			own = append(own, i)
+			inZone = append(inZone, i)
 		}
 	}
-	if len(own) > 0 {
-		if near := pick(own, mix(draw+1)); candidates[near].load <= candidates[best].load+sameZoneSlack {
-			return near
-		}
+	if len(inZone) == 0 {
+		return best
+	}
+	near := lessBusyOfTwo(candidates, inZone, mix(draw+1))
+	if candidates[near].load <= candidates[best].load+sameZoneSlack {
+		return near
 	}
 	return best
 }
 
+// lessBusyOfTwo draws two of the indexes and returns that of the less busy
+// runner.
+func lessBusyOfTwo(candidates []candidate, indexes []int, draw uint64) int {
+	a := indexes[draw%uint64(len(indexes))]
+	b := indexes[mix(draw)%uint64(len(indexes))]
+	if candidates[b].compareLoad(candidates[a]) < 0 {
+		return b
+	}
+	return a
+}
+
+// compareLoad is negative if c is less busy than other and positive if it is
+// busier. Waiting prompts count first, since a prefill delays all requests at
+// a runner.
+func (c candidate) compareLoad(other candidate) int {
+	if d := c.prefillTokens/prefillStep - other.prefillTokens/prefillStep; d != 0 {
+		return int(d)
+	}
+	return c.load - other.load
+}
+
+// hash is the FNV-1a hash of a text.
 func hash(text string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(text))
 	return sum.Sum64()
 }
 
-// mix spreads the bits of a number.
+// mix spreads the bits of a number (the finalizer of SplitMix64).
 func mix(n uint64) uint64 {
 	n += 0x9e3779b97f4a7c15
 	n = (n ^ n>>30) * 0xbf58476d1ce4e5b9
@@ -157,29 +177,30 @@
 	return n ^ n>>31
 }
 
-// affinity names all parts of a prompt but the last, which is the request's
-// own; nought says that there is nothing to share.
-func affinity(service string, a RequestParams) uint64 {
-	if len(a.PromptParts) < 2 {
+// affinity returns a hash of all parts of a prompt but the last, which is the
+// request's own, or 0 if there are no others.
+func affinity(service string, params RequestParams) uint64 {
+	if len(params.PromptParts) < 2 {
 		return 0
 	}
 	sum := fnv.New64a()
-	for _, text := range []string{service, a.Model, a.Adapter} {
+	for _, text := range []string{service, params.Model, params.Adapter} {
 		_, _ = sum.Write([]byte(text))
 		_, _ = sum.Write([]byte{'/'})
 	}
-	for _, part := range a.PromptParts[:len(a.PromptParts)-1] {
+	for _, part := range params.PromptParts[:len(params.PromptParts)-1] {
 		_, _ = sum.Write([]byte(part.ID))
 		_, _ = sum.Write([]byte{','})
 	}
 	return max(1, sum.Sum64())
 }
 
-// mostlyShared says whether most of a prompt is shared with others.
-func mostlyShared(a RequestParams) bool {
+// mostlyShared reports whether more than half of a prompt may be shared with
+// other requests.
+func mostlyShared(params RequestParams) bool {
 	common := int64(0)
-	for _, part := range a.PromptParts[:max(0, len(a.PromptParts)-1)] {
+	for _, part := range params.PromptParts[:max(0, len(params.PromptParts)-1)] {
 		common += part.Tokens
 	}
-	return 2*common > a.PromptTokens
+	return 2*common > params.PromptTokens
 }
--- a/internal/proxy/cache.go
+++ b/internal/proxy/cache.go
@@ -6,82 +6,98 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// cacheKey is what requests ask for.
+const (
+	maxCacheEntries = 2048
+	// entryMaxAgeMs is how old an entry may be and still count as a hit. The
+	// index notifies only routers that asked recently of a runner that no
+	// longer holds a model.
+	entryMaxAgeMs = 3500
+	// excludeMs is how long a runner is excluded from an entry after it
+	// answered that it does not hold the model.
+	excludeMs = 1000
+	// excludeMinMs is how long it stays excluded even if the index reports a
+	// change meanwhile, which may concern another runner.
+	excludeMinMs = 150
+)
+
+// cacheKey is what requests ask the index for.
 type cacheKey struct{ service, model, adapter string }
 
-// cacheEntry is a cached line of the index, for a key that was named.
+// less orders keys.
+func (k cacheKey) less(other cacheKey) bool {
+	return slices.Compare([]string{k.service, k.model, k.adapter}, []string{other.service, other.model, other.adapter}) < 0
+}
+
+// cacheEntry is a cached entry of the index.
 type cacheEntry struct {
+	// epoch and change are the entry's version.
 	epoch, change uint64
-	holders       []protocol.IndexHolder
-	// loadExpectedMs is when it may be held where it is not, or -1.
+	// holders are the runners that hold what the key names.
+	holders []protocol.IndexHolder
+	// loadExpectedMs is when a runner may hold it if none does, or -1 if that
+	// is not known; loading reports whether a load is under way.
 	loadExpectedMs int64
 	loading        bool
 	lastUsedMs     int64
-	// updatedMs is when the index last told of it.
+	// updatedMs is when the index last sent the entry.
 	updatedMs int64
-	// excluded are runners that said that they don't hold it after all, until
-	// when they are left out.
+	// excluded are the holders that answered that they do not hold it, with
+	// the time until which they are not used; nil if there is none.
 	excluded map[string]int64
 }
 
-const (
-	maxCacheEntries = 2048
-	// entryMaxAgeMs is how old a line may be and still be a hit: a router that has not
-	// asked for longer is not told when a holder goes.
-	entryMaxAgeMs = 3500
-	excludeMs     = 1000
-	// excludeMinMs is for how long it is shunned whatever the index tells.
-	excludeMinMs = 150
-)
-
-// cache keeps entries for named keys only.
+// cache keeps the index entries of keys that requests have named.
 type cache map[cacheKey]*cacheEntry
 
-// update brings an index line in; false says that a newer one is there.
-func (c cache) update(nowMs int64, in protocol.IndexReply) bool {
-	at := cacheKey{in.Service, in.Model, in.Adapter}
-	old := c[at]
-	if old != nil && (old.epoch > in.Epoch || old.epoch == in.Epoch && old.change > in.Change) {
+// update stores an entry that the index sent. It reports false if the cached
+// one is newer.
+func (c cache) update(nowMs int64, reply protocol.IndexReply) bool {
+	key := cacheKey{reply.Service, reply.Model, reply.Adapter}
+	old := c[key]
+	if old != nil && old.newerThan(reply) {
 		return false
 	}
 	if old == nil && len(c) >= maxCacheEntries {
 		c.evictLeastRecentlyUsed()
 	}
-	e := &cacheEntry{epoch: in.Epoch, change: in.Change, holders: in.Holders, loadExpectedMs: -1, loading: in.Loading, lastUsedMs: nowMs, updatedMs: nowMs}
-	if in.TurnMs >= 0 {
-		e.loadExpectedMs = nowMs + in.TurnMs
+	entry := &cacheEntry{
+		epoch: reply.Epoch, change: reply.Change, holders: reply.Holders,
+		loadExpectedMs: -1, loading: reply.Loading, lastUsedMs: nowMs, updatedMs: nowMs,
+	}
+	if reply.TurnMs >= 0 {
+		entry.loadExpectedMs = nowMs + reply.TurnMs
 	}
 	if old != nil {
-		e.lastUsedMs = old.lastUsedMs
-		// What a runner said itself just now is newer than what the line rests
-		// on, though it may tell of a change elsewhere.
-		changed := old.epoch != in.Epoch || old.change != in.Change
-		for runner, untilMs := range old.excluded {
-			if untilMs > nowMs && (!changed || nowMs-(untilMs-excludeMs) < excludeMinMs) {
-				e.exclude(untilMs-excludeMs, runner)
-			}
-		}
+		entry.lastUsedMs = old.lastUsedMs
+		entry.keepExclusions(nowMs, old)
 	}
-	c[at] = e
+	c[key] = entry
 	return true
 }
 
-// evictLeastRecentlyUsed lets the line go that was unused for longest.
-func (c cache) evictLeastRecentlyUsed() {
-	var oldest cacheKey
-	found := false
-	for at, e := range c {
-		if !found || e.lastUsedMs < c[oldest].lastUsedMs || e.lastUsedMs == c[oldest].lastUsedMs && at.less(oldest) {
-			oldest, found = at, true
-		}
+// newerThan compares the entry's version with that of a reply.
+func (e *cacheEntry) newerThan(reply protocol.IndexReply) bool {
+	if e.epoch != reply.Epoch {
+		return e.epoch > reply.Epoch
 	}
-	delete(c, oldest)
+	return e.change > reply.Change
 }
 
-func (k cacheKey) less(other cacheKey) bool {
-	return slices.Compare([]string{k.service, k.model, k.adapter}, []string{other.service, other.model, other.adapter}) < 0
+// keepExclusions takes over the exclusions of the entry before. If the version
+// has changed only the most recent ones are kept: what a runner answered just
+// now is newer than what the index goes by.
+func (e *cacheEntry) keepExclusions(nowMs int64, old *cacheEntry) {
+	changed := old.epoch != e.epoch || old.change != e.change
+	for runner, untilMs := range old.excluded {
+		excludedMs := untilMs - excludeMs
+		recent := nowMs-excludedMs < excludeMinMs
+		if untilMs > nowMs && (!changed || recent) {
+			e.exclude(excludedMs, runner)
+		}
+	}
 }
 
+// exclude leaves a runner out for excludeMs.
 func (e *cacheEntry) exclude(nowMs int64, runner string) {
 	if e.excluded == nil {
 		e.excluded = map[string]int64{}
@@ -89,7 +105,29 @@
 	e.excluded[runner] = nowMs + excludeMs
 }
 
-// canServe says whether a holder can be asked for the key.
-func (e *cacheEntry) canServe(nowMs int64, at cacheKey, h *protocol.IndexHolder) bool {
-	return (at.adapter == "" || h.Adapter) && e.excluded[h.ID] <= nowMs
+// canServe reports whether a holder has the adapter of the key and is not
+// excluded.
+func (e *cacheEntry) canServe(nowMs int64, key cacheKey, holder *protocol.IndexHolder) bool {
+	return (key.adapter == "" || holder.Adapter) && e.excluded[holder.ID] <= nowMs
+}
+
+// evictLeastRecentlyUsed removes one entry; ties are broken by key, so that
+// equal states evolve equally.
+func (c cache) evictLeastRecentlyUsed() {
+	var oldest cacheKey
+	var oldestMs int64
+	found := false
+	for key, entry := range c {
+		older := entry.lastUsedMs < oldestMs || entry.lastUsedMs == oldestMs && key.less(oldest)
+		if !found || older {
+			oldest, oldestMs, found = key, entry.lastUsedMs, true
+		}
+	}
+	delete(c, oldest)
+}
+
+// isEmpty reports whether the entry names no runner and no load, so that it
+// may be from before the control plane knew anything.
+func (e *cacheEntry) isEmpty() bool {
+	return len(e.holders) == 0 && e.loadExpectedMs < 0 && !e.loading
 }
--- a/internal/proxy/candidates.go
+++ b/internal/proxy/candidates.go
@@ -4,42 +4,27 @@
 	"slices"
 
 	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/protocol"
 )
 
-// candidates lists the runners that a request can be sent to now, and in
-// m.offered the holders behind them. Where there is none, m.allFull says
-// that it is for want of places alone.
+// noInFlightLimit stands for a service that sets no limit of connections.
+const noInFlightLimit = 1 << 20
+
+// candidates returns the runners that the request can be sent to now, and sets
+// m.candidateHolders to their index entries, in the same order. If there is
+// none, m.allFull reports whether that is so only because they are full. The
+// result is valid until the next call.
 func (m *Machine) candidates(r *request) []candidate {
 	m.candidateHolders, m.allFull = m.candidateHolders[:0], false
 	m.candidateList = m.candidateList[:0]
-	e := m.indexEntry(r.key)
-	if e == nil || m.isStale(r, e) {
+	entry := m.indexEntry(r.key)
+	if entry == nil || m.isStale(r, entry) {
 		return nil
 	}
-	e.lastUsedMs = m.nowMs
-	streams := m.inFlightLimit(r.service)
-	// A runner that it was lost at is better than none.
-	for _, again := range []bool{false, true} {
-		for i := range e.holders {
-			h := &e.holders[i]
-			if m.isDraining(h.ID) || !e.canServe(m.nowMs, r.key, h) || slices.Contains(r.rejectedBy, h.ID) ||
-				slices.Contains(r.unreachable, h.ID) && m.nowMs < r.unreachableUntilMs || slices.Contains(r.failedAt, h.ID) != again {
-				continue
-			}
-			known := m.runnerState(h.ID)
-			if known.slots == 0 {
-				known.slots = h.Slots
-			}
-			if known.isFull(m.nowMs, r.tokens, streams) || m.prefillTooLong(r, known) {
-				m.allFull = true
-				continue
-			}
-			m.candidateHolders = append(m.candidateHolders, *h)
-			m.candidateList = append(m.candidateList, candidate{
-				id: h.ID, load: known.load(m.nowMs), slots: known.slots, prefillTokens: known.prefillTokens,
-				sameZone: h.Zone == m.settings.Self.Zone, unhealthy: known.unhealthyUntilMs > m.nowMs,
-			})
-		}
+	entry.lastUsedMs = m.nowMs
+	// Runners at which an attempt failed are used only if there is no other.
+	for _, failedBefore := range []bool{false, true} {
+		m.addCandidates(r, entry, failedBefore)
 		if len(m.candidateList) > 0 || m.allFull {
 			break
 		}
@@ -47,32 +32,78 @@
 	return m.candidateList
 }
 
-// prefillTooLong says that the prompts that wait at a runner would take more than half
-// of a stream's patience to be read before its own.
-func (m *Machine) prefillTooLong(r *request, known *runnerState) bool {
-	each := m.prefillEstimates[modelKey{r.key.service, r.key.model}]
-	if each <= 0 || r.service.Engine == nil || r.route.Kind != config.Stream {
+// addCandidates adds the usable holders at which an attempt of the request has
+// failed before, or those at which none has.
+func (m *Machine) addCandidates(r *request, entry *cacheEntry, failedBefore bool) {
+	inFlightLimit := m.inFlightLimit(r.service)
+	for i := range entry.holders {
+		holder := &entry.holders[i]
+		if !m.isUsable(r, entry, holder) || slices.Contains(r.failedAt, holder.ID) != failedBefore {
+			continue
+		}
+		runner := m.runnerState(holder.ID)
+		if runner.slots == 0 {
+			runner.slots = holder.Slots
+		}
+		if runner.isFull(m.nowMs, r.tokens, inFlightLimit) || m.prefillTooLong(r, runner) {
+			m.allFull = true
+			continue
+		}
+		m.candidateHolders = append(m.candidateHolders, *holder)
+		m.candidateList = append(m.candidateList, candidate{
+			id: holder.ID, load: runner.load(m.nowMs), slots: runner.slots, prefillTokens: runner.prefillTokens,
+			sameZone: holder.Zone == m.settings.Self.Zone, unhealthy: runner.unhealthyUntilMs > m.nowMs,
+		})
+	}
+}
+
+// isUsable reports whether a holder may get the request at all: it is not
+// shutting down, can serve the key, and has neither rejected this request nor
+// been unreachable for it just now.
+func (m *Machine) isUsable(r *request, entry *cacheEntry, holder *protocol.IndexHolder) bool {
+	if m.isDraining(holder.ID) || !entry.canServe(m.nowMs, r.key, holder) {
 		return false
 	}
-	waiting := known.prefillTokens
-	if m.nowMs-known.reportedMs <= reportMaxAgeMs {
-		waiting = max(waiting, int64(known.reportedQueued)*max(1, r.Params.PromptTokens))
+	if slices.Contains(r.rejectedBy, holder.ID) {
+		return false
+	}
+	return m.nowMs >= r.unreachableUntilMs || !slices.Contains(r.unreachable, holder.ID)
+}
+
+// prefillTooLong reports whether the prompts that wait at a runner would take
+// more than half of the time in which a stream must begin. It compares with
+// the latency target instead where that is longer.
+func (m *Machine) prefillTooLong(r *request, runner *runnerState) bool {
+	msPer1000Tokens := m.prefillEstimates[modelKey{r.key.service, r.key.model}]
+	if msPer1000Tokens <= 0 || r.service.Engine == nil || r.route.Kind != config.Stream {
+		return false
+	}
+	waitingTokens := runner.prefillTokens
+	if m.nowMs-runner.reportedMs <= reportMaxAgeMs {
+		// Of the reported queue only the length is known; its prompts are
+		// taken to be as long as this one.
+		waitingTokens = max(waitingTokens, int64(runner.reportedQueued)*max(1, r.Params.PromptTokens))
 	}
-	aheadMs := int64(float64(waiting) * each / 1000)
-	return aheadMs > max(r.route.LatencyTargetMs, m.answerTimeMs(r)/2)
+	waitMs := int64(float64(waitingTokens) * msPer1000Tokens / 1000)
+	return waitMs > max(r.route.LatencyTargetMs, m.answerTimeMs(r)/2)
 }
 
-// isStale says that a line is too old for a hit: its request waits for the
-// look-up's answer as a miss does. An old line is better than none after that,
-// or while no controller answers.
-func (m *Machine) isStale(r *request, e *cacheEntry) bool {
-	return m.nowMs-e.updatedMs > entryMaxAgeMs && r.attempts == 0 && !r.lookUpAnswered && !m.primarySilent() && m.nowMs-r.arrivedMs < missDelayedMs
+// isStale reports whether an entry is too old for a hit, so that the request
+// waits for the answer to its look-up as a miss does. An old entry is used
+// after that wait, and while no controller answers.
+func (m *Machine) isStale(r *request, entry *cacheEntry) bool {
+	if m.nowMs-entry.updatedMs <= entryMaxAgeMs || m.primarySilent() {
+		return false
+	}
+	waitsForLookUp := r.attempts == 0 && !r.lookUpAnswered
+	return waitsForLookUp && m.nowMs-r.arrivedMs < missDelayedMs
 }
 
-// inFlightLimit is how many requests this router may have under way at a runner.
-func (m *Machine) inFlightLimit(s *config.Service) int {
-	if s.MaxConnections <= 0 {
-		return 1 << 20
+// inFlightLimit returns how many requests this router may have under way at
+// one runner: its share of the connections that the service allows.
+func (m *Machine) inFlightLimit(service *config.Service) int {
+	if service.MaxConnections <= 0 {
+		return noInFlightLimit
 	}
-	return max(2, int(limitMargin*float64(s.MaxConnections))/max(1, m.routerCount))
+	return max(2, int(limitMargin*float64(service.MaxConnections))/max(1, m.routerCount))
 }
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -12,54 +12,56 @@
 )
 
 const (
-	// Limits of clients' connections where the map says nothing.
+	// Limits of clients' connections if the service map sets none.
 	defaultIdle        = 20 * time.Second
 	defaultHeadTimeout = 5 * time.Second
 	defaultHeadBytes   = 64 << 10
-	// headBytesCeiling bounds a head whatever the map says.
+	// headBytesCeiling limits a head whatever the service map says.
 	headBytesCeiling = 256 << 10
-	// timeoutSlack is for how much longer than the map says a connection is
-	// waited for. A map may be this late here, and a request may be on its way.
+	// timeoutSlack is added to the time-outs of the service map: a new map may
+	// arrive here later than at the clients, and a request may be on its way.
 	timeoutSlack = 2 * time.Second
-	// maxTimeout keeps any number of a map inside what a timer can hold.
+	// maxTimeout keeps the numbers of a service map in the range of a timer.
 	maxTimeout = 24 * time.Hour
-	// finalReadTimeout is how long a connection whose time is over is read once more:
-	// a process that stood still finds there what came meanwhile.
+	// finalReadTimeout is for one more read after the deadline, which finds
+	// what arrived while the process stood still.
 	finalReadTimeout = 10 * time.Millisecond
 )
 
-// clientLimits are what a client's connection may take.
+// clientLimits limit what a client's connection may take.
 type clientLimits struct {
-	// idle is how long it may rest, headWait how long the rest of a head may
-	// take after its first byte.
-	idle, headWait time.Duration
-	headBytes      int64
+	// idle is how long it may wait for the next request, headTimeout how long
+	// the rest of a head may take after its first byte.
+	idle, headTimeout time.Duration
+	// headBytes is the largest size of a head.
+	headBytes int64
 }
 
-// clientLimitsOf reads the limits of a map, which may be nil.
-func clientLimitsOf(document *config.Configuration) clientLimits {
+// clientLimitsOf returns the limits of a service map, which may be nil.
+func clientLimitsOf(serviceMap *config.Configuration) clientLimits {
 	limits := clientLimits{defaultIdle, defaultHeadTimeout, defaultHeadBytes}
-	if document == nil {
+	if serviceMap == nil {
 		return limits
 	}
-	if ms := document.Limits.IdleTimeoutMs; ms > 0 {
+	if ms := serviceMap.Limits.IdleTimeoutMs; ms > 0 {
 		limits.idle = timeoutOf(ms)
 	}
-	if ms := document.Limits.HeaderTimeoutMs; ms > 0 {
-		limits.headWait = timeoutOf(ms)
+	if ms := serviceMap.Limits.HeaderTimeoutMs; ms > 0 {
+		limits.headTimeout = timeoutOf(ms)
 	}
-	if bytes := document.Limits.MaxHeaderBytes; bytes > 0 {
+	if bytes := serviceMap.Limits.MaxHeaderBytes; bytes > 0 {
 		limits.headBytes = min(bytes, headBytesCeiling)
 	}
 	return limits
 }
 
+// timeoutOf returns the time-out for a number of a service map.
 func timeoutOf(ms int64) time.Duration {
 	return time.Duration(min(ms, maxTimeout.Milliseconds()))*time.Millisecond + timeoutSlack
 }
 
-// headBytes counts the head of a request. What the standard server has taken
-// out of it is left out, so it never counts more than was sent.
+// headBytes returns the size of a request's head. Headers that the standard
+// server has removed are not counted, so it is never more than was sent.
 func headBytes(r *http.Request) int64 {
 	const space, colon, lineEnd = 1, 2, 2
 	count := len(r.Method) + space + len(r.RequestURI) + space + len(r.Proto) + lineEnd + lineEnd
@@ -74,9 +76,10 @@
 	return int64(count)
 }
 
-// clientListener accepts connections whose waits follow the limits in use.
+// clientListener accepts clients' connections that follow the limits in use.
 type clientListener struct {
 	net.Listener
+	// limits is called from the goroutines of all connections.
 	limits func() clientLimits
 }
 
@@ -87,33 +90,35 @@
 		return nil, err
 	}
 	c := &clientConn{Conn: accepted, limits: l.limits}
-	c.rest()
+	c.setIdle()
 	return c, nil
 }
 
-// connPhase says what is being read from a client's connection.
+// connPhase is what is being read from a client's connection.
 type connPhase int
 
 const (
-	// connResting waits for the first byte of a request.
-	connResting connPhase = iota
-	// connReadingHead has a part of a head.
+	// connIdle waits for the first byte of a request.
+	connIdle connPhase = iota
+	// connReadingHead has received a part of a head.
 	connReadingHead
-	// connActive has a whole head; the handler sets the deadlines.
+	// connActive has received a complete head; the handler sets the deadlines.
 	connActive
 )
 
-// clientConn sets the deadlines that the standard server would take from fields
-// that can't change while it serves. All but the reads during a request happen
-// in the one goroutine that serves the connection.
+// clientConn sets read deadlines that follow changes of the service map, which
+// those of the standard server cannot. All but the reads during a request
+// happen in the one goroutine that serves the connection.
 type clientConn struct {
 	net.Conn
 	limits func() clientLimits
 	phase  connPhase
-	since  time.Time
+	// since is when the phase began.
+	since time.Time
 }
 
-// trackClientConn is told by the standard server what a connection does.
+// trackClientConn is the standard server's callback for state changes of a
+// connection.
 func trackClientConn(connection net.Conn, state http.ConnState) {
 	c, ok := connection.(*clientConn)
 	if !ok {
@@ -121,35 +126,36 @@
 	}
 	switch state {
 	case http.StateIdle:
-		c.rest()
+		c.setIdle()
 	case http.StateActive:
 		c.phase = connActive
 	}
 }
 
-func (c *clientConn) rest() {
-	c.phase, c.since = connResting, time.Now()
+// setIdle notes that the connection waits for its next request.
+func (c *clientConn) setIdle() {
+	c.phase, c.since = connIdle, time.Now()
 }
 
-// Read reads within the limit of what is being read.
+// Read reads within the limit of the phase.
 func (c *clientConn) Read(p []byte) (int, error) {
 	switch c.phase {
-	case connResting:
+	case connIdle:
 		n, err := c.readUntil(p, func() time.Time { return c.since.Add(c.limits().idle) })
 		if n > 0 {
 			c.phase, c.since = connReadingHead, time.Now()
 		}
 		return n, err
 	case connReadingHead:
-		return c.readUntil(p, func() time.Time { return c.since.Add(c.limits().headWait) })
+		return c.readUntil(p, func() time.Time { return c.since.Add(c.limits().headTimeout) })
 	default:
 		return c.Conn.Read(p)
 	}
 }
 
-// readUntil reads until a deadline. One that comes to lie later meanwhile holds
-// at once; one that comes to lie sooner only from the next read on, since a
-// client that rests may not know of it yet.
+// readUntil reads until a deadline, which a new service map may move: a later
+// one is used at once, an earlier one only from the next read on, since the
+// client may not know of it yet.
 func (c *clientConn) readUntil(p []byte, deadline func() time.Time) (int, error) {
 	for {
 		until := deadline()
@@ -170,8 +176,8 @@
 	}
 }
 
-// CloseWrite ends the writing, so that a client can read the last answer
-// although not all that it sent was read.
+// CloseWrite closes the connection for writing, so that a client can read the
+// last response although not all that it sent was read.
 func (c *clientConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -228,7 +228,7 @@
 func TestWhatCameWhileTheProcessStoodStillIsRead(t *testing.T) {
 	c := qt.New(t)
 	connection := &clientConn{Conn: &frozen{text: "GET"}, limits: func() clientLimits { return clientLimitsOf(nil) }}
-	connection.rest()
+	connection.setIdle()
 	buffer := make([]byte, 8)
 	n, err := connection.Read(buffer)
 	c.Assert(err, qt.IsNil)
@@ -253,11 +253,11 @@
 		document.Limits.MaxHeaderBytes = test.bytes
 		text, err := json.Marshal(document)
 		c.Assert(err, qt.IsNil)
-		g.shell.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.ConfigUpdate{
-			EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
+		g.runtime.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.ConfigUpdate{
+			EchoMs: g.runtime.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
 		}})
 		// The machine takes one input after the other, so this one is behind.
-		_, ok := g.shell.Call(context.Background(), func(id uint64) any { return StatusQuery{ID: id} })
+		_, ok := g.runtime.Call(context.Background(), func(id uint64) any { return StatusQuery{ID: id} })
 		c.Assert(ok, qt.IsTrue)
 		connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 		c.Assert(err, qt.IsNil)
--- a/internal/proxy/codec.go
+++ b/internal/proxy/codec.go
@@ -1,6 +1,3 @@
-// Package proxy is the data plane where a service map is in use: a router
-// takes requests by host and path, looks each up once, chooses a runner, and
-// passes the answer on, piece by piece where it is a stream.
 package proxy
 
 import (
@@ -9,78 +6,101 @@
 	"myrtlewinch/internal/errkind"
 )
 
-// RequestParams is what a client asked, in the product's words.
+// RequestParams are the parameters of a client's request, as a Codec reads
+// them from its headers.
 type RequestParams struct {
-	// RequestID names this try of the client; every try has an id of its own.
-	RequestID      string
+	// RequestID identifies this attempt of the client. It is never empty, and
+	// a client that repeats a request uses a new id. A response counts only
+	// if it echoes this id.
+	RequestID string
+	// Model and Adapter name what the request needs; empty if not stated.
 	Model, Adapter string
-	// PromptTokens and MaxOutputTokens are the prompt's size and the most to be
-	// produced; nought where they were not said.
+	// PromptTokens and MaxOutputTokens are the size of the prompt and the
+	// largest number of tokens to be generated; 0 if not stated.
 	PromptTokens, MaxOutputTokens int64
-	// PromptParts of the prompt in order; the last is the request's own.
+	// PromptParts are the parts of the prompt in order. All but the last may
+	// be shared with other requests and be in a runner's prefix cache.
 	PromptParts []PromptPart
-	// TimeoutMs is for how long the client will wait; 0 where it did not say.
+	// TimeoutMs is how long the client will wait, counted from the arrival of
+	// the request, at least 1; 0 if not stated.
 	TimeoutMs int64
-	// LastEventID is the last piece that the client has, or empty.
+	// LastEventID is the id of the last event of a stream that the client
+	// already has; empty for a request that does not resume a stream.
 	LastEventID string
 }
 
 // PromptPart is one part of a prompt.
 type PromptPart struct {
-	ID     string
+	// ID is the same for equal parts of different prompts.
+	ID string
+	// Tokens is the part's length.
 	Tokens int64
 }
 
-// AttemptParams is what a request to a runner must say beside what the client said.
+// AttemptParams is what the request to a runner states beside what the
+// client's request stated.
 type AttemptParams struct {
-	// Runner is the id of the runner that alone may run it.
+	// Runner is the id of the only runner that may execute the request.
 	Runner string
-	// TimeoutMs is what is left of the client's time.
+	// TimeoutMs is the time left until the client stops waiting; 0 leaves the
+	// header out.
 	TimeoutMs int64
-	// Urgency is 0 (first) to 9.
+	// Urgency is 0 (most urgent) to 9.
 	Urgency int
-	// LastEventID is the last piece that was passed on, or empty.
+	// LastEventID is the id of the last event that was forwarded to the
+	// client, for an attempt that resumes a stream; otherwise empty.
 	LastEventID string
-	// WeightsVersion is the version of the weights that must answer, or 0 for any.
+	// WeightsVersion is the version of the model weights that must answer, or
+	// 0 for any version.
 	WeightsVersion int64
 }
 
-// ResponseHead is what the head of a runner's answer says.
+// ResponseHead is what the head of a runner's response states.
 type ResponseHead struct {
-	// NotRun promises that the runner did not run the request.
+	// NotRun is the runner's promise that it did not execute the request.
 	NotRun bool
-	// RequestID echoes the id of the request that this answers; empty if none.
+	// RequestID echoes the id of the request; empty if there is none or more
+	// than one.
 	RequestID string
-	// HasSeal says that the runner's stamp is there.
+	// HasSeal reports whether the runner's seal is present. Without it a
+	// response with a 2xx status is not valid.
 	HasSeal bool
-	// Runner is the id of who answered, where it says so.
+	// Runner is the id of the runner that responded; empty if not stated.
 	Runner string
-	// HasLoad says that Running, Waiting and Slots are told.
+	// HasLoad reports whether Running, Waiting and Slots are set. They are the
+	// numbers of requests that the runner executes, that wait there, and that
+	// it can execute at the same time.
 	HasLoad                 bool
 	Running, Waiting, Slots int
-	// WeightsVersion is that of the weights, or 0.
+	// WeightsVersion is the version of the model weights, or 0 if not stated.
 	WeightsVersion int64
-	// ConnectionClose says that the connection will be closed.
+	// ConnectionClose reports whether the runner will close the connection.
 	ConnectionClose bool
-	// UnexpectedEncoding says that the body is under an encoding nobody asked for.
+	// UnexpectedEncoding reports whether the body has a content encoding,
+	// which the router never asks for.
 	UnexpectedEncoding bool
 }
 
-// Codec is how clients and runners speak. It only translates.
+// Codec translates between the HTTP headers that clients and runners use and
+// the types of this package. It keeps no state and may be used from several
+// goroutines at the same time.
 type Codec interface {
-	// ParseRequest reads a client's request; an error says that its words are off.
+	// ParseRequest reads the parameters of a client's request. An error means
+	// that the request is malformed.
 	ParseRequest(r *http.Request) (RequestParams, error)
-	// WriteAttemptHeader fills the head of a request to a runner from the client's.
-	WriteAttemptHeader(to, from http.Header, g AttemptParams)
-	// ParseResponseHead reads the head of a runner's answer.
-	ParseResponseHead(answer *http.Response) ResponseHead
-	// CopyResponseHeader copies the head of a runner's answer to the client's, without what
-	// concerns one connection only.
+	// WriteAttemptHeader fills the header of a request to a runner from that
+	// of the client's request and params.
+	WriteAttemptHeader(to, from http.Header, params AttemptParams)
+	// ParseResponseHead reads the head of a runner's response.
+	ParseResponseHead(response *http.Response) ResponseHead
+	// CopyResponseHeader copies the header of a runner's response into the
+	// one for the client, without the hop-by-hop fields.
 	CopyResponseHeader(to, from http.Header)
-	// WriteRejection answers with a kind of defect; retryMs 0 leaves out when to come
-	// back.
+	// WriteRejection writes a complete error response of the given kind.
+	// retryMs is the value of Retry-After; 0 leaves it out.
 	WriteRejection(w http.ResponseWriter, kind errkind.Kind, retryMs int64)
-	// ParseEvent reads the id of one whole event of a stream (its lines with the
-	// blank one that ends it), and the version of the weights where it changes.
+	// ParseEvent reads the id of one complete event of a stream, which
+	// includes the blank line at its end, and the version of the model weights
+	// if it changes with this event, otherwise 0.
 	ParseEvent(event []byte) (id string, version int64)
 }
--- a/internal/proxy/completionrate.go
+++ b/internal/proxy/completionrate.go
@@ -1,26 +1,35 @@
 package proxy
 
-// completionRate counts what happens in a second, by halves.
+// rateWindowMs is the length of a window of completionRate.
+const rateWindowMs = 500
+
+// completionRate counts events in the current window of time and in the one
+// before.
 type completionRate struct {
 	current, previous float64
-	windowStartMs     int64
+	// windowStartMs is when the current window began; 0 before the first
+	// event.
+	windowStartMs int64
 }
 
-const rateWindowMs = 500
-
-func (p *completionRate) record(nowMs int64) {
-	if p.windowStartMs == 0 {
-		p.windowStartMs = nowMs
+// record counts one event.
+func (c *completionRate) record(nowMs int64) {
+	if c.windowStartMs == 0 {
+		c.windowStartMs = nowMs
 	}
-	for halves := (nowMs - p.windowStartMs) / rateWindowMs; halves > 0; halves-- {
-		p.windowStartMs += rateWindowMs
-		p.previous, p.current = p.current, 0
-		if nowMs-p.windowStartMs > 2*rateWindowMs {
-			p.windowStartMs, p.previous = nowMs, 0
+	for windows := (nowMs - c.windowStartMs) / rateWindowMs; windows > 0; windows-- {
+		c.windowStartMs += rateWindowMs
+		c.previous, c.current = c.current, 0
+		if nowMs-c.windowStartMs > 2*rateWindowMs {
+			// Both windows are empty after so long a pause.
+			c.windowStartMs, c.previous = nowMs, 0
 			break
 		}
 	}
-	p.current++
+	c.current++
 }
 
-func (p *completionRate) perSecond() float64 { return max(p.previous, p.current) * 1000 / rateWindowMs }
+// perSecond estimates the rate by the busier of the two windows.
+func (c *completionRate) perSecond() float64 {
+	return max(c.previous, c.current) * 1000 / rateWindowMs
+}
--- a/internal/proxy/eventsplitter.go
+++ b/internal/proxy/eventsplitter.go
@@ -6,22 +6,26 @@
 	"github.com/cockroachdb/errors"
 )
 
+// maxEventBytes limits one event of a stream.
 const maxEventBytes = 256 << 10
 
-var errEventTooLarge = errors.New("an event is too large")
+var errEventTooLarge = errors.New("an event of the stream is too large")
 
-// eventSplitter cuts a stream into whole events, each ended by a blank line.
+// eventSplitter splits a stream into complete events, each of which ends with
+// a blank line. Its zero value is ready.
 type eventSplitter struct {
-	buffered []byte
-	// lineStart is where the line begins that has no end yet.
+	// buffered is the incomplete event at the end of what was read; lineStart
+	// is where its last, incomplete line begins.
+	buffered  []byte
 	lineStart int
 }
 
-// feed takes what was read and calls take for each whole event, with the blank
-// line that ends it; its bytes are only lent. Take says no to stop.
-func (s *eventSplitter) feed(read []byte, take func(event []byte) bool) error {
+// feed takes what was read and calls handle for each event that is complete,
+// including its blank line. The event is valid only during the call. handle
+// returns false to stop; feed must not be called after that.
+func (s *eventSplitter) feed(read []byte, handle func(event []byte) bool) error {
 	s.buffered = append(s.buffered, read...)
-	from := 0
+	eventStart := 0
 	for {
 		length := bytes.IndexByte(s.buffered[s.lineStart:], '\n')
 		if length < 0 {
@@ -29,19 +33,24 @@
 		}
 		line := s.buffered[s.lineStart : s.lineStart+length]
 		s.lineStart += length + 1
-		if len(line) > 0 && (len(line) > 1 || line[0] != '\r') {
+		if !isBlank(line) {
 			continue
 		}
-		event := s.buffered[from:s.lineStart]
-		from = s.lineStart
-		if !take(event) {
+		event := s.buffered[eventStart:s.lineStart]
+		eventStart = s.lineStart
+		if !handle(event) {
 			break
 		}
 	}
-	s.buffered = s.buffered[:copy(s.buffered, s.buffered[from:])]
-	s.lineStart -= from
+	s.buffered = s.buffered[:copy(s.buffered, s.buffered[eventStart:])]
+	s.lineStart -= eventStart
 	if len(s.buffered) > maxEventBytes {
 		return errEventTooLarge
 	}
 	return nil
 }
+
+// isBlank reports whether a line without its line feed is empty.
+func isBlank(line []byte) bool {
+	return len(line) == 0 || len(line) == 1 && line[0] == '\r'
+}
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -2,314 +2,252 @@
 
 import (
 	"context"
-	"io"
 	"net"
 	"net/http"
-	"strconv"
-	"sync"
+	"time"
 
 	"github.com/cockroachdb/errors"
 
 	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/httpclient"
 )
 
 const (
-	maxResponseBytes = 8 << 20
-	// maxDiscardBytes and discardMs bound the reading of an answer that nobody needs,
-	// so that its stream can be used again.
-	maxDiscardBytes = 4 << 10
-	discardMs       = 100
+	// deadlineSlackMs is how long after the client's deadline an attempt is
+	// cancelled. Mostly the runner and the client end it themselves.
+	deadlineSlackMs = 1000
+	// writeSlackMs is how long after the deadline the client may still take
+	// what is written to it.
+	writeSlackMs = 5 * deadlineSlackMs
 )
 
-// exchange is a client's request on its way through this router.
+// exchange is a client's request and its response on their way through this
+// router. It belongs to the goroutine that serves the request.
 type exchange struct {
-	server      *Server
-	writer      http.ResponseWriter
-	request     *http.Request
-	id          uint64
-	params      RequestParams
-	body        []byte
+	server  *Server
+	writer  http.ResponseWriter
+	request *http.Request
+	// id is the request's id in the machine.
+	id     uint64
+	params RequestParams
+	body   []byte
+	// path and query are those of the request line, unchanged.
 	path, query string
 	hasQuery    bool
-	startMs     int64
 
-	// forwarded says that the client has the head of an answer.
+	// forwarded says that the client has the head of a response.
 	forwarded bool
-	// keptResponse is a failed answer to be passed on if nothing better comes.
+	// keptResponse is the response of the last attempt that ended as
+	// ServerError.
 	keptResponse *bufferedResponse
-	// lastEventID is the id of the last piece passed on, number the same as a number
-	// where it is one; step is by how much the ids rise.
+	// lastEventID is the id of the last event that was forwarded. If it is a
+	// number, numbered is set and eventNumber is its value. eventStep is the
+	// largest difference between two successive numbers.
 	lastEventID            string
-	eventNumber, eventStep int64
 	numbered               bool
-	weightsVersion         int64
+	eventNumber, eventStep int64
+	// weightsVersion is that of the last event, 0 if it is not known.
+	weightsVersion int64
 }
 
-// bufferedResponse is an answer that was read to its end.
-type bufferedResponse struct {
-	status int
-	header http.Header
-	body   []byte
+// serve passes the request to the machine and performs what the machine
+// orders, until the client has its response.
+func (e *exchange) serve() {
+	runtime := e.server.runtime
+	id, outputs := runtime.OpenReplies()
+	defer runtime.CloseReplies(id)
+	e.id = id
+	submitted := runtime.Submit(Request{ID: id, Host: hostWithoutPort(e.request.Host), Path: e.path, Params: e.params})
+	if !submitted {
+		e.server.codec.WriteRejection(e.writer, errkind.QueueFull, retryOverloadMs)
+		return
+	}
+	// However this ends, also by a panic, the machine must not count the
+	// request any more.
+	finished := false
+	defer func() {
+		if !finished {
+			runtime.Submit(ClientDisconnected{ID: id})
+		}
+	}()
+	for !finished {
+		select {
+		case <-e.request.Context().Done():
+			panic(http.ErrAbortHandler)
+		case output := <-outputs:
+			var abort bool
+			finished, abort = e.perform(output)
+			if abort {
+				panic(http.ErrAbortHandler)
+			}
+		}
+	}
+}
+
+// perform carries out one output of the machine. It reports whether the
+// request is finished for the machine, and whether the client's connection is
+// to be aborted.
+func (e *exchange) perform(output any) (finished, abort bool) {
+	switch output := output.(type) {
+	case Reject:
+		e.server.codec.WriteRejection(e.writer, output.Kind, output.RetryMs)
+		return true, false
+	case ForwardKept:
+		e.forwardResponse(e.keptResponse)
+		return true, false
+	case AbortStream:
+		e.server.runtime.Count(countStreamsAborted)
+		return true, true
+	case StartAttempt:
+		ended := e.runAttempt(output)
+		if e.request.Context().Err() != nil {
+			return false, true
+		}
+		e.server.runtime.Submit(ended)
+		return ended.Outcome == Completed, false
+	}
+	return false, false
 }
 
-// runAttempt makes one send and passes its answer on.
-func (p *exchange) runAttempt(s StartAttempt) AttemptEnded {
-	g := p.server
-	nowMs := g.shell.Clock().NowMs()
-	ctx, cancel := context.WithCancel(p.request.Context())
+// runAttempt sends the request to a runner once and forwards the response.
+func (e *exchange) runAttempt(order StartAttempt) AttemptEnded {
+	nowMs := e.server.runtime.Clock().NowMs()
+	leftMs := order.DeadlineMs - nowMs
+	ctx, cancel := context.WithCancel(e.request.Context())
 	defer cancel()
-	defer afterDelay(s.DeadlineMs-nowMs+deadlineSlackMs, cancel)()
-	if s.Route.Retryable() {
-		defer g.tracker.start(nowMs, s.Params.Runner, p.id, cancel)()
+	defer afterDelay(leftMs+deadlineSlackMs, cancel)()
+	if order.Route.Retryable() {
+		defer e.server.tracker.start(nowMs, order.Params.Runner, e.id, cancel)()
+	}
+	order.Params.TimeoutMs = max(1, leftMs)
+	sent, err := e.forwardRequest(ctx, order)
+	if err != nil {
+		return e.attemptEnded(e.sendFailure(order.Params.Runner, sent, err))
 	}
-	s.Params.TimeoutMs = max(1, s.DeadlineMs-nowMs)
+	e.server.tracker.received(e.server.runtime.Clock().NowMs(), order.Params.Runner)
+	defer sent.Response.Body.Close()
+	return e.handleResponse(order, sent, leftMs, cancel)
+}
+
+// forwardRequest writes the request to the runner and reads the head of the
+// response.
+func (e *exchange) forwardRequest(ctx context.Context, order StartAttempt) (*httpclient.Exchange, error) {
 	header := http.Header{}
-	g.codec.WriteAttemptHeader(header, p.request.Header, s.Params)
-	sent, err := g.shell.HTTPClient().Forward(ctx, httpclient.Request{
-		Method: p.request.Method, Address: s.Address, Path: p.path, Query: p.query, HasQuery: p.hasQuery,
-		Host: p.request.Host, Header: header, Body: p.body, Fresh: s.NewConnection,
-	}, g.shell.WriteCheck(func(nowMs int64) bool { return nowMs < s.WriteByMs }))
+	e.server.codec.WriteAttemptHeader(header, e.request.Header, order.Params)
+	inTime := e.server.runtime.WriteCheck(func(nowMs int64) bool { return nowMs < order.WriteByMs })
+	return e.server.runtime.HTTPClient().Forward(ctx, httpclient.Request{
+		Method: e.request.Method, Address: order.Address, Path: e.path, Query: e.query, HasQuery: e.hasQuery,
+		Host: e.request.Host, Header: header, Body: e.body, Fresh: order.NewConnection,
+	}, inTime)
+}
+
+// sendFailure classifies an attempt that brought no response head.
+func (e *exchange) sendFailure(runner string, sent *httpclient.Exchange, err error) Outcome {
 	switch {
-	case errors.Is(err, httpclient.ErrNotAllowed) && !sent.Written:
-		return p.attemptEnded(Expired)
-	case err != nil && !sent.Written:
-		var failed net.Error
-		if errors.As(err, &failed) && failed.Timeout() {
-			for range g.tracker.cancelSilent(g.shell.Clock().NowMs(), s.Params.Runner) {
-				g.shell.Count("sends to a dark runner given up")
-			}
+	case sent.Written:
+		return e.unlessForwarded(ResponseLost)
+	case errors.Is(err, httpclient.ErrNotAllowed):
+		return Expired
+	}
+	var failure net.Error
+	if errors.As(err, &failure) && failure.Timeout() {
+		for range e.server.tracker.cancelSilent(e.server.runtime.Clock().NowMs(), runner) {
+			e.server.runtime.Count(countSilentRunner)
 		}
-		return p.attemptEnded(NotSent)
-	case err != nil:
-		return p.attemptEnded(p.outcomeOr(ResponseLost))
 	}
-	g.tracker.received(g.shell.Clock().NowMs(), s.Params.Runner)
-	answer := sent.Response
-	defer answer.Body.Close()
-	heard := g.codec.ParseResponseHead(answer)
-	// An answer that names another request, or none, may be a surplus one that
-	// stands where ours is expected: nothing on this stream is believed.
-	if heard.RequestID != p.params.RequestID || heard.UnexpectedEncoding || answer.StatusCode/100 == 2 && !heard.HasSeal || !hasDelimitedEnd(answer) {
+	return NotSent
+}
+
+// handleResponse forwards the response of a runner if it is valid and to be
+// forwarded. leftMs was the time until the client's deadline when the attempt
+// began; cancel cancels the attempt.
+func (e *exchange) handleResponse(order StartAttempt, sent *httpclient.Exchange, leftMs int64, cancel func()) AttemptEnded {
+	response := sent.Response
+	head := e.server.codec.ParseResponseHead(response)
+	if !e.isValid(response, head) {
 		sent.Reject()
-		g.shell.Count("answers that are none")
-		return p.attemptEnded(p.outcomeOr(InvalidResponse))
+		e.server.runtime.Count(countInvalidResponses)
+		return e.attemptEnded(e.unlessForwarded(InvalidResponse))
 	}
 	sent.Accept()
-	if heard.HasLoad || s.Route.Kind == config.Stream {
-		g.shell.Submit(ResponseStarted{ID: p.id, Runner: s.Params.Runner, Head: heard})
+	if head.HasLoad || order.Route.Kind == config.Stream {
+		e.server.runtime.Submit(ResponseStarted{ID: e.id, Runner: order.Params.Runner, Head: head})
 	}
-	switch status := answer.StatusCode; {
-	case status == http.StatusMisdirectedRequest:
-		discard(answer, cancel)
-		ended := p.attemptEnded(Misdirected)
-		ended.OtherRunner = heard.Runner != "" && heard.Runner != s.Params.Runner
+	switch {
+	case response.StatusCode == http.StatusMisdirectedRequest:
+		discard(response, cancel)
+		ended := e.attemptEnded(Misdirected)
+		ended.OtherRunner = head.Runner != "" && head.Runner != order.Params.Runner
 		return ended
-	case heard.NotRun && promisesNotRun(status):
-		discard(answer, cancel)
-		return p.attemptEnded(Rejected)
-	case isStream(s.Route, answer):
-		ended := p.forwardStream(answer, heard, s.Params.Runner, s.DeadlineMs-nowMs)
-		if ended.Outcome != Completed {
+	case head.NotRun && promisesNotRun(response.StatusCode):
+		discard(response, cancel)
+		return e.attemptEnded(Rejected)
+	case isStream(order.Route, response):
+		outcome := e.forwardStream(response, head, order.Params.Runner, leftMs)
+		if outcome != Completed {
 			sent.Reject()
 		}
-		return ended
-	case p.forwarded:
-		// A failure can't follow on the pieces that were passed on.
-		return p.attemptEnded(StreamBroken)
-	}
-	text, err := p.readResponse(answer)
-	if err != nil {
-		sent.Reject()
-		return p.attemptEnded(ResponseLost)
+		return e.attemptEnded(outcome)
+	case e.forwarded:
+		// An error response cannot follow events that were forwarded.
+		return e.attemptEnded(StreamBroken)
 	}
-	got := &bufferedResponse{answer.StatusCode, answer.Header, text}
-	switch status := answer.StatusCode; {
-	case s.Route.Retryable() && (status == http.StatusInternalServerError || status == http.StatusBadGateway):
-		p.keptResponse = got
-		return p.attemptEnded(ServerError)
-	case !s.Route.Retryable() && !heard.NotRun && promisesNotRun(status):
-		// Passed on, it would promise what the runner did not.
-		return p.attemptEnded(ResponseLost)
-	}
-	defer p.limitWriteTime(s.DeadlineMs - nowMs + 5*deadlineSlackMs)()
-	p.forwardResponse(got)
-	return p.attemptEnded(Completed)
-}
-
-// promisesNotRun says whether a status tells a client that its request has not run.
-func promisesNotRun(status int) bool {
-	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
-}
-
-// hasDelimitedEnd says whether the end of an answer can be told from a stream that broke.
-func hasDelimitedEnd(answer *http.Response) bool {
-	return answer.ContentLength >= 0 || len(answer.TransferEncoding) > 0 || answer.Request.Method == http.MethodHead
+	return e.attemptEnded(e.forwardComplete(order, sent, head, leftMs))
 }
 
-// outcomeOr is how a lost send counts once pieces were passed on.
-func (p *exchange) outcomeOr(otherwise Outcome) Outcome {
-	if p.forwarded {
-		return StreamBroken
+// isValid reports whether a response is one to this request. One that names
+// another request, or none, may be left over from an earlier one on the same
+// connection.
+func (e *exchange) isValid(response *http.Response, head ResponseHead) bool {
+	if head.RequestID != e.params.RequestID || head.UnexpectedEncoding {
+		return false
 	}
-	return otherwise
-}
-
-func (p *exchange) attemptEnded(outcome Outcome) AttemptEnded {
-	e := AttemptEnded{ID: p.id, Outcome: outcome, Forwarded: p.forwarded}
-	if p.forwarded {
-		e.WeightsVersion = p.weightsVersion
-		if p.numbered {
-			e.LastEventID = p.lastEventID
-		}
+	if isSuccess(response) && !head.HasSeal {
+		return false
 	}
-	return e
+	return hasDelimitedEnd(response)
 }
 
-// discard reads the little that is left of an answer, so that its stream can be
-// used again; it does not wait for it.
-func discard(answer *http.Response, cancel func()) {
-	if answer.ContentLength > maxDiscardBytes {
-		return
+// unlessForwarded returns the outcome of an attempt that failed: StreamBroken
+// if the client has a part of the response.
+func (e *exchange) unlessForwarded(outcome Outcome) Outcome {
+	if e.forwarded {
+		return StreamBroken
 	}
-	defer afterDelay(discardMs, cancel)()
-	_, _ = io.Copy(io.Discard, io.LimitReader(answer.Body, maxDiscardBytes))
+	return outcome
 }
 
-// readResponse takes a whole plain answer, so that one that breaks off never begins.
-func (p *exchange) readResponse(answer *http.Response) ([]byte, error) {
-	if answer.ContentLength > maxResponseBytes {
-		return nil, errEventTooLarge
-	}
-	if answer.ContentLength > 0 && p.request.Method != http.MethodHead {
-		text := make([]byte, answer.ContentLength)
-		if _, err := io.ReadFull(answer.Body, text); err != nil {
-			return nil, err
+// attemptEnded reports an outcome, with what the client has by now.
+func (e *exchange) attemptEnded(outcome Outcome) AttemptEnded {
+	ended := AttemptEnded{ID: e.id, Outcome: outcome, Forwarded: e.forwarded}
+	if e.forwarded {
+		ended.WeightsVersion = e.weightsVersion
+		if e.numbered {
+			ended.LastEventID = e.lastEventID
 		}
-		// Reading the end gives the stream back.
-		_, _ = answer.Body.Read(make([]byte, 1))
-		return text, nil
-	}
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes+1))
-	if err == nil && len(text) > maxResponseBytes {
-		err = errEventTooLarge
 	}
-	return text, err
+	return ended
 }
 
-// forwardResponse gives the client a whole answer.
-func (p *exchange) forwardResponse(got *bufferedResponse) {
-	p.writeHeader(got.header)
-	if p.request.Method != http.MethodHead && got.status != http.StatusNoContent && got.status != http.StatusNotModified {
-		p.writer.Header().Set("Content-Length", strconv.Itoa(len(got.body)))
-	}
-	p.writer.WriteHeader(got.status)
-	_, _ = p.writer.Write(got.body)
+// limitWriteTime sets the time in which the client must take what is written
+// to it; done removes the limit.
+func (e *exchange) limitWriteTime(ms int64) (done func()) {
+	controller := http.NewResponseController(e.writer)
+	_ = controller.SetWriteDeadline(time.Now().Add(time.Duration(ms) * time.Millisecond))
+	return func() { _ = controller.SetWriteDeadline(time.Time{}) }
 }
 
-func (p *exchange) writeHeader(from http.Header) {
-	to := p.writer.Header()
-	p.server.codec.CopyResponseHeader(to, from)
-	to.Del("Transfer-Encoding")
-	if p.server.draining.Load() {
-		to.Set("Connection", "close")
-	}
-	// The server would guess a type where the runner told none.
-	if _, told := to["Content-Type"]; !told {
-		to["Content-Type"] = nil
-	}
+// afterDelay calls do after the delay unless it is stopped before.
+func afterDelay(ms int64, do func()) (stop func()) {
+	timer := time.AfterFunc(time.Duration(ms)*time.Millisecond, do)
+	return func() { timer.Stop() }
 }
 
-var streamBuffers = sync.Pool{New: func() any { return new([4 << 10]byte) }}
-
-// forwardStream passes the events of an answer on, whole ones only and each at once.
-func (p *exchange) forwardStream(answer *http.Response, heard ResponseHead, runner string, leftMs int64) AttemptEnded {
-	defer p.limitWriteTime(leftMs + 5*deadlineSlackMs)()
-	control := http.NewResponseController(p.writer)
-	buffer := streamBuffers.Get().(*[4 << 10]byte)
-	defer streamBuffers.Put(buffer)
-	resumed := p.forwarded
-	if p.weightsVersion == 0 {
-		p.weightsVersion = heard.WeightsVersion
-	}
-	var events eventSplitter
-	var failed error
-	gap := false
-	begin := func() {
-		if !p.forwarded {
-			p.forwarded = true
-			p.writeHeader(answer.Header)
-			p.writer.Header().Del("Content-Length")
-			p.writer.WriteHeader(answer.StatusCode)
-		}
-	}
-	take := func(event []byte) bool {
-		if !p.acceptEvent(event, resumed, &gap) {
-			return !gap
-		}
-		begin()
-		_, failed = p.writer.Write(event)
-		return failed == nil
-	}
-	for {
-		n, err := answer.Body.Read(buffer[:])
-		if n > 0 {
-			p.server.tracker.received(p.server.shell.Clock().NowMs(), runner)
-			large := events.feed(buffer[:n], take)
-			if failed == nil && p.forwarded {
-				failed = control.Flush()
-			}
-			switch {
-			case failed != nil:
-				// The client is gone, or does not read.
-				panic(http.ErrAbortHandler)
-			case gap, large != nil:
-				return p.attemptEnded(p.outcomeOr(InvalidResponse))
-			}
-		}
-		switch {
-		case err == io.EOF && resumed && len(events.buffered) > 0:
-			// Within an event, what the client has would end as if it were whole.
-			return p.attemptEnded(p.outcomeOr(InvalidResponse))
-		case err == io.EOF:
-			begin()
-			if len(events.buffered) > 0 {
-				_, _ = p.writer.Write(events.buffered)
-			}
-			return p.attemptEnded(Completed)
-		case err != nil:
-			return p.attemptEnded(p.outcomeOr(ResponseLost))
-		}
-	}
-}
-
-// acceptEvent says whether an event may be passed on. After a resumption what the
-// client has is left out, and a gap ends it.
-func (p *exchange) acceptEvent(event []byte, resumed bool, gap *bool) bool {
-	id, version := p.server.codec.ParseEvent(event)
-	if id != "" {
-		number, err := strconv.ParseInt(id, 10, 64)
-		if resumed && err == nil {
-			if number <= p.eventNumber {
-				return false
-			}
-			if p.eventStep > 0 && number > p.eventNumber+p.eventStep {
-				*gap = true
-				return false
-			}
-		}
-		if err != nil {
-			p.numbered = false
-		} else {
-			if p.numbered {
-				p.eventStep = max(p.eventStep, number-p.eventNumber)
-			}
-			p.eventNumber, p.numbered = number, true
-		}
-		p.lastEventID = id
-	}
-	if version > 0 {
-		p.weightsVersion = version
+// hostWithoutPort returns the host of a Host header.
+func hostWithoutPort(hostPort string) string {
+	if host, _, err := net.SplitHostPort(hostPort); err == nil {
+		return host
 	}
-	return true
+	return hostPort
 }
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -93,7 +93,7 @@
 		r := httptest.NewRequest(http.MethodPost, "/"+name+"/x", strings.NewReader("b"))
 		r.Header.Set("Try", "t1")
 		p := &exchange{server: g, writer: w, request: r, id: 1, params: RequestParams{RequestID: "t1"}, body: []byte("b"), path: "/" + name + "/x"}
-		nowMs := g.shell.Clock().NowMs()
+		nowMs := g.runtime.Clock().NowMs()
 		aborted := false
 		ended := func() AttemptEnded {
 			defer func() {
--- a/internal/proxy/lookup.go
+++ b/internal/proxy/lookup.go
@@ -6,28 +6,41 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// sendLookUp sends the look-up of a request to a controller. Nothing is sent while
-// the controller's address is unknown.
-func (m *Machine) sendLookUp(r *request, to string) {
-	place, ok := m.roster.Node(to)
-	if !ok || to == "" {
+const (
+	// missDelayedMs is how long a miss waits before it counts as delayed.
+	missDelayedMs = 50
+	// lookUpRetryMs is how long after the first look-up of a miss another
+	// controller is asked if there is no answer.
+	lookUpRetryMs = 300
+	// spreadLookUpsFrom is the number of routers above which the look-ups of
+	// hits are spread over all controllers.
+	spreadLookUpsFrom = 32
+)
+
+// sendLookUp sends the look-up of a request to a controller. Nothing is sent
+// while the controller's address is unknown.
+func (m *Machine) sendLookUp(r *request, controller string) {
+	node, known := m.detector.Node(controller)
+	if !known || controller == "" {
 		return
 	}
 	r.lookUpsSent++
-	r.lookUpSentMs, r.lookUpController = m.nowMs, to
-	m.sendMessage(place, protocol.IndexLookUp{
+	r.lookUpSentMs, r.lookUpController = m.nowMs, controller
+	m.sendMessage(node, protocol.IndexLookUp{
 		ID: r.lookUpID, Service: r.key.service, Model: r.key.model, Adapter: r.key.adapter,
-		Tokens: r.tokens, Waits: r.cacheMiss, Prompt: r.Params.PromptTokens, ReadMs: m.prefillReports.takeMinimum(r.key.service, r.key.model),
+		Tokens: r.tokens, Waits: r.cacheMiss, Prompt: r.Params.PromptTokens,
+		ReadMs: m.prefillReports.takeMinimum(r.key.service, r.key.model),
 	})
 }
 
-// retryLookUp sends a look-up that found no primary yet, and once another one
-// to the next controller where a miss got no answer.
+// retryLookUp sends a look-up that could not be sent on arrival, and repeats
+// that of an unanswered miss once, at the next controller.
 func (m *Machine) retryLookUp(r *request) {
+	unanswered := r.cacheMiss && !r.lookUpAnswered
 	switch {
 	case r.lookUpsSent == 0:
 		m.sendLookUp(r, m.lookUpTarget(r.cacheMiss))
-	case r.lookUpsSent == 1 && r.cacheMiss && !r.lookUpAnswered && m.nowMs-r.lookUpSentMs >= lookUpRetryMs:
+	case r.lookUpsSent == 1 && unanswered && m.nowMs-r.lookUpSentMs >= lookUpRetryMs:
 		if next := m.nextController(r.lookUpController); next != "" {
 			m.Counters.LookUpRetries++
 			m.sendLookUp(r, next)
@@ -39,116 +52,107 @@
 	}
 }
 
-// indexEntry gives the cached line of a key. While no controller answers, the list
-// that the router read itself stands in for lines that it lacks.
-func (m *Machine) indexEntry(at cacheKey) *cacheEntry {
-	e := m.cache[at]
-	if e != nil && len(e.holders) > 0 || m.listedRunners == nil || !m.primarySilent() || m.nowMs-m.listedAtMs > listMaxAgeMs {
-		return e
-	}
-	line := protocol.IndexReply{Service: at.service, Model: at.model, Adapter: at.adapter, TurnMs: -1}
-	if e != nil {
-		line.Epoch, line.Change = e.epoch, e.change
-	}
-	for i := range m.listedRunners {
-		r := &m.listedRunners[i]
-		held := at.model == ""
-		adapter := false
-		for _, model := range r.Models {
-			if model.Name == at.model {
-				held, adapter = true, slices.Contains(model.Adapters, at.adapter)
-			}
-		}
-		if r.Service == at.service && held {
-			line.Holders = append(line.Holders, protocol.IndexHolder{ID: r.ID, Address: r.Address, Zone: r.Zone, Adapter: adapter, Slots: r.Slots})
-		}
+// indexEntry returns the cached index entry of a key, or nil. While no
+// controller answers, the router's own reading of the list of runners replaces
+// entries that are missing or empty.
+func (m *Machine) indexEntry(key cacheKey) *cacheEntry {
+	entry := m.cache[key]
+	if entry != nil && len(entry.holders) > 0 || !m.listUsable() {
+		return entry
 	}
-	if len(line.Holders) == 0 || !m.cache.update(m.nowMs, line) {
-		return e
+	update := protocol.IndexReply{
+		Service: key.service, Model: key.model, Adapter: key.adapter,
+		TurnMs: -1, Holders: m.listedHolders(key),
 	}
-	return m.cache[at]
+	if entry != nil {
+		update.Epoch, update.Change = entry.epoch, entry.change
+	}
+	if len(update.Holders) == 0 || !m.cache.update(m.nowMs, update) {
+		return entry
+	}
+	return m.cache[key]
 }
 
-// applyIndexReply takes an answer of the index, or its word of a change.
-func (m *Machine) applyIndexReply(in protocol.IndexReply) {
-	if !in.Known {
+// applyIndexReply applies an answer to a look-up, or the notification of a
+// change of the index, which has no ID.
+func (m *Machine) applyIndexReply(reply protocol.IndexReply) {
+	if !reply.Known {
 		return
 	}
-	at := cacheKey{in.Service, in.Model, in.Adapter}
-	asked := false
+	key := cacheKey{reply.Service, reply.Model, reply.Adapter}
+	requested := false
 	for _, r := range m.queue {
-		if r.route != nil && r.key == at {
-			asked = true
+		if r.route != nil && r.key == key {
+			requested = true
 			r.lookUpAnswered = true
 		}
 	}
-	// Only what requests named is kept.
-	if !asked && m.cache[at] == nil && in.ID == 0 {
+	// Only keys that requests have named are cached.
+	if !requested && m.cache[key] == nil && reply.ID == 0 {
 		return
 	}
-	for i := range in.Holders {
-		m.updateFromIndex(&in.Holders[i])
+	for i := range reply.Holders {
+		m.updateFromIndex(&reply.Holders[i])
 	}
-	if m.cache.update(m.nowMs, in) && asked {
+	if m.cache.update(m.nowMs, reply) && requested {
 		m.dispatchQueue()
 	}
 }
 
-// indexController names whom look-ups go to: the primary, or while it gives no word
-// another controller that does.
-func (m *Machine) indexController() string {
+// lookUpTarget returns the controller for a look-up. The primary, which alone
+// orders loads, gets the look-ups of all misses, and those of hits while there
+// are few routers, since it can then weigh the whole demand at once. With more
+// routers a controller of the own zone answers the hits from its replica and
+// reports the demand to the primary.
+func (m *Machine) lookUpTarget(cacheMiss bool) string {
+	spread := m.nearestController != "" && m.routerCount > spreadLookUpsFrom
+	if !cacheMiss && spread && !m.primarySilent() {
+		return m.nearestController
+	}
+	return m.respondingController()
+}
+
+// respondingController returns the primary or, while it is silent, another
+// controller that is alive.
+func (m *Machine) respondingController() string {
 	if m.primarySilent() {
-		if other := m.nextController(m.primary); other != "" && m.roster.Live(m.nowMs, other) {
+		if other := m.nextController(m.primary); other != "" && m.detector.Live(m.nowMs, other) {
 			return other
 		}
 	}
 	return m.primary
 }
 
-// spreadLookUpsFrom is from how many routers on look-ups are spread.
-const spreadLookUpsFrom = 32
-
-// lookUpTarget names whom a look-up goes to. What a request can't go on without is
-// asked of the primary, which loads it. Else a controller of the own zone
-// answers from the primary's image and tells it of the demand, so that look-ups
-// are spread over all of them.
-func (m *Machine) lookUpTarget(missed bool) string {
-	// The primary knows all that is asked at once; that is given up only where
-	// there are so many routers that it could not answer them all.
-	if !missed && m.nearestController != "" && m.routerCount > spreadLookUpsFrom && !m.primarySilent() {
-		return m.nearestController
-	}
-	return m.indexController()
-}
-
-// nearest picks one of the live controllers for a router: one of its zone, and
-// of those another for each router.
+// nearest returns one of the live controllers, preferably of the router's own
+// zone; different routers get different ones.
 func nearest(self protocol.Node, live []protocol.Node) string {
-	best, bestRank, bestOwn := "", uint64(0), false
-	for _, place := range live {
-		own, rank := place.Zone == self.Zone, mix(hash(self.Name)^hash(place.Name))
-		if best == "" || own && !bestOwn || own == bestOwn && rank > bestRank {
-			best, bestRank, bestOwn = place.Name, rank, own
+	best, bestRank, bestInZone := "", uint64(0), false
+	for _, node := range live {
+		inZone := node.Zone == self.Zone
+		rank := mix(hash(self.Name) ^ hash(node.Name))
+		if best == "" || inZone && !bestInZone || inZone == bestInZone && rank > bestRank {
+			best, bestRank, bestInZone = node.Name, rank, inZone
 		}
 	}
 	return best
 }
 
-// nextController names the one after another, a live one if there is one.
-func (m *Machine) nextController(than string) string {
-	places := m.roster.NodesOf(protocol.RoleController)
-	at := slices.IndexFunc(places, func(p protocol.Node) bool { return p.Name > than })
+// nextController returns the controller after the named one in the order of
+// names, if possible a live one; empty if there is no other.
+func (m *Machine) nextController(name string) string {
+	controllers := m.detector.NodesOf(protocol.RoleController)
+	start := slices.IndexFunc(controllers, func(node protocol.Node) bool { return node.Name > name })
 	first := ""
-	for i := range places {
-		name := places[(max(0, at)+i)%len(places)].Name
-		if name == than {
+	for i := range controllers {
+		other := controllers[(max(0, start)+i)%len(controllers)].Name
+		if other == name {
 			continue
 		}
-		if m.roster.Live(m.nowMs, name) {
-			return name
+		if m.detector.Live(m.nowMs, other) {
+			return other
 		}
 		if first == "" {
-			first = name
+			first = other
 		}
 	}
 	return first
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -1,8 +1,22 @@
+// Package proxy is the data plane for sites with a service map: a router takes
+// clients' requests by host and path, looks up once which runners can serve
+// each of them, chooses a runner and forwards the response, event by event if
+// it is a stream.
+//
+// Machine holds all decisions and all state; Server performs them over HTTP.
+// The concerns, one file each: config updates and the search for the primary
+// (controlplane.go), index look-ups (lookup.go) and their cache (cache.go),
+// which runners can take a request (candidates.go), the load and health of
+// runners (runnerstate.go, runnerreports.go), the choice among them
+// (balancer.go), the queue (queue.go, rejection.go), attempts and their
+// outcomes (attempt.go), the retry budget (retrybudget.go), and on the HTTP
+// side clients' connections (clientconn.go), request bodies (server.go), one
+// attempt (exchange.go), complete responses (response.go) and streams
+// (stream.go).
 package proxy
 
 import (
 	"fmt"
-	"sync/atomic"
 
 	"myrtlewinch/internal/bounds"
 	"myrtlewinch/internal/config"
@@ -12,40 +26,45 @@
 )
 
 const (
-	pollEachMs = 300
-	// primarySilentMs is when the primary's silence counts: the router asks around
-	// for another, and reads the platform's list itself.
-	primarySilentMs = 1000
-	searchEachMs    = 300
-	// stallMs between two steps means that the process stood still, and stallGuardMs
-	// is how long it then waits for a word before it sends a request on.
-	stallMs      = 1000
+	// stallMs is the time between two steps from which on the process is taken
+	// to have stood still, for example in a suspended virtual machine.
+	stallMs = 1000
+	// stallGuardMs is how long after a stall requests wait for the primary
+	// before they are dispatched by what was known before the stall.
 	stallGuardMs = 400
-	// drainingMemoryMs is how long a leaving runner is remembered after the last word
-	// of it. Its id never comes back.
-	drainingMemoryMs   = 600_000
-	maxDrainingRunners = 8192
-	sweepEachMs        = 10_000
-	// listMaxAgeMs is how old the router's own reading of the list may be and
-	// stand in for the index, while no controller answers.
-	listMaxAgeMs        = 10_000
-	listReadPerRouterMs = 50
+	// sweepEachMs is the time between two removals of expired state.
+	sweepEachMs = 10_000
+	// latencyWeight is the part of a new measurement in a route's latency.
+	latencyWeight = 1.0 / 16
+	// Routes and models that a new map no longer has are removed from the
+	// latency estimates once these have more entries than
+	// latencyEntriesPerRoute for each route and extraLatencyEntries.
+	latencyEntriesPerRoute = 4
+	extraLatencyEntries    = 64
 )
 
-// Settings is the configuration of a router: what it knows at its start.
+// Settings is the configuration of a router, fixed at its start.
 type Settings struct {
-	Site   string
-	Self   protocol.Node
-	Seeds  []string
+	// Site is the site's name. Messages of other sites are ignored.
+	Site string
+	// Self is this router as its peers know it.
+	Self protocol.Node
+	// Seeds are the addresses at which the control plane is searched for until
+	// SetSeeds replaces them.
+	Seeds []string
+	// Bounds are the limits that the platform sets for the whole site.
 	Bounds bounds.Bounds
-	// ListAddress is where the platform lists its runners; empty is nowhere.
-	ListAddress         string
+	// ListAddress is where the platform lists its runners. If it is empty, the
+	// router never reads the list itself.
+	ListAddress string
+	// MemoryMb and OpenFiles limit the requests and bodies that are held at
+	// the same time; 0 sets no limit of that kind.
 	MemoryMb, OpenFiles int
 }
 
-// Format reads service maps as operators write them.
+// Format parses service maps.
 type Format interface {
-	// Parse gives the map, or every fault found.
+	// Parse returns the map, or a description of every fault in the text.
 	Parse(text []byte) (*config.Configuration, []string)
 }
 
@@ -53,84 +72,91 @@
 // returns effects; it has no clock, connection or goroutine of its own. All of it
 // but Map belongs to the goroutine that calls Step.
 type Machine struct {
+	// Counters counts what the router did since its start.
+	Counters Counters
+
 	settings   Settings
 	format     Format
 	nowMs      int64
 	lastStepMs int64
-	effects    protocol.Effects
-	roster     *failuredetector.Detector
-	seeds      []string
-
-	// serviceMap is the map in use, also for those on other threads.
-	serviceMap atomic.Pointer[config.Configuration]
-	mapVersion uint64
-	mapSum     string
-	epoch      uint64
-	primary    string
-	// highestSeenEpoch is the highest epoch that a peer told of.
-	highestSeenEpoch uint64
-	// primaryConfirmedMs is when the question was asked that the last word answers.
-	primaryConfirmedMs int64
-	lastPollMs         int64
-	lastSearchMs       int64
-	stallGuardUntilMs  int64
-	routerCount        int
-	// drainingRunners are the runners that are leaving, with the last word of each.
+	// effects collects the effects of the current step.
+	effects protocol.Effects
+	// detector knows the daemons of the site and which of them are alive.
+	detector *failuredetector.Detector
+
+	controlPlane
+	ownListing
+
+	// draining is set by Drain, at drainStartMs.
+	draining     bool
+	drainStartMs int64
+	// drainingRunners are the runners that are shutting down, with the time of
+	// the last report of it.
 	drainingRunners map[string]int64
-	// reportedDraining is the primary's last list of them. It and that of the
-	// controllers are told again only where their sums changed.
-	reportedDraining            []string
-	drainingSum, controllersSum uint64
-	// nearestController is the controller that answers look-ups which need not wait.
-	nearestController string
-	lastSweepMs       int64
-	// The router's own reading of the list: when the next is due, and what
-	// the last brought at listedAtMs.
-	nextListReadMs  int64
-	listReadPending bool
-	listedRunners   []protocol.RunnerEntry
-	listedAtMs      int64
-	draining        bool
-	drainStartMs    int64
-
-	cache    cache
-	runners  map[string]*runnerState
+	lastSweepMs     int64
+
+	cache   cache
+	runners map[string]*runnerState
+	// requests are all requests under way; queue are those without an attempt
+	// under way, in order of arrival in the queue.
 	requests map[uint64]*request
 	queue    []*request
-	// slotWaiters counts, by service, requests that wait for want of a place.
+	// slotWaiters counts, by service, the queued requests whose runners are
+	// all full; completionRates is how fast its attempts end here.
 	slotWaiters     map[string]int
-	retryBudgets    map[string]*retryBudget
 	completionRates map[string]*completionRate
+	retryBudgets    map[string]*retryBudget
 	prefillReports  prefillMinimums
-	// prefillEstimates is about how long 1,000 tokens of a prompt take, by model.
+	// prefillEstimates is the estimated time to prefill 1,000 tokens, in
+	// milliseconds by model.
 	prefillEstimates map[modelKey]float64
-	// routeLatencies is about how long a request of a route takes.
+	// routeLatencies is a moving average of the time from arrival to
+	// completion, in milliseconds by route.
 	routeLatencies map[string]float64
-	lookUpCount    uint64
-	// What candidates found last.
+	// lookUpCount is the id of the last look-up.
+	lookUpCount uint64
+
+	// The results of the last call of candidates, kept to reuse the memory.
 	candidateHolders []protocol.IndexHolder
 	candidateList    []candidate
 	allFull          bool
-	Counters         Counters
 }
 
-// New makes the machine of a router that knows only its settings: no primary and
-// no service map.
-func New(set Settings, format Format, nowMs int64) *Machine {
+// New returns the machine of a router that knows only its settings: no primary
+// and no service map.
+func New(settings Settings, format Format, nowMs int64) *Machine {
 	return &Machine{
-		settings: set, format: format, nowMs: nowMs, lastStepMs: nowMs, roster: failuredetector.New(set.Self, nil, nil), seeds: set.Seeds,
-		primaryConfirmedMs: nowMs - primarySilentMs - 1, lastPollMs: nowMs - pollEachMs, lastSearchMs: nowMs - searchEachMs, nextListReadMs: nowMs, lastSweepMs: nowMs,
-		drainingRunners: map[string]int64{}, cache: cache{}, runners: map[string]*runnerState{}, requests: map[uint64]*request{},
-		slotWaiters: map[string]int{}, retryBudgets: map[string]*retryBudget{}, completionRates: map[string]*completionRate{}, prefillReports: prefillMinimums{}, prefillEstimates: map[modelKey]float64{}, routeLatencies: map[string]float64{},
-		Counters: Counters{Rejections: map[errkind.Kind]uint64{}},
+		settings: settings, format: format, nowMs: nowMs, lastStepMs: nowMs, lastSweepMs: nowMs,
+		detector: failuredetector.New(settings.Self, nil, nil),
+		controlPlane: controlPlane{
+			seeds:              settings.Seeds,
+			primaryConfirmedMs: nowMs - primarySilentMs - 1,
+			lastPollMs:         nowMs - pollEachMs,
+			lastSearchMs:       nowMs - searchEachMs,
+		},
+		ownListing:       ownListing{nextListReadMs: nowMs},
+		drainingRunners:  map[string]int64{},
+		cache:            cache{},
+		runners:          map[string]*runnerState{},
+		requests:         map[uint64]*request{},
+		slotWaiters:      map[string]int{},
+		completionRates:  map[string]*completionRate{},
+		retryBudgets:     map[string]*retryBudget{},
+		prefillReports:   prefillMinimums{},
+		prefillEstimates: map[modelKey]float64{},
+		routeLatencies:   map[string]float64{},
+		Counters:         Counters{Rejections: map[errkind.Kind]uint64{}},
 	}
 }
 
-// Map is the map in use, or nil; any thread may ask.
+// Map returns the service map in use, or nil before the first one. It may be
+// called from any goroutine; the map must not be changed.
 func (m *Machine) Map() *config.Configuration { return m.serviceMap.Load() }
 
-// Step applies one input at the given time and returns its effects: messages to
-// send, answers to requests, calls and notes. An input of unknown type panics.
+// Step applies one input at the given time and returns its effects: messages,
+// outputs, outbound calls and log lines. Times of successive calls must not
+// decrease. An input that is neither an Input nor one of the types of package
+// protocol that Input names panics.
 func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
 	m.nowMs = nowMs
 	m.effects = protocol.Effects{}
@@ -139,42 +165,35 @@
 	}
 	m.lastStepMs = nowMs
 	switch in := input.(type) {
+	case Input:
+		in.apply(m)
 	case protocol.Envelope:
 		m.receive(in)
-	case Request:
-		m.admit(in)
-	case ResponseStarted:
-		m.responseStarted(in)
-	case AttemptEnded:
-		m.attemptEnded(in)
-	case ClientDisconnected:
-		m.clientDisconnected(in.ID)
 	case protocol.RunnerList:
 		m.runnerListRead(in)
-	case Drain:
-		if !m.draining {
-			m.draining, m.drainStartMs = true, nowMs
-		}
-	case SetSeeds:
-		m.seeds = in.Seeds
-	case StatusQuery:
-		m.reply(in.ID, m.status())
 	case protocol.Tick:
 		m.tick()
 	default:
-		panic(fmt.Sprintf("relay: unknown input %T", input))
+		panic(fmt.Sprintf("proxy: unknown input %T", input))
 	}
 	return m.effects
 }
 
-// resumeAfterStall asks at once: what this router believes is from before it stood still.
+// resumeAfterStall polls the primary at once, since everything this router
+// knows is from before the stall.
 func (m *Machine) resumeAfterStall() {
 	m.stallGuardUntilMs = m.nowMs + stallGuardMs
 	m.pollPrimary()
 }
 
-// tick does what is due by the time: it asks the primary or looks for it, has the
-// list of runners read, sweeps, and gives waiting requests their turn.
+// startDraining notes when the planned shutdown began.
+func (m *Machine) startDraining() {
+	if !m.draining {
+		m.draining, m.drainStartMs = true, m.nowMs
+	}
+}
+
+// tick does what is due by the time.
 func (m *Machine) tick() {
 	if m.nowMs-m.lastPollMs >= pollEachMs {
 		m.pollPrimary()
@@ -182,11 +201,8 @@
 	if m.primarySilent() && m.nowMs-m.lastSearchMs >= searchEachMs {
 		m.searchPrimary()
 	}
-	// The list is read here only while the primary gives no word.
-	if m.settings.ListAddress != "" && m.serviceMap.Load() != nil && m.primarySilent() && m.nowMs >= m.nextListReadMs && !m.listReadPending {
-		// All routers share the platform's patience.
-		m.nextListReadMs, m.listReadPending = m.nowMs+max(primarySilentMs, int64(m.routerCount)*listReadPerRouterMs), true
-		m.effects.Calls = append(m.effects.Calls, protocol.OutboundCall{Address: m.settings.ListAddress, Body: protocol.ListRunners{}})
+	if m.listReadDue() {
+		m.readRunnerList()
 	}
 	if m.nowMs-m.lastSweepMs >= sweepEachMs {
 		m.sweep()
@@ -194,34 +210,32 @@
 	m.dispatchQueue()
 }
 
-// expectedLatencyMs is about how long a request of a route takes here.
+// expectedLatencyMs estimates the time from arrival to completion of a request
+// of the route; 0 before the first completed request.
 func (m *Machine) expectedLatencyMs(route string) int64 { return int64(m.routeLatencies[route]) }
 
-// recordLatency notes how long an answered request of a route took.
+// recordLatency updates the route's estimate with a completed request.
 func (m *Machine) recordLatency(route string, ms int64) {
 	if m.routeLatencies[route] == 0 {
 		m.routeLatencies[route] = float64(ms)
 	}
-	m.routeLatencies[route] += (float64(ms) - m.routeLatencies[route]) / 16
+	m.routeLatencies[route] += (float64(ms) - m.routeLatencies[route]) * latencyWeight
 }
 
-// sweep forgets what is long gone.
+// sweep removes expired state.
 func (m *Machine) sweep() {
 	m.lastSweepMs = m.nowMs
-	for _, id := range m.reportedDraining {
-		m.markDraining(id)
-	}
-	for id, toldMs := range m.drainingRunners {
-		if m.nowMs-toldMs > drainingMemoryMs {
-			delete(m.drainingRunners, id)
-		}
-	}
-	for id, r := range m.runners {
-		if r.inFlight == 0 && m.nowMs-max(r.lastUsedMs, r.reportedMs) > runnerIdleMs {
+	m.sweepDraining()
+	for id, runner := range m.runners {
+		if runner.inFlight == 0 && m.nowMs-max(runner.lastUsedMs, runner.reportedMs) > runnerIdleMs {
 			delete(m.runners, id)
 		}
 	}
-	if document := m.serviceMap.Load(); document != nil && len(m.routeLatencies) > 4*len(document.Routes)+64 {
+	serviceMap := m.serviceMap.Load()
+	if serviceMap == nil {
+		return
+	}
+	if len(m.routeLatencies) > latencyEntriesPerRoute*len(serviceMap.Routes)+extraLatencyEntries {
 		clear(m.routeLatencies)
 		clear(m.prefillEstimates)
 	}
@@ -232,9 +246,9 @@
 	m.effects.Sends = append(m.effects.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
 }
 
-// reply adds an answer to the request or question with this id to the effects.
-func (m *Machine) reply(id uint64, body any) {
-	m.effects.Responses = append(m.effects.Responses, protocol.Response{ID: id, Body: body})
+// reply adds the output for the request or query with this id to the effects.
+func (m *Machine) reply(id uint64, output Output) {
+	m.effects.Responses = append(m.effects.Responses, protocol.Response{ID: id, Body: output})
 }
 
 // logf adds a log line to the effects.
@@ -242,7 +256,7 @@
 	m.effects.LogLines = append(m.effects.LogLines, fmt.Sprintf(format, args...))
 }
 
-// countError adds an error to be counted by its kind to the effects.
+// countError adds one to the process's counter of an error kind.
 func (m *Machine) countError(kind errkind.Kind) {
 	m.effects.Counts = append(m.effects.Counts, string(kind))
 }
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -281,7 +281,7 @@
 		b.step(protocol.Tick{})
 	}
 	c.Assert(b.m.isDraining("p1"), qt.IsTrue)
-	c.Assert(b.m.roster.NodesOf(protocol.RoleController), qt.HasLen, 2)
+	c.Assert(b.m.detector.NodesOf(protocol.RoleController), qt.HasLen, 2)
 	b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
 	c.Assert(asked().LeavingSum, qt.Equals, uint64(9))
 }
@@ -371,7 +371,7 @@
 				}
 			case AbortStream:
 				c.Assert(test.want, qt.Equals, broken)
-			case protocol.Rejection:
+			case Reject:
 				c.Assert(test.want, qt.Equals, string(got.Kind))
 				c.Assert(got.Kind.Response().NotExecuted, qt.IsFalse)
 			}
@@ -387,7 +387,7 @@
 	answered[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: ResponseLost}))
 	b.m.retryBudget("pages").tokens = 0
 	out := b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
-	c.Assert(answered[protocol.Rejection](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
+	c.Assert(answered[Reject](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
 }
 
 func TestTriesAreBounded(t *testing.T) {
@@ -405,7 +405,7 @@
 		out = b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
 	}
 	c.Assert(sends, qt.Equals, 3)
-	dropped := answered[protocol.Rejection](c, out)
+	dropped := answered[Reject](c, out)
 	c.Assert(dropped.Kind, qt.Equals, errkind.RunnerRejected)
 	c.Assert(dropped.RetryMs > 0, qt.IsTrue)
 }
@@ -415,7 +415,7 @@
 	b := ready(c)
 	b.ask("/unsafe/")
 	b.m.retryBudget("pages").tokens = 0.5
-	c.Assert(answered[protocol.Rejection](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
+	c.Assert(answered[Reject](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
 	// A runner that could not be reached has cost nothing.
 	b = ready(c)
 	b.ask("/unsafe/")
@@ -457,7 +457,7 @@
 			for len(out.Responses) == 0 && b.nowMs < beganMs+10_000 {
 				out = b.later(25)
 			}
-			dropped := answered[protocol.Rejection](c, out)
+			dropped := answered[Reject](c, out)
 			c.Assert(dropped.Kind, qt.Equals, test.kind)
 			tookMs := b.nowMs - beganMs
 			c.Assert(tookMs >= test.fromMs && tookMs <= test.untilMs, qt.IsTrue, qt.Commentf("%d", tookMs))
@@ -472,7 +472,7 @@
 	b.word(1)
 	out := b.ask("/safe/")
 	b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages"})
-	c.Assert(answered[protocol.Rejection](c, b.later(100)).Kind, qt.Equals, errkind.NoRunner)
+	c.Assert(answered[Reject](c, b.later(100)).Kind, qt.Equals, errkind.NoRunner)
 }
 
 func TestNoMapHoldsALittle(t *testing.T) {
@@ -489,19 +489,19 @@
 		c.Assert(b.step(protocol.Tick{}).Responses, qt.HasLen, 0)
 	}
 	b.nowMs += 25
-	c.Assert(answered[protocol.Rejection](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoConfig)
+	c.Assert(answered[Reject](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoConfig)
 }
 
 func TestNoRoute(t *testing.T) {
 	c := qt.New(t)
 	b := ready(c)
-	c.Assert(answered[protocol.Rejection](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.UnknownPage)
+	c.Assert(answered[Reject](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.UnknownPage)
 	// Without word the route may be there by now.
 	for range 50 {
 		b.nowMs += 25
 		b.step(protocol.Tick{})
 	}
-	c.Assert(answered[protocol.Rejection](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.NoConfig)
+	c.Assert(answered[Reject](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.NoConfig)
 }
 
 // While places are free nobody is refused; then the more urgent goes first,
@@ -522,7 +522,7 @@
 	answered[StartAttempt](c, out)
 	c.Assert(out.Responses[0].ID, qt.Equals, urgentID)
 	out = b.later(100)
-	dropped := answered[protocol.Rejection](c, out)
+	dropped := answered[Reject](c, out)
 	c.Assert(out.Responses[0].ID, qt.Equals, laterID)
 	c.Assert(dropped.Kind, qt.Equals, errkind.PlacementTimeout)
 	c.Assert(dropped.RetryMs > 0 && dropped.RetryMs <= 1000, qt.IsTrue)
@@ -629,7 +629,7 @@
 	b.index(protocol.IndexReply{Service: "reader", Model: "m", Change: 4, Loading: true})
 	b.ask("/patient/", func(a *RequestParams) { a.TimeoutMs = 20_000 })
 	c.Assert(b.later(1950).Responses, qt.HasLen, 0)
-	c.Assert(answered[protocol.Rejection](c, b.later(50)).Kind, qt.Equals, errkind.ShuttingDown)
+	c.Assert(answered[Reject](c, b.later(50)).Kind, qt.Equals, errkind.ShuttingDown)
 }
 
 func TestANewPrimaryIsAskedAtOnce(t *testing.T) {
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -1,77 +1,124 @@
 package proxy
 
-import "myrtlewinch/internal/config"
-
-// Inputs of Machine.Step, beside those that package wire defines (Envelope,
-// Fleet and Tick).
-type (
-	// Request is a client's request whose body has been read completely.
-	Request struct {
-		// ID identifies the request within this router; every later input and
-		// answer about it carries the same ID.
-		ID uint64
-		// Host and Path select the route. Host has no port.
-		Host, Path string
-		Params     RequestParams
-	}
-	// ResponseStarted reports the response head of a runner, with the load that it states
-	// if any, before the response body is read.
-	ResponseStarted struct {
-		// ID is the request whose response began.
-		ID uint64
-		// Runner is the id of the runner that the request was sent to.
-		Runner string
-		Head   ResponseHead
-	}
-	// AttemptEnded reports the end of the attempt that a Send started. There is one
-	// for each Send unless the client disconnects first.
-	AttemptEnded struct {
-		ID      uint64
-		Outcome Outcome
-		// LastEventID is the id of the last event that was forwarded to the client,
-		// or empty if the stream cannot be resumed from it.
-		LastEventID string
-		// Forwarded reports whether the client has received a response head.
-		Forwarded bool
-		// OtherRunner reports whether a runner with a different id responded.
-		OtherRunner bool
-		// WeightsVersion is the version of the model weights that produced what was
-		// forwarded so far, or 0 if it is not known.
-		WeightsVersion int64
-	}
-	// ClientDisconnected reports that the client disconnected.
-	ClientDisconnected struct{ ID uint64 }
-	// Drain starts a planned shutdown.
-	Drain struct{}
-	// SetSeeds replaces the addresses at which the control plane is looked for.
-	SetSeeds struct{ Seeds []string }
-	// StatusQuery asks for a Status as the answer with the same ID.
-	StatusQuery struct{ ID uint64 }
+import (
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/errkind"
 )
 
-// Answers of the machine to a Request, beside protocol.Dropped. A request may get
-// several Sends, one after the other. It ends with the first that is Answered,
-// or else with one of the other answers.
-type (
-	// StartAttempt orders one attempt: the request is sent to the given runner, and its
-	// result comes back as an Ended.
-	StartAttempt struct {
-		Params AttemptParams
-		// Address is the runner's host and port.
-		Address string
-		Route   *config.Route
-		// NewConnection requires a new connection, for a request that must not be
-		// repeated: a kept one may have been closed by the runner.
-		NewConnection bool
-		// WriteByMs is the time before which the first byte must be written.
-		WriteByMs int64
-		// DeadlineMs is the time at which the client stops waiting.
-		DeadlineMs int64
-	}
-	// ForwardKept ends the request with the response of an attempt that ended as
-	// Failed, which the shell has kept.
-	ForwardKept struct{}
-	// AbortStream ends the request by aborting the client's connection, since a part
-	// of a response has already been forwarded.
-	AbortStream struct{}
-)
+// Input is an input of Machine.Step that this package defines. Step also takes
+// protocol.Envelope (a message of another daemon), protocol.RunnerList (the
+// result of a protocol.ListRunners call) and protocol.Tick.
+type Input interface {
+	// apply changes the machine's state by this input.
+	apply(m *Machine)
+}
+
+// Output is the body of a response that the machine gives to a Request or a
+// StatusQuery. A request may get several StartAttempts, one after the other:
+// the next one only after the AttemptEnded of the one before. It ends with the
+// attempt that is Completed, or else with one Reject, ForwardKept or
+// AbortStream.
+type Output interface {
+	output()
+}
+
+// Request is a client's request whose body has been read completely.
+type Request struct {
+	// ID identifies the request within this router; every later input and
+	// output about it carries the same ID.
+	ID uint64
+	// Host and Path select the route. Host has no port.
+	Host, Path string
+	Params     RequestParams
+}
+
+// ResponseStarted reports the head of a runner's response before its body is
+// read. It is sent for streams, and for all responses that state the runner's
+// load.
+type ResponseStarted struct {
+	// ID is the request whose response began.
+	ID uint64
+	// Runner is the id of the runner that the request was sent to.
+	Runner string
+	Head   ResponseHead
+}
+
+// AttemptEnded reports the end of the attempt that a StartAttempt ordered.
+// There is one for each StartAttempt unless the client disconnects first.
+type AttemptEnded struct {
+	// ID is the request that the attempt was for.
+	ID      uint64
+	Outcome Outcome
+	// LastEventID is the id of the last event that was forwarded to the
+	// client, or empty if the stream cannot be resumed after it.
+	LastEventID string
+	// Forwarded reports whether the client has received a response head.
+	Forwarded bool
+	// OtherRunner reports whether a runner with a different id responded. It
+	// is set only with Misdirected.
+	OtherRunner bool
+	// WeightsVersion is the version of the model weights that produced what
+	// was forwarded so far, or 0 if it is not known.
+	WeightsVersion int64
+}
+
+// ClientDisconnected reports that the client of a request disconnected.
+type ClientDisconnected struct{ ID uint64 }
+
+// Drain starts a planned shutdown. Requests go on as before until half of the
+// grace period is over; those that are still queued then are rejected.
+type Drain struct{}
+
+// SetSeeds replaces the addresses at which the control plane is searched for.
+type SetSeeds struct{ Seeds []string }
+
+// StatusQuery asks for a Status, which is returned under the same ID.
+type StatusQuery struct{ ID uint64 }
+
+func (in Request) apply(m *Machine)            { m.admit(in) }
+func (in ResponseStarted) apply(m *Machine)    { m.responseStarted(in) }
+func (in AttemptEnded) apply(m *Machine)       { m.attemptEnded(in) }
+func (in ClientDisconnected) apply(m *Machine) { m.clientDisconnected(in.ID) }
+func (Drain) apply(m *Machine)                 { m.startDraining() }
+func (in SetSeeds) apply(m *Machine)           { m.seeds = in.Seeds }
+func (in StatusQuery) apply(m *Machine)        { m.reply(in.ID, m.status()) }
+
+// StartAttempt orders one attempt: the request is sent to the given runner,
+// and the result comes back as an AttemptEnded.
+type StartAttempt struct {
+	Params AttemptParams
+	// Address is the runner's host and port.
+	Address string
+	// Route is the route of the request; it must not be changed.
+	Route *config.Route
+	// NewConnection requires a new connection, for a request that must not be
+	// repeated: the runner may have closed a pooled one.
+	NewConnection bool
+	// WriteByMs is the time before which the first byte must be written, by
+	// the router's clock.
+	WriteByMs int64
+	// DeadlineMs is the time at which the client stops waiting, by the
+	// router's clock.
+	DeadlineMs int64
+}
+
+// Reject ends the request with an error response.
+type Reject struct {
+	Kind errkind.Kind
+	// RetryMs is when the client should come back, 0 if that is not known.
+	RetryMs int64
+}
+
+// ForwardKept ends the request with the response of the attempt that ended as
+// ServerError, which the caller has kept.
+type ForwardKept struct{}
+
+// AbortStream ends the request by aborting the client's connection, since a
+// part of a response has already been forwarded.
+type AbortStream struct{}
+
+func (StartAttempt) output() {}
+func (Reject) output()       {}
+func (ForwardKept) output()  {}
+func (AbortStream) output()  {}
+func (Status) output()       {}
--- a/internal/proxy/prefill.go
+++ b/internal/proxy/prefill.go
@@ -1,49 +1,62 @@
 package proxy
 
-// prefillMinimums is what reading a prompt costs, by model: the least time that 1,000
-// tokens took since it was last told. The least, since all else that a runner
-// does only adds to it.
-type prefillMinimums map[modelKey]float64
+const (
+	// minPrefillTokens is the length of the shortest prompt that is measured:
+	// with a shorter one most of the time passes on the network.
+	minPrefillTokens = 256
+	// prefillDrift is how far an estimate moves towards a slower measurement.
+	prefillDrift = 0.01
+)
 
+// modelKey names a model of a service.
 type modelKey struct{ service, model string }
 
-// minPrefillTokens is the least prompt that tells something: a small one's time is
-// mostly that of the way.
-const minPrefillTokens = 256
-
-// prefillDrift lets what is known of a model's reading rise slowly.
-const prefillDrift = 0.01
+// prefillMinimums holds for each model the least time, in milliseconds per
+// 1,000 tokens, that a prefill took since the last report to the control
+// plane. The least, since everything else that a runner does only adds to it.
+type prefillMinimums map[modelKey]float64
 
-// record takes how long the first piece of a prompt of so many tokens took.
+// record takes one measurement; one of a short prompt is ignored.
 func (p prefillMinimums) record(service, model string, tokens, ms int64) {
-	if tokens < minPrefillTokens || ms <= 0 {
+	msPer1000Tokens, valid := prefillSpeed(tokens, ms)
+	if !valid {
 		return
 	}
-	at := modelKey{service, model}
-	each := float64(ms) * 1000 / float64(tokens)
-	if least, known := p[at]; !known || each < least {
-		p[at] = each
+	key := modelKey{service, model}
+	if least, known := p[key]; !known || msPer1000Tokens < least {
+		p[key] = msPer1000Tokens
 	}
 }
 
-// takeMinimum gives the least since it was last taken, or 0.
+// takeMinimum returns the minimum and removes it; 0 if there is none.
 func (p prefillMinimums) takeMinimum(service, model string) float64 {
-	at := modelKey{service, model}
-	each := p[at]
-	delete(p, at)
-	return each
+	key := modelKey{service, model}
+	least := p[key]
+	delete(p, key)
+	return least
 }
 
-// recordPrefill takes how long the first piece of an answer took.
-func (m *Machine) recordPrefill(at modelKey, tokens, ms int64) {
-	m.prefillReports.record(at.service, at.model, tokens, ms)
+// prefillSpeed returns the milliseconds for 1,000 tokens, and whether the
+// prompt was long enough to be measured.
+func prefillSpeed(tokens, ms int64) (msPer1000Tokens float64, valid bool) {
 	if tokens < minPrefillTokens || ms <= 0 {
+		return 0, false
+	}
+	return float64(ms) * 1000 / float64(tokens), true
+}
+
+// recordPrefill takes the time from the start of an attempt to the head of its
+// response as a measurement. The router's own estimate follows a faster
+// measurement at once and a slower one slowly.
+func (m *Machine) recordPrefill(key modelKey, tokens, ms int64) {
+	m.prefillReports.record(key.service, key.model, tokens, ms)
+	msPer1000Tokens, valid := prefillSpeed(tokens, ms)
+	if !valid {
 		return
 	}
-	each := float64(ms) * 1000 / float64(tokens)
-	if known := m.prefillEstimates[at]; known == 0 || each < known {
-		m.prefillEstimates[at] = each
+	if known := m.prefillEstimates[key]; known == 0 || msPer1000Tokens < known {
+		m.prefillEstimates[key] = msPer1000Tokens
 	} else {
-		m.prefillEstimates[at] += prefillDrift * (each - known)
+		m.prefillEstimates[key] += prefillDrift * (msPer1000Tokens - known)
 	}
 }
--- a/internal/proxy/queue.go
+++ b/internal/proxy/queue.go
@@ -16,7 +16,8 @@
 	}
 }
 
-// markSlotWait notes that a request waits for want of a place.
+// markSlotWait notes that a queued request waits because all its runners are
+// full.
 func (m *Machine) markSlotWait(r *request) {
 	if !r.waitsForSlot {
 		r.waitsForSlot = true
@@ -24,25 +25,27 @@
 	}
 }
 
-// dispatchQueue gives every waiting request its turn: the most urgent first, and of
-// those the eldest.
+// dispatchQueue tries to dispatch every queued request, the most urgent first,
+// and among equals the oldest first.
 func (m *Machine) dispatchQueue() {
 	if len(m.queue) == 0 {
 		return
 	}
-	waiting := slices.Clone(m.queue)
-	slices.SortStableFunc(waiting, func(a, b *request) int {
+	// Dispatching changes the queue.
+	queued := slices.Clone(m.queue)
+	slices.SortStableFunc(queued, func(a, b *request) int {
 		if d := a.priority() - b.priority(); d != 0 {
 			return d
 		}
 		return int(a.arrivedMs - b.arrivedMs)
 	})
-	for _, r := range waiting {
+	for _, r := range queued {
 		m.dispatch(r)
 	}
 }
 
-// priority is the request's priority, 0 first; 0 as well before its route is known.
+// priority is that of the request's route, 0 first, and 0 before its route is
+// known.
 func (r *request) priority() int {
 	if r.route == nil {
 		return 0
--- /dev/null
+++ b/internal/proxy/response.go
@@ -0,0 +1,142 @@
+package proxy
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+
+	"github.com/cockroachdb/errors"
+
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/httpclient"
+)
+
+const (
+	// maxResponseBytes limits the body of a response that is not a stream.
+	maxResponseBytes = 8 << 20
+	// A response that is not forwarded is read to its end, so that its
+	// connection can be used again, if that takes at most maxDiscardBytes and
+	// discardMs.
+	maxDiscardBytes = 4 << 10
+	discardMs       = 100
+)
+
+var errResponseTooLarge = errors.New("the response is too large")
+
+// bufferedResponse is a response that was read completely.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// forwardComplete reads a response that is not a stream completely, so that
+// one that breaks off is not forwarded at all, and forwards it unless the
+// request may be sent again.
+func (e *exchange) forwardComplete(order StartAttempt, sent *httpclient.Exchange, head ResponseHead, leftMs int64) Outcome {
+	response := sent.Response
+	body, err := e.readResponse(response)
+	if err != nil {
+		sent.Reject()
+		return ResponseLost
+	}
+	complete := &bufferedResponse{response.StatusCode, response.Header, body}
+	retryable := order.Route.Retryable()
+	switch {
+	case retryable && isServerError(response.StatusCode):
+		e.keptResponse = complete
+		return ServerError
+	case !retryable && !head.NotRun && promisesNotRun(response.StatusCode):
+		// Forwarded, it would promise the client what the runner did not.
+		return ResponseLost
+	}
+	defer e.limitWriteTime(leftMs + writeSlackMs)()
+	e.forwardResponse(complete)
+	return Completed
+}
+
+// readResponse reads the body of a response that is not a stream.
+func (e *exchange) readResponse(response *http.Response) ([]byte, error) {
+	if response.ContentLength > maxResponseBytes {
+		return nil, errResponseTooLarge
+	}
+	if response.ContentLength > 0 && e.request.Method != http.MethodHead {
+		body := make([]byte, response.ContentLength)
+		if _, err := io.ReadFull(response.Body, body); err != nil {
+			return nil, err
+		}
+		// The connection is free only once the end has been read.
+		_, _ = response.Body.Read(make([]byte, 1))
+		return body, nil
+	}
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
+		err = errResponseTooLarge
+	}
+	return body, err
+}
+
+// forwardResponse writes a complete response to the client.
+func (e *exchange) forwardResponse(response *bufferedResponse) {
+	e.writeHeader(response.header)
+	hasBody := response.status != http.StatusNoContent && response.status != http.StatusNotModified
+	if hasBody && e.request.Method != http.MethodHead {
+		e.writer.Header().Set("Content-Length", strconv.Itoa(len(response.body)))
+	}
+	e.writer.WriteHeader(response.status)
+	_, _ = e.writer.Write(response.body)
+}
+
+// writeHeader fills the header of the client's response from the runner's.
+func (e *exchange) writeHeader(from http.Header) {
+	to := e.writer.Header()
+	e.server.codec.CopyResponseHeader(to, from)
+	to.Del("Transfer-Encoding")
+	if e.server.draining.Load() {
+		to.Set("Connection", "close")
+	}
+	// The standard server would add a guessed content type.
+	if _, present := to["Content-Type"]; !present {
+		to["Content-Type"] = nil
+	}
+}
+
+// discard reads the rest of a short response that is not forwarded. If that
+// takes too long, cancel ends it.
+func discard(response *http.Response, cancel func()) {
+	if response.ContentLength > maxDiscardBytes {
+		return
+	}
+	defer afterDelay(discardMs, cancel)()
+	_, _ = io.Copy(io.Discard, io.LimitReader(response.Body, maxDiscardBytes))
+}
+
+// isSuccess reports whether the status is 2xx.
+func isSuccess(response *http.Response) bool { return response.StatusCode/100 == 2 }
+
+// isServerError reports whether a status is one after which a retryable
+// request is sent to another runner.
+func isServerError(status int) bool {
+	return status == http.StatusInternalServerError || status == http.StatusBadGateway
+}
+
+// promisesNotRun reports whether a status tells clients that the request has
+// not run.
+func promisesNotRun(status int) bool {
+	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests || status == http.StatusRequestTimeout
+}
+
+// hasDelimitedEnd reports whether the complete body can be told from one that
+// broke off.
+func hasDelimitedEnd(response *http.Response) bool {
+	return response.ContentLength >= 0 || len(response.TransferEncoding) > 0 || response.Request.Method == http.MethodHead
+}
+
+// isStream reports whether a response is forwarded event by event.
+func isStream(route *config.Route, response *http.Response) bool {
+	if !isSuccess(response) {
+		return false
+	}
+	return route.Kind == config.Stream || strings.HasPrefix(response.Header.Get("Content-Type"), "text/event-stream")
+}
--- a/internal/proxy/runnerstate.go
+++ b/internal/proxy/runnerstate.go
@@ -3,86 +3,103 @@
 import "slices"
 
 const (
-	// changeMemoryMs is how long own sends are remembered against what is told: no
-	// told figure is older.
+	// changeMemoryMs is how long the start and end of the router's own
+	// attempts are remembered, to be added to older reports. No report is
+	// older than this.
 	changeMemoryMs = 1500
-	// unhealthyMs is how long a runner that failed is the last choice; each
-	// failure in a row doubles it.
+	// unhealthyMs is how long a runner counts as unhealthy after a failure.
+	// Each further failure in a row doubles it, up to maxUnhealthyMs.
 	unhealthyMs    = 1000
 	maxUnhealthyMs = 8000
-	// reportMaxAgeMs is how long a runner's word is believed without another.
+	// reportMaxAgeMs is how long a report is used without another one.
 	reportMaxAgeMs = 3000
-	// fullMs is how long a runner that turned a request away counts as full,
-	// if it does not tell otherwise before.
+	// fullMs is how long a runner counts as full after it rejected a request,
+	// unless it reports its load before.
 	fullMs = 250
-	// runnerIdleMs is when an unused runner is forgotten.
+	// runnerIdleMs is how long after its last use a runner is forgotten.
 	runnerIdleMs = 60_000
+	// A runner may be given more requests than it has slots, so that the next
+	// one is there when a slot gets free: minWaiting or one for each
+	// slotsPerWaiting slots, whichever is more.
+	minWaiting      = 2
+	slotsPerWaiting = 16
 )
 
-// inFlightChange is a send of this router that began or ended.
-type inFlightChange struct {
-	atMs   int64
-	count  int
-	tokens int64
-}
-
-// runnerState is what this router knows of a runner's load.
+// runnerState is what this router knows of the load and health of a runner.
 type runnerState struct {
-	// The runner's own word, as it was at reportedMs; reportedMs is nought without one.
+	// reportedMs is when the runner's last report was made, 0 without one.
+	// reportedRequests are the requests that executed or waited there then,
+	// reportedQueued those of them that waited.
 	reportedMs       int64
 	reportedRequests int
-	// reportedQueued is how many of those told waited.
-	reportedQueued  int
-	slots           int
+	reportedQueued   int
+	// slots is how many requests it executes at the same time; 0 if not known.
+	slots int
+	// cacheUsed and cacheTotal are tokens of its KV cache, as of
+	// cacheReportedMs. cacheTotal is 0 without a report.
 	cacheReportedMs int64
 	cacheUsed       int64
 	cacheTotal      int64
-	inFlight        int
-	// prefillTokens is how many tokens of prompts this router sent are still to be
-	// read there.
-	prefillTokens    int64
-	inFlightTokens   int64
-	recentChanges    []inFlightChange
+	// inFlight are this router's attempts under way there, inFlightTokens the
+	// tokens of their prompts and output, and prefillTokens the prompt tokens
+	// of those whose response has not begun.
+	inFlight       int
+	inFlightTokens int64
+	prefillTokens  int64
+	// recentChanges are the attempts that began or ended in the last
+	// changeMemoryMs.
+	recentChanges []inFlightChange
+	// failures counts the failures since the last success.
+	failures         int
 	unhealthyUntilMs int64
 	fullUntilMs      int64
-	failures         int
 	lastUsedMs       int64
 }
 
-// reportLoad takes a count of running and waiting requests as of listedAtMs.
-func (r *runnerState) reportLoad(atMs int64, count, slots int) {
+// inFlightChange is the start (count 1) or end (count -1) of an attempt.
+type inFlightChange struct {
+	atMs   int64
+	count  int
+	tokens int64
+}
+
+// reportLoad takes a report of the executing and waiting requests as of atMs.
+// It is ignored if it is older than the last one, except for slots.
+func (r *runnerState) reportLoad(atMs int64, requests, slots int) {
 	if slots > 0 {
 		r.slots = slots
 	}
-	if atMs >= r.reportedMs {
-		r.reportedMs, r.reportedRequests = atMs, count
-		// Its word is newer than its turning away.
-		if atMs > r.fullUntilMs-fullMs {
-			r.fullUntilMs = 0
-		}
+	if atMs < r.reportedMs {
+		return
+	}
+	r.reportedMs, r.reportedRequests = atMs, requests
+	rejectedMs := r.fullUntilMs - fullMs
+	if atMs > rejectedMs {
+		r.fullUntilMs = 0
 	}
 }
 
-// reportCache takes the token memory in use as of listedAtMs.
+// reportCache takes a report of the KV cache as of atMs.
 func (r *runnerState) reportCache(atMs, used, total int64) {
 	if total > 0 && atMs >= r.cacheReportedMs {
 		r.cacheReportedMs, r.cacheUsed, r.cacheTotal = atMs, used, total
 	}
 }
 
+// addInFlight notes that an attempt began or ended.
 func (r *runnerState) addInFlight(nowMs int64, count int, tokens int64) {
 	r.inFlight += count
 	r.inFlightTokens += tokens
 	r.lastUsedMs = nowMs
-	kept := slices.IndexFunc(r.recentChanges, func(c inFlightChange) bool { return c.atMs > nowMs-changeMemoryMs })
-	if kept < 0 {
-		kept = len(r.recentChanges)
+	firstKept := slices.IndexFunc(r.recentChanges, func(c inFlightChange) bool { return c.atMs > nowMs-changeMemoryMs })
+	if firstKept < 0 {
+		firstKept = len(r.recentChanges)
 	}
-	r.recentChanges = append(slices.Delete(r.recentChanges, 0, kept), inFlightChange{nowMs, count, tokens})
+	r.recentChanges = append(slices.Delete(r.recentChanges, 0, firstKept), inFlightChange{nowMs, count, tokens})
 }
 
-// load is how many requests are thought to be there now: what was told, and
-// what this router began and ended since.
+// load estimates how many requests are at the runner now, by the last report
+// and this router's changes since. It is never less than this router's own.
 func (r *runnerState) load(nowMs int64) int {
 	load := r.reportedRequests
 	if nowMs-r.reportedMs > reportMaxAgeMs {
@@ -96,7 +113,8 @@
 	return max(load, r.inFlight, 0)
 }
 
-// cacheTokens is how many tokens are thought to be in use there now.
+// cacheTokens estimates how many tokens of the KV cache are in use now, in the
+// same way.
 func (r *runnerState) cacheTokens(nowMs int64) int64 {
 	used := r.cacheUsed
 	if nowMs-r.cacheReportedMs > reportMaxAgeMs {
@@ -110,23 +128,29 @@
 	return max(used, r.inFlightTokens, 0)
 }
 
-// capacity is how many requests it may be given: those that run at once, and a
-// few that wait for the next free place.
-func (r *runnerState) capacity() int { return r.slots + max(2, r.slots/16) }
+// capacity returns how many requests the runner may be given: those that
+// execute and a few that wait for the next free slot.
+func (r *runnerState) capacity() int { return r.slots + max(minWaiting, r.slots/slotsPerWaiting) }
 
-// isFull says that it should not be given a request of so many tokens.
-func (r *runnerState) isFull(nowMs, tokens int64, streams int) bool {
+// isFull reports whether the runner must not be given a request of so many
+// tokens now. inFlightLimit bounds this router's own requests there.
+func (r *runnerState) isFull(nowMs, tokens int64, inFlightLimit int) bool {
+	if nowMs < r.fullUntilMs || r.inFlight >= inFlightLimit {
+		return true
+	}
 	load := r.load(nowMs)
-	return nowMs < r.fullUntilMs || r.slots > 0 && load >= r.capacity() || r.inFlight >= streams ||
-		r.cacheTotal > 0 && load > 0 && r.cacheTokens(nowMs)+tokens > r.cacheTotal
+	if r.slots > 0 && load >= r.capacity() {
+		return true
+	}
+	return r.cacheTotal > 0 && load > 0 && r.cacheTokens(nowMs)+tokens > r.cacheTotal
 }
 
-// markFull notes that it turned a request away: it has no place until it tells
-// otherwise.
+// markFull notes that the runner rejected a request.
 func (r *runnerState) markFull(nowMs int64) { r.fullUntilMs = nowMs + fullMs }
 
+// recordFailure marks the runner as unhealthy. Attempts that fail while it is
+// unhealthy already are mostly the same failure and do not count again.
 func (r *runnerState) recordFailure(nowMs int64) {
-	// Many sends that fail together are one failure.
 	if nowMs < r.unhealthyUntilMs {
 		return
 	}
@@ -134,4 +158,5 @@
 	r.failures++
 }
 
+// recordSuccess marks the runner as healthy.
 func (r *runnerState) recordSuccess() { r.failures, r.unhealthyUntilMs = 0, 0 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -13,128 +13,190 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/process"
-	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/threads"
 )
 
 const (
+	// tickMs is the time between two ticks of the machine.
 	tickMs = 25
-	// defaultMaxBodyBytes bounds a body where the map says nothing.
+	// defaultMaxBodyBytes limits a request body if the service map does not.
 	defaultMaxBodyBytes = 4 << 20
-	smallBodyBytes      = 64 << 10
-	bodyReadMs          = 10_000
-	// reservedFiles are kept for what is not a client's request; each request
-	// takes two streams.
-	reservedFiles      = 400
+	// smallBodyBytes is the length up to which a body's memory is allocated at
+	// once, and up to which it does not count towards the limit of all bodies.
+	smallBodyBytes = 64 << 10
+	// bodyReadTimeout is how long the reading of a body may take.
+	bodyReadTimeout = 10 * time.Second
+	// statusTimeout is how long the machine may take for a status page.
+	statusTimeout = 2 * time.Second
+	// drainPoll is the time between two looks for the end of a shutdown.
+	drainPoll = 20 * time.Millisecond
+
+	// defaultLargeBodyBytes limits the bodies above smallBodyBytes that are
+	// held at the same time, if the memory is not limited; otherwise it is one
+	// part in largeBodyMemoryDivisor of the memory.
+	defaultLargeBodyBytes  = 64 << 20
+	largeBodyMemoryDivisor = 5
+	// maxRequestsCeiling and minRequestsLimit bound the number of requests
+	// that are served at the same time, whatever the memory and open files.
 	maxRequestsCeiling = 8192
-	// requestMemoryKb is about what one request takes of the memory.
-	requestMemoryKb = 96
-	// clientsLeaveMs is when the platform has stopped to send clients here, after the
-	// ready page said no.
+	minRequestsLimit   = 64
+	// reservedFiles are open files for anything but clients' requests. Each of
+	// these takes filesPerRequest: the client's connection and the runner's.
+	reservedFiles   = 400
+	filesPerRequest = 2
+	// requestMemoryKb is about the memory that one request takes; requests may
+	// take one part in requestMemoryDivisor of the memory.
+	requestMemoryKb      = 96
+	requestMemoryDivisor = 2
+
+	// clientsLeaveMs is how long after the ready page answers 503 the platform
+	// may still send new clients here.
 	clientsLeaveMs = 2200
-	// shutdownMarginMs before the end of the grace all must be over.
+	// shutdownMarginMs is how long before the end of the grace period a
+	// shutdown ends even if requests are under way.
 	shutdownMarginMs = 700
-	// deadlineSlackMs is how long after its time a request is broken off; the runner
-	// and the client end it themselves.
-	deadlineSlackMs = 1000
+	// retryOverloadMs is the Retry-After of a router that is overloaded.
+	retryOverloadMs = 300
 )
 
-// Server is a router as a process: its machine in a shell, and the way of a
-// request through it.
+// Names of counters on the counters page; docs/operators.md explains them.
+const (
+	countTooManyRequests  = "requests too many"
+	countBodiesTooLarge   = "bodies too large together"
+	countStreamsAborted   = "streams broken off"
+	countSilentRunner     = "sends to a dark runner given up"
+	countInvalidResponses = "answers that are none"
+)
+
+// Server is a router as a process: its machine in a process.Runtime, and the
+// HTTP servers for clients and for the platform.
 type Server struct {
-	shell          *process.Runtime
+	runtime        *process.Runtime
 	machine        *Machine
 	settings       Settings
 	codec          Codec
 	clientListener net.Listener
-	server         *http.Server
+	clientServer   *http.Server
+	// activeRequests counts the requests that are served now, at most
+	// maxRequests.
 	activeRequests atomic.Int64
 	maxRequests    int64
 	draining       atomic.Bool
 	tracker        attemptTracker
-	// largeBodyBytes counts the bytes of large bodies that are held, maxLargeBodyBytes bounds
-	// them.
+	// largeBodyBytes is the announced length of all large bodies held now, at
+	// most maxLargeBodyBytes.
 	largeBodyBytes    atomic.Int64
 	maxLargeBodyBytes int64
 }
 
-// NewServer makes the router; nothing runs yet. Clients come to front, and
-// whoever asks whether this router takes any comes to ready.
-func NewServer(set Settings, tongue Codec, format Format, exchanger process.OutboundCaller, peers, front, ready net.Listener, logger *log.Logger) (*Server, error) {
+var _ http.Handler = (*Server)(nil)
+
+// NewServer makes a router that runs once its tasks are started. It accepts
+// other daemons on peers, clients on clients, and on ready whoever asks for the
+// ready, status and counters pages. The caller carries out the calls to the
+// platform.
+func NewServer(settings Settings, codec Codec, format Format, caller process.OutboundCaller, peers, clients, ready net.Listener, logger *log.Logger) (*Server, error) {
 	clock := process.NewClock()
-	g := &Server{machine: New(set, format, clock.NowMs()), settings: set, codec: tongue, clientListener: front, maxRequests: maxRequestsCeiling}
-	if set.OpenFiles > 0 {
-		g.maxRequests = min(g.maxRequests, int64(max(64, (set.OpenFiles-reservedFiles)/2)))
+	s := &Server{
+		machine: New(settings, format, clock.NowMs()), settings: settings, codec: codec, clientListener: clients,
+		maxRequests: maxRequestsOf(settings), maxLargeBodyBytes: maxLargeBodyBytesOf(settings),
 	}
-	g.maxLargeBodyBytes = 64 << 20
-	if set.MemoryMb > 0 {
-		g.maxLargeBodyBytes = int64(set.MemoryMb) << 20 / 5
-		g.maxRequests = min(g.maxRequests, int64(max(64, set.MemoryMb*1024/2/requestMemoryKb)))
-	}
-	g.shell = process.New(process.Options{
-		Site: set.Site, Self: set.Self, Clock: clock, Log: logger, TickMs: tickMs, Caller: exchanger,
-	}, g.machine, nil, peers, ready, http.HandlerFunc(g.servePlatform))
-	g.server = &http.Server{
-		// How long a connection may rest and a head may take, clientConn knows.
-		Handler: g, ConnState: trackClientConn, MaxHeaderBytes: headBytesCeiling, DisableGeneralOptionsHandler: true,
+	s.runtime = process.New(process.Options{
+		Site: settings.Site, Self: settings.Self, Clock: clock, Log: logger, TickMs: tickMs, Caller: caller,
+	}, s.machine, nil, peers, ready, http.HandlerFunc(s.servePlatform))
+	s.clientServer = &http.Server{
+		// clientConn sets the deadlines for idle connections and heads.
+		Handler: s, ConnState: trackClientConn, MaxHeaderBytes: headBytesCeiling, DisableGeneralOptionsHandler: true,
 		ErrorLog: logger.StandardLog(log.StandardLogOptions{ForceLevel: log.DebugLevel}),
 	}
-	return g, nil
+	return s, nil
 }
 
-// AddTasks adds the router's duties to a crew.
-func (g *Server) AddTasks(c *threads.Group) {
-	g.shell.AddTasks(c)
-	c.Add(func() error {
-		if err := g.server.Serve(clientListener{g.clientListener, g.clientLimits}); !errors.Is(err, http.ErrServerClosed) {
-			return err
-		}
+// maxRequestsOf returns how many requests the open files and the memory allow.
+func maxRequestsOf(settings Settings) int64 {
+	limit := int64(maxRequestsCeiling)
+	if settings.OpenFiles > 0 {
+		byFiles := (settings.OpenFiles - reservedFiles) / filesPerRequest
+		limit = min(limit, int64(max(minRequestsLimit, byFiles)))
+	}
+	if settings.MemoryMb > 0 {
+		byMemory := settings.MemoryMb * 1024 / requestMemoryDivisor / requestMemoryKb
+		limit = min(limit, int64(max(minRequestsLimit, byMemory)))
+	}
+	return limit
+}
+
+// maxLargeBodyBytesOf returns how many bytes of large bodies the memory allows.
+func maxLargeBodyBytesOf(settings Settings) int64 {
+	if settings.MemoryMb > 0 {
+		return int64(settings.MemoryMb) << 20 / largeBodyMemoryDivisor
+	}
+	return defaultLargeBodyBytes
+}
+
+// AddTasks adds the router's tasks to a group.
+func (s *Server) AddTasks(group *threads.Group) {
+	s.runtime.AddTasks(group)
+	group.Add(s.serveClients, s.closeClients)
+}
+
+// serveClients accepts clients until closeClients.
+func (s *Server) serveClients() error {
+	err := s.clientServer.Serve(clientListener{s.clientListener, s.clientLimits})
+	if errors.Is(err, http.ErrServerClosed) {
 		return nil
-	}, func() {
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownMarginMs/2*time.Millisecond)
-		defer cancel()
-		if g.server.Shutdown(ctx) != nil {
-			_ = g.server.Close()
-		}
-	})
+	}
+	return err
 }
 
-// clientLimits are those of the map in use.
-func (g *Server) clientLimits() clientLimits { return clientLimitsOf(g.machine.Map()) }
+// closeClients closes the clients' connections, those of requests under way
+// only after half of the shutdown margin.
+func (s *Server) closeClients() {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownMarginMs/2*time.Millisecond)
+	defer cancel()
+	if s.clientServer.Shutdown(ctx) != nil {
+		_ = s.clientServer.Close()
+	}
+}
+
+// clientLimits returns the limits of the service map in use.
+func (s *Server) clientLimits() clientLimits { return clientLimitsOf(s.machine.Map()) }
 
-// Reseed gives the seeds anew.
-func (g *Server) Reseed(seeds []string) { g.shell.Submit(SetSeeds{Seeds: seeds}) }
+// Reseed replaces the addresses at which the control plane is searched for.
+func (s *Server) Reseed(seeds []string) { s.runtime.Submit(SetSeeds{Seeds: seeds}) }
 
-// Pause makes the router stand still until it is released.
-func (g *Server) Pause() (release func()) { return g.shell.Pause() }
+// Pause stops the router as a suspended machine would be, until it is
+// released. It is for tests.
+func (s *Server) Pause() (release func()) { return s.runtime.Pause() }
 
-// Shutdown says not ready, ends what was read, and returns when no one comes any
-// more or the grace is nearly over.
-func (g *Server) Shutdown() {
-	clock := g.shell.Clock()
-	beganMs := clock.NowMs()
-	g.draining.Store(true)
-	g.shell.Submit(Drain{})
-	lastMs := beganMs + max(clientsLeaveMs, g.settings.Bounds.GraceMs-shutdownMarginMs)
-	closed := false
-	for nowMs := beganMs; nowMs < lastMs; nowMs = clock.NowMs() {
-		if !closed && nowMs-beganMs >= clientsLeaveMs {
-			// Idle streams have no more use; clients have gone elsewhere.
-			closed = true
-			g.server.SetKeepAlivesEnabled(false)
+// Shutdown makes the ready page answer 503, waits until the platform sends no
+// new clients and all requests have ended, and returns then, or shortly before
+// the end of the grace period.
+func (s *Server) Shutdown() {
+	clock := s.runtime.Clock()
+	startMs := clock.NowMs()
+	s.draining.Store(true)
+	s.runtime.Submit(Drain{})
+	endMs := startMs + max(clientsLeaveMs, s.settings.Bounds.GraceMs-shutdownMarginMs)
+	clientsLeft := false
+	for nowMs := startMs; nowMs < endMs; nowMs = clock.NowMs() {
+		if !clientsLeft && nowMs-startMs >= clientsLeaveMs {
+			clientsLeft = true
+			// Idle connections are not used any more.
+			s.clientServer.SetKeepAlivesEnabled(false)
 		}
-		if closed && g.activeRequests.Load() == 0 {
+		if clientsLeft && s.activeRequests.Load() == 0 {
 			return
 		}
-		time.Sleep(20 * time.Millisecond)
+		time.Sleep(drainPoll)
 	}
 }
 
-// servePlatform answers whoever asks whether this router is ready.
-func (g *Server) servePlatform(w http.ResponseWriter, r *http.Request) {
+// servePlatform serves the status and counters pages, and under any other path
+// the ready page.
+func (s *Server) servePlatform(w http.ResponseWriter, r *http.Request) {
 	if r.Method != http.MethodGet && r.Method != http.MethodHead {
 		w.Header().Set("Allow", http.MethodGet)
 		w.WriteHeader(http.StatusMethodNotAllowed)
@@ -142,114 +204,110 @@
 	}
 	switch r.URL.Path {
 	case "/status":
-		ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
-		defer cancel()
-		answer, ok := g.shell.Call(ctx, func(id uint64) any { return StatusQuery{ID: id} })
-		if !ok {
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		writeJSON(w, answer)
+		s.serveStatus(w, r)
 	case "/counters":
-		writeJSON(w, g.shell.Counts())
+		writeJSON(w, s.runtime.Counts())
 	default:
-		if g.machine.Map() == nil || g.draining.Load() {
-			w.WriteHeader(http.StatusServiceUnavailable)
-			return
-		}
-		w.WriteHeader(http.StatusOK)
+		s.serveReady(w)
 	}
 }
 
+func (s *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
+	defer cancel()
+	status, ok := s.runtime.Call(ctx, func(id uint64) any { return StatusQuery{ID: id} })
+	if !ok {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	writeJSON(w, status)
+}
+
+// serveReady answers whether the platform may send clients here.
+func (s *Server) serveReady(w http.ResponseWriter) {
+	if s.machine.Map() == nil || s.draining.Load() {
+		w.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	w.WriteHeader(http.StatusOK)
+}
+
 func writeJSON(w http.ResponseWriter, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// ServeHTTP answers clients.
-func (g *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// The count goes first, so that a stop never misses one.
-	under := g.activeRequests.Add(1)
-	defer g.activeRequests.Add(-1)
-	if g.draining.Load() {
+// ServeHTTP serves one request of a client.
+func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	// Counted before draining is read, so that Shutdown misses no request.
+	active := s.activeRequests.Add(1)
+	defer s.activeRequests.Add(-1)
+	if s.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	// The bound keeps a crowd from filling the memory.
-	if under > g.maxRequests {
-		g.shell.Count("requests too many")
-		g.codec.WriteRejection(w, errkind.QueueFull, 300)
+	if active > s.maxRequests {
+		s.runtime.Count(countTooManyRequests)
+		s.codec.WriteRejection(w, errkind.QueueFull, retryOverloadMs)
 		return
 	}
-	if headBytes(r) > g.clientLimits().headBytes {
+	s.serveAdmitted(w, r)
+}
+
+// serveAdmitted serves a request that is within the limit of requests.
+func (s *Server) serveAdmitted(w http.ResponseWriter, r *http.Request) {
+	if headBytes(r) > s.clientLimits().headBytes {
 		w.Header().Set("Connection", "close")
-		g.codec.WriteRejection(w, errkind.HeadTooLarge, 0)
+		s.codec.WriteRejection(w, errkind.HeadTooLarge, 0)
 		return
 	}
 	path, query, hasQuery := strings.Cut(r.RequestURI, "?")
 	if !strings.HasPrefix(path, "/") {
-		g.codec.WriteRejection(w, errkind.BadRequest, 0)
+		s.codec.WriteRejection(w, errkind.BadRequest, 0)
 		return
 	}
-	asked, err := g.codec.ParseRequest(r)
+	params, err := s.codec.ParseRequest(r)
 	if err != nil {
-		g.codec.WriteRejection(w, errkind.BadRequest, 0)
+		s.codec.WriteRejection(w, errkind.BadRequest, 0)
 		return
 	}
 	if large := max(0, r.ContentLength-smallBodyBytes); large > 0 {
-		defer g.largeBodyBytes.Add(-large)
-		if g.largeBodyBytes.Add(large) > g.maxLargeBodyBytes {
-			g.shell.Count("bodies too large together")
-			g.codec.WriteRejection(w, errkind.QueueFull, 300)
+		defer s.largeBodyBytes.Add(-large)
+		if s.largeBodyBytes.Add(large) > s.maxLargeBodyBytes {
+			s.runtime.Count(countBodiesTooLarge)
+			s.codec.WriteRejection(w, errkind.QueueFull, retryOverloadMs)
 			return
 		}
 	}
-	body, kind := g.readBody(w, r)
+	body, kind := s.readBody(w, r)
 	if kind != "" {
-		g.codec.WriteRejection(w, kind, 0)
+		s.codec.WriteRejection(w, kind, 0)
 		return
 	}
-	p := &exchange{
-		server: g, writer: w, request: r, params: asked, body: body, path: path, query: query, hasQuery: hasQuery,
-		startMs: g.shell.Clock().NowMs(),
+	e := &exchange{
+		server: s, writer: w, request: r, params: params, body: body,
+		path: path, query: query, hasQuery: hasQuery,
 	}
-	p.serve()
+	e.serve()
 }
 
-// readBody reads the whole body before anything is sent on: a body that broke
-// off halfway must reach no runner.
-func (g *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, errkind.Kind) {
+// readBody reads the whole body before the request is sent to a runner, so
+// that no runner gets one that breaks off. The kind is empty if it succeeds.
+func (s *Server) readBody(w http.ResponseWriter, r *http.Request) ([]byte, errkind.Kind) {
 	if r.ContentLength == 0 {
 		return nil, ""
 	}
-	most := int64(defaultMaxBodyBytes)
-	if document := g.machine.Map(); document != nil && document.Limits.MaxBodyBytes > 0 {
-		most = document.Limits.MaxBodyBytes
-	}
-	if r.ContentLength > most {
+	maxBytes := s.maxBodyBytes()
+	if r.ContentLength > maxBytes {
 		w.Header().Set("Connection", "close")
 		return nil, errkind.TooLarge
 	}
-	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(bodyReadMs * time.Millisecond))
-	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
-	var body []byte
-	var err error
-	limited := http.MaxBytesReader(w, r.Body, most)
-	// Memory is taken as bytes come where much of it is announced.
-	if r.ContentLength > 0 && r.ContentLength <= smallBodyBytes {
-		body = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(limited, body)
-		if err == nil {
-			// The server sees the end of the body only once it is read, and
-			// notices from then on when the client goes away.
-			_, _ = limited.Read(make([]byte, 1))
-		}
-	} else {
-		body, err = io.ReadAll(limited)
-	}
-	var large *http.MaxBytesError
+	controller := http.NewResponseController(w)
+	_ = controller.SetReadDeadline(time.Now().Add(bodyReadTimeout))
+	defer func() { _ = controller.SetReadDeadline(time.Time{}) }()
+	body, err := readAllOf(http.MaxBytesReader(w, r.Body, maxBytes), r.ContentLength)
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return nil, errkind.TooLarge
 	case err != nil:
 		w.Header().Set("Connection", "close")
@@ -258,81 +316,27 @@
 	return body, ""
 }
 
-// limitWriteTime bounds the writing to a client that does not read; done lifts it.
-func (p *exchange) limitWriteTime(ms int64) (done func()) {
-	control := http.NewResponseController(p.writer)
-	_ = control.SetWriteDeadline(time.Now().Add(time.Duration(ms) * time.Millisecond))
-	return func() { _ = control.SetWriteDeadline(time.Time{}) }
-}
-
-// afterDelay calls do later, unless it is stopped before.
-func afterDelay(ms int64, do func()) (stop func()) {
-	timer := time.AfterFunc(time.Duration(ms)*time.Millisecond, do)
-	return func() { timer.Stop() }
-}
-
-// hostWithoutPort is what a route is chosen by, without a port.
-func hostWithoutPort(text string) string {
-	if name, _, err := net.SplitHostPort(text); err == nil {
-		return name
+// maxBodyBytes returns the limit of the service map in use.
+func (s *Server) maxBodyBytes() int64 {
+	serviceMap := s.machine.Map()
+	if serviceMap == nil || serviceMap.Limits.MaxBodyBytes <= 0 {
+		return defaultMaxBodyBytes
 	}
-	return text
+	return serviceMap.Limits.MaxBodyBytes
 }
 
-// serve asks the machine what to do with a request, until it has its answer.
-func (p *exchange) serve() {
-	g := p.server
-	id, answers := g.shell.OpenReplies()
-	defer g.shell.CloseReplies(id)
-	p.id = id
-	if !g.shell.Submit(Request{ID: id, Host: hostWithoutPort(p.request.Host), Path: p.path, Params: p.params}) {
-		g.codec.WriteRejection(p.writer, errkind.QueueFull, 300)
-		return
+// readAllOf reads a body of the announced length, or of any length if that is
+// negative. The memory for a large one is allocated as it comes.
+func readAllOf(body io.Reader, length int64) ([]byte, error) {
+	if length < 0 || length > smallBodyBytes {
+		return io.ReadAll(body)
 	}
-	// Whatever ends this, the place that a send took is free again.
-	over := false
-	defer func() {
-		if !over {
-			g.shell.Submit(ClientDisconnected{ID: id})
-		}
-	}()
-	for {
-		select {
-		case <-p.request.Context().Done():
-			panic(http.ErrAbortHandler)
-		case answer := <-answers:
-			switch said := answer.(type) {
-			case protocol.Rejection:
-				over = true
-				g.codec.WriteRejection(p.writer, said.Kind, said.RetryMs)
-				return
-			case AbortStream:
-				over = true
-				g.shell.Count("streams broken off")
-				panic(http.ErrAbortHandler)
-			case ForwardKept:
-				over = true
-				p.forwardResponse(p.keptResponse)
-				return
-			case StartAttempt:
-				ended := p.runAttempt(said)
-				if p.request.Context().Err() != nil {
-					panic(http.ErrAbortHandler)
-				}
-				over = ended.Outcome == Completed
-				g.shell.Submit(ended)
-				if over {
-					return
-				}
-			}
-		}
+	read := make([]byte, length)
+	if _, err := io.ReadFull(body, read); err != nil {
+		return read, err
 	}
-}
-
-var _ http.Handler = (*Server)(nil)
-
-// isStream says whether an answer of the route comes piece by piece.
-func isStream(route *config.Route, answer *http.Response) bool {
-	return answer.StatusCode/100 == 2 &&
-		(route.Kind == config.Stream || strings.HasPrefix(answer.Header.Get("Content-Type"), "text/event-stream"))
+	// The standard server notices the end of the body only when it is read,
+	// and notices a client's disconnection only after that.
+	_, _ = body.Read(make([]byte, 1))
+	return read, nil
 }
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -208,10 +208,10 @@
 		_ = group.Run()
 	})
 	put := func(body protocol.Message) {
-		g.shell.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
+		g.runtime.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: body})
 	}
 	text, _ := json.Marshal(document)
-	put(protocol.ConfigUpdate{EchoMs: g.shell.Clock().NowMs(), Epoch: 3, Version: 1, Sum: "1", Text: string(text), Routers: 1})
+	put(protocol.ConfigUpdate{EchoMs: g.runtime.Clock().NowMs(), Epoch: 3, Version: 1, Sum: "1", Text: string(text), Routers: 1})
 	for _, line := range []protocol.IndexReply{{Service: "pages"}, {Service: "reader", Model: "m"}} {
 		line.ID, line.Known, line.Epoch, line.TurnMs = 1, true, 3, -1
 		for i, address := range addresses {
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -1,60 +1,78 @@
 package proxy
 
-import "myrtlewinch/internal/errkind"
+import (
+	"maps"
 
-// Counters holds the counters of a router since its start.
+	"myrtlewinch/internal/errkind"
+)
+
+// Counters counts what a router did since its start. They are part of the
+// status page.
 type Counters struct {
-	// Of the requests that were looked up, on arrival Hits had a runner, be it
-	// a full one, and Misses had none. MissesDelayed counts the misses
-	// that waited for at least missDelayedMs, LookUpRetries the look-ups repeated at
-	// another controller.
-	Requests      uint64
-	LookUps       uint64
+	// Requests counts the requests that arrived, LookUps those whose route was
+	// found and that were therefore looked up, once each.
+	Requests uint64
+	LookUps  uint64
+	// LookUpRetries counts look-ups that were repeated at another controller.
 	LookUpRetries uint64 `json:"LookUpsAgain"`
-	Hits          uint64
-	Misses        uint64
+	// Hits counts the looked-up requests for which a runner was known on
+	// arrival, even if it was full; Misses counts the others.
+	Hits   uint64
+	Misses uint64
+	// MissesDelayed counts the misses that waited for at least 50 ms.
 	MissesDelayed uint64 `json:"MissesHeld"`
-	// Attempts counts attempts, Retries those after the first of a request, and
-	// Resumes those that continue a stream the client has a part of.
+	// Attempts counts all attempts, Retries those after the first attempt of a
+	// request, and Resumes those that continue a stream of which the client
+	// already has a part.
 	Attempts uint64 `json:"Goes"`
 	Retries  uint64 `json:"SecondGoes"`
 	Resumes  uint64
-	// Rejections counts the rejected requests by error kind, and broken-off streams.
+	// Rejections counts the rejected requests by error kind, and aborted
+	// streams under a key of their own.
 	Rejections map[errkind.Kind]uint64 `json:"Drops"`
 }
 
+// abortedStreams is the key of Counters.Rejections for aborted streams.
+const abortedStreams errkind.Kind = "stream broken off"
+
 // Status is the status page of a router, as it is encoded to JSON.
 type Status struct {
+	// Name is the router's name in the settings.
 	Name string `json:"name"`
-	// Version is that of the service map in use; Epoch and Primary are those
-	// of the control plane as this router knows them.
+	// Version is that of the service map in use; 0 without a map.
 	Version uint64 `json:"version"`
+	// Epoch and Primary are those of the control plane as this router knows
+	// them.
 	Epoch   uint64 `json:"epoch"`
 	Primary string `json:"primary"`
-	// HeardMs is the age of the question that the primary answered last.
+	// HeardMs is the time since the sending of the last poll that the primary
+	// answered.
 	HeardMs int64 `json:"heard_ms_ago"`
-	// Routers is how many routers the site has, as the primary said last.
-	Routers int  `json:"routers"`
+	// Routers is the number of routers of the site, as the primary reported
+	// last; 0 before its first report.
+	Routers int `json:"routers"`
+	// Leaving reports whether a planned shutdown is under way.
 	Leaving bool `json:"leaving"`
-	// Entries, Runners, Requests and Waiting are the sizes of the cache, of the
-	// runners' states, of all requests under way and of their waiting part.
-	Entries  int      `json:"entries"`
-	Runners  int      `json:"runners"`
+	// Entries is the number of cached index entries.
+	Entries int `json:"entries"`
+	// Runners is the number of runners whose load is tracked.
+	Runners int `json:"runners"`
+	// Requests is the number of requests under way, Waiting that of the queued
+	// ones among them.
 	Requests int      `json:"requests"`
 	Waiting  int      `json:"waiting"`
 	Counters Counters `json:"tally"`
 }
 
-// status returns the status page; it shares nothing with the machine.
+// status returns the status page; it shares no memory with the machine.
 func (m *Machine) status() Status {
-	tally := m.Counters
-	tally.Rejections = map[errkind.Kind]uint64{}
-	for kind, count := range m.Counters.Rejections {
-		tally.Rejections[kind] = count
-	}
+	counters := m.Counters
+	counters.Rejections = map[errkind.Kind]uint64{}
+	maps.Copy(counters.Rejections, m.Counters.Rejections)
 	return Status{
-		Name: m.settings.Self.Name, Version: m.mapVersion, Epoch: m.epoch, Primary: m.primary, HeardMs: m.nowMs - m.primaryConfirmedMs,
-		Routers: m.routerCount, Leaving: m.draining, Entries: len(m.cache), Runners: len(m.runners),
-		Requests: len(m.requests), Waiting: len(m.queue), Counters: tally,
+		Name: m.settings.Self.Name, Version: m.mapVersion, Epoch: m.epoch, Primary: m.primary,
+		HeardMs: m.nowMs - m.primaryConfirmedMs, Routers: m.routerCount, Leaving: m.draining,
+		Entries: len(m.cache), Runners: len(m.runners), Requests: len(m.requests), Waiting: len(m.queue),
+		Counters: counters,
 	}
 }
--- /dev/null
+++ b/internal/proxy/stream.go
@@ -0,0 +1,146 @@
+package proxy
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"sync"
+)
+
+// streamBufferBytes is the size of the buffers that streams are read with.
+const streamBufferBytes = 4 << 10
+
+var streamBuffers = sync.Pool{New: func() any { return new([streamBufferBytes]byte) }}
+
+// streamForwarder forwards the events of one attempt's stream to the client,
+// complete ones only and each at once.
+type streamForwarder struct {
+	exchange   *exchange
+	response   *http.Response
+	controller *http.ResponseController
+	events     eventSplitter
+	// resumed says that the client has a part of the stream from an earlier
+	// attempt.
+	resumed bool
+	// gap says that events are missing between that part and this stream.
+	gap bool
+	// writeErr is the error of the last write to the client.
+	writeErr error
+}
+
+// forwardStream forwards the stream of an attempt. It panics with
+// http.ErrAbortHandler if the client is gone or does not read.
+func (e *exchange) forwardStream(response *http.Response, head ResponseHead, runner string, leftMs int64) Outcome {
+	defer e.limitWriteTime(leftMs + writeSlackMs)()
+	buffer := streamBuffers.Get().(*[streamBufferBytes]byte)
+	defer streamBuffers.Put(buffer)
+	if e.weightsVersion == 0 {
+		e.weightsVersion = head.WeightsVersion
+	}
+	forwarder := streamForwarder{
+		exchange: e, response: response, controller: http.NewResponseController(e.writer), resumed: e.forwarded,
+	}
+	for {
+		n, err := response.Body.Read(buffer[:])
+		if n > 0 {
+			e.server.tracker.received(e.server.runtime.Clock().NowMs(), runner)
+			if !forwarder.forward(buffer[:n]) {
+				return e.unlessForwarded(InvalidResponse)
+			}
+		}
+		if err != nil {
+			return forwarder.end(err)
+		}
+	}
+}
+
+// forward forwards the events that are complete with what was read. It returns
+// false if the stream is not valid.
+func (f *streamForwarder) forward(read []byte) bool {
+	tooLarge := f.events.feed(read, f.forwardEvent)
+	if f.writeErr == nil && f.exchange.forwarded {
+		f.writeErr = f.controller.Flush()
+	}
+	if f.writeErr != nil {
+		panic(http.ErrAbortHandler)
+	}
+	return !f.gap && tooLarge == nil
+}
+
+// forwardEvent forwards one event unless the client has it already. It returns
+// false to stop.
+func (f *streamForwarder) forwardEvent(event []byte) bool {
+	if !f.accept(event) {
+		return !f.gap
+	}
+	f.writeHead()
+	_, f.writeErr = f.exchange.writer.Write(event)
+	return f.writeErr == nil
+}
+
+// accept reports whether an event is to be forwarded, and notes its id.
+func (f *streamForwarder) accept(event []byte) bool {
+	id, version := f.exchange.server.codec.ParseEvent(event)
+	if id != "" && !f.acceptID(id) {
+		return false
+	}
+	if version > 0 {
+		f.exchange.weightsVersion = version
+	}
+	return true
+}
+
+// acceptID reports whether the event with this id is to be forwarded. In a
+// resumed stream events that the client has are skipped, and missing ones are
+// noted as a gap.
+func (f *streamForwarder) acceptID(id string) bool {
+	e := f.exchange
+	number, err := strconv.ParseInt(id, 10, 64)
+	if err != nil {
+		e.lastEventID, e.numbered = id, false
+		return true
+	}
+	if f.resumed && number <= e.eventNumber {
+		return false
+	}
+	if f.resumed && e.eventStep > 0 && number > e.eventNumber+e.eventStep {
+		f.gap = true
+		return false
+	}
+	if e.numbered {
+		e.eventStep = max(e.eventStep, number-e.eventNumber)
+	}
+	e.lastEventID, e.numbered, e.eventNumber = id, true, number
+	return true
+}
+
+// writeHead writes the response head to the client, once for all attempts.
+func (f *streamForwarder) writeHead() {
+	e := f.exchange
+	if e.forwarded {
+		return
+	}
+	e.forwarded = true
+	e.writeHeader(f.response.Header)
+	// Another attempt may continue the stream, so its length is not known.
+	e.writer.Header().Del("Content-Length")
+	e.writer.WriteHeader(f.response.StatusCode)
+}
+
+// end handles the end of the stream, or the error that ended it.
+func (f *streamForwarder) end(err error) Outcome {
+	e := f.exchange
+	if err != io.EOF {
+		return e.unlessForwarded(ResponseLost)
+	}
+	rest := f.events.buffered
+	if f.resumed && len(rest) > 0 {
+		// The client could not tell an incomplete event from the end.
+		return e.unlessForwarded(InvalidResponse)
+	}
+	f.writeHead()
+	if len(rest) > 0 {
+		_, _ = e.writer.Write(rest)
+	}
+	return Completed
+}
--- a/internal/simulation/faultsim/proxied_request.go
+++ b/internal/simulation/faultsim/proxied_request.go
@@ -5,7 +5,6 @@
 
 	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/errkind"
-	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/proxy"
 )
 
@@ -78,7 +77,7 @@
 		return
 	}
 	switch answer := body.(type) {
-	case protocol.Rejection:
+	case proxy.Reject:
 		p.reject(answer)
 	case proxy.AbortStream:
 		p.finish()
@@ -95,7 +94,7 @@
 	p.client.deliver(p.router.name, func() { p.client.complete(outcome) })
 }
 
-func (p *proxiedRequest) reject(rejection protocol.Rejection) {
+func (p *proxiedRequest) reject(rejection proxy.Reject) {
 	if p.sim.Bugs.OmitRetryAfter {
 		rejection.RetryMs = 0
 	}
--- a/internal/simulation/scalesim/runtime.go
+++ b/internal/simulation/scalesim/runtime.go
@@ -161,8 +161,8 @@
 			r.active--
 			s.step(n, proxy.AttemptEnded{ID: answer.ID, Outcome: proxy.Completed, Forwarded: true})
 		})
-	case protocol.Rejection:
-		if n.place.Part == protocol.RoleRouter && s.counting {
+	case proxy.Reject:
+		if s.counting {
 			s.dropped++
 		}
 	}
