--- a/internal/proxy/attempttracker_test.go
+++ b/internal/proxy/attempttracker_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSendsToADarkRunnerAreGivenUp(t *testing.T) {
+func TestAttemptsAtAnUnreachableRunnerAreCancelled(t *testing.T) {
 	cases := []struct {
 		about            string
 		beganMs, heardMs int64
--- a/internal/proxy/balancer_test.go
+++ b/internal/proxy/balancer_test.go
@@ -41,7 +41,7 @@
 
 // Routers that see the same runners in another order send the same parts to
 // the same runner, and different parts are spread.
-func TestAffinityNeedsNoWord(t *testing.T) {
+func TestRoutersChooseTheSameRunnerIndependently(t *testing.T) {
 	c := qt.New(t)
 	var one, other []candidate
 	for i := range 8 {
--- a/internal/proxy/cache_test.go
+++ b/internal/proxy/cache_test.go
@@ -9,7 +9,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-func TestCacheTakesOnlyNewer(t *testing.T) {
+func TestCacheAcceptsOnlyNewerEntries(t *testing.T) {
 	cases := []struct {
 		about         string
 		epoch, change uint64
@@ -36,7 +36,7 @@
 	}
 }
 
-func TestCacheLetsTheUnusedGo(t *testing.T) {
+func TestCacheEvictsTheLeastRecentlyUsed(t *testing.T) {
 	c := qt.New(t)
 	lines := cache{}
 	for i := range maxCacheEntries {
@@ -51,7 +51,7 @@
 
 // A runner that said no is left out until a later word of the index tells of a
 // change, or a second has passed.
-func TestCacheShuns(t *testing.T) {
+func TestCacheExcludesRunners(t *testing.T) {
 	c := qt.New(t)
 	lines, at := cache{}, cacheKey{service: "s"}
 	line := protocol.IndexReply{Service: "s", Epoch: 1, Change: 1, Holders: []protocol.IndexHolder{{ID: "a"}}}
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -36,9 +36,9 @@
 func (l pipeListener) Close() error   { return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// waitBed is a server of the standard library behind the router's connections,
+// connectionBench is a server of the standard library behind the router's connections,
 // in virtual time.
-type waitBed struct {
+type connectionBench struct {
 	client net.Conn
 	reader *bufio.Reader
 	limits atomic.Pointer[config.Limits]
@@ -49,11 +49,11 @@
 	slowRequest  = "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n"
 )
 
-// playWaits plays one connection; serve makes the server for its listener.
-func playWaits(t *testing.T, serve func(b *waitBed, front net.Listener) (*http.Server, net.Listener), play func(b *waitBed)) {
+// runConnectionBench plays one connection; serve makes the server for its listener.
+func runConnectionBench(t *testing.T, serve func(b *connectionBench, front net.Listener) (*http.Server, net.Listener), play func(b *connectionBench)) {
 	synctest.Test(t, func(t *testing.T) {
 		client, accepted := net.Pipe()
-		b := &waitBed{client: client, reader: bufio.NewReader(client)}
+		b := &connectionBench{client: client, reader: bufio.NewReader(client)}
 		b.idle(10_000)
 		front := pipeListener{make(chan net.Conn, 1)}
 		front.connections <- accepted
@@ -77,22 +77,22 @@
 	})
 }
 
-func byTheMap(b *waitBed, front net.Listener) (*http.Server, net.Listener) {
+func serveByTheMap(b *connectionBench, front net.Listener) (*http.Server, net.Listener) {
 	limits := func() clientLimits { return clientLimitsOf(&config.Configuration{Limits: *b.limits.Load()}) }
 	return &http.Server{ConnState: trackClientConn}, clientListener{front, limits}
 }
 
-// byFixedTimes is how the router waited before.
-func byFixedTimes(_ *waitBed, front net.Listener) (*http.Server, net.Listener) {
+// serveByFixedTimes is how the router waited before.
+func serveByFixedTimes(_ *connectionBench, front net.Listener) (*http.Server, net.Listener) {
 	return &http.Server{ReadHeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdle}, front
 }
 
-func (b *waitBed) idle(ms int64) {
+func (b *connectionBench) idle(ms int64) {
 	b.limits.Store(&config.Limits{IdleTimeoutMs: ms, HeaderTimeoutMs: 3000})
 }
 
-// ask says whether a request on the connection is answered.
-func (b *waitBed) ask(pieces ...string) bool {
+// request says whether a request on the connection is answered.
+func (b *connectionBench) request(pieces ...string) bool {
 	for i, piece := range pieces {
 		if i > 0 {
 			wait(1000)
@@ -115,73 +115,73 @@
 func wait(ms int64) { time.Sleep(time.Duration(ms) * time.Millisecond); synctest.Wait() }
 
 // How long a connection may rest and a head may take follows the map.
-func TestWaitsForClientsFollowTheMap(t *testing.T) {
+func TestClientTimeoutsFollowTheMap(t *testing.T) {
 	slackMs := timeoutSlack.Milliseconds()
 	cases := []struct {
 		about string
-		play  func(b *waitBed) bool
+		play  func(b *connectionBench) bool
 		want  bool
 	}{
-		{"it rests as long as it may", func(b *waitBed) bool {
-			ok := b.ask(wholeRequest)
+		{"it rests as long as it may", func(b *connectionBench) bool {
+			ok := b.request(wholeRequest)
 			wait(8_000)
-			return ok && b.ask(wholeRequest)
+			return ok && b.request(wholeRequest)
 		}, true},
-		{"again and again", func(b *waitBed) bool {
+		{"again and again", func(b *connectionBench) bool {
 			for range 5 {
-				if !b.ask(wholeRequest) {
+				if !b.request(wholeRequest) {
 					return false
 				}
 				wait(8_000)
 			}
 			return true
 		}, true},
-		{"it rests too long", func(b *waitBed) bool {
-			b.ask(wholeRequest)
+		{"it rests too long", func(b *connectionBench) bool {
+			b.request(wholeRequest)
 			wait(10_000 + slackMs + 100)
-			return b.ask(wholeRequest)
+			return b.request(wholeRequest)
 		}, false},
-		{"a new one may rest too", func(b *waitBed) bool { wait(8_000); return b.ask(wholeRequest) }, true},
-		{"a new one rests too long", func(b *waitBed) bool { wait(10_000 + slackMs + 100); return b.ask(wholeRequest) }, false},
-		{"the limit is raised meanwhile", func(b *waitBed) bool {
-			b.ask(wholeRequest)
+		{"a new one may rest too", func(b *connectionBench) bool { wait(8_000); return b.request(wholeRequest) }, true},
+		{"a new one rests too long", func(b *connectionBench) bool { wait(10_000 + slackMs + 100); return b.request(wholeRequest) }, false},
+		{"the limit is raised meanwhile", func(b *connectionBench) bool {
+			b.request(wholeRequest)
 			wait(5_000)
 			b.idle(60_000)
 			wait(43_000)
-			return b.ask(wholeRequest)
+			return b.request(wholeRequest)
 		}, true},
-		{"the limit is lowered meanwhile", func(b *waitBed) bool {
-			b.ask(wholeRequest)
+		{"the limit is lowered meanwhile", func(b *connectionBench) bool {
+			b.request(wholeRequest)
 			b.idle(500)
 			wait(8_000)
-			return b.ask(wholeRequest)
+			return b.request(wholeRequest)
 		}, true},
-		{"the next rest is bound by the lower one", func(b *waitBed) bool {
-			b.ask(wholeRequest)
+		{"the next rest is bound by the lower one", func(b *connectionBench) bool {
+			b.request(wholeRequest)
 			b.idle(500)
-			b.ask(wholeRequest)
+			b.request(wholeRequest)
 			wait(500 + slackMs + 100)
-			return b.ask(wholeRequest)
+			return b.request(wholeRequest)
 		}, false},
-		{"a head in pieces", func(b *waitBed) bool { return b.ask("GET / HTTP/1.1\r\n", "Host: h\r\n", "\r\n") }, true},
-		{"a head in pieces after a rest", func(b *waitBed) bool {
-			b.ask(wholeRequest)
+		{"a head in pieces", func(b *connectionBench) bool { return b.request("GET / HTTP/1.1\r\n", "Host: h\r\n", "\r\n") }, true},
+		{"a head in pieces after a rest", func(b *connectionBench) bool {
+			b.request(wholeRequest)
 			wait(8_000)
-			return b.ask("GET / HTTP/1.1\r\n", "Host: h\r\n", "\r\n")
+			return b.request("GET / HTTP/1.1\r\n", "Host: h\r\n", "\r\n")
 		}, true},
-		{"a head that takes too long", func(b *waitBed) bool {
-			return b.ask("GET ", "/ HTTP/1.1\r\n", "Host:", " h\r\n", "A: b\r\n", "C: d\r\n", "\r\n")
+		{"a head that takes too long", func(b *connectionBench) bool {
+			return b.request("GET ", "/ HTTP/1.1\r\n", "Host:", " h\r\n", "A: b\r\n", "C: d\r\n", "\r\n")
 		}, false},
-		{"a slow answer", func(b *waitBed) bool { return b.ask(slowRequest) && b.ask(wholeRequest) }, true},
-		{"a slow answer to one of two requests at once", func(b *waitBed) bool {
-			return b.ask(wholeRequest+slowRequest+wholeRequest) && b.ask() && b.ask()
+		{"a slow answer", func(b *connectionBench) bool { return b.request(slowRequest) && b.request(wholeRequest) }, true},
+		{"a slow answer to one of two requests at once", func(b *connectionBench) bool {
+			return b.request(wholeRequest+slowRequest+wholeRequest) && b.request() && b.request()
 		}, true},
-		{"two requests at once", func(b *waitBed) bool { return b.ask(wholeRequest+wholeRequest) && b.ask() }, true},
+		{"two requests at once", func(b *connectionBench) bool { return b.request(wholeRequest+wholeRequest) && b.request() }, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			answered := false
-			playWaits(t, byTheMap, func(b *waitBed) { answered = test.play(b) })
+			runConnectionBench(t, serveByTheMap, func(b *connectionBench) { answered = test.play(b) })
 			qt.Assert(t, answered, qt.Equals, test.want)
 		})
 	}
@@ -189,45 +189,45 @@
 
 // A client may take up a connection that rested for four fifths of the map's
 // time, whatever that is. The fixed time of before fails this.
-func TestNoAllowedRestIsCutOff(t *testing.T) {
+func TestNoAllowedIdleConnectionIsClosed(t *testing.T) {
 	for _, idleMs := range []int64{1, 100, 1000, 15_000, 30_000, 600_000, maxTimeout.Milliseconds(), 1 << 62} {
 		t.Run(fmt.Sprint(idleMs), func(t *testing.T) {
 			restMs := min(idleMs, maxTimeout.Milliseconds()) / 5 * 4
-			answered := func(serve func(*waitBed, net.Listener) (*http.Server, net.Listener)) (answered bool) {
-				playWaits(t, serve, func(b *waitBed) {
+			answered := func(serve func(*connectionBench, net.Listener) (*http.Server, net.Listener)) (answered bool) {
+				runConnectionBench(t, serve, func(b *connectionBench) {
 					b.idle(idleMs)
-					b.ask(wholeRequest)
+					b.request(wholeRequest)
 					wait(restMs)
-					answered = b.ask(wholeRequest)
+					answered = b.request(wholeRequest)
 				})
 				return answered
 			}
-			qt.Assert(t, answered(byTheMap), qt.IsTrue)
-			qt.Assert(t, answered(byFixedTimes), qt.Equals, restMs < defaultIdle.Milliseconds())
+			qt.Assert(t, answered(serveByTheMap), qt.IsTrue)
+			qt.Assert(t, answered(serveByFixedTimes), qt.Equals, restMs < defaultIdle.Milliseconds())
 		})
 	}
 }
 
-// frozen gives its bytes only after its deadline has passed, as a connection
+// stalledConn gives its bytes only after its deadline has passed, as a connection
 // does whose reader stood still.
-type frozen struct {
+type stalledConn struct {
 	net.Conn
 	text  string
 	reads int
 }
 
-func (f *frozen) SetReadDeadline(time.Time) error { return nil }
+func (f *stalledConn) SetReadDeadline(time.Time) error { return nil }
 
-func (f *frozen) Read(p []byte) (int, error) {
+func (f *stalledConn) Read(p []byte) (int, error) {
 	if f.reads++; f.reads == 1 {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return copy(p, f.text), nil
 }
 
-func TestWhatCameWhileTheProcessStoodStillIsRead(t *testing.T) {
+func TestBytesThatArrivedDuringAStallAreRead(t *testing.T) {
 	c := qt.New(t)
-	connection := &clientConn{Conn: &frozen{text: "GET"}, limits: func() clientLimits { return clientLimitsOf(nil) }}
+	connection := &clientConn{Conn: &stalledConn{text: "GET"}, limits: func() clientLimits { return clientLimitsOf(nil) }}
 	connection.setIdle()
 	buffer := make([]byte, 8)
 	n, err := connection.Read(buffer)
@@ -237,7 +237,7 @@
 }
 
 // The head is counted as it was sent; a map's bound is answered with 431.
-func TestTheHeadIsBoundByTheMap(t *testing.T) {
+func TestHeadSizeIsLimitedByTheMap(t *testing.T) {
 	c := qt.New(t)
 	head := "POST /safe/x?q=1 HTTP/1.1\r\nHost: h\r\nTry: t1\r\nX-Long: " + strings.Repeat("x", 200) + "\r\nX-Long: y\r\nContent-Length: 2\r\n\r\n"
 	r, err := http.ReadRequest(bufio.NewReader(strings.NewReader(head + "ok")))
@@ -247,8 +247,8 @@
 		bytes  int64
 		status int
 	}{{int64(len(head)), 200}, {int64(len(head)) - 1, 431}, {0, 200}} {
-		runner := newPlayed(c, plain("hello"))
-		g, server := gateBed(c, runner)
+		runner := newScriptedRunner(c, plain("hello"))
+		g, server := newServerBench(c, runner)
 		document := exampleMap(2)
 		document.Limits.MaxHeaderBytes = test.bytes
 		text, err := json.Marshal(document)
@@ -271,7 +271,7 @@
 	}
 }
 
-func TestLimitsOf(t *testing.T) {
+func TestClientLimitsOf(t *testing.T) {
 	cases := []struct {
 		about  string
 		limits config.Limits
--- a/internal/proxy/eventsplitter_test.go
+++ b/internal/proxy/eventsplitter_test.go
@@ -7,7 +7,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestSplitter(t *testing.T) {
+func TestEventSplitter(t *testing.T) {
 	cases := []struct {
 		about, text string
 		want        []string
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestSplitterIsBounded(t *testing.T) {
+func TestEventSizeIsLimited(t *testing.T) {
 	c := qt.New(t)
 	var s eventSplitter
 	c.Assert(s.feed([]byte(strings.Repeat("x", maxEventBytes+1)), nil), qt.Equals, errEventTooLarge)
--- a/internal/proxy/exchange_log_test.go
+++ b/internal/proxy/exchange_log_test.go
@@ -30,8 +30,8 @@
 	afterDoubt, tooEarly bool
 }
 
-// given is an answer that a runner gave to a request, whole or in part.
-type given struct {
+// forwardedResponse is an answer that a runner gave to a request, whole or in part.
+type forwardedResponse struct {
 	status int
 	body   string
 	whole  bool
@@ -55,7 +55,7 @@
 type exchangeLog struct {
 	mu       sync.Mutex
 	arrivals []*arrival
-	given    map[string][]given
+	given    map[string][]forwardedResponse
 	outcomes []outcome
 }
 
@@ -136,7 +136,7 @@
 			add(rule, fmt.Sprintf("%s got %q", o.try, o.body))
 		}
 	case o.status == 200 || o.seal || o.echo != "":
-		same := func(g given) bool { return g.whole && g.status == o.status && g.body == o.body }
+		same := func(g forwardedResponse) bool { return g.whole && g.status == o.status && g.body == o.body }
 		if o.broken || o.echo != o.try || !slices.ContainsFunc(l.given[o.try], same) {
 			add(ruleOwnAnswer, fmt.Sprintf("%s got %d %q for %q", o.try, o.status, o.body, o.echo))
 		}
@@ -189,7 +189,7 @@
 	turned := &arrival{try: "a", attempt: "1", named: "r0", effect: effectNotRun}
 	again := &arrival{try: "a", attempt: "2", named: "r1"}
 	good := outcome{try: "a", route: "safe", status: 200, seal: true, echo: "a", body: "of a"}
-	answers := map[string][]given{"a": {{200, "of a", true}, {200, "of", false}, {500, "oops", true}}, "b": {{200, "of b", true}}}
+	answers := map[string][]forwardedResponse{"a": {{200, "of a", true}, {200, "of", false}, {500, "oops", true}}, "b": {{200, "of b", true}}}
 	with := func(change func(o *outcome)) []outcome {
 		o := good
 		change(&o)
--- a/internal/proxy/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -175,7 +175,7 @@
 func (m *modelConn) give(try string, status int, body string, whole bool) {
 	m.runners.log.mu.Lock()
 	defer m.runners.log.mu.Unlock()
-	m.runners.log.given[try] = append(m.runners.log.given[try], given{status, body, whole})
+	m.runners.log.given[try] = append(m.runners.log.given[try], forwardedResponse{status, body, whole})
 }
 
 func answerHead(status, try, rest string) string {
@@ -507,7 +507,7 @@
 
 // exchangeModel is a router between modelled clients and runners.
 type exchangeModel struct {
-	tongue   Codec
+	codec    Codec
 	document config.Configuration
 }
 
@@ -518,7 +518,7 @@
 			reactions[r.try] = r.reactions
 		}
 	}
-	log := &exchangeLog{given: map[string][]given{}}
+	log := &exchangeLog{given: map[string][]forwardedResponse{}}
 	runners := &modelRunners{log: log, reactions: reactions, silent: map[string]chan struct{}{}, open: map[io.Closer]bool{}}
 	var addresses []string
 	for i := range 3 {
@@ -528,7 +528,7 @@
 		}
 		addresses = append(addresses, listener.Addr().String())
 	}
-	_, url, stop, err := startGate(countingCodec{e.tongue, &atomic.Int64{}}, e.document, addresses, io.Discard)
+	_, url, stop, err := startServer(countingCodec{e.codec, &atomic.Int64{}}, e.document, addresses, io.Discard)
 	if err != nil {
 		return nil, err
 	}
@@ -566,7 +566,7 @@
 
 // Whatever runners and clients do, each client gets its own runner's whole
 // answer or a failure, and no connection is used after a doubt.
-func TestTheRightAnswerToTheRightCallerOnce(t *testing.T) {
+func TestEachClientGetsItsOwnResponseOnce(t *testing.T) {
 	model := exchangeModel{plainCodec{}, exampleMap(1)}
 	rapid.Check(t, func(t *rapid.T) {
 		broken, err := model.play(drawClients(t))
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -78,7 +78,7 @@
 	threads.Go(func() { acceptAll(listener, runner.serve) })
 	document := exampleMap(1)
 	document.BuildIndex()
-	g, _, stop, err := startGate(plainCodec{}, document, nil, io.Discard)
+	g, _, stop, err := startServer(plainCodec{}, document, nil, io.Discard)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 	return b.text.Write(p)
 }
 
-func (b *lockedBuffer) take() string {
+func (b *lockedBuffer) drain() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	text := b.text.String()
@@ -195,7 +195,7 @@
 		})
 	})
 	var logs lockedBuffer
-	_, url, stop, err := startGate(plainCodec{}, exampleMap(1), []string{listener.Addr().String()}, &logs)
+	_, url, stop, err := startServer(plainCodec{}, exampleMap(1), []string{listener.Addr().String()}, &logs)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -218,7 +218,7 @@
 		_, _ = connection.Write(text)
 		_ = connection.(*net.TCPConn).CloseWrite()
 		answers, _ := io.ReadAll(connection)
-		if strings.Contains(logs.take(), "panic serving") {
+		if strings.Contains(logs.drain(), "panic serving") {
 			t.Fatal("the handler panicked")
 		}
 		checkAnswers(t, answers)
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -51,16 +51,16 @@
 	otherPlace   = protocol.Node{Name: "core-2", Address: "c:2", Part: protocol.RoleController}
 )
 
-// bed is a machine with a hand on its clock.
-type bed struct {
+// machineBench is a machine with a hand on its clock.
+type machineBench struct {
 	c     *qt.C
 	m     *Machine
 	nowMs int64
 	id    uint64
 }
 
-func newBed(c *qt.C) *bed {
-	b := &bed{c: c, nowMs: 1_000_000}
+func newMachineBench(c *qt.C) *machineBench {
+	b := &machineBench{c: c, nowMs: 1_000_000}
 	b.m = New(Settings{
 		Site: "site", Self: selfPlace, Seeds: []string{"c:1"}, ListAddress: "list:1",
 		Bounds: bounds.Bounds{GraceMs: 8000, RetryRatio: 0.2, ExtraTries: 40},
@@ -68,26 +68,26 @@
 	return b
 }
 
-func (b *bed) step(input any) protocol.Effects { return b.m.Step(b.nowMs, input) }
+func (b *machineBench) step(input any) protocol.Effects { return b.m.Step(b.nowMs, input) }
 
-func (b *bed) from(place protocol.Node, body protocol.Message) protocol.Effects {
+func (b *machineBench) receive(place protocol.Node, body protocol.Message) protocol.Effects {
 	return b.step(protocol.Envelope{Site: "site", From: place, To: selfPlace.Name, Body: body})
 }
 
-func (b *bed) word(version uint64, more ...func(*protocol.ConfigUpdate)) protocol.Effects {
+func (b *machineBench) configUpdate(version uint64, more ...func(*protocol.ConfigUpdate)) protocol.Effects {
 	text, err := json.Marshal(exampleMap(version))
 	b.c.Assert(err, qt.IsNil)
 	w := protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: 3, Version: version, Sum: fmt.Sprint(version), Text: string(text), Routers: 1, Controllers: []protocol.Node{primaryPlace, otherPlace}}
 	for _, change := range more {
 		change(&w)
 	}
-	return b.from(primaryPlace, w)
+	return b.receive(primaryPlace, w)
 }
 
-// ready makes a router with a map and two runners of each service in its cache.
-func ready(c *qt.C) *bed {
-	b := newBed(c)
-	b.word(1)
+// newReadyBench makes a router with a map and two runners of each service in its cache.
+func newReadyBench(c *qt.C) *machineBench {
+	b := newMachineBench(c)
+	b.configUpdate(1)
 	b.index(protocol.IndexReply{Service: "pages", Holders: []protocol.IndexHolder{holder("p1"), holder("p2")}})
 	b.index(protocol.IndexReply{Service: "reader", Model: "m", Holders: []protocol.IndexHolder{holder("r1"), holder("r2")}})
 	return b
@@ -98,7 +98,7 @@
 }
 
 // index brings a line as an answer to an older look-up.
-func (b *bed) index(line protocol.IndexReply) protocol.Effects {
+func (b *machineBench) index(line protocol.IndexReply) protocol.Effects {
 	line.Known, line.Epoch = true, 3
 	if line.ID == 0 {
 		line.ID = 1 << 60
@@ -106,10 +106,10 @@
 	if line.TurnMs == 0 {
 		line.TurnMs = -1
 	}
-	return b.from(primaryPlace, line)
+	return b.receive(primaryPlace, line)
 }
 
-func (b *bed) ask(path string, change ...func(*RequestParams)) protocol.Effects {
+func (b *machineBench) request(path string, change ...func(*RequestParams)) protocol.Effects {
 	b.id++
 	asked := RequestParams{RequestID: fmt.Sprint("try-", b.id), TimeoutMs: 3000, PromptTokens: 10, MaxOutputTokens: 10}
 	if strings.HasPrefix(path, "/stream/") || strings.HasPrefix(path, "/once/") {
@@ -121,13 +121,13 @@
 	return b.step(Request{ID: b.id, Host: "h", Path: path, Params: asked})
 }
 
-// later lets time pass in ticks, with the primary's word, and gathers what
+// advance lets time pass in ticks, with the primary's word, and gathers what
 // came of it.
-func (b *bed) later(ms int64) protocol.Effects {
+func (b *machineBench) advance(ms int64) protocol.Effects {
 	var all protocol.Effects
 	for end := b.nowMs + ms; b.nowMs < end; {
 		b.nowMs += min(25, end-b.nowMs)
-		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.mapVersion})} {
+		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.receive(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.mapVersion})} {
 			all.Responses = append(all.Responses, out.Responses...)
 			all.Sends = append(all.Sends, out.Sends...)
 		}
@@ -144,75 +144,75 @@
 	return found
 }
 
-func answered[T any](c *qt.C, out protocol.Effects) T {
+func onlyOutput[T any](c *qt.C, out protocol.Effects) T {
 	c.Assert(out.Responses, qt.HasLen, 1)
 	body, ok := out.Responses[0].Body.(T)
 	c.Assert(ok, qt.IsTrue, qt.Commentf("%#v", out.Responses[0].Body))
 	return body
 }
 
-func TestAHitGoesAtOnceWithOneLookUp(t *testing.T) {
+func TestHitIsSentAtOnceWithOneLookUp(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
-	out := b.ask("/safe/x")
+	b := newReadyBench(c)
+	out := b.request("/safe/x")
 	c.Assert(lookUps(out), qt.HasLen, 1)
-	send := answered[StartAttempt](c, out)
+	send := onlyOutput[StartAttempt](c, out)
 	c.Assert([]string{"p1", "p2"}, qt.Contains, send.Params.Runner)
 	c.Assert(send.DeadlineMs, qt.Equals, b.nowMs+3000)
-	c.Assert(lookUps(b.later(500)), qt.HasLen, 0)
+	c.Assert(lookUps(b.advance(500)), qt.HasLen, 0)
 }
 
-func TestAMissWaitsAndGoesByTheIndex(t *testing.T) {
+func TestMissWaitsForTheIndex(t *testing.T) {
 	c := qt.New(t)
-	b := newBed(c)
-	b.word(1)
-	out := b.ask("/safe/x")
+	b := newMachineBench(c)
+	b.configUpdate(1)
+	out := b.request("/safe/x")
 	c.Assert(lookUps(out), qt.HasLen, 1)
 	c.Assert(lookUps(out)[0].Waits, qt.IsTrue)
 	c.Assert(out.Responses, qt.HasLen, 0)
-	b.later(25)
+	b.advance(25)
 	c.Assert(b.m.Counters.MissesDelayed, qt.Equals, uint64(0))
-	b.later(50)
+	b.advance(50)
 	c.Assert(b.m.Counters.MissesDelayed, qt.Equals, uint64(1))
 	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Holders: []protocol.IndexHolder{holder("p1")}})
-	c.Assert(answered[StartAttempt](c, out).Params.Runner, qt.Equals, "p1")
+	c.Assert(onlyOutput[StartAttempt](c, out).Params.Runner, qt.Equals, "p1")
 }
 
-func TestAMissThatIsLeftUnansweredAsksAnotherOnce(t *testing.T) {
+func TestUnansweredMissAsksAnotherControllerOnce(t *testing.T) {
 	c := qt.New(t)
-	b := newBed(c)
-	b.word(1)
-	b.ask("/safe/x")
-	out := b.later(1000)
+	b := newMachineBench(c)
+	b.configUpdate(1)
+	b.request("/safe/x")
+	out := b.advance(1000)
 	c.Assert(lookUps(out), qt.HasLen, 1)
 	c.Assert(b.m.Counters.LookUpRetries, qt.Equals, uint64(1))
 }
 
 // The burden on the index follows the requests, however cold the cache is.
-func TestAColdStartAsksNoMore(t *testing.T) {
+func TestColdCacheSendsNoMoreLookUps(t *testing.T) {
 	for _, warm := range []bool{true, false} {
 		c := qt.New(t)
-		b := newBed(c)
-		b.word(1)
+		b := newMachineBench(c)
+		b.configUpdate(1)
 		if warm {
-			b = ready(c)
+			b = newReadyBench(c)
 		}
 		total := 0
 		for range 40 {
-			out := b.ask("/safe/x")
+			out := b.request("/safe/x")
 			found := lookUps(out)
 			total += len(found)
 			for _, l := range found {
 				b.index(protocol.IndexReply{ID: l.ID, Service: "pages", Holders: []protocol.IndexHolder{holder("p1")}})
 			}
-			total += len(lookUps(b.later(50)))
+			total += len(lookUps(b.advance(50)))
 			b.step(AttemptEnded{ID: b.id, Outcome: Completed})
 		}
 		c.Assert(total, qt.Equals, 40)
 	}
 }
 
-func TestARouterNeverGoesBack(t *testing.T) {
+func TestRouterNeverReturnsToAnOlderMapOrEpoch(t *testing.T) {
 	cases := []struct {
 		about   string
 		word    func(*protocol.ConfigUpdate)
@@ -235,32 +235,32 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBed(c)
-			b.word(5)
+			b := newMachineBench(c)
+			b.configUpdate(5)
 			b.nowMs++
-			b.word(test.version, test.word)
+			b.configUpdate(test.version, test.word)
 			c.Assert(b.m.mapVersion, qt.Equals, test.want)
 			c.Assert(b.m.Map().Version, qt.Equals, test.want)
 		})
 	}
 }
 
-func TestALeavingRunnerIsNotChosen(t *testing.T) {
+func TestDrainingRunnerIsNotChosen(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
-	b.word(1, func(w *protocol.ConfigUpdate) { w.EchoMs, w.Leaving = 0, []string{"p1"} })
+	b := newReadyBench(c)
+	b.configUpdate(1, func(w *protocol.ConfigUpdate) { w.EchoMs, w.Leaving = 0, []string{"p1"} })
 	// A later word without it takes nothing back.
-	b.word(1)
+	b.configUpdate(1)
 	for range 3 {
-		c.Assert(answered[StartAttempt](c, b.ask("/safe/x")).Params.Runner, qt.Equals, "p2")
+		c.Assert(onlyOutput[StartAttempt](c, b.request("/safe/x")).Params.Runner, qt.Equals, "p2")
 	}
 }
 
 // The question names the lists that were told, so that they need not come
 // again; what came once holds until another comes.
-func TestTheQuestionNamesWhatWasTold(t *testing.T) {
+func TestPollStatesWhatTheRouterHas(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
+	b := newReadyBench(c)
 	asked := func() protocol.ConfigPoll {
 		b.nowMs += pollEachMs
 		for _, send := range b.step(protocol.Tick{}).Sends {
@@ -271,24 +271,24 @@
 		c.Fatal("no question")
 		return protocol.ConfigPoll{}
 	}
-	b.word(1, func(w *protocol.ConfigUpdate) { w.Leaving, w.LeavingSum, w.ControllersSum = []string{"p1"}, 7, 8 })
+	b.configUpdate(1, func(w *protocol.ConfigUpdate) { w.Leaving, w.LeavingSum, w.ControllersSum = []string{"p1"}, 7, 8 })
 	ask := asked()
 	c.Assert(ask.LeavingSum, qt.Equals, uint64(7))
 	c.Assert(ask.ControllersSum, qt.Equals, uint64(8))
 	for range 3 * drainingMemoryMs / sweepEachMs {
 		b.nowMs += sweepEachMs
-		b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 7, nil, 8 })
+		b.configUpdate(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 7, nil, 8 })
 		b.step(protocol.Tick{})
 	}
 	c.Assert(b.m.isDraining("p1"), qt.IsTrue)
 	c.Assert(b.m.detector.NodesOf(protocol.RoleController), qt.HasLen, 2)
-	b.word(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
+	b.configUpdate(1, func(w *protocol.ConfigUpdate) { w.LeavingSum, w.Controllers, w.ControllersSum = 9, nil, 8 })
 	c.Assert(asked().LeavingSum, qt.Equals, uint64(9))
 }
 
 // Look-ups that need not wait go to a live controller of the own zone; what a
 // request can't go on without, and all while the primary is silent, does not.
-func TestWhomLookUpsGoTo(t *testing.T) {
+func TestLookUpTarget(t *testing.T) {
 	near := protocol.Node{Name: "core-3", Address: "c:3", Zone: "z1", Part: protocol.RoleController}
 	far := protocol.Node{Name: "core-4", Address: "c:4", Zone: "z2", Part: protocol.RoleController}
 	cases := []struct {
@@ -309,8 +309,8 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBed(c)
-			b.word(1, func(w *protocol.ConfigUpdate) { w.Controllers, w.Routers = test.live, test.routers })
+			b := newMachineBench(c)
+			b.configUpdate(1, func(w *protocol.ConfigUpdate) { w.Controllers, w.Routers = test.live, test.routers })
 			if test.silent {
 				b.nowMs += primarySilentMs + 1
 				b.m.nowMs = b.nowMs
@@ -321,7 +321,7 @@
 }
 
 // Routers of a zone without a controller spread over all.
-func TestNearestSpreads(t *testing.T) {
+func TestNearestControllerDiffersBetweenRouters(t *testing.T) {
 	live := []protocol.Node{{Name: "core-1", Zone: "a"}, {Name: "core-2", Zone: "b"}, {Name: "core-3", Zone: "b"}}
 	counts := map[string]int{}
 	for i := range 300 {
@@ -331,7 +331,7 @@
 	qt.Assert(t, counts["core-2"] > 90 && counts["core-3"] > 90, qt.IsTrue)
 }
 
-func TestWhatFollowsASend(t *testing.T) {
+func TestOutcomesOfAttempts(t *testing.T) {
 	send, broken := "send", "break"
 	cases := []struct {
 		about, path string
@@ -356,8 +356,8 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			b := ready(c)
-			first := answered[StartAttempt](c, b.ask(test.path))
+			b := newReadyBench(c)
+			first := onlyOutput[StartAttempt](c, b.request(test.path))
 			c.Assert(first.NewConnection, qt.Equals, test.path == "/unsafe/" || test.path == "/once/")
 			test.ended.ID = b.id
 			out := b.step(test.ended)
@@ -380,22 +380,22 @@
 }
 
 // Once a send was lost nothing promises any more that it has not run.
-func TestNoPromiseAfterALostSend(t *testing.T) {
+func TestNotRunIsNeverStatedAfterALostResponse(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
-	b.ask("/safe/")
-	answered[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: ResponseLost}))
+	b := newReadyBench(c)
+	b.request("/safe/")
+	onlyOutput[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: ResponseLost}))
 	b.m.retryBudget("pages").tokens = 0
 	out := b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
-	c.Assert(answered[Reject](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
+	c.Assert(onlyOutput[Reject](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
 }
 
-func TestTriesAreBounded(t *testing.T) {
+func TestAttemptsAreLimited(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
+	b := newReadyBench(c)
 	b.m.retryBudget("pages").tokens = 100
 	b.index(protocol.IndexReply{Service: "pages", Change: 1, Holders: []protocol.IndexHolder{holder("p1"), holder("p2"), holder("p3"), holder("p4"), holder("p5")}})
-	out := b.ask("/unsafe/")
+	out := b.request("/unsafe/")
 	sends := 0
 	for len(out.Responses) == 1 {
 		if _, ok := out.Responses[0].Body.(StartAttempt); !ok {
@@ -405,25 +405,25 @@
 		out = b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
 	}
 	c.Assert(sends, qt.Equals, 3)
-	dropped := answered[Reject](c, out)
+	dropped := onlyOutput[Reject](c, out)
 	c.Assert(dropped.Kind, qt.Equals, errkind.RunnerRejected)
 	c.Assert(dropped.RetryMs > 0, qt.IsTrue)
 }
 
-func TestSecondSendsNeedTheBudget(t *testing.T) {
+func TestRetriesNeedTheBudget(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
-	b.ask("/unsafe/")
+	b := newReadyBench(c)
+	b.request("/unsafe/")
 	b.m.retryBudget("pages").tokens = 0.5
-	c.Assert(answered[Reject](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
+	c.Assert(onlyOutput[Reject](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
 	// A runner that could not be reached has cost nothing.
-	b = ready(c)
-	b.ask("/unsafe/")
+	b = newReadyBench(c)
+	b.request("/unsafe/")
 	b.m.retryBudget("pages").tokens = 0.5
-	answered[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: NotSent}))
+	onlyOutput[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: NotSent}))
 }
 
-func TestWhatCantBeHadInTime(t *testing.T) {
+func TestRequestsThatCannotBeServedInTime(t *testing.T) {
 	cases := []struct {
 		about   string
 		path    string
@@ -448,16 +448,16 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			b := newBed(c)
-			b.word(1)
-			out := b.ask(test.path, func(a *RequestParams) { a.TimeoutMs = test.leftMs })
+			b := newMachineBench(c)
+			b.configUpdate(1)
+			out := b.request(test.path, func(a *RequestParams) { a.TimeoutMs = test.leftMs })
 			beganMs := b.nowMs
 			test.line.Service, test.line.Model, test.line.ID = "reader", "m", lookUps(out)[0].ID
 			out = b.index(test.line)
 			for len(out.Responses) == 0 && b.nowMs < beganMs+10_000 {
-				out = b.later(25)
+				out = b.advance(25)
 			}
-			dropped := answered[Reject](c, out)
+			dropped := onlyOutput[Reject](c, out)
 			c.Assert(dropped.Kind, qt.Equals, test.kind)
 			tookMs := b.nowMs - beganMs
 			c.Assert(tookMs >= test.fromMs && tookMs <= test.untilMs, qt.IsTrue, qt.Commentf("%d", tookMs))
@@ -466,78 +466,78 @@
 	}
 }
 
-func TestAServiceWithoutRunnersRefusesWithinAQuarterOfTheAim(t *testing.T) {
+func TestServiceWithoutRunnersRejectsWithinAQuarterOfTheTarget(t *testing.T) {
 	c := qt.New(t)
-	b := newBed(c)
-	b.word(1)
-	out := b.ask("/safe/")
+	b := newMachineBench(c)
+	b.configUpdate(1)
+	out := b.request("/safe/")
 	b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages"})
-	c.Assert(answered[Reject](c, b.later(100)).Kind, qt.Equals, errkind.NoRunner)
+	c.Assert(onlyOutput[Reject](c, b.advance(100)).Kind, qt.Equals, errkind.NoRunner)
 }
 
-func TestNoMapHoldsALittle(t *testing.T) {
+func TestRequestWaitsBrieflyForTheFirstMap(t *testing.T) {
 	c := qt.New(t)
-	b := newBed(c)
-	c.Assert(b.ask("/safe/").Responses, qt.HasLen, 0)
-	out := b.word(1)
+	b := newMachineBench(c)
+	c.Assert(b.request("/safe/").Responses, qt.HasLen, 0)
+	out := b.configUpdate(1)
 	c.Assert(lookUps(out), qt.HasLen, 1)
 
-	b = newBed(c)
-	b.ask("/safe/")
+	b = newMachineBench(c)
+	b.request("/safe/")
 	for range 11 {
 		b.nowMs += 25
 		c.Assert(b.step(protocol.Tick{}).Responses, qt.HasLen, 0)
 	}
 	b.nowMs += 25
-	c.Assert(answered[Reject](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoConfig)
+	c.Assert(onlyOutput[Reject](c, b.step(protocol.Tick{})).Kind, qt.Equals, errkind.NoConfig)
 }
 
-func TestNoRoute(t *testing.T) {
+func TestUnknownRoute(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
-	c.Assert(answered[Reject](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.UnknownPage)
+	b := newReadyBench(c)
+	c.Assert(onlyOutput[Reject](c, b.request("/nowhere/")).Kind, qt.Equals, errkind.UnknownPage)
 	// Without word the route may be there by now.
 	for range 50 {
 		b.nowMs += 25
 		b.step(protocol.Tick{})
 	}
-	c.Assert(answered[Reject](c, b.ask("/nowhere/")).Kind, qt.Equals, errkind.NoConfig)
+	c.Assert(onlyOutput[Reject](c, b.request("/nowhere/")).Kind, qt.Equals, errkind.NoConfig)
 }
 
 // While places are free nobody is refused; then the more urgent goes first,
 // and who gets no place is refused within a quarter of its aim.
 func TestFullRunners(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
+	b := newReadyBench(c)
 	var away []uint64
 	for range 12 {
-		answered[StartAttempt](c, b.ask("/safe/"))
+		onlyOutput[StartAttempt](c, b.request("/safe/"))
 		away = append(away, b.id)
 	}
-	c.Assert(b.ask("/later/").Responses, qt.HasLen, 0)
+	c.Assert(b.request("/later/").Responses, qt.HasLen, 0)
 	laterID := b.id
-	c.Assert(b.ask("/urgent/").Responses, qt.HasLen, 0)
+	c.Assert(b.request("/urgent/").Responses, qt.HasLen, 0)
 	urgentID := b.id
 	out := b.step(AttemptEnded{ID: away[0], Outcome: Completed})
-	answered[StartAttempt](c, out)
+	onlyOutput[StartAttempt](c, out)
 	c.Assert(out.Responses[0].ID, qt.Equals, urgentID)
-	out = b.later(100)
-	dropped := answered[Reject](c, out)
+	out = b.advance(100)
+	dropped := onlyOutput[Reject](c, out)
 	c.Assert(out.Responses[0].ID, qt.Equals, laterID)
 	c.Assert(dropped.Kind, qt.Equals, errkind.PlacementTimeout)
 	c.Assert(dropped.RetryMs > 0 && dropped.RetryMs <= 1000, qt.IsTrue)
 }
 
-func TestAClientThatGoesFreesItsPlace(t *testing.T) {
+func TestDisconnectedClientFreesItsSlot(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
+	b := newReadyBench(c)
 	for range 12 {
-		b.ask("/safe/")
+		b.request("/safe/")
 	}
-	b.ask("/safe/")
+	b.request("/safe/")
 	waiting := b.id
 	out := b.step(ClientDisconnected{ID: 1})
-	answered[StartAttempt](c, out)
+	onlyOutput[StartAttempt](c, out)
 	c.Assert(out.Responses[0].ID, qt.Equals, waiting)
 	for id := uint64(1); id <= b.id; id++ {
 		b.step(ClientDisconnected{ID: id})
@@ -551,51 +551,51 @@
 
 // A line that the index has not told of for long is no hit: the request waits
 // for its look-up's answer, but no longer than a miss does at first.
-func TestAnOldLineIsAMiss(t *testing.T) {
+func TestStaleEntryIsAMiss(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
+	b := newReadyBench(c)
 	for b.m.nowMs = b.nowMs; b.m.nowMs < b.nowMs+entryMaxAgeMs+100; b.m.nowMs += 100 {
 		b.m.lastStepMs = b.m.nowMs
 	}
 	b.nowMs = b.m.nowMs
 	b.m.primaryConfirmedMs = b.nowMs
-	out := b.ask("/safe/")
+	out := b.request("/safe/")
 	c.Assert(out.Responses, qt.HasLen, 0)
 	c.Assert(lookUps(out), qt.HasLen, 1)
 	// The answer says that another holds it now.
 	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Change: 9, Holders: []protocol.IndexHolder{{ID: "p9", Address: "p9:80", Adapter: true, Slots: 4}}})
-	c.Assert(answered[StartAttempt](c, out).Params.Runner, qt.Equals, "p9")
+	c.Assert(onlyOutput[StartAttempt](c, out).Params.Runner, qt.Equals, "p9")
 	// Now it is young again.
-	answered[StartAttempt](c, b.ask("/safe/"))
+	onlyOutput[StartAttempt](c, b.request("/safe/"))
 }
 
 // After standing still nothing is sent on before the primary gave its word,
 // or a while has passed.
-func TestAThawedRouterAsksFirst(t *testing.T) {
+func TestRouterPollsFirstAfterAStall(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
+	b := newReadyBench(c)
 	askedMs := b.nowMs
 	b.nowMs += 5000
-	out := b.ask("/safe/")
+	out := b.request("/safe/")
 	c.Assert(out.Responses, qt.HasLen, 0)
 	c.Assert(slices.ContainsFunc(out.Sends, func(s protocol.Send) bool { _, ok := s.Body.(protocol.ConfigPoll); return ok }), qt.IsTrue)
 	// An answer from before it stood still tells nothing of what was missed.
-	c.Assert(b.from(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Responses, qt.HasLen, 0)
+	c.Assert(b.receive(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Responses, qt.HasLen, 0)
 	// The line is from before it stood still too; its look-up may renew it.
-	c.Assert(b.word(2).Responses, qt.HasLen, 0)
-	answered[StartAttempt](c, b.later(missDelayedMs))
+	c.Assert(b.configUpdate(2).Responses, qt.HasLen, 0)
+	onlyOutput[StartAttempt](c, b.advance(missDelayedMs))
 
-	b = ready(c)
+	b = newReadyBench(c)
 	b.nowMs += 5000
-	c.Assert(b.ask("/safe/").Responses, qt.HasLen, 0)
+	c.Assert(b.request("/safe/").Responses, qt.HasLen, 0)
 	b.nowMs += stallGuardMs
-	answered[StartAttempt](c, b.step(protocol.Tick{}))
+	onlyOutput[StartAttempt](c, b.step(protocol.Tick{}))
 }
 
-func TestWithoutWordTheListIsReadAtMostOnceASecond(t *testing.T) {
+func TestListIsReadAtMostOnceASecondWhileThePrimaryIsSilent(t *testing.T) {
 	c := qt.New(t)
-	b := newBed(c)
-	b.word(1)
+	b := newMachineBench(c)
+	b.configUpdate(1)
 	calls, hellos := 0, 0
 	for range 200 {
 		b.nowMs += 25
@@ -616,34 +616,34 @@
 	c.Assert(hellos > 0, qt.IsTrue)
 	c.Assert(b.m.isDraining("p1"), qt.IsTrue)
 	// Its own reading stands in for the index.
-	c.Assert(answered[StartAttempt](c, b.ask("/safe/")).Params.Runner, qt.Equals, "p2")
+	c.Assert(onlyOutput[StartAttempt](c, b.request("/safe/")).Params.Runner, qt.Equals, "p2")
 }
 
-func TestAPlannedStop(t *testing.T) {
+func TestDrainRejectsQueuedRequestsAtHalfOfTheGrace(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
+	b := newReadyBench(c)
 	b.m.settings.Bounds.GraceMs = 4000
 	b.step(Drain{})
 	// What can be sent on still is.
-	answered[StartAttempt](c, b.ask("/safe/"))
+	onlyOutput[StartAttempt](c, b.request("/safe/"))
 	b.index(protocol.IndexReply{Service: "reader", Model: "m", Change: 4, Loading: true})
-	b.ask("/patient/", func(a *RequestParams) { a.TimeoutMs = 20_000 })
-	c.Assert(b.later(1950).Responses, qt.HasLen, 0)
-	c.Assert(answered[Reject](c, b.later(50)).Kind, qt.Equals, errkind.ShuttingDown)
+	b.request("/patient/", func(a *RequestParams) { a.TimeoutMs = 20_000 })
+	c.Assert(b.advance(1950).Responses, qt.HasLen, 0)
+	c.Assert(onlyOutput[Reject](c, b.advance(50)).Kind, qt.Equals, errkind.ShuttingDown)
 }
 
-func TestANewPrimaryIsAskedAtOnce(t *testing.T) {
+func TestNewPrimaryIsPolledAtOnce(t *testing.T) {
 	c := qt.New(t)
-	b := ready(c)
-	out := b.from(otherPlace, protocol.PeersReply{Peers: []protocol.Node{otherPlace}, Record: protocol.EpochRecord{Epoch: 4, Primary: otherPlace.Name}})
+	b := newReadyBench(c)
+	out := b.receive(otherPlace, protocol.PeersReply{Peers: []protocol.Node{otherPlace}, Record: protocol.EpochRecord{Epoch: 4, Primary: otherPlace.Name}})
 	c.Assert(out.Sends, qt.HasLen, 1)
 	c.Assert(out.Sends[0].To, qt.Equals, otherPlace.Name)
 	// A peer that trails changes nothing.
-	c.Assert(b.from(primaryPlace, protocol.PeersReply{Record: protocol.EpochRecord{Epoch: 3, Primary: primaryPlace.Name}}).Sends, qt.HasLen, 0)
+	c.Assert(b.receive(primaryPlace, protocol.PeersReply{Record: protocol.EpochRecord{Epoch: 3, Primary: primaryPlace.Name}}).Sends, qt.HasLen, 0)
 	c.Assert(b.m.primary, qt.Equals, otherPlace.Name)
 }
 
-func TestSplitFollowsTheWeights(t *testing.T) {
+func TestServicesAreDrawnByWeight(t *testing.T) {
 	c := qt.New(t)
 	document := exampleMap(1)
 	document.Routes[0].Split = []config.WeightedService{{Service: "pages", Weight: 30}, {Service: "reader", Weight: 70}, {Service: "gone", Weight: 5}}
--- a/internal/proxy/prefill_test.go
+++ b/internal/proxy/prefill_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPricing(t *testing.T) {
+func TestPrefillMinimums(t *testing.T) {
 	c := qt.New(t)
 	p := prefillMinimums{}
 	c.Assert(p.takeMinimum("s", "m"), qt.Equals, 0.0)
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestBudget(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	cases := []struct {
 		about          string
 		extra, routers int
@@ -36,7 +36,7 @@
 }
 
 // Routers that come and go never fill a bucket.
-func TestBudgetIsNeverFilledByItsSize(t *testing.T) {
+func TestResizeNeverAddsTokens(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudget(58, 9)
 	before := b.tokens
--- a/internal/proxy/runnerstate_test.go
+++ b/internal/proxy/runnerstate_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestLoadFollowsOwnSends(t *testing.T) {
+func TestLoadFollowsOwnAttempts(t *testing.T) {
 	cases := []struct {
 		about string
 		do    func(r *runnerState)
@@ -48,7 +48,7 @@
 
 // Without another word nothing is believed for long, or a runner that was
 // full once would never be asked again.
-func TestAnOldWordIsForgotten(t *testing.T) {
+func TestOldReportIsIgnored(t *testing.T) {
 	c := qt.New(t)
 	r := &runnerState{}
 	r.reportLoad(100, 8, 6)
@@ -58,7 +58,7 @@
 	c.Assert(r.isFull(101+reportMaxAgeMs, 1, 1000), qt.IsFalse)
 }
 
-func TestSuspicionDoublesAndEnds(t *testing.T) {
+func TestUnhealthyTimeDoublesAndEnds(t *testing.T) {
 	c := qt.New(t)
 	r := &runnerState{}
 	nowMs := int64(1000)
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -76,8 +76,8 @@
 	return "", 0
 }
 
-// played is a stand-in runner: it plays one script for each request in turn.
-type played struct {
+// scriptedRunner is a stand-in runner: it plays one script for each request in turn.
+type scriptedRunner struct {
 	at      net.Listener
 	mu      sync.Mutex
 	scripts []string
@@ -91,11 +91,11 @@
 // end in a script closes the stream there.
 const end = "<end>"
 
-func newPlayed(c *qt.C, scripts ...string) *played {
+func newScriptedRunner(c *qt.C, scripts ...string) *scriptedRunner {
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
-	p := &played{at: at, scripts: scripts}
+	p := &scriptedRunner{at: at, scripts: scripts}
 	threads.Go(func() {
 		for {
 			stream, err := at.Accept()
@@ -110,7 +110,7 @@
 	return p
 }
 
-func (p *played) serve(stream net.Conn, number int) {
+func (p *scriptedRunner) serve(stream net.Conn, number int) {
 	defer stream.Close()
 	reader := bufio.NewReader(stream)
 	for {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (p *played) requests() []*http.Request {
+func (p *scriptedRunner) requests() []*http.Request {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.seen
@@ -172,20 +172,20 @@
 	return text
 }
 
-// gateBed is a router with stand-in runners, all of which hold all.
-func gateBed(c *qt.C, runners ...*played) (*Server, *httptest.Server) {
+// newServerBench is a router with stand-in runners, all of which hold all.
+func newServerBench(c *qt.C, runners ...*scriptedRunner) (*Server, *httptest.Server) {
 	var addresses []string
 	for _, r := range runners {
 		addresses = append(addresses, r.at.Addr().String())
 	}
-	g, url, stop, err := startGate(plainCodec{}, exampleMap(1), addresses, io.Discard)
+	g, url, stop, err := startServer(plainCodec{}, exampleMap(1), addresses, io.Discard)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(stop)
 	return g, &httptest.Server{URL: url}
 }
 
-// startGate runs a router for runners that all hold all.
-func startGate(tongue Codec, document config.Configuration, addresses []string, logs io.Writer) (g *Server, url string, stop func(), err error) {
+// startServer runs a router for runners that all hold all.
+func startServer(tongue Codec, document config.Configuration, addresses []string, logs io.Writer) (g *Server, url string, stop func(), err error) {
 	var listeners [3]net.Listener
 	for i := range listeners {
 		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -240,7 +240,7 @@
 	return answer.StatusCode, answer.Header, string(text), err != nil
 }
 
-func TestWhatAClientGets(t *testing.T) {
+func TestResponsesToClients(t *testing.T) {
 	other := strings.Replace(plain("another's"), "Try: TRY", "Try: t0", 1)
 	short := strings.Replace(plain("a whole answer"), "a whole answer", "a who", 1) + end
 	away := "HTTP/1.1 503 Full\r\nTry: TRY\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n"
@@ -304,8 +304,8 @@
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			// One after the other plays its part, whoever is chosen.
-			script := newPlayed(c, test.scripts...)
-			_, server := gateBed(c, script, script, script, script)
+			script := newScriptedRunner(c, test.scripts...)
+			_, server := newServerBench(c, script, script, script, script)
 			status, header, body, broken := call(c, server.URL, test.path)
 			c.Assert(status, qt.Equals, test.status)
 			c.Assert(broken, qt.Equals, test.broken)
@@ -330,10 +330,10 @@
 }
 
 // What a runner sends after a whole answer belongs to no request.
-func TestSurplusBytesReachNobody(t *testing.T) {
+func TestSurplusBytesReachNoClient(t *testing.T) {
 	c := qt.New(t)
-	script := newPlayed(c, plain("one")+plain("surplus"), plain("two"))
-	_, server := gateBed(c, script)
+	script := newScriptedRunner(c, plain("one")+plain("surplus"), plain("two"))
+	_, server := newServerBench(c, script)
 	for _, want := range []string{"one", "two"} {
 		_, _, body, _ := call(c, server.URL, "/safe/x")
 		c.Assert(body, qt.Equals, want)
@@ -342,15 +342,15 @@
 
 // A resumed stream that does not go on where the client is leaves its
 // connection in doubt, also where its end came with it.
-func TestAStreamThatGoesOnWronglyEndsItsConnection(t *testing.T) {
+func TestStreamResumedWronglyClosesItsConnection(t *testing.T) {
 	for _, test := range []struct{ about, wrong string }{
 		{"a gap", events(5, 6, true)},
 		{"an end within a piece", strings.Replace(events(4, 4, true), "piece 4\n\n", "piece 4\nx", 1)},
 	} {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			script := newPlayed(c, events(1, 3, false), test.wrong, events(4, 5, true))
-			_, server := gateBed(c, script)
+			script := newScriptedRunner(c, events(1, 3, false), test.wrong, events(4, 5, true))
+			_, server := newServerBench(c, script)
 			_, _, body, broken := call(c, server.URL, "/stream/x")
 			c.Assert(broken, qt.IsFalse)
 			c.Assert(body, qt.Equals, pieces(1, 5))
@@ -360,9 +360,9 @@
 	}
 }
 
-func TestAHugeBodyIsRefused(t *testing.T) {
+func TestBodyAboveTheLimitIsRejected(t *testing.T) {
 	c := qt.New(t)
-	_, server := gateBed(c, newPlayed(c))
+	_, server := newServerBench(c, newScriptedRunner(c))
 	answer, err := http.Post(server.URL+"/safe/x", "", bytes.NewReader(make([]byte, defaultMaxBodyBytes+1)))
 	if err == nil {
 		defer answer.Body.Close()
@@ -370,9 +370,9 @@
 	}
 }
 
-func TestReadyUntilItLeaves(t *testing.T) {
+func TestReadyPageUntilShutdown(t *testing.T) {
 	c := qt.New(t)
-	g, _ := gateBed(c)
+	g, _ := newServerBench(c)
 	// The page needs the map, which the machine takes on its own thread.
 	look := func(path string) int {
 		w := httptest.NewRecorder()
