--- a/internal/protocol/runners.go
+++ b/internal/protocol/runners.go
@@ -127,17 +127,12 @@
 	OutcomeNotSent
 )
 
-// FleetCall is implemented by the outbound calls to the users' platform and its
-// runners: ListRunners, GetRunnerState and RunnerOrder.
-type FleetCall interface{ isFleetCall() }
-
-func (ListRunners) isFleetCall()    {}
-func (GetRunnerState) isFleetCall() {}
-func (RunnerOrder) isFleetCall()    {}
-
-// FleetResult is implemented by the outcomes of FleetCalls: RunnerList,
-// RunnerStateResult and RunnerOrderResult.
-type FleetResult interface{ isFleetResult() }
+// FleetResult is the OutboundResult of a call to the users' platform or to one of
+// its runners: RunnerList, RunnerStateResult or RunnerOrderResult.
+type FleetResult interface {
+	OutboundResult
+	isFleetResult()
+}
 
 func (RunnerList) isFleetResult()        {}
 func (RunnerStateResult) isFleetResult() {}
