--- a/cmd/scalesim/main.go
+++ b/cmd/scalesim/main.go
@@ -1,5 +1,5 @@
-// Program hollow runs the machines of large sites in one process, in virtual
-// time, and prints what each role costs.
+// Command scalesim runs the state machines of large sites in one process, in
+// virtual time, and prints what each role costs.
 package main
 
 import (
@@ -17,84 +17,106 @@
 	"myrtlewinch/internal/simulation/scalesim"
 )
 
+// maxSites bounds how many sites one run measures.
+const maxSites = 20
+
 func main() {
 	cli.Setup("scalesim", "Runs the machines of large sites in one process, in virtual time, and prints what each role costs. Flags marked (list) take several figures with commas; the n-th site takes the n-th of each, or the last.")
-	usual := scalesim.Usual()
-	var lists []*list
-	add := func(name, about string, at func(s *scalesim.Size) *int) {
-		l := &list{name: name, text: strconv.Itoa(*at(&usual)), at: at}
-		flaggy.String(&l.text, "", name, about+" (list)")
-		lists = append(lists, l)
-	}
-	add("routers", "routers", func(s *scalesim.Size) *int { return &s.Routers })
-	add("controllers", "controllers", func(s *scalesim.Size) *int { return &s.Controllers })
-	add("zones", "zones", func(s *scalesim.Size) *int { return &s.Zones })
-	add("runners", "runners", func(s *scalesim.Size) *int { return &s.Runners })
-	add("models", "models", func(s *scalesim.Size) *int { return &s.Models })
-	add("adapters", "adapters of all models together", func(s *scalesim.Size) *int { return &s.Adapters })
-	add("routes", "routes of the service map", func(s *scalesim.Size) *int { return &s.Routes })
-	add("perSec", "requests a second to all routers together", func(s *scalesim.Size) *int { return &s.PerSec })
-	add("changes", "service maps that come into force while it is measured", func(s *scalesim.Size) *int { return &s.Changes })
-	add("shiftMs", "how often another model becomes a busy one; 0 is never", func(s *scalesim.Size) *int { return &s.ShiftMs })
-	add("lastsMs", "how long an answer takes", func(s *scalesim.Size) *int { return &s.LastsMs })
-	flaggy.Int(&usual.WarmSeconds, "", "warm", "virtual seconds before it is measured")
-	flaggy.Int(&usual.Seconds, "", "seconds", "virtual seconds that are measured")
-	flaggy.Int(&usual.HeapMb, "", "heap", "the most memory of the run in MB, at most half of the machine's")
-	kinds, machine := false, false
-	flaggy.Bool(&kinds, "", "kinds", "print the messages of each kind too")
-	flaggy.Bool(&machine, "", "json", "print the results as JSON")
+	size := scalesim.DefaultSize()
+	lists := listFlags(&size)
+	flaggy.Int(&size.WarmSeconds, "", "warm", "virtual seconds before it is measured")
+	flaggy.Int(&size.Seconds, "", "seconds", "virtual seconds that are measured")
+	flaggy.Int(&size.HeapMb, "", "heap", "the most memory of the run in MB, at most half of the machine's")
+	var messages, asJSON bool
+	flaggy.Bool(&messages, "", "kinds", "print the messages of each kind too")
+	flaggy.Bool(&asJSON, "", "json", "print the results as JSON")
 	cli.Parse()
-	if half := halfMb(); usual.HeapMb > half {
-		cli.UsageError("heap: %d MB is more than half of the machine's, %d MB", usual.HeapMb, half)
+	if half := halfMemoryMb(); size.HeapMb > half {
+		cli.UsageError("heap: %d MB is more than half of the machine's, %d MB", size.HeapMb, half)
+	}
+	results := runAll(sizesOf(size, lists), size.HeapMb)
+	if asJSON {
+		_ = json.NewEncoder(os.Stdout).Encode(results)
+		return
 	}
-	sizes := sizesOf(usual, lists)
-	debug.SetMemoryLimit(int64(usual.HeapMb) << 20)
-	// The clock is that of one thread.
+	scalesim.WriteTable(os.Stdout, results, messages)
+}
+
+// runAll measures one site after the other, on one thread because the clock is
+// that of the thread.
+func runAll(sizes []scalesim.Size, heapMb int) []scalesim.Result {
+	debug.SetMemoryLimit(int64(heapMb) << 20)
 	runtime.LockOSThread()
 	var results []scalesim.Result
 	for _, size := range sizes {
-		result, err := scalesim.Run(size, threadNs)
+		result, err := scalesim.Run(size, threadTimeNs)
 		if err != nil {
 			cli.Fatal("%d routers, %d runners: %v", size.Routers, size.Runners, err)
 		}
 		results = append(results, result)
 	}
-	if machine {
-		_ = json.NewEncoder(os.Stdout).Encode(results)
-		return
-	}
-	scalesim.Table(os.Stdout, results, kinds)
+	return results
 }
 
-// list is a flag that takes several figures.
-type list struct {
-	name, text string
-	at         func(s *scalesim.Size) *int
+// listFlag is a flag that takes several figures, one for each site.
+type listFlag struct {
+	name string
+	// text is what was given, or the default.
+	text string
+	// field returns the figure of a size that the flag sets.
+	field func(s *scalesim.Size) *int
 }
 
-const sizesMost = 20
+// listFlags adds the flags that take lists, with the figures of a size as
+// defaults.
+func listFlags(defaults *scalesim.Size) []*listFlag {
+	var flags []*listFlag
+	add := func(name, about string, field func(s *scalesim.Size) *int) {
+		f := &listFlag{name: name, text: strconv.Itoa(*field(defaults)), field: field}
+		flaggy.String(&f.text, "", name, about+" (list)")
+		flags = append(flags, f)
+	}
+	add("routers", "routers", func(s *scalesim.Size) *int { return &s.Routers })
+	add("controllers", "controllers", func(s *scalesim.Size) *int { return &s.Controllers })
+	add("zones", "zones", func(s *scalesim.Size) *int { return &s.Zones })
+	add("runners", "runners", func(s *scalesim.Size) *int { return &s.Runners })
+	add("models", "models", func(s *scalesim.Size) *int { return &s.Models })
+	add("adapters", "adapters of all models together", func(s *scalesim.Size) *int { return &s.Adapters })
+	add("routes", "routes of the service map", func(s *scalesim.Size) *int { return &s.Routes })
+	add("perSec", "requests a second to all routers together", func(s *scalesim.Size) *int { return &s.RequestsPerSec })
+	add("changes", "service maps that come into force while it is measured", func(s *scalesim.Size) *int { return &s.Changes })
+	add("shiftMs", "how often another model becomes a busy one; 0 is never", func(s *scalesim.Size) *int { return &s.ShiftMs })
+	add("lastsMs", "how long an answer takes", func(s *scalesim.Size) *int { return &s.ResponseMs })
+	return flags
+}
 
-// sizesOf makes the sites that the lists tell.
-func sizesOf(usual scalesim.Size, lists []*list) []scalesim.Size {
-	figures, count := make([][]int, len(lists)), 1
-	for i, l := range lists {
-		for _, text := range strings.Split(l.text, ",") {
-			n, err := strconv.Atoi(strings.TrimSpace(text))
-			if err != nil {
-				cli.UsageError("%s: %q is no whole number", l.name, text)
-			}
-			figures[i] = append(figures[i], n)
+// figures are the numbers that a flag was given.
+func (f *listFlag) figures() []int {
+	var out []int
+	for _, text := range strings.Split(f.text, ",") {
+		n, err := strconv.Atoi(strings.TrimSpace(text))
+		if err != nil {
+			cli.UsageError("%s: %q is no whole number", f.name, text)
 		}
+		out = append(out, n)
+	}
+	return out
+}
+
+// sizesOf makes the sizes of all sites from a size and the flags that take lists.
+func sizesOf(size scalesim.Size, flags []*listFlag) []scalesim.Size {
+	figures, count := make([][]int, len(flags)), 1
+	for i, f := range flags {
+		figures[i] = f.figures()
 		count = max(count, len(figures[i]))
 	}
-	if count > sizesMost {
-		cli.UsageError("%d sites are more than %d", count, sizesMost)
+	if count > maxSites {
+		cli.UsageError("%d sites are more than %d", count, maxSites)
 	}
 	var sizes []scalesim.Size
 	for n := range count {
-		size := usual
-		for i, l := range lists {
-			*l.at(&size) = figures[i][min(n, len(figures[i])-1)]
+		for i, f := range flags {
+			*f.field(&size) = figures[i][min(n, len(figures[i])-1)]
 		}
 		if faults := size.Faults(); len(faults) > 0 {
 			cli.UsageError("%s", strings.Join(faults, "; "))
@@ -104,8 +126,8 @@
 	return sizes
 }
 
-// threadNs is the processor time of this thread.
-func threadNs() int64 {
+// threadTimeNs is the processor time of this thread.
+func threadTimeNs() int64 {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_THREAD_CPUTIME_ID, &at); err != nil {
 		cli.Fatal("clock: %v", err)
@@ -113,8 +135,8 @@
 	return at.Nano()
 }
 
-// halfMb is half of the machine's memory.
-func halfMb() int {
+// halfMemoryMb is half of the machine's memory.
+func halfMemoryMb() int {
 	var info unix.Sysinfo_t
 	if err := unix.Sysinfo(&info); err != nil {
 		cli.Fatal("memory: %v", err)
--- /dev/null
+++ b/internal/simulation/scalesim/codec.go
@@ -0,0 +1,82 @@
+package scalesim
+
+import (
+	"bytes"
+	"net/rpc"
+
+	"github.com/cockroachdb/errors"
+
+	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
+)
+
+const (
+	// rpcMethod is the one that daemons call each other by.
+	rpcMethod = "Door.Take"
+	// typicalSequence is the number of a call on a connection that has been open
+	// for a while.
+	typicalSequence = 1 << 14
+)
+
+// stream is one direction of a connection in memory.
+type stream struct{ bytes.Buffer }
+
+// Close does nothing; codecs need it.
+func (*stream) Close() error { return nil }
+
+// frameCodec passes messages through the codec of real connections, one to a
+// frame, and counts their bytes. Real connections put all waiting messages into
+// one frame, so the count is an upper bound.
+type frameCodec struct {
+	stream   stream
+	encoder  *protocol.ClientCodec
+	decoder  *protocol.ServerCodec
+	sequence uint64
+	// ackBytes is the size of the reply to a frame.
+	ackBytes int
+}
+
+func newFrameCodec() (*frameCodec, error) {
+	ackBytes, err := ackSize()
+	if err != nil {
+		return nil, errors.Wrap(err, "encoding an acknowledgement")
+	}
+	c := &frameCodec{ackBytes: ackBytes}
+	c.encoder, c.decoder = protocol.NewClientCodec(&c.stream), protocol.NewServerCodec(&c.stream)
+	return c, nil
+}
+
+// ackSize measures the second reply on a connection: the first one also tells
+// the types of its fields.
+func ackSize() (int, error) {
+	replies := &stream{}
+	encoder := protocol.NewServerCodec(replies)
+	for range 2 {
+		replies.Reset()
+		if err := encoder.WriteResponse(&rpc.Response{ServiceMethod: rpcMethod, Seq: typicalSequence}, &process.Ack{}); err != nil {
+			return 0, err
+		}
+	}
+	return replies.Len(), nil
+}
+
+// encode writes a message and returns its size in bytes.
+func (c *frameCodec) encode(e protocol.Envelope) (int, error) {
+	c.sequence++
+	before := c.stream.Len()
+	err := c.encoder.WriteRequest(&rpc.Request{ServiceMethod: rpcMethod, Seq: c.sequence}, []protocol.Envelope{e})
+	return c.stream.Len() - before, err
+}
+
+// decode reads the message that was encoded last.
+func (c *frameCodec) decode() (protocol.Envelope, error) {
+	var header rpc.Request
+	if err := c.decoder.ReadRequestHeader(&header); err != nil {
+		return protocol.Envelope{}, err
+	}
+	var batch []protocol.Envelope
+	if err := c.decoder.ReadRequestBody(&batch); err != nil {
+		return protocol.Envelope{}, err
+	}
+	return batch[0], nil
+}
--- /dev/null
+++ b/internal/simulation/scalesim/configuration.go
@@ -0,0 +1,103 @@
+package scalesim
+
+import (
+	"encoding/json"
+	"fmt"
+	"math"
+
+	"myrtlewinch/internal/config"
+)
+
+// The service and its models. They are alike but for their adapters.
+const (
+	serviceName = "llm"
+	host        = "site.example"
+	slots       = 64
+	cacheTokens = 135_000
+	modelMb     = 70_000.0
+	adapterMb   = 66.0
+	weightMb    = 230_000.0
+	maxAdapters = 8
+	loadMs      = 1600
+	loadsPerSec = 46.0
+	// routeTimeoutMs is the time-out of a route, but for the version.
+	routeTimeoutMs = 30_000
+	// modelsPerRunner is how many models fit on a runner.
+	modelsPerRunner = 3
+	// promptTokens and outputTokens are those of every request.
+	promptTokens, outputTokens = 1460, 330
+	requestTokens              = promptTokens + outputTokens
+	// zipfExponent shapes the demand: the share of the n-th busiest model falls
+	// with this power of n.
+	zipfExponent = 1.3
+	// adapterShare is the part of all adapters that one of the busiest models has.
+	adapterShare = 25
+)
+
+// jsonFormat reads service maps as plain JSON.
+type jsonFormat struct{}
+
+// Parse returns the service map, or every fault found.
+func (jsonFormat) Parse(text []byte) (*config.Configuration, []string) {
+	var m config.Configuration
+	if err := json.Unmarshal(text, &m); err != nil {
+		return nil, []string{err.Error()}
+	}
+	m.BuildIndex()
+	return &m, m.Faults()
+}
+
+// ApplyChange is not used in simulations.
+func (jsonFormat) ApplyChange(_, change []byte) ([]byte, []string) { return change, nil }
+
+func modelName(i int) string { return fmt.Sprintf("model-%04d", i) }
+
+func pathPrefix(route int) string { return fmt.Sprintf("/route-%04d/", route) }
+
+// adapterCount is how many adapters a model has: the busiest models have most of
+// them.
+func (s Size) adapterCount(model int) int {
+	most := max(1, s.Adapters/adapterShare)
+	return max(0, min(most, s.Adapters-model*most))
+}
+
+// configText is the service map of a version, as an operator would write it.
+// Versions differ in the time-outs of the routes.
+func (s Size) configText(version uint64) string {
+	engine := &config.Engine{
+		Slots: slots, CacheTokens: cacheTokens, TokensPerEvent: 5, WeightMemoryMb: weightMb, MaxAdapters: maxAdapters, LoadsPerSec: loadsPerSec,
+	}
+	for i := range s.Models {
+		engine.Models = append(engine.Models, config.Model{
+			Name: modelName(i), SizeMb: modelMb, LoadMs: loadMs, AdapterCount: s.adapterCount(i), AdapterSizeMb: adapterMb,
+		})
+	}
+	service := config.Service{Name: serviceName, HealthPath: "/health", MaxConnections: 100_000, Engine: engine}
+	m := config.Configuration{Version: version, Services: []config.Service{service}}
+	for i := range s.Routes {
+		m.Routes = append(m.Routes, config.Route{
+			Name: fmt.Sprintf("route-%04d", i), Host: host, PathPrefix: pathPrefix(i), Kind: config.Stream, Resumable: true, MaxAttempts: 2,
+			TimeoutMs: routeTimeoutMs + int64(version), LatencyTargetMs: 760, MaxEventGapMs: 72, Priority: i % 3,
+			Split: []config.WeightedService{{Service: serviceName, Weight: 1}},
+		})
+	}
+	text, err := json.Marshal(m)
+	if err != nil {
+		panic("scalesim: a service map can't be encoded: " + err.Error())
+	}
+	return string(text)
+}
+
+// demandShares are the shares of the demand by rank of model, summed up: a few
+// models get most of the requests.
+func (s Size) demandShares() []float64 {
+	out, sum := make([]float64, s.Models), 0.0
+	for i := range out {
+		sum += 1 / math.Pow(float64(i+1), zipfExponent)
+		out[i] = sum
+	}
+	for i := range out {
+		out[i] /= sum
+	}
+	return out
+}
--- a/internal/simulation/scalesim/measure.go
+++ b/internal/simulation/scalesim/measure.go
@@ -10,16 +10,21 @@
 	"myrtlewinch/internal/proxy"
 )
 
-// calibrate works out what the clock itself costs.
-func (s *Site) calibrate() {
-	const times = 2000
+// manyHolders is the length of a reply of the index from which on it may not list
+// all holders.
+const manyHolders = 30
+
+// calibrateClock works out what a reading of the clock costs.
+func (s *simulation) calibrateClock() {
+	const readings = 2000
 	beganNs := s.clock()
-	for range times {
+	for range readings {
 		s.clock()
 	}
-	s.clockNs = (s.clock() - beganNs) / times
+	s.clockNs = (s.clock() - beganNs) / readings
 }
 
+// heapBytes is the size of all live objects.
 func heapBytes() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -27,8 +32,9 @@
 	return int64(stats.HeapAlloc)
 }
 
-// seconds lets whole seconds go by, and looks after the memory.
-func (s *Site) seconds(count int) error {
+// runSeconds lets whole seconds go by. It fails if an event did, or the run takes
+// too much memory.
+func (s *simulation) runSeconds(count int) error {
 	for range count {
 		s.events.RunFor(1000)
 		var stats runtime.MemStats
@@ -36,115 +42,141 @@
 		if usedMb := int(stats.HeapAlloc >> 20); usedMb > s.size.HeapMb {
 			return errors.Newf("the run takes %d MB, over its %d MB", usedMb, s.size.HeapMb)
 		}
-		if s.fault != nil {
-			return s.fault
+		if s.err != nil {
+			return s.err
 		}
 	}
 	return nil
 }
 
-func (s *Site) measure() (Result, error) {
-	if s.size.PerSec > 0 {
-		s.events.After(1, s.ask)
+// measure runs the workload of a site that has started, and measures it once it
+// has warmed up.
+func (s *simulation) measure() (Result, error) {
+	if s.size.RequestsPerSec > 0 {
+		s.events.After(1, s.sendRequests)
 	}
 	if s.size.ShiftMs > 0 {
-		s.events.After(int64(s.size.ShiftMs), s.shift)
+		s.events.After(int64(s.size.ShiftMs), s.shiftDemand)
 	}
-	if err := s.seconds(s.size.WarmSeconds); err != nil {
+	if err := s.runSeconds(s.size.WarmSeconds); err != nil {
 		return Result{}, err
 	}
-	before := s.tally()
-	s.counting, s.lagMs, s.loads = true, 0, 0
-	beganMs, requests := s.events.NowMs(), s.requests
+	before, requestsBefore := s.routerCounters(), s.requests
+	s.measuring, s.configLagMs, s.storeLoads = true, 0, 0
+	beganMs := s.events.NowMs()
 	for i := range s.size.Changes {
-		s.events.After(int64(1+i)*int64(s.size.Seconds)*1000/int64(1+s.size.Changes), s.handOver)
+		s.events.After(int64(1+i)*int64(s.size.Seconds)*1000/int64(1+s.size.Changes), s.submitConfig)
 	}
-	if err := s.seconds(s.size.Seconds); err != nil {
+	if err := s.runSeconds(s.size.Seconds); err != nil {
 		return Result{}, err
 	}
-	s.counting = false
-	tally := s.tally()
+	s.measuring = false
+	after := s.routerCounters()
 	out := Result{
-		Size: s.size, Kinds: s.kinds, Requests: s.requests - requests, Dropped: s.dropped, Loads: s.loads, MapLagMs: s.lagMs,
-		LookUps: int64(tally.LookUps - before.LookUps), Misses: int64(tally.Misses - before.Misses), MapKb: float64(len(s.size.text(1))) / 1024,
-	}
-	if behind := s.behind(); behind > 0 {
-		out.MapLagMs = max(out.MapLagMs, s.events.NowMs()-beganMs)
+		Size: s.size, Messages: s.messages, Requests: s.requests - requestsBefore,
+		LookUps: int64(after.LookUps - before.LookUps), Misses: int64(after.Misses - before.Misses),
+		Rejected: s.rejected, StoreLoads: s.storeLoads,
+		ConfigKb: float64(len(s.size.configText(1))) / 1024, ConfigLagMs: s.configLagMs,
 	}
-	for _, r := range s.runners {
-		out.StateAgeMs += (s.events.NowMs() - r.toldMs) / int64(len(s.runners))
-		out.OldestMs = max(out.OldestMs, s.events.NowMs()-r.toldMs)
+	if s.routersBehind() > 0 {
+		out.ConfigLagMs = max(out.ConfigLagMs, s.events.NowMs()-beganMs)
 	}
-	s.split(&out)
+	s.measureStateAges(&out)
+	s.measureRoles(&out)
 	return out, nil
 }
 
-func (s *Site) tally() proxy.Counters {
+// routerCounters adds up the look-ups and misses of all routers.
+func (s *simulation) routerCounters() proxy.Counters {
 	var sum proxy.Counters
 	for _, n := range s.routers {
-		t := n.machine.(*proxy.Machine).Counters
-		sum.LookUps += t.LookUps
-		sum.Misses += t.Misses
+		counters := n.machine.(*proxy.Machine).Counters
+		sum.LookUps += counters.LookUps
+		sum.Misses += counters.Misses
 	}
 	return sum
 }
 
-// split tells the roles apart, and lets go of one after the other to see what
-// each holds.
-func (s *Site) split(out *Result) {
+// measureStateAges works out how old the runners' states are at the primary.
+func (s *simulation) measureStateAges(out *Result) {
+	for _, r := range s.runners {
+		ageMs := s.events.NowMs() - r.polledMs
+		out.StateAgeMs += ageMs / int64(len(s.runners))
+		out.OldestMs = max(out.OldestMs, ageMs)
+	}
+}
+
+// measureRoles works out what each role costs. It ends the simulation, because it
+// drops the state machines of one role after the other to see what they hold.
+func (s *simulation) measureRoles(out *Result) {
 	s.step(s.routers[0], proxy.StatusQuery{})
-	primary := s.routers[0].primary
-	leader := slices.IndexFunc(s.controllers, func(n *node) bool { return n.place.Name == primary })
+	primaryName := s.routers[0].primary
 	followers := slices.Clone(s.controllers)
-	var leaders []*node
-	if leader >= 0 {
-		leaders = []*node{s.controllers[leader]}
-		followers = slices.Delete(followers, leader, leader+1)
-		out.StepMsMax = float64(leaders[0].stepNs) / 1e6
-		out.Offered = s.offered(leaders[0])
+	var primaries []*node
+	if i := slices.IndexFunc(followers, func(n *node) bool { return n.self.Name == primaryName }); i >= 0 {
+		primary := followers[i]
+		primaries = []*node{primary}
+		followers = slices.Delete(followers, i, i+1)
+		out.LongestStepMs = float64(primary.longestStepNs) / 1e6
+		out.ListedRunners = s.listedRunners(primary)
 	}
 	s.events.Clear()
 	usedBytes := heapBytes()
-	role := func(nodes []*node) Role {
-		var sum Load
-		lines := 0
-		for _, n := range nodes {
-			sum.add(n.load)
-			lines += len(n.lines)
-			n.machine = nil
-		}
-		r := sum.role(len(nodes), s.size.Seconds)
-		left := heapBytes()
-		r.HeapKb = float64(usedBytes-left) / 1024 / float64(max(1, len(nodes)))
-		r.Lines = float64(lines) / float64(max(1, len(nodes)))
-		usedBytes = left
-		return r
-	}
-	out.Router, out.Follower, out.Primary = role(s.routers), role(followers), role(leaders)
+	for _, role := range []struct {
+		nodes []*node
+		cost  *RoleCost
+	}{{s.routers, &out.Router}, {followers, &out.Follower}, {primaries, &out.Primary}} {
+		*role.cost = dropNodes(role.nodes, s.size.Seconds)
+		leftBytes := heapBytes()
+		role.cost.HeapKb = float64(usedBytes-leftBytes) / 1024 / float64(max(1, len(role.nodes)))
+		usedBytes = leftBytes
+	}
+	// Without this the simulation itself could be collected with the last role and
+	// count as what that holds.
+	runtime.KeepAlive(s)
+}
+
+// dropNodes adds up the cost of nodes and drops their state machines.
+func dropNodes(nodes []*node, seconds int) RoleCost {
+	var sum usage
+	peers := 0
+	for _, n := range nodes {
+		sum.add(n.usage)
+		peers += len(n.peers)
+		n.machine = nil
+	}
+	cost := sum.cost(len(nodes), seconds)
+	cost.Peers = float64(peers) / float64(max(1, len(nodes)))
+	return cost
 }
 
-// offered counts the runners that the primary's index offers to any router for
-// any model. Of models that many hold each router is offered others.
-func (s *Site) offered(leader *node) int {
-	offered := map[string]bool{}
+// listedRunners counts the runners that the primary's index lists for any model
+// to any router. Of a model with many holders each router is offered others.
+func (s *simulation) listedRunners(primary *node) int {
+	listed := map[string]bool{}
 	for i := range s.size.Models {
 		for _, router := range s.routers {
-			e := protocol.Envelope{Site: siteName, From: router.place, Body: protocol.IndexLookUp{Service: service, Model: modelName(i)}}
-			long := false
-			for _, send := range leader.machine.Step(s.events.NowMs(), e).Sends {
-				index, is := send.Body.(protocol.IndexReply)
-				if !is {
-					continue
-				}
-				long = len(index.Holders) >= longLine
-				for j := range index.Holders {
-					offered[index.Holders[j].ID] = true
-				}
+			holders := s.lookUp(primary, router, modelName(i))
+			for j := range holders {
+				listed[holders[j].ID] = true
 			}
-			if !long {
+			if len(holders) < manyHolders {
 				break
 			}
 		}
 	}
-	return len(offered)
+	return len(listed)
+}
+
+// lookUp returns the holders of a model as the primary lists them to a router.
+func (s *simulation) lookUp(primary, router *node, model string) []protocol.IndexHolder {
+	body := protocol.IndexLookUp{Service: serviceName, Model: model}
+	effects := primary.machine.Step(s.events.NowMs(), protocol.Envelope{Site: siteName, From: router.self, Body: body})
+	var holders []protocol.IndexHolder
+	for _, send := range effects.Sends {
+		if reply, is := send.Body.(protocol.IndexReply); is {
+			holders = append(holders, reply.Holders...)
+		}
+	}
+	return holders
 }
--- a/internal/simulation/scalesim/workload.go
+++ b/internal/simulation/scalesim/workload.go
@@ -8,16 +8,26 @@
 	"myrtlewinch/internal/proxy"
 )
 
-// handOver gives the next map to every controller; the primary takes it.
-func (s *Site) handOver() {
-	text := s.size.text(s.version + 1)
+const (
+	// requestTimeoutMs is the time-out that clients ask for.
+	requestTimeoutMs = 30_000
+	// busiestModels is among how many of the busiest a model that shifts comes.
+	busiestModels = 10
+	// configPollMs is how often to look whether all routers use a service map.
+	configPollMs = 10
+)
+
+// submitConfig gives the next service map to every controller; the primary
+// accepts it.
+func (s *simulation) submitConfig() {
+	text := s.size.configText(s.version + 1)
 	for _, n := range s.controllers {
 		s.step(n, controller.SubmitConfig{ID: 1, BaseVersion: s.version, Text: text})
 	}
 }
 
-// behind counts the routers that don't use the map in force.
-func (s *Site) behind() int {
+// routersBehind counts the routers that don't use the service map in force.
+func (s *simulation) routersBehind() int {
 	count := 0
 	for _, n := range s.routers {
 		if m := n.machine.(*proxy.Machine).Map(); m == nil || m.Version < s.version {
@@ -27,36 +37,45 @@
 	return count
 }
 
-// watch notes when the map that was taken last is in use everywhere.
-func (s *Site) watch() {
-	if s.behind() == 0 {
-		s.lagMs = max(s.lagMs, s.events.NowMs()-s.handedMs)
+// awaitConfig notes when the service map accepted last is in use everywhere.
+func (s *simulation) awaitConfig() {
+	if s.routersBehind() == 0 {
+		s.configLagMs = max(s.configLagMs, s.events.NowMs()-s.acceptedMs)
 		return
 	}
-	s.events.After(10, s.watch)
+	s.events.After(configPollMs, s.awaitConfig)
 }
 
-// ask sends the requests of one ms.
-func (s *Site) ask() {
-	for s.owed += float64(s.size.PerSec) / 1000; s.owed >= 1; s.owed-- {
-		s.requests++
-		rank, _ := slices.BinarySearch(s.shares, s.random.Float64())
-		model := s.ranks[min(rank, len(s.ranks)-1)]
-		asked := proxy.RequestParams{
-			RequestID: fmt.Sprintf("%016x", s.random.Uint64()), Model: modelName(model), PromptTokens: promptTokens, MaxOutputTokens: outTokens, TimeoutMs: 30_000,
-		}
-		if of := s.size.adaptersOf(model); of > 0 && s.random.IntN(2) == 0 {
-			asked.Adapter = fmt.Sprintf("a%d", 1+s.random.IntN(of))
-		}
-		n := s.routers[s.random.IntN(len(s.routers))]
-		s.step(n, proxy.Request{ID: uint64(s.requests), Host: host, Path: routeName(s.random.IntN(s.size.Routes)) + "x", Params: asked})
+// sendRequests sends the requests of each ms from now on.
+func (s *simulation) sendRequests() {
+	for s.requestsDue += float64(s.size.RequestsPerSec) / 1000; s.requestsDue >= 1; s.requestsDue-- {
+		s.sendRequest()
+	}
+	s.events.After(1, s.sendRequests)
+}
+
+// sendRequest sends one request to a random router: for a model by its share of
+// the demand, and every other time for an adapter where the model has some.
+func (s *simulation) sendRequest() {
+	s.requests++
+	rank, _ := slices.BinarySearch(s.shares, s.random.Float64())
+	model := s.modelByRank[min(rank, len(s.modelByRank)-1)]
+	params := proxy.RequestParams{
+		RequestID: fmt.Sprintf("%016x", s.random.Uint64()), Model: modelName(model),
+		PromptTokens: promptTokens, MaxOutputTokens: outputTokens, TimeoutMs: requestTimeoutMs,
+	}
+	if adapters := s.size.adapterCount(model); adapters > 0 && s.random.IntN(2) == 0 {
+		params.Adapter = fmt.Sprintf("a%d", 1+s.random.IntN(adapters))
 	}
-	s.events.After(1, s.ask)
+	n := s.routers[s.random.IntN(len(s.routers))]
+	path := pathPrefix(s.random.IntN(s.size.Routes)) + "x"
+	s.step(n, proxy.Request{ID: uint64(s.requests), Host: host, Path: path, Params: params})
 }
 
-// shift makes another model one of the busiest.
-func (s *Site) shift() {
-	a, b := s.random.IntN(min(10, len(s.ranks))), s.random.IntN(len(s.ranks))
-	s.ranks[a], s.ranks[b] = s.ranks[b], s.ranks[a]
-	s.events.After(int64(s.size.ShiftMs), s.shift)
+// shiftDemand makes another model one of the busiest, now and at each interval.
+func (s *simulation) shiftDemand() {
+	ranks := s.modelByRank
+	a, b := s.random.IntN(min(busiestModels, len(ranks))), s.random.IntN(len(ranks))
+	ranks[a], ranks[b] = ranks[b], ranks[a]
+	s.events.After(int64(s.size.ShiftMs), s.shiftDemand)
 }
