--- a/internal/native/router/prolong_test.go
+++ b/internal/native/router/lease_test.go
@@ -10,7 +10,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-func edge(n int) protocol.Node {
+func edgeNode(n int) protocol.Node {
 	name := fmt.Sprintf("edge-%d", n)
 	return protocol.Node{Name: name, Address: name, Part: protocol.RoleRouter, Incarnation: name}
 }
@@ -25,11 +25,11 @@
 	return false
 }
 
-func (b *bench) from(place protocol.Node, body protocol.Message) {
+func (b *bench) receiveFrom(place protocol.Node, body protocol.Message) {
 	b.step(protocol.Envelope{Site: "zagreb", From: place, Body: body})
 }
 
-func TestProlongByMajority(t *testing.T) {
+func TestLeaseIsExtendedByAMajority(t *testing.T) {
 	cases := []struct {
 		about    string
 		peers    []int
@@ -49,21 +49,21 @@
 			b := newBench(c)
 			b.nowMs += 3000
 			b.step(protocol.Tick{})
-			before := b.m.revUntilMs
+			before := b.m.leaseUntilMs
 			for _, n := range test.peers {
 				said := test.said
 				said.EchoMs = b.nowMs
-				b.from(edge(n), said)
+				b.receiveFrom(edgeNode(n), said)
 			}
-			c.Assert(b.m.revUntilMs > before, qt.Equals, test.prolongs)
+			c.Assert(b.m.leaseUntilMs > before, qt.Equals, test.prolongs)
 			if test.prolongs {
-				c.Assert(b.m.revUntilMs, qt.Equals, b.nowMs+wordHoldMs)
+				c.Assert(b.m.leaseUntilMs, qt.Equals, b.nowMs+leaseMs)
 			}
 		})
 	}
 }
 
-func TestGivingProlongs(t *testing.T) {
+func TestGrantingExtensions(t *testing.T) {
 	text, err := os.ReadFile("../../../examples/zagreb.json")
 	qt.Assert(t, err, qt.IsNil)
 	next := string(text) + " "
@@ -76,30 +76,30 @@
 	}{
 		{"steady", func(*bench) {}, 2, 1, true},
 		{"to one that is not listed", func(*bench) {}, 77, 1, false},
-		{"of an older revision", func(b *bench) { b.word(protocol.RouterUpdate{Revision: 2, Sum: "two", Text: next}) }, 2, 1, false},
+		{"of an older revision", func(b *bench) { b.update(protocol.RouterUpdate{Revision: 2, Sum: "two", Text: next}) }, 2, 1, false},
 		{"after it acknowledged a next one", func(b *bench) {
-			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.update(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
 		}, 2, 1, false},
 		{"after that was given up", func(b *bench) {
-			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
-			b.word(protocol.RouterUpdate{Revision: 1, Sum: "one"})
+			b.update(protocol.RouterUpdate{Revision: 1, Sum: "one", Pending: "two", PendingText: next})
+			b.update(protocol.RouterUpdate{Revision: 1, Sum: "one"})
 		}, 2, 1, true},
-		{"a runner told of a higher one", func(b *bench) { b.m.higher = 2 }, 2, 1, false},
+		{"a runner told of a higher one", func(b *bench) { b.m.highestSeenRevision = 2 }, 2, 1, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			b := newBench(c)
-			b.nowMs += wordHoldMs
+			b.nowMs += leaseMs
 			test.do(b)
-			b.m.givenUntilMs = 0
-			b.from(edge(test.from), protocol.ExtendLease{EchoMs: 1, Revision: test.of})
+			b.m.extensionsUntilMs = 0
+			b.receiveFrom(edgeNode(test.from), protocol.ExtendLease{EchoMs: 1, Revision: test.of})
 			c.Assert(b.granted(), qt.Equals, test.gives)
-			c.Assert(b.m.givenUntilMs > 0, qt.Equals, test.gives)
+			c.Assert(b.m.extensionsUntilMs > 0, qt.Equals, test.gives)
 		})
 	}
 	// What the process before may have given is not known, so a new one says
 	// that it gave for as long as that may run.
 	b := newBench(qt.New(t))
-	qt.Assert(t, b.m.givenUntilMs, qt.Equals, int64(10_000+wordHoldMs))
+	qt.Assert(t, b.m.extensionsUntilMs, qt.Equals, int64(10_000+leaseMs))
 }
--- a/internal/native/router/request.go
+++ b/internal/native/router/request.go
@@ -72,28 +72,28 @@
 // request is one that is under way here.
 type request struct {
 	Request
-	key        choice.Key
-	service    *description.Service
-	cameMs     int64
-	deadlineMs int64
-	lookUp     uint64
-	answered   bool
-	missed     bool
-	held       bool
-	holds      bool
-	away       bool
-	goes       int
-	taken      bool
-	earned     bool
+	key            choice.Key
+	service        *description.Service
+	arrivedMs      int64
+	deadlineMs     int64
+	lookUpID       uint64
+	lookUpAnswered bool
+	cacheMiss      bool
+	missCounted    bool
+	isQueued       bool
+	attemptActive  bool
+	attempts       int
+	idRecorded     bool
+	budgetCredited bool
 	// mayHaveRun is set once a go was lost: from then on no answer is a drop.
-	mayHaveRun bool
-	runner     string
-	tried      map[protocol.LeavingRunner]bool
-	// turnMs is when what it needs may be held, by the index's last word, or
+	mayHaveRun   bool
+	runner       string
+	triedRunners map[protocol.LeavingRunner]bool
+	// loadExpectedMs is when what it needs may be held, by the index's last word, or
 	// nought.
-	turnMs int64
-	// last is the kind a request gets when no further go is to be had.
-	last errkind.Kind
+	loadExpectedMs int64
+	// lastErrorKind is the kind a request gets when no further go is to be had.
+	lastErrorKind errkind.Kind
 }
 
 // Policy is one step on the way of a request. The way ends at the first step
@@ -122,104 +122,104 @@
 	turn    = []Policy{timePolicy{}, wordPolicy{}, choicePolicy{}, budgetPolicy{}, sendPolicy{}}
 )
 
-func (m *Machine) take(in Request) {
+func (m *Machine) admit(in Request) {
 	m.Counters.Requests++
 	r := &request{
-		Request: in, cameMs: m.nowMs, deadlineMs: m.nowMs + unansweredMs, tried: map[protocol.LeavingRunner]bool{},
+		Request: in, arrivedMs: m.nowMs, deadlineMs: m.nowMs + maxWaitMs, triedRunners: map[protocol.LeavingRunner]bool{},
 		key: choice.Key{Service: in.Service, Model: in.Model, Adapter: in.Adapter},
 	}
 	m.requests[in.ID] = r
-	m.order = append(m.order, in.ID)
-	if m.follow(arrival, r) {
-		m.turn(r)
+	m.queue = append(m.queue, in.ID)
+	if m.runStages(arrival, r) {
+		m.dispatch(r)
 	}
 }
 
-// follow leads a request along a way; true says that it came to the end.
-func (m *Machine) follow(way []Policy, r *request) bool {
+// runStages leads a request along a way; true says that it came to the end.
+func (m *Machine) runStages(way []Policy, r *request) bool {
 	for _, policy := range way {
 		v := policy.Decide(m, r)
 		if v.next {
 			continue
 		}
 		if v.kind != "" {
-			m.drop(r, v.kind, v.detail)
+			m.reject(r, v.kind, v.detail)
 		}
 		return false
 	}
 	return true
 }
 
-func (m *Machine) turn(r *request) {
-	if !r.away && !m.follow(turn, r) && m.requests[r.ID] != nil {
-		m.hold(r)
+func (m *Machine) dispatch(r *request) {
+	if !r.attemptActive && !m.runStages(turn, r) && m.requests[r.ID] != nil {
+		m.enqueue(r)
 	}
 }
 
-// hold gives a waiting request its place, or drops it where there is none.
-func (m *Machine) hold(r *request) {
-	if r.holds || r.service == nil {
+// enqueue gives a waiting request its place, or drops it where there is none.
+func (m *Machine) enqueue(r *request) {
+	if r.isQueued || r.service == nil {
 		return
 	}
-	if m.holding[r.Service] >= int(r.service.Holding) {
-		m.drop(r, errkind.QueueFull, "too many requests of this service wait here")
+	if m.queued[r.Service] >= int(r.service.Holding) {
+		m.reject(r, errkind.QueueFull, "too many requests of this service wait here")
 		return
 	}
-	r.holds = true
-	m.holding[r.Service]++
+	r.isQueued = true
+	m.queued[r.Service]++
 }
 
-func (m *Machine) drop(r *request, kind errkind.Kind, detail string) {
+func (m *Machine) reject(r *request, kind errkind.Kind, detail string) {
 	if r.mayHaveRun && kind.Response().NotExecuted {
 		kind, detail = errkind.OutcomeUnknown, "an earlier go may have run; then: "+detail
 	}
-	if r.taken && kind.Response().NotExecuted {
-		m.taken.forget(r.Service + "/" + r.RequestID)
+	if r.idRecorded && kind.Response().NotExecuted {
+		m.recentIDs.forget(r.Service + "/" + r.RequestID)
 	}
 	m.Counters.Rejections[kind]++
 	said := protocol.Rejection{Kind: kind, Detail: detail}
-	if r.turnMs > m.nowMs && kind.Response().RetryAfterSec > 0 {
-		said.RetryMs = r.turnMs - m.nowMs
+	if r.loadExpectedMs > m.nowMs && kind.Response().RetryAfterSec > 0 {
+		said.RetryMs = r.loadExpectedMs - m.nowMs
 	}
 	m.answer(r.ID, said)
 	m.forget(r)
 }
 
-func (m *Machine) unhold(r *request) {
-	if r.holds {
-		r.holds = false
-		m.holding[r.Service]--
+func (m *Machine) dequeue(r *request) {
+	if r.isQueued {
+		r.isQueued = false
+		m.queued[r.Service]--
 	}
 }
 
 func (m *Machine) forget(r *request) {
-	m.unhold(r)
+	m.dequeue(r)
 	delete(m.requests, r.ID)
 }
 
-// wake gives every waiting request its turn, the eldest first.
-func (m *Machine) wake() {
-	kept := m.order[:0]
-	for _, id := range m.order {
+// dispatchQueue gives every waiting request its turn, the eldest first.
+func (m *Machine) dispatchQueue() {
+	kept := m.queue[:0]
+	for _, id := range m.queue {
 		if r := m.requests[id]; r != nil {
-			m.turn(r)
+			m.dispatch(r)
 		}
 		if m.requests[id] != nil {
 			kept = append(kept, id)
 		}
 	}
-	m.order = kept
+	m.queue = kept
 }
 
-func (m *Machine) ended(in AttemptEnded) {
+func (m *Machine) attemptEnded(in AttemptEnded) {
 	r := m.requests[in.ID]
-	if r == nil || !r.away {
+	if r == nil || !r.attemptActive {
 		return
 	}
-	r.away = false
-	m.busy[r.runner]--
+	r.attemptActive = false
+	m.inFlight[r.runner]--
 	mark := protocol.LeavingRunner{Runner: r.runner}
-	for tried := range r.tried {
+	for tried := range r.triedRunners {
 		if tried.Runner == r.runner {
 			mark = tried
 		}
@@ -230,25 +230,25 @@
 		return
 	case Expired:
 		// Nothing was tried, so nothing is used up.
-		r.goes--
-		delete(r.tried, mark)
+		r.attempts--
+		delete(r.triedRunners, mark)
 	case NotSent:
-		m.suspect[r.runner] = m.nowMs + suspectMs
-		r.last = errkind.NoRunner
+		m.unhealthyUntilMs[r.runner] = m.nowMs + unhealthyMs
+		r.lastErrorKind = errkind.NoRunner
 	case NotLoaded, OtherRunner:
-		m.evict(r.key, mark)
-		r.last = errkind.NoRunner
+		m.removeHolder(r.key, mark)
+		r.lastErrorKind = errkind.NoRunner
 	case StaleRevision:
-		m.higher = max(m.higher, in.Revision)
-		r.last = errkind.NoConfig
-		delete(r.tried, mark)
+		m.highestSeenRevision = max(m.highestSeenRevision, in.Revision)
+		r.lastErrorKind = errkind.NoConfig
+		delete(r.triedRunners, mark)
 	case RunnerBusy:
-		r.last = errkind.RunnerRejected
+		r.lastErrorKind = errkind.RunnerRejected
 	case Duplicate:
-		m.drop(r, errkind.DuplicateRequest, "the runner has seen this id; the first sending may have run")
+		m.reject(r, errkind.DuplicateRequest, "the runner has seen this id; the first sending may have run")
 		return
 	case ResponseLost, InvalidResponse:
-		m.suspect[r.runner] = m.nowMs + suspectMs
+		m.unhealthyUntilMs[r.runner] = m.nowMs + unhealthyMs
 		r.mayHaveRun = true
 		kind, detail := errkind.OutcomeUnknown, "the runner got the request and gave no whole answer; it may have run"
 		if in.Outcome == InvalidResponse {
@@ -256,10 +256,10 @@
 		}
 		// What may have run goes on only if it may run twice.
 		if !r.service.Repeatable {
-			m.drop(r, kind, detail)
+			m.reject(r, kind, detail)
 			return
 		}
-		r.last = kind
+		r.lastErrorKind = kind
 	}
-	m.turn(r)
+	m.dispatch(r)
 }
--- a/internal/native/router/telling.go
+++ b/internal/native/router/runnerprotocol.go
@@ -47,7 +47,7 @@
 
 // Accept says whether the line may be relayed.
 func (t *StreamCheck) Accept(line []byte) bool {
-	answer, ok := strict(line)
+	answer, ok := parseStrictly(line)
 	if !ok || t.ended || answer.Request != t.Request || answer.Incarnation != t.Incarnation || answer.Answer != nil {
 		return false
 	}
@@ -70,13 +70,13 @@
 
 // ValidResponse says whether a text is the whole plain answer to the request.
 func ValidResponse(text []byte, request, incarnation string) bool {
-	answer, ok := strict(text)
+	answer, ok := parseStrictly(text)
 	return ok && answer.Request == request && answer.Incarnation == incarnation && answer.Answer != nil &&
 		answer.End == nil && answer.Chunk == 0
 }
 
-// strict reads one whole JSON value and nothing after it.
-func strict(text []byte) (RunResponse, bool) {
+// parseStrictly reads one whole JSON value and nothing after it.
+func parseStrictly(text []byte) (RunResponse, bool) {
 	var answer RunResponse
 	decoder := json.NewDecoder(bytes.NewReader(text))
 	if decoder.Decode(&answer) != nil {
--- a/internal/native/router/telling_test.go
+++ b/internal/native/router/runnerprotocol_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestTelling(t *testing.T) {
+func TestStreamCheck(t *testing.T) {
 	line := func(rest string) string { return `{"request":"q","incarnation":"i",` + rest + `}` }
 	cases := []struct {
 		about string
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestPlain(t *testing.T) {
+func TestValidResponse(t *testing.T) {
 	cases := []struct {
 		about, text string
 		whole       bool
--- a/internal/native/router/server.go
+++ b/internal/native/router/server.go
@@ -27,28 +27,28 @@
 )
 
 const (
-	tickMs      = 20
-	bodyMost    = 16 << 20
-	answerMost  = 8 << 20
-	lineMost    = 256 << 10
-	requestMost = 8192
-	drainMs     = 10_000
-	// quietMs without a request ends a planned stop: by then those who ask
+	tickMs           = 20
+	maxBodyBytes     = 16 << 20
+	maxResponseBytes = 8 << 20
+	maxLineBytes     = 256 << 10
+	maxRequests      = 8192
+	maxShutdownMs    = 10_000
+	// quietShutdownMs without a request ends a planned stop: by then those who ask
 	// have been told to go elsewhere.
-	quietMs = 500
+	quietShutdownMs = 500
 )
 
 // Server is a router as a process: its machine in a shell, and the way of a
 // request through it.
 type Server struct {
-	shell   *process.Runtime
-	machine *Machine
-	set     settings.Settings
-	self    protocol.Node
-	under   atomic.Int64
-	names   atomic.Uint64
-	// lastMs is when the last request came.
-	lastMs atomic.Int64
+	runtime           *process.Runtime
+	machine           *Machine
+	settings          settings.Settings
+	self              protocol.Node
+	activeRequests    atomic.Int64
+	lastRequestNumber atomic.Uint64
+	// lastRequestMs is when the last request came.
+	lastRequestMs atomic.Int64
 }
 
 // NewServer makes the router; nothing runs yet.
@@ -62,26 +62,26 @@
 		Name: set.Name, Address: set.Address, Zone: set.Zone, Part: protocol.RoleRouter, Incarnation: hex.EncodeToString(token),
 	}
 	machine := New(Settings{Site: set.Site, Self: self, Seeds: set.Seeds, Platform: set.Platform}, clock.NowMs())
-	g := &Server{machine: machine, set: set, self: self}
-	g.shell = process.New(process.Options{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, nil, peers, web, g)
+	g := &Server{machine: machine, settings: set, self: self}
+	g.runtime = process.New(process.Options{Site: set.Site, Self: self, Clock: clock, Log: logger, TickMs: tickMs}, machine, nil, peers, web, g)
 	return g, nil
 }
 
 // AddTasks adds the router's duties to a crew.
-func (g *Server) AddTasks(c *threads.Group) { g.shell.AddTasks(c) }
+func (g *Server) AddTasks(c *threads.Group) { g.runtime.AddTasks(c) }
 
 // Pause makes the router stand still until it is released.
-func (g *Server) Pause() (release func()) { return g.shell.Pause() }
+func (g *Server) Pause() (release func()) { return g.runtime.Pause() }
 
 // Shutdown takes nothing new and waits for what is under way to end, and for
 // senders to have gone elsewhere.
 func (g *Server) Shutdown() {
-	g.shell.Submit(Drain{})
-	g.shell.DisableKeepAlives()
-	clock := g.shell.Clock()
-	endMs := clock.NowMs() + drainMs
-	g.lastMs.Store(clock.NowMs())
-	for clock.NowMs() < endMs && (g.under.Load() > 0 || clock.NowMs()-g.lastMs.Load() < quietMs) {
+	g.runtime.Submit(Drain{})
+	g.runtime.DisableKeepAlives()
+	clock := g.runtime.Clock()
+	endMs := clock.NowMs() + maxShutdownMs
+	g.lastRequestMs.Store(clock.NowMs())
+	for clock.NowMs() < endMs && (g.activeRequests.Load() > 0 || clock.NowMs()-g.lastRequestMs.Load() < quietShutdownMs) {
 		time.Sleep(20 * time.Millisecond)
 	}
 }
@@ -91,16 +91,16 @@
 	service, asked := strings.CutPrefix(r.URL.Path, "/services/")
 	switch {
 	case asked && service != "" && r.Method == http.MethodPost:
-		g.serve(w, r, service)
+		g.serveRequest(w, r, service)
 	case asked && service != "":
 		w.Header().Set("Allow", http.MethodPost)
 		errkind.ErrorBody{Kind: errkind.WrongMethod, Detail: r.Method}.Write(w)
 	case r.URL.Path == "/status" && r.Method == http.MethodGet:
-		g.status(w, r)
+		g.serveStatus(w, r)
 	case r.URL.Path == "/soundness" && r.Method == http.MethodGet:
-		g.soundness(w, r)
+		g.serveSoundness(w, r)
 	case r.URL.Path == "/counters" && r.Method == http.MethodGet:
-		writeJSON(w, g.shell.Counts())
+		writeJSON(w, g.runtime.Counts())
 	default:
 		errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
 	}
@@ -111,23 +111,23 @@
 	_ = json.NewEncoder(w).Encode(value)
 }
 
-// asked is the body of a request.
-type asked struct {
+// requestBody is the body of a request.
+type requestBody struct {
 	ID      string          `json:"id"`
 	Model   string          `json:"model"`
 	Adapter string          `json:"adapter"`
 	Input   json.RawMessage `json:"input"`
 }
 
-const nameMost = 128
+const maxNameLength = 128
 
-func readAsked(w http.ResponseWriter, r *http.Request) (asked, int64, errkind.ErrorBody) {
-	var in asked
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, bodyMost))
+func readRequestBody(w http.ResponseWriter, r *http.Request) (requestBody, int64, errkind.ErrorBody) {
+	var in requestBody
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		var large *http.MaxBytesError
 		if errors.As(err, &large) {
-			return in, 0, errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("more than %d bytes", bodyMost)}
+			return in, 0, errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("more than %d bytes", maxBodyBytes)}
 		}
 		return in, 0, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: "the body broke off"}
 	}
@@ -140,23 +140,23 @@
 		return in, 0, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: "text after the end"}
 	}
 	for _, field := range []struct{ name, value string }{{"id", in.ID}, {"model", in.Model}, {"adapter", in.Adapter}} {
-		if len(field.value) > nameMost || strings.ContainsAny(field.value, "/\n") {
+		if len(field.value) > maxNameLength || strings.ContainsAny(field.value, "/\n") {
 			return in, 0, errkind.ErrorBody{Kind: errkind.BadRequest, Detail: field.name + ": not a plain name"}
 		}
 	}
 	return in, int64(len(body)), errkind.ErrorBody{}
 }
 
-func (g *Server) serve(w http.ResponseWriter, r *http.Request, service string) {
-	g.lastMs.Store(g.shell.Clock().NowMs())
+func (g *Server) serveRequest(w http.ResponseWriter, r *http.Request, service string) {
+	g.lastRequestMs.Store(g.runtime.Clock().NowMs())
 	// The bound keeps a crowd from filling the memory before it is dropped.
-	if g.under.Add(1) > requestMost {
-		g.under.Add(-1)
+	if g.activeRequests.Add(1) > maxRequests {
+		g.activeRequests.Add(-1)
 		errkind.ErrorBody{Kind: errkind.QueueFull, Detail: "too many requests are under way here"}.Write(w)
 		return
 	}
-	defer g.under.Add(-1)
-	in, size, fault := readAsked(w, r)
+	defer g.activeRequests.Add(-1)
+	in, size, fault := readRequestBody(w, r)
 	if fault.Kind != "" {
 		fault.Write(w)
 		return
@@ -167,11 +167,11 @@
 	}
 	name := in.ID
 	if name == "" {
-		name = fmt.Sprintf("%s-%s-%d", g.self.Name, g.self.Incarnation, g.names.Add(1))
+		name = fmt.Sprintf("%s-%s-%d", g.self.Name, g.self.Incarnation, g.lastRequestNumber.Add(1))
 	}
-	id, answers := g.shell.OpenReplies()
-	defer g.shell.CloseReplies(id)
-	if !g.shell.Submit(Request{ID: id, Service: service, Model: in.Model, Adapter: in.Adapter, RequestID: name, ClientChoseID: in.ID != "", BodyBytes: size}) {
+	id, answers := g.runtime.OpenReplies()
+	defer g.runtime.CloseReplies(id)
+	if !g.runtime.Submit(Request{ID: id, Service: service, Model: in.Model, Adapter: in.Adapter, RequestID: name, ClientChoseID: in.ID != "", BodyBytes: size}) {
 		errkind.ErrorBody{Kind: errkind.QueueFull, Detail: "too many requests are under way here", Request: name}.Write(w)
 		return
 	}
@@ -180,7 +180,7 @@
 		case <-r.Context().Done():
 			// A sender that goes away frees its place. It may have closed only
 			// its own half, so returning would give it an empty answer.
-			g.shell.Submit(ClientDisconnected{ID: id})
+			g.runtime.Submit(ClientDisconnected{ID: id})
 			panic(http.ErrAbortHandler)
 		case answer := <-answers:
 			switch said := answer.(type) {
@@ -188,13 +188,13 @@
 				errkind.ErrorBody{Kind: said.Kind, Detail: said.Detail, Request: name, RetryMs: said.RetryMs}.Write(w)
 				return
 			case StartAttempt:
-				ended, abort := g.goTo(w, r, id, said, in.Input)
+				ended, abort := g.runAttempt(w, r, id, said, in.Input)
 				if r.Context().Err() != nil && (abort || ended.Outcome != Completed) {
 					// For a sender that went away no further go is made.
-					g.shell.Submit(ClientDisconnected{ID: id})
+					g.runtime.Submit(ClientDisconnected{ID: id})
 					panic(http.ErrAbortHandler)
 				}
-				g.shell.Submit(ended)
+				g.runtime.Submit(ended)
 				// Closing the sender's stream is the one way to end a telling
 				// so that it can't look finished.
 				if abort {
@@ -208,21 +208,21 @@
 	}
 }
 
-// goTo makes one go and relays its answer. Abort says that a part of a
+// runAttempt makes one go and relays its answer. Abort says that a part of a
 // telling was relayed and the rest will never come.
-func (g *Server) goTo(w http.ResponseWriter, r *http.Request, id uint64, to StartAttempt, input json.RawMessage) (ended AttemptEnded, abort bool) {
+func (g *Server) runAttempt(w http.ResponseWriter, r *http.Request, id uint64, to StartAttempt, input json.RawMessage) (ended AttemptEnded, abort bool) {
 	ended.ID = id
 	body, _ := json.Marshal(RunRequest{
 		Request: to.RequestID, Service: to.Service, Model: to.Model, Adapter: to.Adapter, Revision: to.Revision,
 		Incarnation: to.Incarnation, Repeatable: to.Repeatable, Streaming: to.Streaming, Input: input,
 	})
-	leftMs := to.DeadlineMs - g.shell.Clock().NowMs()
+	leftMs := to.DeadlineMs - g.runtime.Clock().NowMs()
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	// Each piece of a telling has the time that a whole plain answer has.
 	slow := time.AfterFunc(time.Duration(leftMs)*time.Millisecond, cancel)
 	defer slow.Stop()
-	answer, wrote, err := g.shell.HTTPClient().Do(ctx, http.MethodPost, "http://"+to.Address+"/run", body, g.shell.WriteCheck(func(nowMs int64) bool {
+	answer, wrote, err := g.runtime.HTTPClient().Do(ctx, http.MethodPost, "http://"+to.Address+"/run", body, g.runtime.WriteCheck(func(nowMs int64) bool {
 		return g.machine.MaySend(nowMs, to)
 	}))
 	switch {
@@ -238,17 +238,17 @@
 	}
 	defer answer.Body.Close()
 	if answer.StatusCode != http.StatusOK {
-		ended.Outcome, ended.Revision = readDrop(answer, to.RequestID)
+		ended.Outcome, ended.Revision = readRejection(answer, to.RequestID)
 		return ended, false
 	}
 	if to.Streaming {
-		return g.relayTelling(w, answer, ended, to, slow)
+		return g.forwardStream(w, answer, ended, to, slow)
 	}
-	text, err := io.ReadAll(io.LimitReader(answer.Body, answerMost+1))
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseBytes+1))
 	switch {
 	case err != nil:
 		ended.Outcome = ResponseLost
-	case len(text) > answerMost || !ValidResponse(text, to.RequestID, to.Incarnation):
+	case len(text) > maxResponseBytes || !ValidResponse(text, to.RequestID, to.Incarnation):
 		ended.Outcome = InvalidResponse
 	default:
 		ended.Outcome = Completed
@@ -259,10 +259,10 @@
 	return ended, false
 }
 
-// readDrop takes a runner's word that it did not run a request. Anything
+// readRejection takes a runner's word that it did not run a request. Anything
 // less than that word means that it may have.
-func readDrop(answer *http.Response, name string) (Outcome, uint64) {
-	text, err := io.ReadAll(io.LimitReader(answer.Body, lineMost))
+func readRejection(answer *http.Response, name string) (Outcome, uint64) {
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxLineBytes))
 	if err != nil {
 		return ResponseLost, 0
 	}
@@ -283,10 +283,10 @@
 	return RunnerBusy, 0
 }
 
-func (g *Server) relayTelling(w http.ResponseWriter, answer *http.Response, ended AttemptEnded, to StartAttempt, slow *time.Timer) (AttemptEnded, bool) {
+func (g *Server) forwardStream(w http.ResponseWriter, answer *http.Response, ended AttemptEnded, to StartAttempt, slow *time.Timer) (AttemptEnded, bool) {
 	telling := StreamCheck{Request: to.RequestID, Incarnation: to.Incarnation}
 	lines := bufio.NewScanner(answer.Body)
-	lines.Buffer(make([]byte, 0, 4096), lineMost)
+	lines.Buffer(make([]byte, 0, 4096), maxLineBytes)
 	flush := http.NewResponseController(w)
 	for lines.Scan() {
 		begun := telling.Started()
@@ -294,7 +294,7 @@
 			ended.Outcome = InvalidResponse
 			if begun {
 				ended.Outcome = Completed
-				g.shell.Count("tellings broken off")
+				g.runtime.Count("tellings broken off")
 			}
 			return ended, begun
 		}
@@ -317,21 +317,21 @@
 	ended.Outcome = ResponseLost
 	if telling.Started() {
 		ended.Outcome = Completed
-		g.shell.Count("tellings broken off")
+		g.runtime.Count("tellings broken off")
 	}
 	return ended, telling.Started()
 }
 
-func (g *Server) look(r *http.Request) (Status, bool) {
+func (g *Server) queryStatus(r *http.Request) (Status, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), 2*time.Second)
 	defer cancel()
-	answer, ok := g.shell.Call(ctx, func(id uint64) any { return StatusQuery{ID: id} })
+	answer, ok := g.runtime.Call(ctx, func(id uint64) any { return StatusQuery{ID: id} })
 	status, right := answer.(Status)
 	return status, ok && right
 }
 
-func (g *Server) status(w http.ResponseWriter, r *http.Request) {
-	status, ok := g.look(r)
+func (g *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
+	status, ok := g.queryStatus(r)
 	if !ok {
 		errkind.ErrorBody{Kind: errkind.NoConfig, Detail: "no answer in time"}.Write(w)
 		return
@@ -339,9 +339,9 @@
 	writeJSON(w, status)
 }
 
-// soundness says whether this router would send a request now.
-func (g *Server) soundness(w http.ResponseWriter, r *http.Request) {
-	status, ok := g.look(r)
+// serveSoundness says whether this router would send a request now.
+func (g *Server) serveSoundness(w http.ResponseWriter, r *http.Request) {
+	status, ok := g.queryStatus(r)
 	if !ok || !status.Usable || status.Stopping {
 		errkind.ErrorBody{Kind: errkind.NoConfig, Detail: "this router may not send at present"}.Write(w)
 		return
--- a/internal/native/router/policy.go
+++ b/internal/native/router/stages.go
@@ -12,13 +12,13 @@
 
 // Decide drops what the description does not allow.
 func (namePolicy) Decide(m *Machine, r *request) verdict {
-	if m.leaving {
+	if m.draining {
 		return drop(errkind.ShuttingDown, "this router is stopping")
 	}
-	if m.described == nil {
+	if m.description == nil {
 		return drop(errkind.NoConfig, "this router has no description yet")
 	}
-	service, ok := m.described.Service(r.Service)
+	service, ok := m.description.Service(r.Service)
 	if !ok {
 		return drop(errkind.UnknownService, r.Service)
 	}
@@ -33,7 +33,7 @@
 		}
 		return next
 	}
-	if _, ok := m.described.Model(r.Model); !ok {
+	if _, ok := m.description.Model(r.Model); !ok {
 		return drop(errkind.UnknownModel, "model: "+r.Model)
 	}
 	if !service.Allows(r.Model) {
@@ -42,7 +42,7 @@
 	if r.Adapter == "" {
 		return next
 	}
-	adapter, ok := m.described.Adapter(r.Adapter)
+	adapter, ok := m.description.Adapter(r.Adapter)
 	if !ok {
 		return drop(errkind.UnknownAdapter, "adapter: "+r.Adapter)
 	}
@@ -61,12 +61,12 @@
 	if !r.ClientChoseID || r.service.Repeatable {
 		return next
 	}
-	if m.taken.has(r.Service + "/" + r.RequestID) {
+	if m.recentIDs.has(r.Service + "/" + r.RequestID) {
 		return drop(errkind.DuplicateRequest, "this id was taken here before; the first sending may have run")
 	}
 	// Taken from now on, so that two of one id that wait together are no two.
-	m.taken.add(r.Service + "/" + r.RequestID)
-	r.taken = true
+	m.recentIDs.add(r.Service + "/" + r.RequestID)
+	r.idRecorded = true
 	return next
 }
 
@@ -76,7 +76,7 @@
 
 // Decide drops only what would have to wait.
 func (roomPolicy) Decide(m *Machine, r *request) verdict {
-	if m.holding[r.Service] >= int(r.service.Holding) && (m.entry(r.key) == nil || !m.usable()) {
+	if m.queued[r.Service] >= int(r.service.Holding) && (m.cachedEntry(r.key) == nil || !m.maySendNow()) {
 		return drop(errkind.QueueFull, "too many requests of this service wait here")
 	}
 	return next
@@ -88,13 +88,13 @@
 
 // Decide never waits: a hit goes on at once.
 func (lookUpPolicy) Decide(m *Machine, r *request) verdict {
-	m.asks++
-	r.lookUp = m.asks
+	m.lookUpCount++
+	r.lookUpID = m.lookUpCount
 	m.Counters.LookUps++
-	if m.entry(r.key) != nil {
+	if m.cachedEntry(r.key) != nil {
 		m.Counters.Hits++
 	} else {
-		r.missed = true
+		r.cacheMiss = true
 		m.Counters.Misses++
 	}
 	m.sendLookUp(r)
@@ -107,7 +107,7 @@
 // Decide ends what has no time, no word or no look-up left to hope for.
 func (timePolicy) Decide(m *Machine, r *request) verdict {
 	// What waits here can be taken by another router at once.
-	if m.leaving {
+	if m.draining {
 		return drop(errkind.ShuttingDown, "this router is stopping; another takes it")
 	}
 	if m.nowMs >= r.deadlineMs {
@@ -115,17 +115,17 @@
 	}
 	// What can't be had in time is not waited for: who comes back at its turn
 	// finds it held.
-	if r.turnMs >= r.deadlineMs && m.entry(r.key) == nil {
+	if r.loadExpectedMs >= r.deadlineMs && m.cachedEntry(r.key) == nil {
 		return drop(errkind.PlacementTimeout, "what it needs is not held, and its turn comes after this request's time")
 	}
-	if m.nowMs-r.cameMs >= unansweredMs && !m.usable() {
+	if m.nowMs-r.arrivedMs >= maxWaitMs && !m.maySendNow() {
 		return drop(errkind.NoConfig, "no word from control")
 	}
-	if m.nowMs-r.cameMs >= unansweredMs && !r.answered && m.entry(r.key) == nil {
+	if m.nowMs-r.arrivedMs >= maxWaitMs && !r.lookUpAnswered && m.cachedEntry(r.key) == nil {
 		return drop(errkind.NoConfig, "the index did not answer")
 	}
-	if r.missed && !r.held && m.nowMs-r.cameMs >= missMs {
-		r.held = true
+	if r.cacheMiss && !r.missCounted && m.nowMs-r.arrivedMs >= missDelayedMs {
+		r.missCounted = true
 		m.Counters.MissesDelayed++
 	}
 	return next
@@ -136,7 +136,7 @@
 
 // Decide waits for control's word.
 func (wordPolicy) Decide(m *Machine, _ *request) verdict {
-	if !m.usable() {
+	if !m.maySendNow() {
 		return wait
 	}
 	return next
@@ -147,16 +147,16 @@
 
 // Decide takes the least burdened holder, one of this zone where they are alike.
 func (choicePolicy) Decide(m *Machine, r *request) verdict {
-	e := m.entry(r.key)
+	e := m.cachedEntry(r.key)
 	if e == nil {
 		// A runner has said no and the index knows no other: that is final.
-		if r.last != "" {
-			return drop(r.last, "no other runner is to be had")
+		if r.lastErrorKind != "" {
+			return drop(r.lastErrorKind, "no other runner is to be had")
 		}
 		return wait
 	}
 	// The description may have changed while the request waited.
-	service, ok := m.described.Service(r.Service)
+	service, ok := m.description.Service(r.Service)
 	if !ok || r.Model != "" && !service.Allows(r.Model) {
 		return drop(errkind.ModelNotAllowed, "the description has changed")
 	}
@@ -164,15 +164,15 @@
 	best, bestCost := -1, int64(0)
 	for i, h := range e.holders {
 		mark := protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}
-		runner, listed := m.described.Runner(h.Runner)
-		if !listed || !service.Uses(runner.Pool) || m.marks[mark] || m.leavers[h.Runner] || r.tried[mark] {
+		runner, listed := m.description.Runner(h.Runner)
+		if !listed || !service.Uses(runner.Pool) || m.drained[mark] || m.drainingRunners[h.Runner] || r.triedRunners[mark] {
 			continue
 		}
-		cost := 4 * (m.busy[h.Runner] + h.Burden)
-		if runner.Zone != m.set.Self.Zone {
+		cost := 4 * (m.inFlight[h.Runner] + h.Burden)
+		if runner.Zone != m.settings.Self.Zone {
 			cost += 2
 		}
-		if m.suspect[h.Runner] > m.nowMs {
+		if m.unhealthyUntilMs[h.Runner] > m.nowMs {
 			cost += 1000
 		}
 		if best < 0 || cost < bestCost {
@@ -182,8 +182,8 @@
 	if best < 0 {
 		// Where a runner has already said no, waiting for another would only
 		// keep the sender from coming back.
-		if r.last != "" {
-			return drop(r.last, "no other runner is to be had")
+		if r.lastErrorKind != "" {
+			return drop(r.lastErrorKind, "no other runner is to be had")
 		}
 		return wait
 	}
@@ -196,12 +196,12 @@
 
 // Decide earns for a first go and spends for each further one.
 func (budgetPolicy) Decide(m *Machine, r *request) verdict {
-	b := m.budget(r.Service)
-	if r.goes == 0 {
+	b := m.retryBudget(r.Service)
+	if r.attempts == 0 {
 		return next
 	}
-	if !b.spend() {
-		return drop(r.last, "second goes of this service are used up")
+	if !b.withdraw() {
+		return drop(r.lastErrorKind, "second goes of this service are used up")
 	}
 	m.Counters.Retries++
 	return next
@@ -212,26 +212,26 @@
 
 // Decide is the check at the moment of sending.
 func (sendPolicy) Decide(m *Machine, r *request) verdict {
-	e := m.entry(r.key)
+	e := m.cachedEntry(r.key)
 	for _, h := range e.holders {
 		if h.Runner != r.runner {
 			continue
 		}
-		if !r.earned {
-			r.earned = true
-			m.budget(r.Service).earn()
+		if !r.budgetCredited {
+			r.budgetCredited = true
+			m.retryBudget(r.Service).deposit()
 		}
-		r.goes++
-		r.away = true
-		m.unhold(r)
-		m.busy[h.Runner]++
+		r.attempts++
+		r.attemptActive = true
+		m.dequeue(r)
+		m.inFlight[h.Runner]++
 		m.Counters.Attempts++
-		r.tried[protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}] = true
+		r.triedRunners[protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}] = true
 		m.answer(r.ID, StartAttempt{
 			RequestID: r.RequestID, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
 			Runner: h.Runner, Address: h.Address, Incarnation: h.Incarnation, Revision: m.revision,
 			Streaming: r.service.Telling, Repeatable: r.service.Repeatable,
-			WriteByMs: min(m.usableUntil(), r.deadlineMs), DeadlineMs: r.deadlineMs, ChunkTimeoutMs: r.service.DeadlineMs,
+			WriteByMs: min(m.maySendUntil(), r.deadlineMs), DeadlineMs: r.deadlineMs, ChunkTimeoutMs: r.service.DeadlineMs,
 		})
 		return next
 	}
--- a/internal/native/router/status.go
+++ b/internal/native/router/status.go
@@ -39,20 +39,20 @@
 	Runners []string          `json:"runners"`
 }
 
-func (m *Machine) look(in StatusQuery) {
+func (m *Machine) reportStatus(in StatusQuery) {
 	s := Status{
-		Site: m.set.Site, Name: m.set.Self.Name, Part: m.set.Self.Part, Epoch: m.epoch, Primary: m.primary,
-		Revision: m.revision, Held: m.heldSum, Usable: m.usable(), Stopping: m.leaving, Retired: m.retired,
-		UsableMs: m.usableUntil() - m.nowMs, WordMs: m.nowMs - m.leaveWordMs, Waiting: len(m.requests), Counters: m.Counters,
+		Site: m.settings.Site, Name: m.settings.Self.Name, Part: m.settings.Self.Part, Epoch: m.epoch, Primary: m.primary,
+		Revision: m.revision, Held: m.pendingDigest, Usable: m.maySendNow(), Stopping: m.draining, Retired: m.retired,
+		UsableMs: m.maySendUntil() - m.nowMs, WordMs: m.nowMs - m.drainingAsOfMs, Waiting: len(m.requests), Counters: m.Counters,
 	}
 	s.Counters.Rejections = map[errkind.Kind]uint64{}
 	maps.Copy(s.Counters.Rejections, m.Counters.Rejections)
-	for mark := range m.marks {
+	for mark := range m.drained {
 		s.Leaving = append(s.Leaving, mark)
 	}
 	sort.Slice(s.Leaving, func(i, j int) bool { return s.Leaving[i].Runner < s.Leaving[j].Runner })
 	for key, e := range m.cache {
-		line := EntryStatus{Key: key.String(), At: e.at, AgeMs: m.nowMs - e.atMs}
+		line := EntryStatus{Key: key.String(), At: e.position, AgeMs: m.nowMs - e.asOfMs}
 		for _, h := range e.holders {
 			line.Runners = append(line.Runners, h.Runner)
 		}
