--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -152,7 +152,7 @@
 	return proxy.NewServer(proxy.Settings{
 		Site: site, Self: me, Seeds: place.PeerSeeds(), Bounds: place.Bounds, ListAddress: place.RunnerList.Address,
 		MemoryMb: place.MemoryMb, OpenFiles: place.OpenFiles,
-	}, platform.WireFormat{}, platform.ConfigFormat{}, platform.Client{}, peers, front, ready, logger)
+	}, platform.Codec{}, platform.ConfigFormat{}, platform.Client{}, peers, front, ready, logger)
 }
 
 func newController(place platform.Settings, logger *log.Logger) (part, error) {
