--- a/internal/simulation/endurance/catchup_test.go
+++ b/internal/simulation/endurance/catchup_test.go
@@ -2,203 +2,224 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 )
 
-// catchUpMs is the shorter of the times within which a member that is back
-// must count again.
+// catchUpMs is the shorter of the times within which a node that is back must
+// count again.
 const catchUpMs = 4000
 
-// absence is one member or several that are away for some changes.
-type absence struct {
-	name   string
-	losses int
-	mbit   int64
-	// slowMs is what a sync takes at those that come back, and at all others
-	// where slowAll says so; nought is as usual.
+const (
+	// usualSyncMs is how long a sync takes on a healthy disk.
+	usualSyncMs = 5
+	// maxParses is how many configurations a node may parse until it has caught up:
+	// on a quarter of a core each takes some 70 ms at 1,400 routes.
+	maxParses = 24
+	// minReads is how many reads must have been answered for a test to count.
+	minReads = 20
+	// startTimeoutMs bounds the start of a cluster, and failoverMs the time until
+	// it serves again after losses.
+	startTimeoutMs = 10_000
+	failoverMs     = 12_000
+)
+
+// outage is one node or several that are away for some changes.
+type outage struct {
+	name      string
+	maxLosses int
+	mbit      int64
+	// slowMs is how long a sync takes at the nodes that come back, and at all
+	// others where allSlow says so; 0 is as usual.
 	slowMs  int64
-	slowAll bool
+	allSlow bool
+	// changes is how many changes are made meanwhile.
 	changes int
-	wiped   bool
-	// primary says that the primary is among them; count how many they are.
+	// lostDisk says that the nodes come back with empty disks.
+	lostDisk bool
+	// primary says that the primary is among them; count is how many they are, 0
+	// for one.
 	primary bool
 	count   int
-	broke   breaks
+	faults  faults
 }
 
-// outcome is what came of it, in ms after the return; -1 stands for never.
+// outcome is what came of an outage, in ms after the return; -1 is never.
 type outcome struct {
-	caughtMs, wholeMs int64
-	older             []string
-	largest           int
-	// reads is how many configurations one of them read until then: each takes
-	// some 18 ms of a whole core at 1,400 routes.
-	reads  int
+	// caughtUpMs is when the nodes held all that was acknowledged, replicatedMs
+	// when the cluster was fully replicated.
+	caughtUpMs, replicatedMs int64
+	stale                    []string
+	// parses is how many configurations one of them parsed until it had caught up.
+	parses int
 	detail string
 }
 
-const usualSyncMs = 5
-
-// readsMost is how many configurations one may read until it holds all: on a
-// quarter of a core each takes some 70 ms at 1,400 routes.
-const readsMost = 24
-
-// play loses members, makes changes, brings them back with changes still
-// coming, and then loses as many others as may be lost.
-func (a absence) play(c *qt.C) outcome {
-	s := newSite(a.losses, a.mbit, usualSyncMs)
-	c.Assert(s.until(10_000, s.whole) >= 0, qt.IsTrue, qt.Commentf("founding: %s", s.lastNotes(20)))
-	c.Assert(s.changes(2), qt.IsTrue)
-	s.run(1000)
-	s.broke = a.broke
-	s.keepReading()
-	gone := a.chosen(s)
-	for _, m := range gone {
-		s.kill(m)
-	}
-	s.run(3000)
-	c.Assert(s.changes(a.changes), qt.IsTrue, qt.Commentf("changes meanwhile: %s", s.lastNotes(20)))
-	for _, m := range s.members {
-		if a.slowMs > 0 && (a.slowAll || m.down) {
-			m.syncMs = a.slowMs
-		}
+// run stops nodes, makes changes, starts them again with changes still coming,
+// and then stops as many others as may be lost.
+func (o outage) run(t *testing.T) outcome {
+	t.Helper()
+	check := qt.New(t)
+	c := newCluster(o.maxLosses, o.mbit, usualSyncMs)
+	check.Assert(c.until(startTimeoutMs, c.fullyReplicated) >= 0, qt.IsTrue, qt.Commentf("start: %s", c.lastNotes(20)))
+	check.Assert(c.makeChanges(2), qt.IsTrue)
+	c.events.RunFor(1000)
+	c.faults = o.faults
+	c.keepReading()
+	away := o.chooseNodes(c)
+	for _, n := range away {
+		c.stop(n)
 	}
-	s.keepChanging()
-	for _, m := range gone {
-		s.back(m, a.wiped)
+	c.events.RunFor(3000)
+	check.Assert(c.makeChanges(o.changes), qt.IsTrue, qt.Commentf("changes meanwhile: %s", c.lastNotes(20)))
+	o.slowDisks(c)
+	c.keepChanging()
+	for _, n := range away {
+		c.restart(n, o.lostDisk)
 	}
-	out := a.measure(s, gone)
-	a.loseOthers(c, s, gone)
-	out.older = s.older
-	c.Assert(s.read > 20, qt.IsTrue, qt.Commentf("only %d configurations were read", s.read))
+	out := o.measure(c, away)
+	o.loseOthers(check, c, away)
+	out.stale = c.stale
+	check.Assert(c.reads > minReads, qt.IsTrue, qt.Commentf("only %d configurations were read", c.reads))
 	return out
 }
 
-func (a absence) chosen(s *site) (gone []*member) {
-	primary := s.primary()
-	if a.primary {
-		gone = append(gone, primary)
+// chooseNodes chooses the nodes that will be away.
+func (o outage) chooseNodes(c *cluster) (away []*node) {
+	primary := c.primary()
+	if o.primary {
+		away = append(away, primary)
 	}
-	for i := len(s.members) - 1; len(gone) < max(1, a.count); i-- {
-		if s.members[i] != primary {
-			gone = append(gone, s.members[i])
+	for i := len(c.nodes) - 1; len(away) < max(1, o.count); i-- {
+		if c.nodes[i] != primary {
+			away = append(away, c.nodes[i])
 		}
 	}
-	return gone
+	return away
 }
 
-// measure waits until those that came back hold all that is acknowledged, and
-// the record names as many live disks as must be.
-func (a absence) measure(s *site, gone []*member) outcome {
-	out := outcome{caughtMs: -1, wholeMs: -1}
-	for began := s.nowMs; s.nowMs-began < 2*catchUpMs; s.run(10) {
-		holding := true
-		for _, m := range gone {
-			holding = holding && holdsVersion(m) >= s.version
+// slowDisks slows the disks of the nodes that are away, or of all.
+func (o outage) slowDisks(c *cluster) {
+	for _, n := range c.nodes {
+		if o.slowMs > 0 && (o.allSlow || n.down) {
+			n.syncMs = o.slowMs
 		}
-		if holding && out.caughtMs < 0 {
-			out.caughtMs = s.nowMs - began
-			for _, m := range gone {
-				out.reads = max(out.reads, m.reads)
+	}
+}
+
+// measure waits until the nodes that came back have caught up and the cluster is
+// fully replicated.
+func (o outage) measure(c *cluster, away []*node) outcome {
+	out := outcome{caughtUpMs: -1, replicatedMs: -1}
+	behind := func(n *node) bool { return n.storedVersion() < c.version }
+	beganMs := c.events.NowMs()
+	for c.events.NowMs()-beganMs < 2*catchUpMs {
+		sinceMs := c.events.NowMs() - beganMs
+		if out.caughtUpMs < 0 && !slices.ContainsFunc(away, behind) {
+			out.caughtUpMs = sinceMs
+			for _, n := range away {
+				out.parses = max(out.parses, n.parsed)
 			}
 		}
-		if out.wholeMs < 0 && s.whole() {
-			out.wholeMs = s.nowMs - began
+		if out.replicatedMs < 0 && c.fullyReplicated() {
+			out.replicatedMs = sinceMs
 		}
+		c.events.RunFor(pollMs)
 	}
-	primary := s.primary()
-	for _, m := range gone {
-		if primary != nil && primary != m {
-			if link := primary.links[m.name]; link != nil {
-				out.largest = max(out.largest, link.largest)
+	primary := c.primary()
+	for _, n := range away {
+		if primary != nil && primary != n {
+			traffic := "nothing"
+			if l := primary.links[n.name]; l != nil {
+				traffic = l.String()
 			}
-			out.detail += fmt.Sprintf("%s: %s, %d syncs of %d writes; ", m.name, s.traffic(primary, m), m.syncs, m.saved)
+			out.detail += fmt.Sprintf("%s: %s, %d syncs of %d writes; ", n.name, traffic, n.syncs, n.writes)
 		}
 	}
 	return out
 }
 
-// loseOthers loses as many as may be lost of those that were there all the
-// while, the primary first, and expects the site to serve what was acknowledged.
-func (a absence) loseOthers(c *qt.C, s *site, gone []*member) {
-	if a.broke != (breaks{}) {
+// loseOthers stops as many nodes as may be lost of those that were never away,
+// the primary first, and expects that the configuration is served nonetheless.
+func (o outage) loseOthers(check *qt.C, c *cluster, away []*node) {
+	check.Helper()
+	if o.faults != (faults{}) {
 		return
 	}
-	s.quiet = true
-	s.run(1000)
+	c.quiet = true
+	c.events.RunFor(1000)
 	lost := 0
-	for _, m := range append([]*member{s.primary()}, s.members...) {
-		isBack := false
-		for _, g := range gone {
-			isBack = isBack || g == m
-		}
-		if m != nil && !isBack && !m.down && lost < a.losses {
-			s.kill(m)
+	for _, n := range append([]*node{c.primary()}, c.nodes...) {
+		if n != nil && !slices.Contains(away, n) && !n.down && lost < o.maxLosses {
+			c.stop(n)
 			lost++
 		}
 	}
-	before := s.read
-	c.Assert(s.until(12_000, func() bool { return s.read > before }) >= 0, qt.IsTrue, qt.Commentf("serves no more: %s", s.lastNotes(30)))
+	before := c.reads
+	served := func() bool { return c.reads > before }
+	check.Assert(c.until(failoverMs, served) >= 0, qt.IsTrue, qt.Commentf("serves no more: %s", c.lastNotes(30)))
 }
 
 func (o outcome) inTime() bool {
-	return o.caughtMs >= 0 && o.caughtMs <= catchUpMs && o.wholeMs >= 0 && o.wholeMs <= catchUpMs && len(o.older) == 0 && o.reads <= readsMost
+	caughtUp := o.caughtUpMs >= 0 && o.caughtUpMs <= catchUpMs
+	replicated := o.replicatedMs >= 0 && o.replicatedMs <= catchUpMs
+	return caughtUp && replicated && len(o.stale) == 0 && o.parses <= maxParses
 }
 
-// A member that was away for 10 to 1,000 changes of a large configuration, with
+// A node that was away for 10 to 1,000 changes of a large configuration, with
 // its disk or an empty one, over thin links and slow disks and with changes
 // still coming, holds within the catch-up time all that was acknowledged; then
 // as many others may be lost, and nothing older is served.
 func TestCatchUp(t *testing.T) {
-	for _, a := range []absence{
-		{name: "10 changes", losses: 1, mbit: 1000, changes: 10},
-		{name: "10 changes, disk lost", losses: 1, mbit: 1000, changes: 10, wiped: true},
-		{name: "18 changes, about a MiB", losses: 1, mbit: 1000, changes: 18},
-		{name: "18 changes, thin links, slow disks", losses: 1, mbit: 10, changes: 18, slowMs: 150, slowAll: true},
-		{name: "100 changes", losses: 1, mbit: 1000, changes: 100},
-		{name: "100 changes, slow disk", losses: 1, mbit: 210, changes: 100, slowMs: 150},
-		{name: "100 changes, slow disks", losses: 1, mbit: 210, changes: 100, slowMs: 150, slowAll: true},
-		{name: "100 changes, thin links, disk lost", losses: 1, mbit: 10, changes: 100, wiped: true},
-		{name: "200 changes, more than a frame", losses: 1, mbit: 1000, changes: 200},
-		{name: "200 changes, disk lost", losses: 1, mbit: 1000, changes: 200, wiped: true},
-		{name: "300 changes, thin links", losses: 1, mbit: 10, changes: 300},
-		{name: "1,000 changes", losses: 1, mbit: 210, changes: 1000},
-		{name: "1,000 changes, disk lost, slow disks", losses: 1, mbit: 210, changes: 1000, wiped: true, slowMs: 150, slowAll: true},
-		{name: "the primary, 10 changes", losses: 1, mbit: 1000, changes: 10, primary: true},
-		{name: "the primary, 100 changes, disk lost", losses: 1, mbit: 1000, changes: 100, primary: true, wiped: true},
-		{name: "two of five, 100 changes", losses: 2, mbit: 210, changes: 100, count: 2},
-		{name: "two of five, 200 changes, disks lost", losses: 2, mbit: 210, changes: 200, count: 2, wiped: true},
-		{name: "two of five with the primary, 100 changes, slow disks", losses: 2, mbit: 210, changes: 100, count: 2, primary: true, slowMs: 150},
-		{name: "two of five with the primary, disks lost", losses: 2, mbit: 210, changes: 100, count: 2, primary: true, wiped: true},
-		{name: "two of five, disks lost, slow disks", losses: 2, mbit: 210, changes: 100, count: 2, wiped: true, slowMs: 150, slowAll: true},
+	for _, o := range []outage{
+		{name: "10 changes", maxLosses: 1, mbit: 1000, changes: 10},
+		{name: "10 changes, disk lost", maxLosses: 1, mbit: 1000, changes: 10, lostDisk: true},
+		{name: "18 changes, about a MiB", maxLosses: 1, mbit: 1000, changes: 18},
+		{name: "18 changes, thin links, slow disks", maxLosses: 1, mbit: 10, changes: 18, slowMs: 150, allSlow: true},
+		{name: "100 changes", maxLosses: 1, mbit: 1000, changes: 100},
+		{name: "100 changes, slow disk", maxLosses: 1, mbit: 210, changes: 100, slowMs: 150},
+		{name: "100 changes, slow disks", maxLosses: 1, mbit: 210, changes: 100, slowMs: 150, allSlow: true},
+		{name: "100 changes, thin links, disk lost", maxLosses: 1, mbit: 10, changes: 100, lostDisk: true},
+		{name: "200 changes, more than a frame", maxLosses: 1, mbit: 1000, changes: 200},
+		{name: "200 changes, disk lost", maxLosses: 1, mbit: 1000, changes: 200, lostDisk: true},
+		{name: "300 changes, thin links", maxLosses: 1, mbit: 10, changes: 300},
+		{name: "1,000 changes", maxLosses: 1, mbit: 210, changes: 1000},
+		{name: "1,000 changes, disk lost, slow disks", maxLosses: 1, mbit: 210, changes: 1000, lostDisk: true, slowMs: 150, allSlow: true},
+		{name: "the primary, 10 changes", maxLosses: 1, mbit: 1000, changes: 10, primary: true},
+		{name: "the primary, 100 changes, disk lost", maxLosses: 1, mbit: 1000, changes: 100, primary: true, lostDisk: true},
+		{name: "two of five, 100 changes", maxLosses: 2, mbit: 210, changes: 100, count: 2},
+		{name: "two of five, 200 changes, disks lost", maxLosses: 2, mbit: 210, changes: 200, count: 2, lostDisk: true},
+		{name: "two of five with the primary, 100 changes, slow disks", maxLosses: 2, mbit: 210, changes: 100, count: 2, primary: true, slowMs: 150},
+		{name: "two of five with the primary, disks lost", maxLosses: 2, mbit: 210, changes: 100, count: 2, primary: true, lostDisk: true},
+		{name: "two of five, disks lost, slow disks", maxLosses: 2, mbit: 210, changes: 100, count: 2, lostDisk: true, slowMs: 150, allSlow: true},
 	} {
-		t.Run(a.name, func(t *testing.T) {
+		t.Run(o.name, func(t *testing.T) {
 			t.Parallel()
-			out := a.play(qt.New(t))
-			t.Logf("holds all after %d ms and %d reads, record whole after %d ms; %s", out.caughtMs, out.reads, out.wholeMs, out.detail)
+			out := o.run(t)
+			t.Logf("caught up after %d ms and %d parses, fully replicated after %d ms; %s", out.caughtUpMs, out.parses, out.replicatedMs, out.detail)
 			qt.New(t).Check(out.inTime(), qt.IsTrue, qt.Commentf("%+v", out))
 		})
 	}
 }
 
-// The check fires on a site that breaks what it promises.
+// The checks fire on a cluster that breaks what it promises.
 func TestCatchUpFires(t *testing.T) {
 	for _, test := range []struct {
-		name         string
-		broke        breaks
-		wiped, older bool
+		name            string
+		faults          faults
+		lostDisk, stale bool
 	}{
-		{"changes are answered before they are copied", breaks{eagerAnswers: true}, false, true},
-		{"nobody hears how far the returned one is", breaks{lostFollowed: true}, true, false},
-		{"the disk of the returned one hangs", breaks{hangingDisk: true}, false, false},
+		{"changes are acknowledged before they are replicated", faults{acknowledgeEarly: true}, false, true},
+		{"the acknowledgements of the returned node are lost", faults{loseReplies: true}, true, false},
+		{"the disk of the returned node hangs", faults{hangDisk: true}, false, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			out := absence{losses: 1, mbit: 1000, changes: 10, wiped: test.wiped, broke: test.broke}.play(c)
+			out := outage{maxLosses: 1, mbit: 1000, changes: 10, lostDisk: test.lostDisk, faults: test.faults}.run(t)
 			c.Assert(out.inTime(), qt.IsFalse)
-			c.Assert(len(out.older) > 0, qt.Equals, test.older)
+			c.Assert(len(out.stale) > 0, qt.Equals, test.stale)
 		})
 	}
 }
--- /dev/null
+++ b/internal/simulation/endurance/cluster_test.go
@@ -0,0 +1,274 @@
+package endurance
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"math/rand"
+	"slices"
+	"strings"
+
+	"myrtlewinch/internal/bounds"
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/controller"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/eventqueue"
+)
+
+const (
+	siteName = "s"
+	startMs  = 3_600_000
+	tickMs   = 50
+	// pollMs is how often until looks.
+	pollMs = 10
+	// listReadMs is how long a read of the platform's list takes.
+	listReadMs = 10
+	// seedCount is how many nodes all nodes are told of.
+	seedCount = 3
+	// packedBytes is the compressed size of a configuration of largeRoutes routes.
+	packedBytes = 40_637
+)
+
+// cluster is a few controllers in virtual time.
+type cluster struct {
+	events *eventqueue.Queue
+	// maxLosses is how many disks may be lost at the same time; there are twice as
+	// many nodes and one more.
+	maxLosses int
+	// mbit is the bandwidth between two nodes in Mbit/s.
+	mbit  int64
+	nodes []*node
+	seeds []string
+	// lostDisks counts the restarts with an empty disk.
+	lostDisks int
+	faults    faults
+	notes     []string
+	workload
+}
+
+// faults are deliberate ones, to show that a check fires.
+type faults struct {
+	// acknowledgeEarly counts a change as acknowledged as soon as it is submitted.
+	acknowledgeEarly bool
+	// loseReplies loses what a restarted node says of how far it has followed.
+	loseReplies bool
+	// hangDisk lets the disk of a restarted node sync nothing.
+	hangDisk bool
+}
+
+// node is one controller.
+type node struct {
+	name, address string
+	// incarnation names its disk.
+	incarnation string
+	machine     *consensus.Machine
+	down        bool
+	// generation rises at each start and stop; events of an older one are void.
+	generation int
+	links      map[string]*link
+	disk
+	// parsed counts the configurations that it parsed since its start.
+	parsed int
+}
+
+// newCluster starts a cluster whose disks take syncMs for each sync.
+func newCluster(maxLosses int, mbit, syncMs int64) *cluster {
+	c := &cluster{events: eventqueue.New(startMs), maxLosses: maxLosses, mbit: mbit, workload: newWorkload()}
+	for i := range 2*maxLosses + 1 {
+		name := fmt.Sprintf("core-%d", i+1)
+		n := &node{name: name, address: fmt.Sprintf("10.0.0.%d:7", i+1), incarnation: name + "-disk"}
+		n.syncMs = syncMs
+		c.nodes = append(c.nodes, n)
+		if i < seedCount {
+			c.seeds = append(c.seeds, n.address)
+		}
+	}
+	for _, n := range c.nodes {
+		c.start(n, map[string]string{}, true)
+	}
+	return c
+}
+
+// until lets time pass until a condition holds, and returns how long that took in
+// ms, or -1 if it took longer than the limit.
+func (c *cluster) until(limitMs int64, condition func() bool) int64 {
+	beganMs := c.events.NowMs()
+	for c.events.NowMs()-beganMs < limitMs {
+		if condition() {
+			return c.events.NowMs() - beganMs
+		}
+		c.events.RunFor(pollMs)
+	}
+	return -1
+}
+
+func (c *cluster) self(n *node) protocol.Node {
+	return protocol.Node{Name: n.name, Address: n.address, Zone: n.name, Part: protocol.RoleController, Incarnation: n.incarnation}
+}
+
+// start starts a node from what its disk holds.
+func (c *cluster) start(n *node, keys map[string]string, first bool) {
+	n.generation++
+	n.down, n.parsed, n.links = false, 0, map[string]*link{}
+	n.disk = disk{keys: keys, syncMs: n.syncMs}
+	limits := bounds.Bounds{CatchUpMs: catchUpMs, LeaseMs: 3000}
+	application := controller.New(controller.Settings{
+		Self: c.self(n), Bounds: limits, ListAddress: "list", ListPerSec: 1, ControlPort: "80",
+	}, opaqueFormat{&n.parsed})
+	machine, err := consensus.New(consensus.Settings{
+		Site: siteName, Self: c.self(n), Seeds: c.seeds, Application: application, MaxLosses: c.maxLosses, FirstStart: first,
+		GapMs: limits.LeaseMs, WitnessTimeoutMs: 1000, ReplicaGraceMs: 400,
+	}, maps.Clone(keys), c.events.NowMs())
+	if err != nil {
+		panic(fmt.Sprintf("%s does not start: %v", n.name, err))
+	}
+	n.machine = machine
+	generation := n.generation
+	// Ticks of the nodes are spread.
+	c.events.After(int64(c.events.Len()%tickMs), func() { c.tick(n, generation) })
+}
+
+func (c *cluster) tick(n *node, generation int) {
+	if n.down || n.generation != generation {
+		return
+	}
+	c.step(n, protocol.Tick{})
+	c.events.After(tickMs, func() { c.tick(n, generation) })
+}
+
+// stop kills a node; what it had not synced is lost.
+func (c *cluster) stop(n *node) { n.down = true; n.generation++ }
+
+// restart starts a node again, with its disk or an empty one.
+func (c *cluster) restart(n *node, lostDisk bool) {
+	keys := n.keys
+	if lostDisk {
+		c.lostDisks++
+		keys, n.incarnation = map[string]string{}, fmt.Sprintf("%s-disk-%d", n.name, c.lostDisks)
+	}
+	c.start(n, keys, false)
+}
+
+// step gives a node's state machine an input and carries out its effects.
+func (c *cluster) step(n *node, input any) {
+	if n.down {
+		return
+	}
+	effects := n.machine.Step(c.events.NowMs(), input)
+	for _, line := range effects.LogLines {
+		c.notes = append(c.notes, fmt.Sprintf("%d %s: %s", c.events.NowMs()-startMs, n.name, line))
+	}
+	n.waiting = append(n.waiting, effects.DiskWrites...)
+	if !n.syncing {
+		c.sync(n)
+	}
+	for _, send := range effects.Sends {
+		c.send(n, send)
+	}
+	for _, call := range effects.Calls {
+		c.call(n, call)
+	}
+	for _, response := range effects.Responses {
+		c.respond(n, response)
+	}
+}
+
+// send puts a message on the link to its node.
+func (c *cluster) send(from *node, send protocol.Send) {
+	_, reply := send.Body.(protocol.AppendReply)
+	restarted := from.generation > 1
+	if reply && restarted && c.faults.loseReplies {
+		return
+	}
+	for _, to := range c.nodes {
+		if to.address == send.Address {
+			c.enqueue(from, to, protocol.Envelope{Site: siteName, From: c.self(from), To: send.To, Body: send.Body})
+		}
+	}
+}
+
+// call answers a read of the platform's list with a failure: there are no
+// runners here.
+func (c *cluster) call(n *node, call protocol.OutboundCall) {
+	if _, is := call.Body.(protocol.ListRunners); !is {
+		return
+	}
+	generation := n.generation
+	c.events.After(listReadMs, func() {
+		if n.generation == generation {
+			c.step(n, protocol.RunnerList{})
+		}
+	})
+}
+
+// record is the epoch record on a node's disk.
+func (n *node) record() (record protocol.EpochRecord) {
+	var stored struct {
+		Record protocol.EpochRecord `json:"record"`
+	}
+	if json.Unmarshal([]byte(n.keys["record"]), &stored) == nil {
+		record = stored.Record
+	}
+	return record
+}
+
+// storedVersion is the version of the configuration on a node's disk.
+func (n *node) storedVersion() uint64 {
+	var stored struct {
+		Version uint64 `json:"version"`
+	}
+	_ = json.Unmarshal([]byte(n.keys[ledger.Prefix+"kept/map"]), &stored)
+	return stored.Version
+}
+
+// primary is the live node that the newest record on a live disk names, or nil.
+func (c *cluster) primary() *node {
+	var primary *node
+	newest := uint64(0)
+	for _, n := range c.nodes {
+		record := n.record()
+		if n.down || record.Epoch <= newest {
+			continue
+		}
+		newest, primary = record.Epoch, nil
+		for _, named := range c.nodes {
+			if named.name == record.Primary && !named.down {
+				primary = named
+			}
+		}
+	}
+	return primary
+}
+
+// fullyReplicated says whether the primary's record names as many replicas and
+// witnesses as there must be, all of them live.
+func (c *cluster) fullyReplicated() bool {
+	primary := c.primary()
+	if primary == nil {
+		return false
+	}
+	record := primary.record()
+	if len(record.Replicas) != c.maxLosses+1 || len(record.Witnesses) != 2*c.maxLosses+1 {
+		return false
+	}
+	for _, seat := range append(slices.Clone(record.Replicas), record.Witnesses...) {
+		live := func(n *node) bool { return !n.down && n.name == seat.Name && n.incarnation == seat.Incarnation }
+		if !slices.ContainsFunc(c.nodes, live) {
+			return false
+		}
+	}
+	return true
+}
+
+// lastNotes are the last log lines of all nodes.
+func (c *cluster) lastNotes(count int) string {
+	return strings.Join(c.notes[max(0, len(c.notes)-count):], "\n")
+}
+
+// newBody makes text that packs as badly as a large configuration.
+func newBody() string {
+	body := make([]byte, packedBytes)
+	rand.New(rand.NewSource(1)).Read(body)
+	return string(body)
+}
--- a/internal/simulation/endurance/routes_test.go
+++ b/internal/simulation/endurance/configuration_test.go
@@ -5,14 +5,34 @@
 	"fmt"
 	"math/rand"
 
+	"myrtlewinch/internal/config"
 	"myrtlewinch/platform"
 )
 
-// largeRoutes is the size of the largest configuration that is reckoned with.
+// opaqueFormat takes any text whose first line is a version for a configuration:
+// only the size counts here, and how often it is parsed.
+type opaqueFormat struct{ parsed *int }
+
+// versionBytes is the length of the first line at most.
+const versionBytes = 24
+
+func (f opaqueFormat) Parse(text []byte) (*config.Configuration, []string) {
+	*f.parsed++
+	configuration := &config.Configuration{}
+	if _, err := fmt.Sscanf(string(text[:min(len(text), versionBytes)]), "%d\n", &configuration.Version); err != nil {
+		return nil, []string{err.Error()}
+	}
+	configuration.BuildIndex()
+	return configuration, nil
+}
+
+func (opaqueFormat) ApplyChange(_, change []byte) ([]byte, []string) { return change, nil }
+
+// largeRoutes is the number of routes of the largest expected configuration.
 const largeRoutes = 1400
 
-// routeTable writes configurations as an operator does: with random names, so
-// that they pack no better than real ones.
+// routeTable writes configurations as operators do: with random names, so that
+// they compress no better than real ones.
 type routeTable struct {
 	random  *rand.Rand
 	routes  []map[string]any
@@ -49,7 +69,7 @@
 	}
 }
 
-// next changes one route and gives the whole text of the next version.
+// next changes one route and returns the whole text of the next version.
 func (t *routeTable) next() (version uint64, text string) {
 	t.version++
 	t.routes[t.random.Intn(len(t.routes))] = t.route()
@@ -62,7 +82,7 @@
 		"limits": map[string]any{"max_header_bytes": 16384, "max_body_bytes": 4194304, "header_wait_ms": 3000, "idle_ms": 15000},
 	})
 	if err != nil {
-		panic(fmt.Sprintf("a configuration can't be written: %v", err))
+		panic(fmt.Sprintf("a configuration can't be encoded: %v", err))
 	}
 	if _, faults := (platform.ConfigFormat{}).Parse(written); len(faults) > 0 {
 		panic(fmt.Sprintf("a configuration is not valid: %v", faults))
--- a/internal/simulation/endurance/doc.go
+++ b/internal/simulation/endurance/doc.go
@@ -1,4 +1,4 @@
-// Package endurance tries long days: hundreds of changes, then a restart. It
-// holds tests alone, in virtual time, with links of a bandwidth and disks of a
-// time for each sync.
+// Package endurance tests long outages: controllers that come back after hundreds
+// of changes must catch up in time. It holds tests only, in virtual time, over
+// links of limited bandwidth and disks whose syncs take time.
 package endurance
