--- a/cmd/myrtlewinch/reload_test.go
+++ b/cmd/myrtlewinch/reload_test.go
@@ -13,7 +13,7 @@
 	"myrtlewinch/platform"
 )
 
-const sheetText = `
+const settingsYAML = `
 node_name: "edge-1"
 role: "router"
 serves: ["edge"]
@@ -35,20 +35,20 @@
 func TestReload(t *testing.T) {
 	c := qt.New(t)
 	file := filepath.Join(t.TempDir(), "settings.yaml")
-	place, err := platform.ParseSettings([]byte(sheetText))
+	place, err := platform.ParseSettings([]byte(settingsYAML))
 	c.Assert(err, qt.IsNil)
 	to := &seeded{}
 	r := newReload(file, place, to, log.New(io.Discard))
-	more := strings.Replace(sheetText, `["10.1.0.15:8146"]`, `["10.1.0.15:8146", "10.3.0.4:8146"]`, 1)
+	more := strings.Replace(settingsYAML, `["10.1.0.15:8146"]`, `["10.1.0.15:8146", "10.3.0.4:8146"]`, 1)
 	for _, step := range []struct{ name, text, want string }{
 		{"no file", "", ""},
-		{"as it was", sheetText, ""},
+		{"as it was", settingsYAML, ""},
 		{"new seeds", more, "10.1.0.15:7660 10.3.0.4:7660"},
 		{"the same again", more, ""},
-		{"bad seeds", strings.Replace(sheetText, "10.1.0.15:8146", "nowhere", 1), ""},
-		{"cut short", sheetText[:100], ""},
+		{"bad seeds", strings.Replace(settingsYAML, "10.1.0.15:8146", "nowhere", 1), ""},
+		{"cut short", settingsYAML[:100], ""},
 		{"other memory", strings.Replace(more, "284", "300", 1), ""},
-		{"back", sheetText, "10.1.0.15:7660"},
+		{"back", settingsYAML, "10.1.0.15:7660"},
 	} {
 		if step.text != "" {
 			c.Assert(os.WriteFile(file, []byte(step.text), 0o600), qt.IsNil)
