--- a/internal/simulation/modelcheck/apply_fault.go
+++ b/internal/simulation/modelcheck/apply_fault.go
@@ -9,181 +9,174 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// forever is the end of a loss that has none.
-const forever = math.MaxInt64 / 2
-
-// possibleFaults lists the faults that may take the place of an event.
-func (c *cluster) possibleFaults(e *event) []Fault {
-	if e.kind == actionEvent || c.members[e.member].down {
-		return nil
-	}
-	var faults []Fault
-	switch e.kind {
-	case messageEvent:
-		faults = append(faults, messageFaults...)
-	case writeEvent:
-		faults = append(faults, writeFaults...)
-	}
-	faults = append(faults, memberFaults...)
-	faults = append(faults, c.crashesMidSend(e.member)...)
-	faults = append(faults, c.powerLosses()...)
-	return slices.DeleteFunc(faults, func(f Fault) bool { return !c.isAllowed(e, f) })
-}
-
-// crashesMidSend lists a crash for each set of others that hear nothing more.
-// Those that differ by members to whom nothing was sent lead to equal states.
-func (c *cluster) crashesMidSend(i int) []Fault {
-	var faults []Fault
-	for set := uint32(1); set < 1<<len(c.members); set++ {
-		if set&(1<<i) == 0 {
-			faults = append(faults, Fault{Kind: CrashMidSend, Set: set})
-		}
-	}
-	return faults
-}
-
-// powerLosses lists a loss of power with each set of disks that may be lost.
-func (c *cluster) powerLosses() []Fault {
-	var faults []Fault
-	for set := range uint32(1) << len(c.members) {
-		if c.lostCountWith(set) <= c.scope.Losses {
-			faults = append(faults, Fault{Kind: PowerLoss, Set: set})
-		}
-	}
-	return faults
-}
-
-// lostCountWith counts the members that are lost now or are in a set.
-func (c *cluster) lostCountWith(set uint32) int {
-	count := 0
-	for i, m := range c.members {
-		if set&(1<<i) != 0 || c.nowMs < m.lostUntilMs {
-			count++
-		}
-	}
-	return count
-}
-
-// isAllowed says whether a fault is asked for, and leaves no more members lost
-// than may be.
-func (c *cluster) isAllowed(e *event, f Fault) bool {
-	if len(c.scope.Faults) > 0 && !slices.Contains(c.scope.Faults, f.Kind) {
-		return false
-	}
-	if f.isMessageFault() && len(c.scope.Messages) > 0 && !slices.Contains(c.scope.Messages, e.messageType()) {
-		return false
-	}
-	if f.Kind == PowerLoss {
-		return c.lostCountWith(f.Set) <= c.scope.Losses
-	}
-	m := c.members[e.member]
-	if m.stopping && f.Kind == Leave {
-		return false
-	}
-	return !f.countsAsLoss() || c.lostCountWith(1<<e.member) <= c.scope.Losses
-}
-
-// isMessageFault says whether the fault is one of a message.
-func (f Fault) isMessageFault() bool {
-	return f.Kind == DropMessage || f.Kind == DelayMessage || f.Kind == DuplicateMessage
-}
-
-// countsAsLoss says whether the member counts as lost.
-func (f Fault) countsAsLoss() bool {
-	if f.Kind == DelayWrite {
-		return f.Ms > slowWriteMs
-	}
-	return !f.isMessageFault()
-}
+const (
+	// forever is the end of a loss that has none.
+	forever = math.MaxInt64 / 2
+	// exitMs is how long a process takes to exit.
+	exitMs = 1
+)
 
-// applyFault lets a fault happen at an event.
+// applyFault lets a fault take the place of an event.
 func (c *cluster) applyFault(e *event, f Fault) {
-	m := c.members[e.member]
-	c.logf("FAULT %s at %s", f, m.node.Name)
+	c.logf("FAULT %s at %s", f, c.members[e.member].node.Name)
 	c.noteFaultUntil(c.nowMs)
 	switch f.Kind {
 	case DropMessage:
 	case DelayMessage:
-		c.reschedule(e, c.nowMs+f.Ms)
-		c.noteFaultUntil(c.nowMs + f.Ms)
+		c.delayMessage(e, f.Ms)
 	case DuplicateMessage:
-		again := *e
-		c.process(e)
-		c.reschedule(&again, c.nowMs+f.Ms)
-		c.noteFaultUntil(c.nowMs + f.Ms)
+		c.duplicateMessage(e, f.Ms)
 	case DelayWrite:
 		c.delayWrites(e, f)
 	case FailWrite:
-		c.markLost(m, c.nowMs+returnMs)
-		c.step(e.member, protocol.DiskWriteDone{Number: e.write.Number}, nil)
-		c.scheduleRestart(e.member, Fault{Kind: Crash, Ms: returnMs, Return: WithDisk})
+		c.failWrite(e)
 	case CrashAfterWrite:
-		c.completeWrite(e)
-		c.stopProcess(e, f)
+		c.completeWrite(e.member, e.body.(*writeCompletion).write)
+		c.crash(e, f)
 	case Crash:
-		c.stopProcess(e, f)
+		c.crash(e, f)
 	case CrashMidSend:
-		c.process(e)
-		c.queue = slices.DeleteFunc(c.queue, func(sent *event) bool {
-			return sent.kind == messageEvent && sent.from == e.member && f.Set&(1<<sent.member) != 0
-		})
-		c.exitProcess(e.member, f)
+		c.crashMidSend(e, f)
 	case PowerLoss:
-		if e.kind == tickEvent {
-			c.reschedule(e, c.nowMs+tickMs)
-		}
-		c.losePower(f.Set)
+		c.losePower(e, f.Set)
 	case Freeze:
-		m.frozenUntilMs = c.nowMs + f.Ms
-		c.markLost(m, m.frozenUntilMs)
-		c.deferUntilThaw(e, m)
+		c.freeze(e, f.Ms)
 	case CutOff, CutSending:
 		c.cutLinks(e, f)
 	case Leave:
 		c.beginStop(e.member, f)
 		c.process(e)
 	case loseMembers:
-		c.loseAll(f.Set)
-		if e.kind == tickEvent || !m.down {
-			c.process(e)
-		}
+		c.loseMembers(e, f.Set)
 	}
 }
 
+// markLost counts a member as lost until it has had its time to catch up after
+// the end of its fault.
+func (c *cluster) markLost(m *member, endMs int64) {
+	m.lostUntilMs = max(m.lostUntilMs, endMs+c.scope.CatchUpMs)
+	c.noteFaultUntil(endMs)
+}
+
+func (c *cluster) delayMessage(e *event, ms int64) {
+	c.reschedule(e, c.nowMs+ms)
+	c.noteFaultUntil(c.nowMs + ms)
+}
+
+// duplicateMessage delivers a message now and again after a while.
+func (c *cluster) duplicateMessage(e *event, ms int64) {
+	again := *e
+	c.process(e)
+	c.delayMessage(&again, ms)
+}
+
 // delayWrites delays a write and those behind it, which complete in order.
 func (c *cluster) delayWrites(e *event, f Fault) {
 	m := c.members[e.member]
 	delayed := []*event{e}
 	c.queue = slices.DeleteFunc(c.queue, func(other *event) bool {
-		behind := other.kind == writeEvent && other.member == e.member && other.incarnation == m.incarnation
-		if behind {
+		write, isWrite := other.body.(*writeCompletion)
+		isBehind := isWrite && other.member == e.member && write.incarnation == m.incarnation
+		if isBehind {
 			delayed = append(delayed, other)
 		}
-		return behind
+		return isBehind
 	})
 	for _, write := range delayed {
 		write.atMs += f.Ms
 		c.insert(write)
 	}
-	m.writeFreeMs = max(m.writeFreeMs, c.nowMs) + f.Ms
+	m.writesDoneMs = max(m.writesDoneMs, c.nowMs) + f.Ms
 	c.noteFaultUntil(c.nowMs + f.Ms)
 	if f.countsAsLoss() {
 		c.markLost(m, c.nowMs+f.Ms)
 	}
 }
 
-// stopProcess ends the process that an event was for. A tick goes on for the next.
-func (c *cluster) stopProcess(e *event, f Fault) {
-	if e.kind == tickEvent {
+// failWrite reports a write as failed, and restarts the process.
+func (c *cluster) failWrite(e *event) {
+	write := e.body.(*writeCompletion).write
+	c.markLost(c.members[e.member], c.nowMs+returnMs)
+	c.step(e.member, protocol.DiskWriteDone{Number: write.Number}, nil)
+	c.scheduleRestart(e.member, Fault{Kind: Crash, Ms: returnMs, Return: WithDisk})
+}
+
+// crash ends the process that an event was for. Ticks go on, for the next.
+func (c *cluster) crash(e *event, f Fault) {
+	c.keepTick(e)
+	c.exitProcess(e.member, f)
+}
+
+// keepTick reschedules an event that does not happen, if it is a tick.
+func (c *cluster) keepTick(e *event) {
+	if e.isTick() {
 		c.reschedule(e, c.nowMs+tickMs)
 	}
+}
+
+// crashMidSend lets an event happen, drops the member's messages to a set of
+// others, and ends its process.
+func (c *cluster) crashMidSend(e *event, f Fault) {
+	c.process(e)
+	c.queue = slices.DeleteFunc(c.queue, func(sent *event) bool {
+		m, isMessage := sent.body.(*message)
+		return isMessage && m.from == e.member && contains(f.Set, sent.member)
+	})
 	c.exitProcess(e.member, f)
 }
 
-// exitProcess ends a process and plans its return.
+// losePower ends all processes; the members of a set return with empty disks.
+func (c *cluster) losePower(e *event, wiped uint32) {
+	c.keepTick(e)
+	for i, m := range c.members {
+		if m.isDown {
+			continue
+		}
+		crash := Fault{Kind: Crash, Ms: returnMs, Return: WithDisk}
+		if contains(wiped, i) {
+			crash.Return = WithoutDisk
+		}
+		c.exitProcess(i, crash)
+	}
+}
+
+func (c *cluster) freeze(e *event, ms int64) {
+	m := c.members[e.member]
+	m.frozenUntilMs = c.nowMs + ms
+	c.markLost(m, m.frozenUntilMs)
+	c.deferUntilThaw(e, m)
+}
+
+// cutLinks cuts the links of a member, both ways or from it only. A message
+// that was to arrive is lost.
+func (c *cluster) cutLinks(e *event, f Fault) {
+	m := c.members[e.member]
+	m.cutFromUntilMs = c.nowMs + f.Ms
+	if f.Kind == CutOff {
+		m.cutToUntilMs = c.nowMs + f.Ms
+	}
+	c.markLost(m, c.nowMs+f.Ms)
+	if !e.isMessage() {
+		c.process(e)
+	}
+}
+
+// loseMembers ends a set of members for good.
+func (c *cluster) loseMembers(e *event, set uint32) {
+	for i, m := range c.members {
+		if contains(set, i) {
+			m.isDown, m.lostUntilMs = true, forever
+		}
+	}
+	if e.isTick() || !c.members[e.member].isDown {
+		c.process(e)
+	}
+}
+
+// exitProcess ends a process and schedules its return.
 func (c *cluster) exitProcess(i int, f Fault) {
 	m := c.members[i]
-	m.down = true
+	m.isDown = true
 	m.frozenUntilMs = 0
 	c.noteFaultUntil(c.nowMs)
 	if f.Return == Never {
@@ -194,92 +187,64 @@
 	c.scheduleRestart(i, f)
 }
 
-// markPermanentlyLost counts a member that does not return. One that was removed as planned
-// counts no longer where another is there to succeed it.
+// markPermanentlyLost counts a member that does not return. One that stopped as
+// planned no longer counts if another is there to succeed it.
 func (c *cluster) markPermanentlyLost(m *member, f Fault) {
 	m.lostUntilMs = forever
-	if f.Kind == Leave && c.scope.Members > 2*c.scope.Losses+1 {
+	hasSuccessor := c.scope.Members > 2*c.scope.Losses+1
+	if f.Kind == Leave && hasSuccessor {
 		m.lostUntilMs = c.nowMs
 	}
 }
 
+// scheduleRestart starts a member again after a while, unless another process
+// was started meanwhile.
 func (c *cluster) scheduleRestart(i int, f Fault) {
 	m := c.members[i]
-	life := m.incarnation
-	c.scheduleAction(f.Ms, fmt.Sprintf("%s comes %s", m.node.Name, returnNames[f.Return]), func() {
-		if m.incarnation != life {
-			return
-		}
-		keys := m.disk
-		if f.Return == WithoutDisk {
-			m.wipes++
-			m.node.Incarnation = fmt.Sprintf("%s-disk-%d", m.node.Name, m.wipes+1)
-			keys = map[string]string{}
+	incarnation := m.incarnation
+	c.scheduleAction(f.Ms, fmt.Sprintf("%s comes %s", m.node.Name, f.Return), func() {
+		if m.incarnation == incarnation {
+			c.restart(i, f.Return)
 		}
-		m.lostUntilMs = max(m.lostUntilMs, c.nowMs+c.scope.CatchUpMs)
-		c.startMember(i, keys, false)
 	})
 }
 
-func (c *cluster) cutLinks(e *event, f Fault) {
-	m := c.members[e.member]
-	m.cutFromUntilMs = c.nowMs + f.Ms
-	if f.Kind == CutOff {
-		m.cutToUntilMs = c.nowMs + f.Ms
-	}
-	c.markLost(m, c.nowMs+f.Ms)
-	if e.kind != messageEvent {
-		c.process(e)
+func (c *cluster) restart(i int, how Return) {
+	m := c.members[i]
+	disk := m.disk
+	if how == WithoutDisk {
+		m.wipes++
+		m.node.Incarnation = fmt.Sprintf("%s-disk-%d", m.node.Name, m.wipes+1)
+		disk = map[string]string{}
 	}
+	m.lostUntilMs = max(m.lostUntilMs, c.nowMs+c.scope.CatchUpMs)
+	c.startMember(i, disk, false)
 }
 
-// beginStop begins a planned stop. The member counts as lost until it exits.
+// beginStop begins a planned stop. The member counts as lost until it exits: as
+// soon as its machine has handed over, and after Scope.LeaveMs at the latest.
 func (c *cluster) beginStop(i int, f Fault) {
 	m := c.members[i]
-	m.stopping, m.stopFault = true, f
+	m.isStopping, m.stopFault = true, f
 	m.lostUntilMs = max(m.lostUntilMs, c.nowMs+c.scope.LeaveMs+exitMs)
 	c.noteFaultUntil(c.nowMs)
-	life := m.incarnation
-	c.push(&event{atMs: c.nowMs + c.scope.LeaveMs, kind: actionEvent, description: m.node.Name + " must exit", optional: true, action: func() {
-		c.exitPlanned(i, life)
-	}})
+	incarnation := m.incarnation
+	mustExit := &action{
+		description: m.node.Name + " must exit", isOptional: true,
+		run: func() { c.exitPlanned(i, incarnation) },
+	}
+	c.push(&event{atMs: c.nowMs + c.scope.LeaveMs, body: mustExit})
 	c.step(i, consensus.Leave{}, nil)
 }
 
-// scheduleExit lets a member exit whose machine has handed all over.
+// scheduleExit lets a member exit whose machine has handed over.
 func (c *cluster) scheduleExit(i int) {
-	life := c.members[i].incarnation
-	c.scheduleAction(exitMs, c.members[i].node.Name+" exits", func() { c.exitPlanned(i, life) })
+	incarnation := c.members[i].incarnation
+	c.scheduleAction(exitMs, c.members[i].node.Name+" exits", func() { c.exitPlanned(i, incarnation) })
 }
 
-// exitMs is how long a process takes to exit.
-const exitMs = 1
-
-func (c *cluster) exitPlanned(i, life int) {
-	if m := c.members[i]; m.incarnation == life && !m.down {
+func (c *cluster) exitPlanned(i, incarnation int) {
+	if m := c.members[i]; m.incarnation == incarnation && !m.isDown {
 		c.exitProcess(i, m.stopFault)
 	}
 }
-
-// losePower ends all members; those of a set return with empty disks.
-func (c *cluster) losePower(set uint32) {
-	for i, m := range c.members {
-		if m.down {
-			continue
-		}
-		crash := Fault{Kind: Crash, Ms: returnMs, Return: WithDisk}
-		if set&(1<<i) != 0 {
-			crash.Return = WithoutDisk
-		}
-		c.exitProcess(i, crash)
-	}
-}
-
-// loseAll ends a set of members for good.
-func (c *cluster) loseAll(set uint32) {
-	for i, m := range c.members {
-		if set&(1<<i) != 0 {
-			m.down, m.lostUntilMs = true, forever
-		}
-	}
-}
--- a/internal/simulation/modelcheck/doc.go
+++ b/internal/simulation/modelcheck/doc.go
@@ -1,5 +1,5 @@
-// Package modelcheck explores the election and replication machines of package
-// control, in their own code, for every placement of a bounded number of faults.
+// Package modelcheck explores the state machines of package consensus, in their
+// own code, for every placement of a bounded number of faults.
 //
 // A cluster of machines runs in virtual time on an event queue. The default
 // schedule delivers every message and completes every write in order. A
@@ -10,7 +10,8 @@
 // found has the fewest deviations.
 //
 // Machines hold closures and can't be copied, so each schedule is replayed from
-// the beginning. A state that was reached before with at least the same budget
-// left is not explored again; states are compared by a hash of all fields of
-// all machines, disks, messages in flight and what the checks remember.
+// the beginning. A state that was reached before with at least the same number
+// of deviations and events left is not explored again. States are compared by a
+// hash of all fields of all machines, disks, messages in flight and what the
+// checks of the invariants remember.
 package modelcheck
--- a/internal/simulation/modelcheck/explore_test.go
+++ b/internal/simulation/modelcheck/explore_test.go
@@ -7,15 +7,18 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// scenarioNamed finds a scenario that there is.
+// scenarioNamed finds a scenario; the test fails if there is none.
 func scenarioNamed(c *qt.C, name string) Scenario {
+	c.Helper()
 	scenario, known := FindScenario(name)
 	c.Assert(known, qt.IsTrue, qt.Commentf("no scenario %q", name))
 	return scenario
 }
 
-// assertNoViolation fails with the shortest trace where an invariant was violated.
+// assertNoViolation fails with the end of the trace if an invariant was
+// violated.
 func assertNoViolation(c *qt.C, scope Scope, report Report) {
+	c.Helper()
 	for _, found := range report.Found {
 		lines := Trace(scope, found.Schedule)
 		text := ""
@@ -29,13 +32,12 @@
 // traceTail is how many lines of a trace are printed.
 const traceTail = 40
 
-// The fixed part of the check: every schedule with one deviation in a short
-// window of each scenario, in the smallest site. Longer windows are for the
-// program.
+// Every schedule with one deviation in a short window of some scenarios, in the
+// smallest site. cmd/modelcheck checks longer windows.
 func TestExploreOneDeviation(t *testing.T) {
 	for _, test := range []struct {
 		scenario string
-		// windowMs is the moment that is looked at.
+		// windowMs is when the window begins.
 		windowMs int64
 		depth    int
 	}{
@@ -59,7 +61,7 @@
 	}
 }
 
-// With no deviation, the cluster must bear the loss of any members, as many as
+// Without deviations, the cluster survives the loss of any members, as many as
 // may be lost, once it has had its time to catch up.
 func TestExploreLossesAfterCatchUp(t *testing.T) {
 	for _, test := range []struct {
@@ -83,9 +85,9 @@
 	}
 }
 
-// A replica never takes an older snapshot than what it holds: the snapshot
-// that a slow connection held up comes after others, and after later changes.
-func TestLateSnapshot(t *testing.T) {
+// A replica never installs a snapshot that is older than its state: a delayed
+// snapshot arrives after later ones and after later changes.
+func TestLateSnapshotIsNotInstalled(t *testing.T) {
 	c := qt.New(t)
 	scope := Scope{
 		Deviations: 1, Depth: 1000, ProbeDeviations: -1, Scenario: scenarioNamed(c, "replica wiped, writes"),
@@ -97,8 +99,8 @@
 	c.Check(report.Runs > 1, qt.IsTrue)
 }
 
-// A change that is lost on its way is sent again, also while other writes go on.
-func TestLostChangeInAStreamOfWrites(t *testing.T) {
+// A lost change is resent, also while other writes go on.
+func TestLostChangeIsResentInAStreamOfWrites(t *testing.T) {
 	c := qt.New(t)
 	scope := Scope{
 		Deviations: 1, Depth: 100, ProbeDeviations: -1, Scenario: scenarioNamed(c, "busy"),
@@ -109,9 +111,9 @@
 	c.Check(report.Complete, qt.IsTrue)
 }
 
-// A founding is finished by the others where a member is lost for good before
-// it, or leads it and is lost with any part of its messages sent.
-func TestFoundingCutShort(t *testing.T) {
+// The others finish a bootstrap if a member is lost for good before it, or
+// leads it and is lost with any part of its messages sent.
+func TestInterruptedBootstrapIsFinished(t *testing.T) {
 	for _, test := range []struct {
 		fault    FaultKind
 		windowMs int64
@@ -138,12 +140,13 @@
 // wait for all of them first.
 const bootstrapWithinMs = 10_000
 
-// exitedMs is after a planned stop, when the member has just exited.
+// exitedMs is how long after the beginning of a planned stop the process has
+// just exited.
 const exitedMs = 300
 
-// A member that stops as planned beside a successor counts no longer once it
-// is gone: then another may crash at any moment.
-func TestCrashAfterAPlannedLeave(t *testing.T) {
+// A member that stopped as planned and has a successor no longer counts: another
+// may crash at any moment after the exit.
+func TestCrashAfterAPlannedStop(t *testing.T) {
 	for _, name := range []string{"replica leaves", "primary leaves"} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
@@ -167,9 +170,9 @@
 	c.Assert(Explore(scope), qt.DeepEquals, Explore(scope))
 }
 
-// A step of the scenario that can't happen any more, since a deviation has lost
-// as many members for good as may be, is not waited for.
-func TestExploreLeavesImpossibleStepsOut(t *testing.T) {
+// A step of the scenario that can't happen any more, since as many members as
+// may be are lost for good, is not waited for.
+func TestExploreSkipsImpossibleSteps(t *testing.T) {
 	c := qt.New(t)
 	scope := Scope{
 		Deviations: 1, Depth: 1, States: 500, ProbeDeviations: -1, Scenario: scenarioNamed(c, "primary crashes, writes"), Faults: []FaultKind{Crash},
@@ -179,8 +182,8 @@
 	c.Assert(report.Complete, qt.IsTrue)
 }
 
-// The bound of states ends a check, which then doesn't claim to be complete.
-func TestExploreStopsAtTheBoundOfStates(t *testing.T) {
+// The limit of states ends a check, which then doesn't report to be complete.
+func TestExploreStopsAtTheLimitOfStates(t *testing.T) {
 	c := qt.New(t)
 	report := Explore(Scope{Deviations: 1, Depth: 12, States: 50, Scenario: scenarioNamed(c, "steady")})
 	c.Check(report.Complete, qt.IsFalse)
--- a/internal/simulation/modelcheck/fault.go
+++ b/internal/simulation/modelcheck/fault.go
@@ -13,34 +13,35 @@
 const (
 	// DropMessage loses a message.
 	DropMessage FaultKind = iota + 1
-	// DelayMessage lets later messages overtake one.
+	// DelayMessage delays a message, so that later ones overtake it.
 	DelayMessage
 	// DuplicateMessage delivers a message now and once more later.
 	DuplicateMessage
-	// DelayWrite makes a disk slow, for this write and those behind it.
+	// DelayWrite delays a write and those behind it.
 	DelayWrite
 	// FailWrite makes a write fail.
 	FailWrite
-	// Crash ends a member; writes that were not complete are lost.
+	// Crash ends a process; writes that were not complete are lost.
 	Crash
-	// CrashAfterWrite ends a member once the write is durable, before its
-	// machine hears of that.
+	// CrashAfterWrite ends a process once a write is durable, before its machine
+	// is told so.
 	CrashAfterWrite
-	// CrashMidSend ends a member right after it took the event, and loses what it
-	// has in flight to a set of others.
+	// CrashMidSend ends a process for good right after it handled the event, and
+	// loses its messages in flight to a set of others.
 	CrashMidSend
-	// Freeze stops a member for a while; it goes on with what came meanwhile.
+	// Freeze stops a process for a while; then it handles what came meanwhile.
 	Freeze
 	// CutOff loses all messages from and to a member for a while.
 	CutOff
 	// CutSending loses all messages from a member for a while.
 	CutSending
-	// Leave is the planned stop of a member, and its exit some time later.
+	// Leave is a planned stop, and the exit some time later.
 	Leave
-	// PowerLoss ends all members at once; they return, a set of them with empty
+	// PowerLoss ends all processes at once; they return, a set of them with empty
 	// disks.
 	PowerLoss
-	// loseMembers ends a set of members for good: the probe at a schedule's end.
+	// loseMembers ends a set of members for good, as a probe at the end of a
+	// schedule; see Scope.ProbeDeviations.
 	loseMembers
 )
 
@@ -53,7 +54,7 @@
 
 func (k FaultKind) String() string { return faultNames[k] }
 
-// FaultKinds lists all kinds that can be asked for.
+// FaultKinds lists all kinds that a scope may name.
 func FaultKinds() []FaultKind {
 	var kinds []FaultKind
 	for kind := DropMessage; kind <= PowerLoss; kind++ {
@@ -79,12 +80,12 @@
 	return kinds, nil
 }
 
-// Return says how a member that stopped comes back.
+// Return says how a member whose process ended comes back.
 type Return uint8
 
-// The ways back.
+// The ways in which a member comes back.
 const (
-	// Never means that the member is gone.
+	// Never means that the member does not come back.
 	Never Return = iota
 	// WithDisk restarts a member from its disk.
 	WithDisk
@@ -94,16 +95,18 @@
 
 var returnNames = [...]string{"for good", "back with its disk", "back with an empty disk"}
 
+func (r Return) String() string { return returnNames[r] }
+
 // Fault is one fault with its parameters.
 type Fault struct {
 	Kind FaultKind
-	// Ms is the delay of a message or write, or the duration of a state of a
-	// member; for a crash, after how long the member returns.
+	// Ms is the delay of a message or write, the duration of a freeze or a cut, or
+	// after how long a process that ended returns.
 	Ms int64
-	// Return is how a member that stopped returns.
+	// Return is how a member whose process ended comes back.
 	Return Return
-	// Set holds members, one bit each: those to whom messages are lost, those
-	// that lose their disks, or those that are lost in the probe.
+	// Set is a set of members, one bit each: those to whom messages are lost, those
+	// that lose their disks, or those that a probe loses.
 	Set uint32
 }
 
@@ -111,16 +114,16 @@
 	switch f.Kind {
 	case Crash, CrashAfterWrite, Leave:
 		if f.Return == Never {
-			return f.Kind.String() + " " + returnNames[Never]
+			return fmt.Sprintf("%s %s", f.Kind, Never)
 		}
-		return fmt.Sprintf("%s, %s after %d ms", f.Kind, returnNames[f.Return], f.Ms)
+		return fmt.Sprintf("%s, %s after %d ms", f.Kind, f.Return, f.Ms)
 	case CrashMidSend:
-		return fmt.Sprintf("%s %s, before its messages to %s", f.Kind, returnNames[Never], memberNames(f.Set))
+		return fmt.Sprintf("%s %s, before its messages to %s", f.Kind, Never, memberNames(f.Set))
 	case PowerLoss:
 		if f.Set == 0 {
 			return f.Kind.String()
 		}
-		return fmt.Sprintf("%s, %s %s", f.Kind, memberNames(f.Set), returnNames[WithoutDisk])
+		return fmt.Sprintf("%s, %s %s", f.Kind, memberNames(f.Set), WithoutDisk)
 	case loseMembers:
 		return "lose for good " + memberNames(f.Set)
 	case DropMessage, FailWrite:
@@ -133,16 +136,32 @@
 func memberNames(set uint32) string {
 	var names []string
 	for i := range maxMembers {
-		if set&(1<<i) != 0 {
+		if contains(set, i) {
 			names = append(names, fmt.Sprintf("member-%d", i+1))
 		}
 	}
 	return strings.Join(names, " and ")
 }
 
+// isMessageFault says whether the fault is one of a message.
+func (f Fault) isMessageFault() bool {
+	return f.Kind == DropMessage || f.Kind == DelayMessage || f.Kind == DuplicateMessage
+}
+
+// countsAsLoss says whether the member counts as lost.
+func (f Fault) countsAsLoss() bool {
+	if f.Kind == DelayWrite {
+		return f.Ms > slowWriteMs
+	}
+	return !f.isMessageFault()
+}
+
 // maxMembers bounds a set of members.
 const maxMembers = 32
 
+// contains says whether a set contains a member.
+func contains(set uint32, member int) bool { return set&(1<<member) != 0 }
+
 // Deviation is a fault at a numbered event of the schedule.
 type Deviation struct {
 	Event int
@@ -154,16 +173,18 @@
 
 // Parameters of the faults that are explored.
 const (
-	// overtakenMs lets the messages of the next tick pass.
+	// overtakenMs delays a message past those of the next tick.
 	overtakenMs = 60
-	// lateMs is past a resend, so that the answer to the second may come first.
+	// lateMs delays a message past its resend, so that the answer to the second
+	// may arrive first.
 	lateMs = 1200
 	// slowWriteMs is a slow write; stalledWriteMs one that stalls.
 	slowWriteMs    = 60
 	stalledWriteMs = 1700
-	// returnMs is a restart.
+	// returnMs is how long a restart takes.
 	returnMs = 300
-	// silenceMs is longer than a lease; takeOverMs is past the take-over, too.
+	// silenceMs is longer than a lease, takeOverMs also than the election after
+	// it.
 	silenceMs  = 1700
 	takeOverMs = 3200
 )
--- a/internal/simulation/modelcheck/fault_test.go
+++ b/internal/simulation/modelcheck/fault_test.go
@@ -8,18 +8,19 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// No more members are lost at once than may be.
-func TestLawfulFaults(t *testing.T) {
-	message := func(member int) *event {
-		return &event{kind: messageEvent, member: member, envelope: protocol.Envelope{Body: protocol.Heartbeat{}}}
+// Faults are allowed only if no more members are lost at the same time than may
+// be.
+func TestAllowedFaults(t *testing.T) {
+	arrivalAt := func(member int) *event {
+		return &event{member: member, body: &message{envelope: protocol.Envelope{Body: protocol.Heartbeat{}}}}
 	}
 	for _, test := range []struct {
-		about    string
-		losses   int
-		lostMs   []int64
-		fault    Fault
-		messages []string
-		lawful   bool
+		name      string
+		losses    int
+		lostMs    []int64
+		fault     Fault
+		messages  []string
+		isAllowed bool
 	}{
 		{"the first loss", 1, []int64{0, 0, 0}, Fault{Kind: Crash}, nil, true},
 		{"a second loss", 1, []int64{0, startMs + 100, 0}, Fault{Kind: Crash}, nil, false},
@@ -32,16 +33,16 @@
 		{"all lose power, and a disk beside a loss", 1, []int64{0, startMs + 100, 0}, Fault{Kind: PowerLoss, Set: 1}, nil, false},
 		{"the lost member again", 1, []int64{startMs + 100, 0, 0}, Fault{Kind: Crash}, nil, true},
 		{"a lost message beside a loss", 1, []int64{0, startMs + 100, 0}, Fault{Kind: DropMessage}, nil, true},
-		{"a message that is not looked at", 1, []int64{0, 0, 0}, Fault{Kind: DropMessage}, []string{"Snapshot"}, false},
+		{"a message that the scope leaves out", 1, []int64{0, 0, 0}, Fault{Kind: DropMessage}, []string{"Snapshot"}, false},
 		{"a stalled disk beside a loss", 1, []int64{0, startMs + 100, 0}, Fault{Kind: DelayWrite, Ms: stalledWriteMs}, nil, false},
 		{"a slow disk beside a loss", 1, []int64{0, startMs + 100, 0}, Fault{Kind: DelayWrite, Ms: slowWriteMs}, nil, true},
 	} {
-		t.Run(test.about, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := newCluster(Scope{Losses: test.losses, Messages: test.messages}.withDefaults(), nil, true)
 			for i, lostMs := range test.lostMs {
 				c.members[i].lostUntilMs = lostMs
 			}
-			qt.Assert(t, c.isAllowed(message(0), test.fault), qt.Equals, test.lawful)
+			qt.Assert(t, c.isAllowed(arrivalAt(0), test.fault), qt.Equals, test.isAllowed)
 		})
 	}
 }
--- a/internal/simulation/modelcheck/invariants.go
+++ b/internal/simulation/modelcheck/invariants.go
@@ -14,17 +14,18 @@
 
 // The invariants.
 const (
-	// OnePrimary: no two members may speak for the site at one moment.
+	// OnePrimary: at any moment at most one member may act as the primary.
 	OnePrimary Invariant = "one primary"
-	// AcknowledgedStays: what was acknowledged is in the state of each primary.
+	// AcknowledgedStays: acknowledged writes are in the state of each primary.
 	AcknowledgedStays Invariant = "acknowledged stays"
-	// WitnessForward: what a witness promised and kept never goes back.
+	// WitnessForward: the ballot that a witness promised and the epoch that it
+	// accepted never go back on its disk.
 	WitnessForward Invariant = "witness forward"
 	// PositionForward: the durable position of a replica never goes back.
 	PositionForward Invariant = "position forward"
-	// OneRecord: of one epoch at most one record is ever complete.
+	// OneRecord: of one epoch at most one record is ever chosen.
 	OneRecord Invariant = "one record an epoch"
-	// Recovers: a primary serves, and acknowledges, within the bound.
+	// Recovers: within the bound after a fault a primary acknowledges a write.
 	Recovers Invariant = "recovers"
 )
 
@@ -39,136 +40,148 @@
 	return fmt.Sprintf("%s: at %d ms: %s", v.Invariant, v.AtMs-startMs, v.Message)
 }
 
-// acceptedBallot names one attempt to keep one record.
+// acceptedBallot identifies one attempt to have one record accepted.
 type acceptedBallot struct {
-	epoch  uint64
-	record uint64
-	ballot protocol.Ballot
+	epoch uint64
+	// recordHash is the hash of the record.
+	recordHash uint64
+	ballot     protocol.Ballot
 }
 
-// invariants remembers what the invariants need.
+// invariants checks the invariants, and remembers what that needs.
 type invariants struct {
+	// violation is the first one.
 	violation *Violation
-	// disks holds what each incarnation's disk holds.
+	// disks holds what each disk has held.
 	disks map[protocol.MemberID]*diskState
-	// acceptedBy are the disks that ever kept a record under a ballot.
+	// acceptedBy are the disks that ever accepted a record under a ballot.
 	acceptedBy map[acceptedBallot][]protocol.MemberID
-	// chosenRecords names the record of each epoch that a majority kept.
-	chosenRecords      map[uint64]uint64
+	// chosenRecords holds, by epoch, the hash of the record that a majority
+	// accepted.
+	chosenRecords map[uint64]uint64
+	// acknowledgedWrites are in order.
 	acknowledgedWrites []int
-	// cachedHash is the hash of all this, or nought after a change.
+	// cachedHash is the hash of all this, or 0 after a change.
 	cachedHash uint64
 }
 
 func newInvariants() invariants {
-	return invariants{disks: map[protocol.MemberID]*diskState{}, acceptedBy: map[acceptedBallot][]protocol.MemberID{}, chosenRecords: map[uint64]uint64{}}
+	return invariants{
+		disks: map[protocol.MemberID]*diskState{}, acceptedBy: map[acceptedBallot][]protocol.MemberID{},
+		chosenRecords: map[uint64]uint64{},
+	}
 }
 
-func (c *invariants) hash() uint64 {
-	if c.cachedHash == 0 {
-		c.cachedHash = hashOf(c.disks, c.acceptedBy, c.chosenRecords, c.acknowledgedWrites)
+func (v *invariants) hash() uint64 {
+	if v.cachedHash == 0 {
+		v.cachedHash = hashOf(v.disks, v.acceptedBy, v.chosenRecords, v.acknowledgedWrites)
 	}
-	return c.cachedHash
+	return v.cachedHash
 }
 
-func (c *invariants) violate(check Invariant, atMs int64, format string, args ...any) {
-	if c.violation == nil {
-		c.violation = &Violation{Invariant: check, AtMs: atMs, Message: fmt.Sprintf(format, args...)}
+// violate records a violation, unless there is one.
+func (v *invariants) violate(invariant Invariant, atMs int64, format string, args ...any) {
+	if v.violation == nil {
+		v.violation = &Violation{Invariant: invariant, AtMs: atMs, Message: fmt.Sprintf(format, args...)}
 	}
 }
 
-func (c *invariants) recordAcknowledged(number int) {
-	if !slices.Contains(c.acknowledgedWrites, number) {
-		c.cachedHash = 0
-		c.acknowledgedWrites = append(c.acknowledgedWrites, number)
-		slices.Sort(c.acknowledgedWrites)
+func (v *invariants) recordAcknowledged(number int) {
+	if v.isAcknowledged(number) {
+		return
 	}
+	v.cachedHash = 0
+	v.acknowledgedWrites = append(v.acknowledgedWrites, number)
+	slices.Sort(v.acknowledgedWrites)
+}
+
+func (v *invariants) isAcknowledged(number int) bool {
+	return slices.Contains(v.acknowledgedWrites, number)
 }
 
-// recordStart notes what a disk holds at the first start from it. What it holds at
-// a later one is not taken over: a disk that forgets is to be found out.
-func (c *invariants) recordStart(m *member) {
-	if c.disks[m.id()] == nil {
-		c.cachedHash = 0
-		c.disks[m.id()] = &diskState{}
-		c.disks[m.id()].apply(storage.Write{Set: m.disk})
+// recordStart reads a disk at the first start from it. A later start does not
+// read it again: a disk that loses what was durable must be noticed.
+func (v *invariants) recordStart(m *member) {
+	if v.disks[m.id()] != nil {
+		return
 	}
+	v.cachedHash = 0
+	state := &diskState{}
+	state.apply(storage.Write{Set: m.disk})
+	v.disks[m.id()] = state
 }
 
-// checkDurable looks at a write that has just become durable.
-func (c *invariants) checkDurable(m *member, w storage.Write, atMs int64) {
-	c.cachedHash = 0
+// checkDurable checks a write that has just become durable.
+func (v *invariants) checkDurable(m *member, write storage.Write, atMs int64) {
+	v.cachedHash = 0
 	id := m.id()
-	now := c.disks[id]
+	now := v.disks[id]
 	before := *now
-	now.apply(w)
-	c.checkWitness(id, before, *now, atMs)
-	if positionLess(now.position, before.position) {
-		c.violate(PositionForward, atMs, "%s went from change %v back to %v", id.Name, before.position, now.position)
+	now.apply(write)
+	v.checkWitness(id, before, *now, atMs)
+	if isBefore(now.position, before.position) {
+		v.violate(PositionForward, atMs, "%s went from change %v back to %v", id.Name, before.position, now.position)
 	}
 	if now.record.Epoch > before.record.Epoch {
-		c.checkChosen(now.record, atMs)
+		v.checkChosen(now.record, atMs)
 	}
-	if now.witness.Accepted != before.witness.Accepted || now.witness.Record.Epoch != before.witness.Record.Epoch {
-		c.recordAccepted(id, now.witness.Record, now.witness.Accepted, atMs)
+	isNewBallot := now.witness.Accepted != before.witness.Accepted
+	isNewEpoch := now.witness.Record.Epoch != before.witness.Record.Epoch
+	if isNewBallot || isNewEpoch {
+		v.recordAccepted(id, now.witness.Record, now.witness.Accepted, atMs)
 	}
 }
 
-func (c *invariants) checkWitness(id protocol.MemberID, before, now diskState, atMs int64) {
+func (v *invariants) checkWitness(id protocol.MemberID, before, now diskState, atMs int64) {
 	if now.witness.Promised.Less(before.witness.Promised) {
-		c.violate(WitnessForward, atMs, "%s promised %v, then %v", id.Name, before.witness.Promised, now.witness.Promised)
+		v.violate(WitnessForward, atMs, "%s promised %v, then %v", id.Name, before.witness.Promised, now.witness.Promised)
 	}
 	if now.witness.Record.Epoch < before.witness.Record.Epoch {
-		c.violate(WitnessForward, atMs, "%s kept epoch %d, then %d", id.Name, before.witness.Record.Epoch, now.witness.Record.Epoch)
+		v.violate(WitnessForward, atMs, "%s accepted epoch %d, then %d", id.Name, before.witness.Record.Epoch, now.witness.Record.Epoch)
 	}
 }
 
-// recordAccepted counts a disk that kept a record.
-func (c *invariants) recordAccepted(id protocol.MemberID, record protocol.EpochRecord, ballot protocol.Ballot, atMs int64) {
+// recordAccepted notes that a disk accepted a record; a record that a majority
+// of its voters accepted under one ballot is chosen.
+func (v *invariants) recordAccepted(id protocol.MemberID, record protocol.EpochRecord, ballot protocol.Ballot, atMs int64) {
 	key := acceptedBallot{record.Epoch, hashOf(record), ballot}
-	if !slices.Contains(c.acceptedBy[key], id) {
-		c.acceptedBy[key] = append(c.acceptedBy[key], id)
+	if !slices.Contains(v.acceptedBy[key], id) {
+		v.acceptedBy[key] = append(v.acceptedBy[key], id)
 	}
-	if record.Majority(func(voter protocol.MemberID) bool { return slices.Contains(c.acceptedBy[key], voter) }) {
-		c.checkChosen(record, atMs)
+	hasAccepted := func(voter protocol.MemberID) bool { return slices.Contains(v.acceptedBy[key], voter) }
+	if record.Majority(hasAccepted) {
+		v.checkChosen(record, atMs)
 	}
 }
 
-// checkChosen notes a complete record.
-func (c *invariants) checkChosen(record protocol.EpochRecord, atMs int64) {
-	sum := hashOf(record)
-	if other, known := c.chosenRecords[record.Epoch]; known && other != sum {
-		c.violate(OneRecord, atMs, "two records of epoch %d are complete, the later is %+v", record.Epoch, record)
+// checkChosen notes the chosen record of an epoch.
+func (v *invariants) checkChosen(record protocol.EpochRecord, atMs int64) {
+	hash := hashOf(record)
+	if known, isKnown := v.chosenRecords[record.Epoch]; isKnown && known != hash {
+		v.violate(OneRecord, atMs, "two records of epoch %d are chosen, the later is %+v", record.Epoch, record)
 	}
-	c.chosenRecords[record.Epoch] = sum
+	v.chosenRecords[record.Epoch] = hash
 }
 
-// checkPrimaries looks at all members after a step.
-func (c *invariants) checkPrimaries(cluster *cluster) {
-	var active []string
-	for _, m := range cluster.members {
-		if !cluster.active(m) {
-			continue
-		}
-		active = append(active, m.node.Name)
-		for _, number := range c.acknowledgedWrites {
-			if m.application.host.Row(rowKey(number)) == "" {
-				c.violate(AcknowledgedStays, cluster.nowMs, "%s serves without write %d, which was acknowledged", m.node.Name, number)
-			}
+// checkPrimaries checks all members after a step.
+func (v *invariants) checkPrimaries(c *cluster) {
+	var primaries []string
+	for _, m := range c.members {
+		if c.isPrimary(m) {
+			primaries = append(primaries, m.node.Name)
+			v.checkAcknowledged(m, c.nowMs)
 		}
 	}
-	if len(active) > 1 {
-		c.violate(OnePrimary, cluster.nowMs, "%s are active", strings.Join(active, " and "))
+	if len(primaries) > 1 {
+		v.violate(OnePrimary, c.nowMs, "%s are primaries", strings.Join(primaries, " and "))
 	}
 }
 
-func positionLess(a, b protocol.Position) bool {
-	if a.Epoch != b.Epoch {
-		return a.Epoch < b.Epoch
+// checkAcknowledged checks that a primary has all acknowledged writes.
+func (v *invariants) checkAcknowledged(primary *member, nowMs int64) {
+	for _, number := range v.acknowledgedWrites {
+		if primary.application.host.Row(rowKey(number)) == "" {
+			v.violate(AcknowledgedStays, nowMs, "%s serves without write %d, which was acknowledged", primary.node.Name, number)
+		}
 	}
-	return a.Number < b.Number
-}
-
-func (c *invariants) isAcknowledged(number int) bool {
-	return slices.Contains(c.acknowledgedWrites, number)
 }
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -15,12 +15,13 @@
 	"myrtlewinch/internal/storage"
 )
 
-// interceptor stands between a cluster and a machine and changes what passes.
+// interceptor stands between a cluster and a machine, and changes inputs and
+// effects.
 type interceptor struct {
 	machine Stepper
-	// input changes an input; nil is swallowed.
+	// input changes an input; the machine does not get one that becomes nil.
 	input func(input any) any
-	// send changes the body of a message.
+	// send changes a message that the machine sends.
 	send func(body protocol.Message) protocol.Message
 	// write changes a write.
 	write func(write storage.Write) storage.Write
@@ -46,17 +47,17 @@
 	return effects
 }
 
-// losingWrites says that writes of the state are durable, and forgets them.
+// losingWrites confirms writes of the state, and loses them.
 func losingWrites(member string, machine Stepper) Stepper {
 	return &interceptor{machine: machine, write: func(write storage.Write) storage.Write {
-		if write.Set["state/position"] != "" {
+		if write.Set[positionKey] != "" {
 			return storage.Write{}
 		}
 		return write
 	}}
 }
 
-// repeatingWrites makes an early write of a key durable again in place of later ones.
+// repeatingWrites repeats an early write of a key in place of later ones.
 func repeatingWrites(key string) func(string, Stepper) Stepper {
 	return func(member string, machine Stepper) Stepper {
 		var early *storage.Write
@@ -80,22 +81,22 @@
 func acknowledgingEarly(member string, machine Stepper) Stepper {
 	return &interceptor{machine: machine, input: func(input any) any {
 		if write, ok := input.(Write); ok {
-			write.Then(true)
+			write.Done(true)
 		}
 		return input
 	}}
 }
 
-// longerLeaseMs is how much longer than given a broken primary counts its lease.
+// longerLeaseMs is by how much a broken primary overestimates its lease.
 const longerLeaseMs = 3000
 
-// countingLongLeases counts the lease from later than when its renewal was sent.
+// countingLongLeases counts the lease from a time after its renewal was sent.
 func countingLongLeases(member string, machine Stepper) Stepper {
 	return &interceptor{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
-			if kept, answers := envelope.Body.(protocol.AcceptReply); answers {
-				kept.EchoMs += longerLeaseMs
-				envelope.Body = kept
+			if reply, isReply := envelope.Body.(protocol.AcceptReply); isReply {
+				reply.EchoMs += longerLeaseMs
+				envelope.Body = reply
 				return envelope
 			}
 		}
@@ -103,22 +104,22 @@
 	}}
 }
 
-// hidingRecords doesn't tell candidates what record a witness keeps.
+// hidingRecords hides from candidates what record a witness accepted.
 func hidingRecords(member string, machine Stepper) Stepper {
 	return &interceptor{machine: machine, send: func(body protocol.Message) protocol.Message {
-		if promised, ok := body.(protocol.PrepareReply); ok {
-			promised.Record, promised.Kept = protocol.EpochRecord{}, protocol.Ballot{}
-			return promised
+		if reply, isReply := body.(protocol.PrepareReply); isReply {
+			reply.Record, reply.Kept = protocol.EpochRecord{}, protocol.Ballot{}
+			return reply
 		}
 		return body
 	}}
 }
 
-// deafToPromises never answers a candidate.
-func deafToPromises(member string, machine Stepper) Stepper {
+// ignoringPrepare never answers a candidate.
+func ignoringPrepare(member string, machine Stepper) Stepper {
 	return &interceptor{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
-			if _, asks := envelope.Body.(protocol.Prepare); asks {
+			if _, isPrepare := envelope.Body.(protocol.Prepare); isPrepare {
 				return nil
 			}
 		}
@@ -126,38 +127,38 @@
 	}}
 }
 
-// startsUp is the start of all members from the moment when the first epoch
-// after it is being recorded.
-var startsUp = Scenario{Name: "start, from the record", WindowMs: 59}
+// startFromRecord is the start of all members, with a window from the moment
+// when the first epoch after it is being recorded.
+var startFromRecord = Scenario{Name: "start, from the record", WindowMs: 59}
 
-// Each check fires on a variant that breaks what it guards, and the same bounds
-// without the variant violate nothing.
-func TestChecksFire(t *testing.T) {
+// Each invariant is violated by a variant that breaks it, and the same bounds
+// without the variant violate none.
+func TestInvariantsFire(t *testing.T) {
 	crashes, _ := FindScenario("primary crashes")
 	steady, _ := FindScenario("steady")
 	written := steady
 	written.WindowMs = settledMs + 100
 	for _, test := range []struct {
-		about string
-		check Invariant
-		wrap  func(string, Stepper) Stepper
-		scope Scope
+		name      string
+		invariant Invariant
+		wrap      func(string, Stepper) Stepper
+		scope     Scope
 	}{
 		{"a disk that loses writes", AcknowledgedStays, losingWrites, Scope{Scenario: crashes, Depth: 1}},
 		{"a write acknowledged too early", AcknowledgedStays, acknowledgingEarly, Scope{
 			Scenario: written, Deviations: 1, Depth: 6, Faults: []FaultKind{CrashMidSend},
 		}},
 		{"a witness's writes go back", WitnessForward, repeatingWrites(witness.Key), Scope{Scenario: crashes, Depth: 1}},
-		{"a replica's writes go back", PositionForward, repeatingWrites("state/position"), Scope{Scenario: crashes, Depth: 1}},
+		{"a replica's writes go back", PositionForward, repeatingWrites(positionKey), Scope{Scenario: crashes, Depth: 1}},
 		{"a lease is counted too long", OnePrimary, countingLongLeases, Scope{
 			Scenario: steady, Deviations: 1, Depth: 5, Faults: []FaultKind{CutOff},
 		}},
 		{"a witness hides its record", OneRecord, hidingRecords, Scope{
-			Scenario: startsUp, Deviations: 2, Depth: 12, Faults: []FaultKind{DropMessage, CrashMidSend}, Messages: []string{"Accept"},
+			Scenario: startFromRecord, Deviations: 2, Depth: 12, Faults: []FaultKind{DropMessage, CrashMidSend}, Messages: []string{"Accept"},
 		}},
-		{"a witness never answers", Recovers, deafToPromises, Scope{Scenario: crashes, Depth: 1}},
+		{"a witness never answers a candidate", Recovers, ignoringPrepare, Scope{Scenario: crashes, Depth: 1}},
 	} {
-		t.Run(test.about, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			scope := test.scope
 			scope.ProbeDeviations, scope.Workers = -1, 2
@@ -167,12 +168,12 @@
 			for _, found := range Explore(scope).Found {
 				fired = append(fired, found.Violation.Invariant)
 			}
-			c.Assert(fired, qt.Contains, test.check)
+			c.Assert(fired, qt.Contains, test.invariant)
 		})
 	}
 }
 
-// A violation's trace ends with it, and is the same each time.
+// The trace of a violation ends with it, and is the same each time.
 func TestTraceRepeats(t *testing.T) {
 	c := qt.New(t)
 	scope := Scope{Depth: 1, ProbeDeviations: -1, Scenario: scenarioNamed(c, "primary crashes"), Wrap: losingWrites}
@@ -184,9 +185,9 @@
 	c.Assert(strings.Join(lines, "\n"), qt.Contains, "SCENARIO crash")
 }
 
-// Two machines with one history have one fingerprint; any input that changes a
-// field, also an unexported one, gives another.
-func TestFingerprintSeesEveryField(t *testing.T) {
+// Machines with the same history have the same hash; any input that changes a
+// field, also an unexported one, changes it.
+func TestHashCoversEveryField(t *testing.T) {
 	machine := func(inputs ...any) uint64 {
 		scope := Scope{}.withDefaults()
 		c := newCluster(scope, nil, true)
@@ -197,29 +198,29 @@
 	}
 	other := protocol.Node{Name: "member-2", Address: "10.0.0.2:7", Part: protocol.RoleController, Incarnation: "member-2-disk"}
 	from := func(body protocol.Message) protocol.Envelope {
-		return protocol.Envelope{Site: site, From: other, To: "member-1", Body: body}
+		return protocol.Envelope{Site: siteName, From: other, To: "member-1", Body: body}
 	}
 	qt.Assert(t, machine(), qt.Equals, machine())
 	for _, test := range []struct {
-		about string
+		name  string
 		input any
 	}{
 		{"a tick", protocol.Tick{}},
 		{"a message of another", from(protocol.Heartbeat{})},
-		{"a promise", from(protocol.Prepare{Ballot: protocol.Ballot{Round: 1, Name: "member-2"}, Found: true})},
+		{"a request to promise", from(protocol.Prepare{Ballot: protocol.Ballot{Round: 1, Name: "member-2"}, Found: true})},
 		{"a planned stop", consensus.Leave{}},
 	} {
-		t.Run(test.about, func(t *testing.T) {
+		t.Run(test.name, func(t *testing.T) {
 			qt.Check(t, machine(test.input), qt.Not(qt.Equals), machine())
 			qt.Check(t, machine(test.input), qt.Equals, machine(test.input))
 		})
 	}
 }
 
-// What a fingerprint leaves out is listed here field by field, so that a new
-// field that happens to have such a name does not go unseen.
-func TestFingerprintLeavesOutOnlyTheseFields(t *testing.T) {
-	left := map[string]bool{}
+// The fields that a hash skips are listed here one by one, so that a new field
+// that happens to have such a name is noticed.
+func TestHashSkipsOnlyTheseFields(t *testing.T) {
+	skipped := map[string]bool{}
 	seen := map[reflect.Type]bool{}
 	var walk func(kind reflect.Type)
 	walk = func(kind reflect.Type) {
@@ -237,7 +238,7 @@
 			for i := range kind.NumField() {
 				field := kind.Field(i)
 				if skippedFields[field.Name] || lengthOnlyFields[field.Name] {
-					left[kind.String()+"."+field.Name] = true
+					skipped[kind.String()+"."+field.Name] = true
 					continue
 				}
 				walk(field.Type)
@@ -245,7 +246,7 @@
 		}
 	}
 	walk(reflect.TypeFor[consensus.Machine]())
-	qt.Assert(t, slices.Sorted(maps.Keys(left)), qt.DeepEquals, []string{
+	qt.Assert(t, slices.Sorted(maps.Keys(skipped)), qt.DeepEquals, []string{
 		"consensus.Machine.local", "consensus.Machine.out", "consensus.Machine.saved", "consensus.Machine.saves",
 		"failuredetector.Detector.sorted", "failuredetector.Detector.sum",
 	})
--- /dev/null
+++ b/internal/simulation/modelcheck/run.go
@@ -0,0 +1,185 @@
+package modelcheck
+
+import "slices"
+
+// windowNotBegun is the end of a window that has not begun.
+const windowNotBegun = -1
+
+// run is one schedule under way.
+type run struct {
+	explorer *explorer
+	cluster  *cluster
+	schedule Schedule
+	// used is how many of the schedule's deviations have happened.
+	used int
+	// windowEnd is the number of the first event behind the window within which
+	// the schedule may deviate further.
+	windowEnd int
+	// children are the schedules with one more deviation.
+	children []Schedule
+}
+
+// toEnd lets events happen until the run is over.
+func (r *run) toEnd() {
+	for !r.step() {
+	}
+}
+
+// step lets one event happen, and says whether the run is over.
+func (r *run) step() (isOver bool) {
+	c := r.cluster
+	e := c.next()
+	r.beginWindow()
+	c.logEvent(e)
+	r.process(e)
+	c.processed++
+	if c.checks.violation != nil {
+		return true
+	}
+	if r.isReplaying() {
+		return false
+	}
+	return r.isExplored(e) || r.isFinished(e)
+}
+
+// beginWindow begins the window at its time.
+func (r *run) beginWindow() {
+	scope := &r.explorer.scope
+	isTime := r.cluster.nowMs >= startMs+scope.Scenario.WindowMs
+	if isTime && !r.hasWindowBegun() {
+		r.windowEnd = r.cluster.processed + scope.Depth
+	}
+}
+
+func (r *run) hasWindowBegun() bool { return r.windowEnd != windowNotBegun }
+
+// isReplaying says whether a deviation of the schedule is still to come.
+func (r *run) isReplaying() bool { return r.used < len(r.schedule) }
+
+// process lets an event happen, or the deviation that the schedule has for it.
+func (r *run) process(e *event) {
+	c := r.cluster
+	if !r.isReplaying() {
+		r.addDeviations(e)
+		c.process(e)
+		return
+	}
+	deviation := r.schedule[r.used]
+	if deviation.Event != c.processed {
+		c.process(e)
+		return
+	}
+	r.used++
+	c.applyFault(e, deviation.Fault)
+}
+
+// remainingDeviations is how many deviations the schedule may still have.
+func (r *run) remainingDeviations() int {
+	if r.isProbe() {
+		return 0
+	}
+	return r.explorer.scope.Deviations - len(r.schedule)
+}
+
+// mayDeviate says whether a deviation may happen now.
+func (r *run) mayDeviate() bool {
+	isInWindow := r.hasWindowBegun() && r.cluster.processed < r.windowEnd
+	return isInWindow && r.remainingDeviations() > 0
+}
+
+// addDeviations collects the schedules that deviate at this event.
+func (r *run) addDeviations(e *event) {
+	if !r.mayDeviate() {
+		return
+	}
+	for _, fault := range r.cluster.possibleFaults(e) {
+		r.addChild(fault)
+	}
+}
+
+func (r *run) addChild(fault Fault) {
+	child := append(slices.Clone(r.schedule), Deviation{Event: r.cluster.processed, Fault: fault})
+	r.children = append(r.children, child)
+}
+
+// isExplored says whether the state was explored before. If no deviations
+// follow, only states after a tick of the first member are compared, and the
+// one right after the last deviation.
+func (r *run) isExplored(e *event) bool {
+	isFirstMembersTick := e.isTick() && e.member == 0
+	isCompared := r.mayDeviate() || r.hasJustDeviated() || isFirstMembersTick
+	if !isCompared || !r.hasWindowBegun() {
+		return false
+	}
+	left := remaining{deviations: int16(r.remainingDeviations())}
+	if left.deviations != 0 {
+		left.events = int32(max(0, r.windowEnd-r.cluster.processed))
+	}
+	return r.explorer.visit(r.cluster.hash(), left)
+}
+
+// hasJustDeviated says whether the last event was the schedule's last
+// deviation.
+func (r *run) hasJustDeviated() bool {
+	return len(r.schedule) > 0 && r.cluster.processed-1 == r.schedule[len(r.schedule)-1].Event
+}
+
+// isProbe says whether the schedule's last deviation is a probe.
+func (r *run) isProbe() bool {
+	return len(r.schedule) > 0 && r.schedule[len(r.schedule)-1].Fault.Kind == loseMembers
+}
+
+// isFinished says whether the cluster has recovered and nothing is left to be
+// explored. If a probe follows, it waits for the time of that.
+func (r *run) isFinished(e *event) bool {
+	c := r.cluster
+	if !r.hasWindowBegun() || r.mayDeviate() || !c.hasRecovered() || c.hasPendingActions() {
+		return false
+	}
+	isProbed := !r.isProbe() && len(r.schedule) <= r.explorer.scope.ProbeDeviations
+	if !isProbed {
+		return true
+	}
+	if !e.isTick() || c.nowMs < c.faultsEndMs+c.scope.CatchUpMs {
+		return false
+	}
+	r.addProbes()
+	return true
+}
+
+// hasPendingActions says whether an action or a planned stop is still to come
+// that must be waited for.
+func (c *cluster) hasPendingActions() bool {
+	isStopping := func(m *member) bool { return m.isStopping && !m.isDown }
+	isAwaited := func(e *event) bool {
+		body, isAction := e.body.(*action)
+		return isAction && !body.isOptional
+	}
+	return slices.ContainsFunc(c.members, isStopping) || slices.ContainsFunc(c.queue, isAwaited)
+}
+
+// addProbes collects the schedules that lose as many members as may be lost.
+func (r *run) addProbes() {
+	c := r.cluster
+	for set := range uint32(1) << len(c.members) {
+		if c.isProbeSet(set) {
+			r.addChild(Fault{Kind: loseMembers, Set: set})
+		}
+	}
+}
+
+// isProbeSet says whether all members of a set run, and with those that are
+// lost already there are as many as may be lost.
+func (c *cluster) isProbeSet(set uint32) bool {
+	size := 0
+	for i, m := range c.members {
+		if !contains(set, i) {
+			continue
+		}
+		if m.isDown {
+			return false
+		}
+		size++
+	}
+	return size > 0 && size+c.lostCount() == c.scope.Losses
+}
--- a/internal/simulation/modelcheck/scope.go
+++ b/internal/simulation/modelcheck/scope.go
@@ -10,7 +10,7 @@
 	DefaultDepth      = 300
 	DefaultStates     = 1_000_000
 	// DefaultCatchUpMs is how long after a fault a site may be without a primary,
-	// and for how long a member that returned still counts as lost.
+	// and for how long a member that came back still counts as lost.
 	DefaultCatchUpMs = 4000
 	// DefaultLeaveMs bounds a planned stop.
 	DefaultLeaveMs = 4000
@@ -38,25 +38,25 @@
 	Workers int
 	// CatchUpMs bounds recovery; see DefaultCatchUpMs.
 	CatchUpMs int64
-	// LeaveTimeoutMs bounds a planned stop: a member exits once its machine says that
-	// all is handed over, and then at the latest.
+	// LeaveMs bounds a planned stop: a process exits once its machine says that it
+	// has handed over, and after this time at the latest.
 	LeaveMs int64
 	// Faults says which kinds of fault are explored; empty means all.
 	Faults []FaultKind
-	// Messages names the types of message, such as Snapshot, that faults of messages
-	// apply to; empty means all.
+	// Messages names the types of messages, such as Snapshot, that faults of
+	// messages apply to; empty means all.
 	Messages []string
-	// ProbeDeviations is the most deviations of a schedule after which every set
-	// of as many members as may be lost is lost for good, once the cluster has
-	// had its time to catch up. Below nought there is no such probe.
+	// ProbeDeviations is the most deviations of a schedule that is probed: once the
+	// cluster has had its time to catch up, every set of as many members as may be
+	// lost is lost for good. A negative number means no probes.
 	ProbeDeviations int
 	// Scenario is what happens in every schedule.
 	Scenario Scenario
-	// Wrap, where it is set, stands between the cluster and each machine.
+	// Wrap may put something between the cluster and each machine; nil is nothing.
 	Wrap func(member string, machine Stepper) Stepper
 }
 
-// withDefaults fills what is left at nought.
+// withDefaults sets fields that are 0 to their defaults.
 func (s Scope) withDefaults() Scope {
 	setDefault(&s.Members, DefaultMembers)
 	setDefault(&s.Losses, DefaultLosses)
--- a/internal/simulation/modelcheck/trace.go
+++ b/internal/simulation/modelcheck/trace.go
@@ -2,48 +2,51 @@
 
 import (
 	"fmt"
+	"math"
 	"strings"
 
 	"myrtlewinch/internal/protocol"
 )
 
-// describe writes an event into the log; messages of membership are left out.
-func (c *cluster) describe(e *event) {
+// logEvent adds an event to the trace, if one is wanted. Messages by which
+// members find each other are left out.
+func (c *cluster) logEvent(e *event) {
 	if c.log == nil {
 		return
 	}
-	switch e.kind {
-	case actionEvent:
-		c.logf("%s", e.description)
-	case writeEvent:
-		c.logf("%s: write %d complete %v", c.members[e.member].node.Name, e.write.Number, e.write.Write.Set)
-	case messageEvent:
-		switch e.envelope.Body.(type) {
-		case protocol.Heartbeat, protocol.HeartbeatReports, protocol.PeersRequest:
-			return
+	name := c.members[e.member].node.Name
+	switch body := e.body.(type) {
+	case *action:
+		c.logf("%s", body.description)
+	case *writeCompletion:
+		c.logf("%s: write %d complete %v", name, body.write.Number, body.write.Write.Set)
+	case *message:
+		if !isMembershipMessage(body.envelope.Body) {
+			c.logf("%s -> %s: %s %+v", body.envelope.From.Name, name, e.messageType(), body.envelope.Body)
 		}
-		c.logf("%s -> %s: %s %+v", e.envelope.From.Name, c.members[e.member].node.Name, e.messageType(), e.envelope.Body)
 	}
 }
 
-// messageType names the type of an event's message.
-func (e *event) messageType() string {
-	return strings.TrimPrefix(fmt.Sprintf("%T", e.envelope.Body), "protocol.")
+func isMembershipMessage(body protocol.Message) bool {
+	switch body.(type) {
+	case protocol.Heartbeat, protocol.HeartbeatReports, protocol.PeersRequest:
+		return true
+	}
+	return false
 }
 
-// Trace replays a schedule and gives what happened in it, a line each.
+// Trace replays a schedule, and gives a line for each thing that happens.
 func Trace(scope Scope, schedule Schedule) []string {
-	x := &explorer{scope: scope.withDefaults(), visited: map[uint64]remaining{}}
-	x.scope.States = 1 << 30
-	x.disks = initialDisks(x.scope)
-	c := x.newRun()
+	x := newExplorer(scope)
+	x.scope.States = math.MaxInt
+	r := x.newRun(schedule)
+	c := r.cluster
 	var lines []string
 	c.log = func(format string, args ...any) {
-		lines = append(lines, fmt.Sprintf("%6d ms, event %d: ", c.nowMs-startMs, c.processed)+fmt.Sprintf(format, args...))
-	}
-	r := &run{explorer: x, cluster: c, schedule: schedule, windowEnd: -1}
-	for !r.step() {
+		prefix := fmt.Sprintf("%6d ms, event %d: ", c.nowMs-startMs, c.processed)
+		lines = append(lines, prefix+fmt.Sprintf(format, args...))
 	}
+	r.toEnd()
 	if c.checks.violation != nil {
 		lines = append(lines, c.checks.violation.String())
 	}
