--- a/cmd/faultsim/main.go
+++ b/cmd/faultsim/main.go
@@ -1,5 +1,5 @@
-// Program drill plays failures on a site of the platform's path, in virtual
-// time, and checks the rules.
+// Program faultsim injects faults into a simulated site of the platform's path,
+// in virtual time, and checks the platform's rules.
 package main
 
 import (
@@ -7,82 +7,101 @@
 	"os"
 	"runtime"
 	"strings"
-	"sync"
 
 	"github.com/integrii/flaggy"
 
 	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/simulation/campaign"
 	"myrtlewinch/internal/simulation/faultsim"
-	"myrtlewinch/internal/threads"
 )
 
+// randomFaults is the scenario that injects faults at random.
+const randomFaults = "campaign"
+
+// options are those of the command line.
+type options struct {
+	scenario           string
+	firstSeed, seeds   int64
+	faults             int
+	trace, list, pairs bool
+}
+
+// simulation is one kind of run, for any seed.
+type simulation func(seed int64) faultsim.Result
+
 func main() {
 	cli.Setup("faultsim", "Plays failures on a site of the platform's path in virtual time and checks the rules.")
-	scenario := "campaign"
-	var seed, seeds int64 = 1, 1
-	count := 12
-	trace, list, pairs := false, false, false
-	flaggy.String(&scenario, "", "scenario", "a fault, several with + between, or campaign for faults at random")
-	flaggy.Int64(&seed, "", "seed", "the first seed")
-	flaggy.Int64(&seeds, "", "seeds", "how many seeds to play")
-	flaggy.Int(&count, "", "faults", "how many faults a campaign brings about")
-	flaggy.Bool(&trace, "", "trace", "print the trace also where no rule is broken")
-	flaggy.Bool(&list, "", "list", "print the names of the faults instead")
-	flaggy.Bool(&pairs, "", "pairs", "play each fault with each other one, over the seeds")
-	cli.Parse()
-	if list {
+	o := parseOptions()
+	if o.list {
 		fmt.Println(strings.Join(faultsim.Names(), "\n"))
 		return
 	}
-	if seeds < 1 || count < 1 {
-		cli.UsageError("seeds, faults: must be above 0")
+	violated := 0
+	for _, simulate := range o.simulations() {
+		violated += runSeeds(simulate, o)
+	}
+	fmt.Printf("%d runs broke a rule\n", violated)
+	if violated > 0 {
+		os.Exit(cli.ExitFailed)
 	}
-	play := func(seed int64) (faultsim.Result, bool) { return faultsim.Campaign(seed, count), true }
-	if scenario != "campaign" {
-		play = func(seed int64) (faultsim.Result, bool) { return faultsim.Play(seed, strings.Split(scenario, "+")...) }
+}
+
+func parseOptions() options {
+	o := options{scenario: randomFaults, firstSeed: 1, seeds: 1, faults: 12}
+	flaggy.String(&o.scenario, "", "scenario", "a fault, several with + between, or campaign for faults at random")
+	flaggy.Int64(&o.firstSeed, "", "seed", "the first seed")
+	flaggy.Int64(&o.seeds, "", "seeds", "how many seeds to play")
+	flaggy.Int(&o.faults, "", "faults", "how many faults a campaign brings about")
+	flaggy.Bool(&o.trace, "", "trace", "print the trace also where no rule is broken")
+	flaggy.Bool(&o.list, "", "list", "print the names of the faults instead")
+	flaggy.Bool(&o.pairs, "", "pairs", "play each fault with each other one, over the seeds")
+	cli.Parse()
+	if !o.list && (o.seeds < 1 || o.faults < 1) {
+		cli.UsageError("seeds, faults: must be above 0")
 	}
-	broken := 0
-	if pairs {
+	return o
+}
+
+// simulations lists the kinds of runs that the options ask for.
+func (o options) simulations() []simulation {
+	switch {
+	case o.pairs:
+		var simulations []simulation
 		for _, pair := range faultsim.Pairs() {
-			broken += playAll(func(seed int64) (faultsim.Result, bool) { return faultsim.Play(seed, pair...) }, seed, seeds, trace)
+			simulations = append(simulations, playing(pair))
 		}
-	} else {
-		broken = playAll(play, seed, seeds, trace)
-	}
-	fmt.Printf("%d runs broke a rule\n", broken)
-	if broken > 0 {
-		os.Exit(cli.ExitFailed)
+		return simulations
+	case o.scenario == randomFaults:
+		return []simulation{func(seed int64) faultsim.Result { return faultsim.Campaign(seed, o.faults) }}
 	}
+	return []simulation{playing(strings.Split(o.scenario, "+"))}
 }
 
-// playAll plays the seeds on all processors and prints what they showed; it
-// gives how many broke a rule.
-func playAll(play func(seed int64) (faultsim.Result, bool), seed, seeds int64, trace bool) int {
-	broken := 0
-	var mu sync.Mutex
-	var under sync.WaitGroup
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
-	for s := seed; s < seed+seeds; s++ {
-		places <- struct{}{}
-		under.Add(1)
-		threads.Go(func() {
-			defer func() { <-places; under.Done() }()
-			r, ok := play(s)
-			if !ok {
-				cli.UsageError("scenario: it is not known; --list prints what is")
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			switch {
-			case len(r.Violations) > 0:
-				broken++
-				fmt.Println(r.Report())
-			case trace:
-				fmt.Println(r.Simulation.Trace())
-				fmt.Println(r.Summary())
-			}
-		})
+// playing is a simulation with the named faults.
+func playing(faults []string) simulation {
+	return func(seed int64) faultsim.Result {
+		result, isKnown := faultsim.Play(seed, faults...)
+		if !isKnown {
+			cli.UsageError("scenario: it is not known; --list prints what is")
+		}
+		return result
 	}
-	under.Wait()
-	return broken
+}
+
+// runSeeds runs a simulation with all seeds, on all processors, and prints the
+// results. It returns how many runs violated a rule.
+func runSeeds(simulate simulation, o options) int {
+	violated := 0
+	run := func(index int) faultsim.Result { return simulate(o.firstSeed + int64(index)) }
+	campaign.Run(int(o.seeds), runtime.GOMAXPROCS(0), run, func(_ int, result faultsim.Result) {
+		switch {
+		case len(result.Violations) > 0:
+			violated++
+			fmt.Println(result.Report())
+		case o.trace:
+			fmt.Println(result.Simulation.Trace())
+			fmt.Println(result.Summary())
+		}
+	})
+	return violated
 }
