--- a/internal/placement/manager_test.go
+++ b/internal/placement/manager_test.go
@@ -25,7 +25,7 @@
 func (s *platformSim) copies(name string) int {
 	n := 0
 	for _, r := range s.runners {
-		if _, ok := r.held[name]; ok && !r.dead {
+		if _, ok := r.memory.Models[name]; ok && !r.dead {
 			n++
 		}
 	}
@@ -89,11 +89,11 @@
 	ids := sortedKeys(s.runners)
 	r := s.runners[ids[n%len(ids)]]
 	r.dead = true
-	disk := r.disk
+	onDisk := r.memory.OnDisk
 	s.events.After(2500, func() { delete(s.runners, r.entry.ID) })
 	s.events.After(3000, func() {
 		next := s.start(r.entry.Address, r.entry.Zone)
-		next.disk = disk
+		next.memory.OnDisk = onDisk
 	})
 }
 
@@ -170,7 +170,7 @@
 	c := qt.New(t)
 	s := newPlatformSim(t, 5, newServiceMap(4, 42, 4.2), 5)
 	for _, r := range s.runners {
-		r.held["m000"] = map[string]bool{}
+		r.memory.Models["m000"] = map[string]bool{}
 	}
 	s.recordList()
 	manager := s.manager("one")
@@ -186,10 +186,10 @@
 	})
 	held := map[string]bool{}
 	for _, r := range s.runners {
-		for a := range r.held["m000"] {
+		for a := range r.memory.Models["m000"] {
 			held[a] = true
 		}
-		c.Assert(len(r.held["m000"]) >= 7, qt.IsTrue, qt.Commentf("%v", r.held))
+		c.Assert(len(r.memory.Models["m000"]) >= 7, qt.IsTrue, qt.Commentf("%v", r.memory.Models))
 	}
 	t.Logf("held %d; late over 0.2 s: %.3f, 0.4 s: %.3f, over 1 s: %.3f, orders %d, denied %d", len(held), load.lateShare(200), load.lateShare(400), load.lateShare(1000), s.orders, load.denied)
 	c.Assert(len(held) >= 36, qt.IsTrue)
@@ -215,7 +215,7 @@
 	leaver.entry.Leaving = true
 	play(s, load, 6, ask)
 	c.Assert(manager.LeavingRunners(), qt.DeepEquals, []string{leaver.entry.ID})
-	for name := range leaver.held {
+	for name := range leaver.memory.Models {
 		c.Assert(s.copies(name) >= 2, qt.IsTrue, qt.Commentf("%s", name))
 		for _, h := range manager.LookUp(s.events.NowMs(), load.from, protocol.IndexLookUp{Service: llm, Model: name}).Holders {
 			c.Assert(h.ID, qt.Not(qt.Equals), leaver.entry.ID)
--- a/internal/placement/router_test.go
+++ b/internal/placement/router_test.go
@@ -70,7 +70,7 @@
 			t.denied++
 			continue
 		}
-		if _, there := r.held[key.Model]; !there || key.Adapter != "" && !r.held[key.Model][key.Adapter] {
+		if adapters, holds := r.memory.Models[key.Model]; !holds || key.Adapter != "" && !adapters[key.Adapter] {
 			t.denied++
 			continue
 		}
--- a/internal/placement/simulator_test.go
+++ b/internal/placement/simulator_test.go
@@ -9,6 +9,7 @@
 	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/simulation/eventqueue"
+	"myrtlewinch/internal/simulation/modelmemory"
 )
 
 // llm is the service of the simulated runners.
@@ -16,15 +17,12 @@
 
 // simRunner is a simulated runner.
 type simRunner struct {
-	entry protocol.RunnerEntry
-	// held are the adapters of each held model, disk the models on its disk.
-	held map[string]map[string]bool
-	disk map[string]bool
-	// orderCount is how many orders it accepted, fence the highest that it saw.
-	orderCount int64
-	fence      uint64
-	// finish ends the order under way at busyUntilMs; nil if there is none.
-	finish      func()
+	entry  protocol.RunnerEntry
+	memory modelmemory.Memory
+	// fence is the highest that it saw.
+	fence uint64
+	// order is the accepted order under way, which ends at busyUntilMs.
+	order       protocol.RunnerOrder
 	busyUntilMs int64
 	dead        bool
 	// active counts the running requests.
@@ -38,17 +36,9 @@
 	state protocol.RunnerState
 }
 
-func (r *simRunner) models() []protocol.HeldModel {
-	var out []protocol.HeldModel
-	for _, name := range sortedKeys(r.held) {
-		out = append(out, protocol.HeldModel{Name: name, Version: 1, Adapters: sortedKeys(r.held[name])})
-	}
-	return out
-}
-
 func (r *simRunner) state() protocol.RunnerState {
 	return protocol.RunnerState{
-		Models: r.models(), Busy: r.finish != nil, Calls: r.orderCount,
+		Models: r.memory.HeldModels(), Busy: r.memory.IsBusy, Calls: r.memory.AcceptedOrders,
 		Active: r.active, CacheTotal: 100_000, CacheUsed: int64(r.active) * 1000,
 	}
 }
@@ -137,7 +127,7 @@
 func (s *platformSim) start(address, zone string) *simRunner {
 	s.lastRunner++
 	id := fmt.Sprintf("r%04d", s.lastRunner)
-	r := &simRunner{held: map[string]map[string]bool{}, disk: map[string]bool{}}
+	r := &simRunner{memory: modelmemory.New(map[string]bool{})}
 	r.entry = protocol.RunnerEntry{ID: id, Service: llm, Address: address, Zone: zone, Slots: s.engine.Slots, LeftMs: -1}
 	s.runners[id] = r
 	return r
@@ -151,9 +141,8 @@
 		for range ids {
 			r := s.runners[ids[at%len(ids)]]
 			at++
-			if r.held[name] == nil && s.usedMb(r)+s.model(name).SizeMb <= s.engine.WeightMemoryMb {
-				r.held[name] = map[string]bool{}
-				r.disk[name] = true
+			if r.memory.Models[name] == nil && s.usedMb(r)+s.model(name).SizeMb <= s.engine.WeightMemoryMb {
+				r.memory.Models[name], r.memory.OnDisk[name] = map[string]bool{}, true
 				return true
 			}
 		}
@@ -178,7 +167,7 @@
 
 func (s *platformSim) usedMb(r *simRunner) float64 {
 	sum := 0.0
-	for name, adapters := range r.held {
+	for name, adapters := range r.memory.Models {
 		sum += s.model(name).SizeMb + float64(len(adapters))*s.model(name).AdapterSizeMb
 	}
 	return sum
@@ -196,7 +185,7 @@
 	for _, id := range sortedKeys(s.runners) {
 		r := s.runners[id]
 		e := r.entry
-		e.Models = r.models()
+		e.Models = r.memory.HeldModels()
 		list = append(list, e)
 	}
 	s.lists = append(s.lists, pastList{s.events.NowMs(), list})
@@ -223,10 +212,8 @@
 		s.recordList()
 	}
 	for _, r := range s.runners {
-		if r.finish != nil && s.events.NowMs() >= r.busyUntilMs {
-			finish := r.finish
-			r.finish = nil
-			finish()
+		if r.memory.IsBusy && s.events.NowMs() >= r.busyUntilMs {
+			r.memory.Complete(r.order)
 		}
 		if s.events.NowMs()%20 == 0 {
 			r.history = append(r.history, pastState{s.events.NowMs(), r.state()})
@@ -319,25 +306,15 @@
 		return protocol.OutcomeFenced
 	}
 	r.fence = order.Fence
-	if r.finish != nil || order.Expected != r.orderCount {
-		return protocol.OutcomeBusy
-	}
-	_, holds := r.held[order.Model]
-	if order.Adapter != "" {
-		if !holds {
-			return protocol.OutcomeRejected
-		}
-		holds = r.held[order.Model][order.Adapter]
-	}
-	if order.Load == holds {
-		return protocol.OutcomeAlreadyInEffect
+	outcome := r.memory.Accept(order, false)
+	if outcome == protocol.OutcomeAccepted {
+		r.order, r.busyUntilMs = order, s.events.NowMs()+s.begin(r, order)
 	}
-	r.orderCount++
-	r.busyUntilMs = s.events.NowMs() + s.begin(r, order)
-	return protocol.OutcomeAccepted
+	return outcome
 }
 
-// begin starts to carry out an order, and returns the ms that it takes.
+// begin checks an accepted order against the room of its runner, and returns the
+// ms that it takes.
 func (s *platformSim) begin(r *simRunner, order protocol.RunnerOrder) (tookMs int64) {
 	switch {
 	case order.Load && order.Adapter == "":
@@ -346,10 +323,8 @@
 		s.beginAdapterLoad(r, order)
 		return 10
 	case order.Adapter == "":
-		r.finish = func() { delete(r.held, order.Model) }
 		return int64(20 + s.rnd.IntN(600))
 	}
-	r.finish = func() { delete(r.held[order.Model], order.Adapter) }
 	return int64(5 + s.rnd.IntN(30))
 }
 
@@ -360,8 +335,7 @@
 	if s.usedMb(r)+m.SizeMb > s.engine.WeightMemoryMb {
 		s.violations = append(s.violations, fmt.Sprintf("%d ms: %s overfilled with %s", s.events.NowMs(), r.entry.ID, name))
 	}
-	r.finish = func() { r.held[name], r.disk[name] = map[string]bool{}, true }
-	if r.disk[name] {
+	if r.memory.OnDisk[name] {
 		return fromDiskMs
 	}
 	s.storeStartsMs = append(s.storeStartsMs, s.events.NowMs())
@@ -370,14 +344,13 @@
 
 func (s *platformSim) beginAdapterLoad(r *simRunner, order protocol.RunnerOrder) {
 	adapters := 0
-	for _, held := range r.held {
+	for _, held := range r.memory.Models {
 		adapters += len(held)
 	}
 	full := s.usedMb(r)+s.model(order.Model).AdapterSizeMb > s.engine.WeightMemoryMb
 	if full || adapters >= s.engine.MaxAdapters {
 		s.violations = append(s.violations, fmt.Sprintf("%d ms: %s overfilled with %s %s", s.events.NowMs(), r.entry.ID, order.Model, order.Adapter))
 	}
-	r.finish = func() { r.held[order.Model][order.Adapter] = true }
 }
 
 // mostStoreLoads is the most loads from the store that began in any window.
--- a/internal/simulation/scalesim/network.go
+++ b/internal/simulation/scalesim/network.go
@@ -143,13 +143,13 @@
 	if r == nil {
 		return protocol.OutcomeRejected
 	}
-	outcome := r.acceptOrder(order)
+	outcome := r.memory.Accept(order, false)
 	if outcome == protocol.OutcomeAccepted {
 		tookMs, fromStore := r.orderDuration(order)
 		if fromStore {
 			s.storeLoads++
 		}
-		s.events.After(tookMs, func() { r.finishOrder(order) })
+		s.events.After(tookMs, func() { r.memory.Complete(order) })
 	}
 	return outcome
 }
@@ -159,7 +159,7 @@
 	out := make([]protocol.RunnerEntry, 0, len(s.runners))
 	for _, r := range s.runners {
 		entry := r.entry
-		entry.Models = r.models()
+		entry.Models = r.memory.HeldModels()
 		out = append(out, entry)
 	}
 	return out
--- a/internal/simulation/scalesim/simulation.go
+++ b/internal/simulation/scalesim/simulation.go
@@ -13,6 +13,7 @@
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/proxy"
 	"myrtlewinch/internal/simulation/eventqueue"
+	"myrtlewinch/internal/simulation/modelmemory"
 )
 
 const (
@@ -138,7 +139,7 @@
 	// idFactor spreads the ids, so that their order is not that of the runners.
 	const idFactor = 2654435761
 	for i := range s.size.Runners {
-		r := &simRunner{held: map[string]map[string]bool{}, onDisk: map[string]bool{}}
+		r := &simRunner{memory: modelmemory.New(map[string]bool{})}
 		r.entry = protocol.RunnerEntry{
 			ID: fmt.Sprintf("i-%08x", uint32(i)*idFactor), Service: serviceName,
 			Address: fmt.Sprintf("10.%d.%d.%d:8080", 128+i>>16, i>>8&255, i&255),
@@ -159,8 +160,8 @@
 		for range s.runners {
 			r := s.runners[next%len(s.runners)]
 			next++
-			if len(r.held) < modelsPerRunner && r.held[model] == nil {
-				r.held[model], r.onDisk[model] = map[string]bool{}, true
+			if len(r.memory.Models) < modelsPerRunner && r.memory.Models[model] == nil {
+				r.memory.Models[model], r.memory.OnDisk[model] = map[string]bool{}, true
 				placesLeft--
 				return
 			}
