--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -1,161 +1,192 @@
-// Package config is the service map that operators write: which requests
-// there are, by host and path, which services they may go to, and what the
-// runners of a service can hold. Its words are the product's; how an operator
-// writes one is the door's business.
+// Package config is the model of the configuration that operators submit: which
+// requests there are (by host and path), which services may serve them, and what
+// the runners of a service can hold. How operators write it is known only to the
+// platform's format; see controller.ConfigFormat.
+//
+// The JSON tags are the names that the fields had before. Only the simulators
+// write configurations as JSON; their results depend on the size of the text.
 package config
 
 import "strings"
 
-// RequestKind says what may be repeated of a route's requests.
+// RequestKind says whether the requests of a route may be executed repeatedly.
 type RequestKind int
 
-// The kinds.
+// The kinds of requests.
 const (
-	// Unsafe requests run at most once for each request of a client.
+	// Unsafe requests are executed at most once for each request of a client.
 	Unsafe RequestKind = iota
-	// Safe requests may run more than once.
+	// Safe requests may be executed more than once.
 	Safe
-	// Stream requests are answered piece by piece. They may be repeated only
-	// where the route may resume, going on after the last piece passed on.
+	// Stream requests are answered event by event. They may be repeated only
+	// on a route that is resumable, from the last event that was forwarded.
 	Stream
 )
 
-// Configuration is one whole service map.
+// Configuration is one complete configuration. Its version is above that of the
+// configuration before.
 type Configuration struct {
 	Version  uint64
 	Routes   []Route
 	Services []Service
 	Limits   Limits
 
-	hosts    map[string][]int
-	services map[string]int
+	// routesByHost has the indexes of the routes of each host in lower case,
+	// serviceByName the index of each service. BuildIndex sets them.
+	routesByHost  map[string][]int
+	serviceByName map[string]int
 }
 
-// Route is what a host and a path prefix lead to.
+// Route says how the requests of a host and a path prefix are served.
 type Route struct {
 	Name, Host string
+	// PathPrefix begins and ends with a slash.
 	PathPrefix string `json:"Prefix"`
 	Kind       RequestKind
-	// TimeoutMs is the longest the operator wants a request held.
+	// TimeoutMs is the longest that a request may take; then it is given up.
 	TimeoutMs int64 `json:"GiveUpMs"`
-	// LatencyTargetMs is the time within which an answer earns its full worth; for
-	// streams it counts to the first piece.
+	// LatencyTargetMs is the time within which a response should be complete.
+	// For a stream it is the time to the first event.
 	LatencyTargetMs int64 `json:"AimMs"`
-	// Priority is the rank; nought is the highest.
+	// Priority is 0 for the highest; larger numbers are lower.
 	Priority int
-	Split    []WeightedService
-	// MaxAttempts is the greatest number of runners one request may be sent to.
+	// Split distributes the requests over services by weight.
+	Split []WeightedService
+	// MaxAttempts is the most runners that one request may be sent to; at
+	// least 1.
 	MaxAttempts int `json:"Tries"`
-	// PrefixCacheAffinity says that prompts share parts that runners keep.
+	// PrefixCacheAffinity says that prompts share parts, so that a request is
+	// served faster by a runner that has its parts in the prefix cache.
 	PrefixCacheAffinity bool `json:"Sticky"`
-	Resumable           bool `json:"Resume"`
-	// MaxEventGapMs is the longest pause between pieces that is still in time.
+	// Resumable says that a stream may go on at another runner.
+	Resumable bool `json:"Resume"`
+	// MaxEventGapMs is the longest pause between two events of a stream that
+	// is still acceptable; 0 where the operator gives none.
 	MaxEventGapMs int64 `json:"GapMs"`
 }
 
-// WeightedService is the part of a route's requests that goes to a service.
+// WeightedService is a service with its weight in the split of a route.
 type WeightedService struct {
 	Service string
 	Weight  int64
 }
 
-// Service is a set of runners that answer alike.
+// Service is a set of runners that can serve the same requests.
 type Service struct {
-	Name       string
+	Name string
+	// HealthPath is the path of the runners' health check.
 	HealthPath string `json:"SoundnessPath"`
-	// MaxConnections is how many connections a runner takes from all daemons.
+	// MaxConnections is how many connections a runner accepts from all
+	// processes together; 0 means no limit.
 	MaxConnections int `json:"MostStreams"`
-	// Engine says what its runners can hold; nil where they hold no models.
+	// Engine says what the runners can hold; nil where they hold no models.
 	Engine *Engine
 }
 
 // Engine is what each runner of a service can do.
 type Engine struct {
-	// Slots is how many requests run at once.
+	// Slots is how many requests a runner executes at the same time.
 	Slots int
-	// CacheTokens is the memory for tokens that running requests and kept
-	// prompts share.
+	// CacheTokens is the memory, in tokens, that running requests and the
+	// prefix cache share.
 	CacheTokens int64
-	// TokensPerEvent is how many tokens one piece of a stream carries.
+	// TokensPerEvent is how many tokens one event of a stream carries; at
+	// least 1.
 	TokensPerEvent int `json:"Stride"`
-	Models         []Model
-	// WeightMemoryMb holds models and adapters together.
+	// Models are the models that a runner may hold.
+	Models []Model
+	// WeightMemoryMb is the memory for the weights of models and adapters
+	// together.
 	WeightMemoryMb float64 `json:"RoomMb"`
-	// MaxAdapters is how many adapters a runner takes.
+	// MaxAdapters is how many adapters a runner may hold.
 	MaxAdapters int `json:"AdapterRoom"`
-	// LoadsPerSec is the pace of the weight store over all runners.
+	// LoadsPerSec is how many loads a second the weight store sustains, over
+	// all runners together.
 	LoadsPerSec float64
 
-	models map[string]int
+	// modelByName has the index of each model. BuildIndex sets it.
+	modelByName map[string]int
 }
 
-// Model is what a runner may hold; its adapters are named a1, a2 and onward.
+// Model is a model that runners may hold. Its adapters are named a1, a2 and so on.
 type Model struct {
-	Name          string
-	SizeMb        float64 `json:"Mb"`
-	LoadMs        int64
+	Name   string
+	SizeMb float64 `json:"Mb"`
+	// LoadMs is how long a load from the weight store takes.
+	LoadMs int64
+	// AdapterCount is how many adapters there are for the model.
 	AdapterCount  int     `json:"Adapters"`
 	AdapterSizeMb float64 `json:"AdapterMb"`
 }
 
-// Limits bound what a client may send.
+// Limits bound what a client may send. Where one is 0 the router's own limit
+// applies.
 type Limits struct {
-	MaxHeaderBytes  int64 `json:"HeaderBytes"`
-	MaxBodyBytes    int64 `json:"BodyBytes"`
+	// MaxHeaderBytes and MaxBodyBytes bound one request.
+	MaxHeaderBytes int64 `json:"HeaderBytes"`
+	MaxBodyBytes   int64 `json:"BodyBytes"`
+	// HeaderTimeoutMs is how long the header of a request may take to arrive.
 	HeaderTimeoutMs int64 `json:"HeaderWaitMs"`
-	IdleTimeoutMs   int64 `json:"IdleMs"`
+	// IdleTimeoutMs is how long a connection may be without a request.
+	IdleTimeoutMs int64 `json:"IdleMs"`
 }
 
-// Retryable says whether a request of the route may run more than once.
+// Retryable says whether a request of the route may be executed more than once.
 func (r *Route) Retryable() bool { return r.Kind == Safe || r.Kind == Stream && r.Resumable }
 
-// BuildIndex makes a read map ready to be asked. It must be called once after the
-// fields are set.
-func (m *Configuration) BuildIndex() {
-	m.hosts, m.services = map[string][]int{}, map[string]int{}
-	for i := range m.Routes {
-		host := strings.ToLower(m.Routes[i].Host)
-		m.hosts[host] = append(m.hosts[host], i)
+// BuildIndex prepares the look-ups by name. It must be called once, after the
+// fields are set and before any of the Find methods.
+func (c *Configuration) BuildIndex() {
+	c.routesByHost = map[string][]int{}
+	for i := range c.Routes {
+		host := strings.ToLower(c.Routes[i].Host)
+		c.routesByHost[host] = append(c.routesByHost[host], i)
 	}
-	for i := range m.Services {
-		m.services[m.Services[i].Name] = i
-		if e := m.Services[i].Engine; e != nil {
-			e.models = map[string]int{}
-			for j := range e.Models {
-				e.models[e.Models[j].Name] = j
-			}
+	c.serviceByName = map[string]int{}
+	for i := range c.Services {
+		c.serviceByName[c.Services[i].Name] = i
+		if engine := c.Services[i].Engine; engine != nil {
+			engine.buildIndex()
 		}
 	}
 }
 
-// FindRoute finds the route of a request: of the host's routes the longest prefix
-// that begins the path.
-func (m *Configuration) FindRoute(host, path string) (*Route, bool) {
+func (e *Engine) buildIndex() {
+	e.modelByName = map[string]int{}
+	for i := range e.Models {
+		e.modelByName[e.Models[i].Name] = i
+	}
+}
+
+// FindRoute returns the route of a request: among the routes of the host, the one
+// with the longest prefix of the path.
+func (c *Configuration) FindRoute(host, path string) (*Route, bool) {
 	best := -1
-	for _, i := range m.hosts[strings.ToLower(host)] {
-		prefix := m.Routes[i].PathPrefix
-		if strings.HasPrefix(path, prefix) && (best < 0 || len(prefix) > len(m.Routes[best].PathPrefix)) {
+	for _, i := range c.routesByHost[strings.ToLower(host)] {
+		prefix := c.Routes[i].PathPrefix
+		isLonger := best < 0 || len(prefix) > len(c.Routes[best].PathPrefix)
+		if isLonger && strings.HasPrefix(path, prefix) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return nil, false
 	}
-	return &m.Routes[best], true
+	return &c.Routes[best], true
 }
 
-// FindService finds a service by name.
-func (m *Configuration) FindService(name string) (*Service, bool) {
-	i, ok := m.services[name]
+// FindService returns the service of a name.
+func (c *Configuration) FindService(name string) (*Service, bool) {
+	i, ok := c.serviceByName[name]
 	if !ok {
 		return nil, false
 	}
-	return &m.Services[i], true
+	return &c.Services[i], true
 }
 
-// FindModel finds a model that the engine's runners may hold.
+// FindModel returns the model of a name.
 func (e *Engine) FindModel(name string) (*Model, bool) {
-	i, ok := e.models[name]
+	i, ok := e.modelByName[name]
 	if !ok {
 		return nil, false
 	}
--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -5,83 +5,111 @@
 	"strings"
 )
 
-// place is what tells two routes apart.
-type place struct{ host, prefix string }
+// maxWeight bounds one weight of a split, so that their sum can't overflow.
+const maxWeight = 1 << 40
 
-// Faults gives everything for which the map may not come into force, in the
-// order of the routes; none means that it is sound. Whether its version may
-// follow the one in force is not asked here.
-func (m *Configuration) Faults() []string {
-	var faults []string
-	fault := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
-	if m.Version == 0 {
-		fault("version: must be above 0")
+// Faults returns all reasons why the configuration can't come into force, first
+// those of the services and then those of the routes, in their order. It does not
+// check whether the version may follow the one in force.
+func (c *Configuration) Faults() []string {
+	v := validator{
+		services: make(map[string]bool, len(c.Services)),
+		names:    make(map[string]bool, len(c.Routes)),
+		routes:   make(map[routeKey]string, len(c.Routes)),
 	}
-	services := make(map[string]bool, len(m.Services))
-	for i := range m.Services {
-		name := m.Services[i].Name
-		if name == "" {
-			fault("services[%d]: has no name", i)
-		}
-		// Which of the two a route meant could not be told.
-		if services[name] {
-			fault("services[%d] %s: is given twice", i, name)
-		}
-		services[name] = true
+	if c.Version == 0 {
+		v.fault("version: must be above 0")
 	}
-	names := make(map[string]bool, len(m.Routes))
-	places := make(map[place]string, len(m.Routes))
-	for i := range m.Routes {
-		r := &m.Routes[i]
-		if r.Name == "" {
-			fault("routes[%d]: has no name", i)
-		}
-		if names[r.Name] {
-			fault("routes[%d] %s: is given twice", i, r.Name)
-		}
-		names[r.Name] = true
-		if r.Host == "" {
-			fault("routes[%d] %s: has no host", i, r.Name)
-		}
-		if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
-			fault("routes[%d] %s: prefix %q must begin and end with a slash", i, r.Name, r.PathPrefix)
-		}
-		// Hosts are told apart without regard to case, as Route does.
-		at := place{strings.ToLower(r.Host), r.PathPrefix}
-		if other, taken := places[at]; taken {
-			fault("routes[%d] %s: has the host and prefix of %s", i, r.Name, other)
-		}
-		places[at] = r.Name
-		if r.TimeoutMs <= 0 {
-			fault("routes[%d] %s: would be given up after %d ms; it must be above 0", i, r.Name, r.TimeoutMs)
-		}
-		faults = append(faults, r.splitFaults(i, services)...)
+	for i := range c.Services {
+		v.checkService(i, &c.Services[i])
 	}
-	return faults
+	for i := range c.Routes {
+		v.checkRoute(i, &c.Routes[i])
+	}
+	return v.faults
+}
+
+// routeKey is what distinguishes two routes: a request that matches both would
+// have no one route.
+type routeKey struct{ host, prefix string }
+
+// validator collects the faults of a configuration.
+type validator struct {
+	faults []string
+	// services and names are the names of the services and of the routes that
+	// were checked; routes has the names of the routes by key.
+	services, names map[string]bool
+	routes          map[routeKey]string
 }
 
-func (r *Route) splitFaults(i int, services map[string]bool) []string {
-	var faults []string
+func (v *validator) fault(format string, args ...any) {
+	v.faults = append(v.faults, fmt.Sprintf(format, args...))
+}
+
+func (v *validator) checkService(i int, s *Service) {
+	if s.Name == "" {
+		v.fault("services[%d]: has no name", i)
+	}
+	if v.services[s.Name] {
+		v.fault("services[%d] %s: is given twice", i, s.Name)
+	}
+	v.services[s.Name] = true
+}
+
+func (v *validator) checkRoute(i int, r *Route) {
+	v.checkRouteName(i, r)
+	v.checkRouteKey(i, r)
+	if r.TimeoutMs <= 0 {
+		v.fault("routes[%d] %s: would be given up after %d ms; it must be above 0", i, r.Name, r.TimeoutMs)
+	}
+	v.checkSplit(i, r)
+}
+
+func (v *validator) checkRouteName(i int, r *Route) {
+	if r.Name == "" {
+		v.fault("routes[%d]: has no name", i)
+	}
+	if v.names[r.Name] {
+		v.fault("routes[%d] %s: is given twice", i, r.Name)
+	}
+	v.names[r.Name] = true
+}
+
+// checkRouteKey checks the host and the path prefix.
+func (v *validator) checkRouteKey(i int, r *Route) {
+	if r.Host == "" {
+		v.fault("routes[%d] %s: has no host", i, r.Name)
+	}
+	if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
+		v.fault("routes[%d] %s: prefix %q must begin and end with a slash", i, r.Name, r.PathPrefix)
+	}
+	// FindRoute ignores the case of hosts too.
+	key := routeKey{strings.ToLower(r.Host), r.PathPrefix}
+	if other, found := v.routes[key]; found {
+		v.fault("routes[%d] %s: has the host and prefix of %s", i, r.Name, other)
+	}
+	v.routes[key] = r.Name
+}
+
+func (v *validator) checkSplit(i int, r *Route) {
 	var sum int64
-	bad := false
+	areWeightsValid := true
 	for _, share := range r.Split {
-		if !services[share.Service] {
-			faults = append(faults, fmt.Sprintf("routes[%d] %s: unknown service %q", i, r.Name, share.Service))
+		if !v.services[share.Service] {
+			v.fault("routes[%d] %s: unknown service %q", i, r.Name, share.Service)
 		}
 		if share.Weight < 0 {
-			bad = true
-			faults = append(faults, fmt.Sprintf("routes[%d] %s: weight %d of %s is below 0", i, r.Name, share.Weight, share.Service))
+			areWeightsValid = false
+			v.fault("routes[%d] %s: weight %d of %s is below 0", i, r.Name, share.Weight, share.Service)
 		}
-		// A sum that runs over would look like nought or less.
-		if sum += share.Weight; share.Weight > weightMost {
-			bad = true
-			faults = append(faults, fmt.Sprintf("routes[%d] %s: weight %d of %s is above %d", i, r.Name, share.Weight, share.Service, int64(weightMost)))
+		if share.Weight > maxWeight {
+			areWeightsValid = false
+			v.fault("routes[%d] %s: weight %d of %s is above %d", i, r.Name, share.Weight, share.Service, int64(maxWeight))
 		}
+		sum += share.Weight
 	}
-	if sum <= 0 && !bad {
-		faults = append(faults, fmt.Sprintf("routes[%d] %s: the weights add up to %d", i, r.Name, sum))
+	// The sum of invalid weights says nothing, and may have overflowed.
+	if areWeightsValid && sum <= 0 {
+		v.fault("routes[%d] %s: the weights add up to %d", i, r.Name, sum)
 	}
-	return faults
 }
-
-const weightMost = 1 << 40
