--- a/internal/consensus/application.go
+++ b/internal/consensus/application.go
@@ -63,20 +63,20 @@
 type host struct{ m *Machine }
 
 func (h host) NowMs() int64        { return h.m.nowMs }
-func (h host) Active() bool        { return h.m.active() }
+func (h host) Active() bool        { return h.m.serves() }
 func (h host) QuorumContact() bool { return h.m.inContact() }
-func (h host) LeaseUntilMs() int64 { return h.m.election.leaseUntilMs }
-func (h host) OrdersFromMs() int64 { return h.m.election.ordersMs }
+func (h host) LeaseUntilMs() int64 { return h.m.election.LeaseUntilMs }
+func (h host) OrdersFromMs() int64 { return h.m.election.OrdersFromMs }
 func (h host) Self() protocol.Node { return h.m.set.Self }
-func (h host) Epoch() uint64       { return h.m.record.Epoch }
+func (h host) Epoch() uint64       { return h.m.record().Epoch }
 
 func (h host) Primary() protocol.Node {
-	place, _ := h.m.roster.Node(h.m.record.Primary)
+	place, _ := h.m.detector.Node(h.m.record().Primary)
 	return place
 }
 
 func (h host) live(part string) []protocol.Node {
-	return slices.DeleteFunc(h.m.roster.NodesOf(part), func(p protocol.Node) bool { return !h.m.roster.Live(h.m.nowMs, p.Name) })
+	return slices.DeleteFunc(h.m.detector.NodesOf(part), func(p protocol.Node) bool { return !h.m.detector.Live(h.m.nowMs, p.Name) })
 }
 
 func (h host) Controllers() []protocol.Node { return h.live(protocol.RoleController) }
@@ -93,6 +93,6 @@
 	h.m.out.Calls = append(h.m.out.Calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
-func (h host) Answer(id uint64, body any)      { h.m.answer(id, body) }
-func (h host) Logf(format string, args ...any) { h.m.note(format, args...) }
+func (h host) Answer(id uint64, body any)      { h.m.respond(id, body) }
+func (h host) Logf(format string, args ...any) { h.m.logf(format, args...) }
 func (h host) Count(name string)               { h.m.out.Counts = append(h.m.out.Counts, name) }
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -1,6 +1,7 @@
 package consensus
 
 import (
+	"myrtlewinch/internal/election"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
@@ -9,35 +10,30 @@
 
 // acceptPrimary says whether a message of a primary counts, and adopts its record.
 func (m *Machine) acceptPrimary(from protocol.Node, record protocol.EpochRecord, ballot protocol.Ballot) bool {
-	if record.Epoch < m.record.Epoch || record.Primary != from.Name || record.Epoch == 0 {
+	accepted := false
+	m.elect(func(e *election.Machine, env *election.Environment) {
+		accepted = e.AcceptPrimary(env, from, record, ballot)
+	})
+	if !accepted {
 		m.count(errkind.LowerEpoch)
-		return false
-	}
-	if record.Epoch > m.record.Epoch && m.isPrimary() {
-		m.losePrimacy("a higher epoch serves")
 	}
-	m.adopt(record, ballot)
-	return true
+	return accepted
 }
 
-// notePrimaryAlive notes that the primary lives. A message that answers what this
-// daemon said long ago was delayed on its way, and tells nothing of now.
+// notePrimaryAlive notes that the primary is alive. A message that answers what
+// this daemon said long ago was delayed on its way, and tells nothing of now.
 func (m *Machine) notePrimaryAlive(echo protocol.ClockEcho) {
-	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.waits.ElectionTimeoutMs {
+	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.set.Timing.ElectionTimeoutMs {
 		m.count(errkind.Overtaken)
 		return
 	}
-	m.election.heardMs = m.nowMs
-	// A candidate that hears from the primary after all has no more cause.
-	if m.election.role == asking {
-		m.retreat(0)
-	}
+	m.elect(func(e *election.Machine, env *election.Environment) { e.PrimaryAlive(env) })
 }
 
 // handleAppend follows the primary.
-func (m *Machine) handleAppend(e protocol.Envelope, message protocol.Append) {
-	rival := m.isPrimary() && message.Record.Epoch == m.record.Epoch
-	if rival || !m.acceptPrimary(e.From, message.Record, message.Ballot) {
+func (m *Machine) handleAppend(from protocol.Node, message protocol.Append) {
+	rival := m.isPrimary() && message.Record.Epoch == m.record().Epoch
+	if rival || !m.acceptPrimary(from, message.Record, message.Ballot) {
 		return
 	}
 	// Changes chain, so those of a message that was overtaken still count; all
@@ -48,8 +44,8 @@
 		m.notePrimaryAlive(message.Contact)
 		m.applyHeader(message)
 	}
-	if !m.applyChanges(e.From, message.Changes) {
-		m.acknowledge(e.From)
+	if !m.applyChanges(from, message.Changes) {
+		m.acknowledge(from)
 	}
 }
 
@@ -57,7 +53,7 @@
 func (m *Machine) applyHeader(message protocol.Append) {
 	if len(message.Peers) > 0 {
 		m.follower.NodesDigest = 0
-		if m.roster.AddNodes(m.nowMs, message.Peers) {
+		if m.detector.AddNodes(m.nowMs, message.Peers) {
 			m.follower.NodesDigest = message.PeersSum
 		}
 	}
@@ -66,8 +62,8 @@
 		m.set.Hooks.HintsReceived(message.Soft)
 	}
 	m.follower.NoteContact(m.nowMs, m.startMs, message.Contact)
-	if message.MayLeave && m.leaving.wanted {
-		m.depart("nothing is left to hand over")
+	if message.MayLeave && m.leaving.begun {
+		m.endLeave("nothing is left to hand over")
 	}
 }
 
@@ -77,11 +73,11 @@
 func (m *Machine) applyChanges(from protocol.Node, changes []protocol.Change) bool {
 	applied := false
 	for _, change := range changes {
-		if !m.follower.GoesOn(change) || m.broken {
+		if !m.follower.GoesOn(change) || m.disk.failed {
 			continue
 		}
 		if err := m.state.Take(change.Rows); err != nil {
-			m.note("a change can't be read: %v", err)
+			m.logf("a change can't be read: %v", err)
 			m.count(errkind.Malformed)
 			break
 		}
@@ -95,13 +91,13 @@
 }
 
 // handleSnapshot replaces this daemon's state by the primary's.
-func (m *Machine) handleSnapshot(e protocol.Envelope, snapshot protocol.Snapshot) {
-	if m.isPrimary() || m.broken || !m.acceptPrimary(e.From, snapshot.Record, protocol.Ballot{}) {
+func (m *Machine) handleSnapshot(from protocol.Node, snapshot protocol.Snapshot) {
+	if m.isPrimary() || m.disk.failed || !m.acceptPrimary(from, snapshot.Record, protocol.Ballot{}) {
 		return
 	}
 	if !m.follower.IsNewer(snapshot.At) {
 		m.count(errkind.Overtaken)
-		m.acknowledge(e.From)
+		m.acknowledge(from)
 		return
 	}
 	if !m.follower.Overtaken(snapshot.Record.Epoch, snapshot.Sequence) {
@@ -109,26 +105,26 @@
 	}
 	state := ledger.New()
 	if err := state.Take(snapshot.Rows); err != nil {
-		m.note("a snapshot can't be read: %v", err)
+		m.logf("a snapshot can't be read: %v", err)
 		m.count(errkind.Malformed)
 		return
 	}
 	m.state = state
 	m.set.Application.StateChanged(host{m})
-	m.note("took a snapshot at change %d", snapshot.At.Number)
+	m.logf("took a snapshot at change %d", snapshot.At.Number)
 	write := storage.Write{ClearPrefix: ledger.Prefix, Set: snapshot.Rows}
-	m.writeRows(write, snapshot.At, func() { m.acknowledge(e.From) })
+	m.writeRows(write, snapshot.At, func() { m.acknowledge(from) })
 }
 
 // acknowledge tells the primary how far this disk is. A daemon whose disk failed
 // says nothing, so that another takes its part.
 func (m *Machine) acknowledge(to protocol.Node) {
-	if m.broken {
+	if m.disk.failed {
 		return
 	}
 	m.send(to, protocol.AppendReply{
-		Epoch: m.record.Epoch, At: m.follower.Durable, WitnessBlank: m.witness.Blank(), PeersSum: m.follower.NodesDigest,
-		Contact: protocol.ClockEcho{SentMs: m.nowMs, StartMs: m.startMs}, Leaving: m.leaving.wanted,
+		Epoch: m.record().Epoch, At: m.follower.Durable, WitnessBlank: m.witness.acceptor.Blank(), PeersSum: m.follower.NodesDigest,
+		Contact: protocol.ClockEcho{SentMs: m.nowMs, StartMs: m.startMs}, Leaving: m.leaving.begun,
 		Taken: m.follower.Received, Heard: m.follower.NewestSequence(),
 	})
 }
@@ -138,7 +134,7 @@
 // is handed out without it may have been replaced long ago.
 func (m *Machine) inContact() bool {
 	if m.isPrimary() {
-		return m.active()
+		return m.serves()
 	}
-	return m.follower.HasContact(m.nowMs, m.waits.LeaseMs)
+	return m.follower.HasContact(m.nowMs, m.set.Timing.LeaseMs)
 }
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -82,10 +82,10 @@
 }
 
 func (h host) IsPrimary() bool                   { return h.m.isPrimary() }
-func (h host) Record() protocol.EpochRecord      { return h.m.record }
-func (h host) PrimaryHeardMs() int64             { return h.m.election.heardMs }
-func (h host) Peers() []protocol.Node            { return h.m.roster.Nodes() }
-func (h host) Known(part string) []protocol.Node { return h.m.roster.NodesOf(part) }
+func (h host) Record() protocol.EpochRecord      { return h.m.record() }
+func (h host) PrimaryHeardMs() int64             { return h.m.election.HeardMs }
+func (h host) Peers() []protocol.Node            { return h.m.detector.Nodes() }
+func (h host) Known(part string) []protocol.Node { return h.m.detector.NodesOf(part) }
 func (h host) State() *ledger.State              { return h.m.state }
 
 func (h host) Settled() bool {
@@ -99,16 +99,16 @@
 func (h host) MemberStatus() MemberStatus {
 	m := h.m
 	status := MemberStatus{
-		Role: roleNames[m.election.role], DiskBroken: m.broken, Retired: m.retired, WitnessBlank: m.witness.Blank(),
+		Role: m.election.Role.String(), DiskBroken: m.disk.failed, Retired: m.retired, WitnessBlank: m.witness.acceptor.Blank(),
 	}
 	for _, seat := range m.silentWitnesses() {
 		status.Away = append(status.Away, seat.Name)
 	}
-	for _, place := range m.roster.Nodes() {
+	for _, place := range m.detector.Nodes() {
 		if place.Name == m.set.Self.Name {
 			continue
 		}
-		agoMs, seen := m.roster.SilentMs(m.nowMs, place.Name)
+		agoMs, seen := m.detector.SilentMs(m.nowMs, place.Name)
 		if !seen {
 			agoMs = -1
 		}
--- /dev/null
+++ b/internal/consensus/messages.go
@@ -0,0 +1,114 @@
+package consensus
+
+import (
+	"slices"
+
+	"myrtlewinch/internal/election"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+// handleEnvelope takes a message of another daemon or of this one itself.
+func (m *Machine) handleEnvelope(e protocol.Envelope) {
+	if e.Site != m.set.Site {
+		m.count(errkind.WrongSite)
+		return
+	}
+	// An address may have passed to another daemon.
+	if e.To != "" && e.To != m.set.Self.Name {
+		m.count(errkind.WrongDaemon)
+		return
+	}
+	if e.From.Part == protocol.RoleController && !m.isRecordedDisk(e.From) {
+		return
+	}
+	m.detector.Observe(m.nowMs, e.From)
+	if !m.set.Application.HandleMessage(host{m}, e) {
+		m.handleMessage(e)
+	}
+}
+
+// isRecordedDisk says whether a message of a controller counts. A name has one
+// disk: the one that the record names. One that was replaced is told so, and a
+// blank one waits until the recorded one is silent.
+func (m *Machine) isRecordedDisk(from protocol.Node) bool {
+	id, record := memberID(from), m.record()
+	if slices.Contains(record.Gone, id) {
+		m.count(errkind.WrongDaemon)
+		m.send(from, protocol.Retire{Record: record})
+		return false
+	}
+	recorded, named := record.Member(id.Name)
+	if !named || recorded == id {
+		return true
+	}
+	node, known := m.detector.Node(id.Name)
+	if known && node.Incarnation == recorded.Incarnation && m.detector.Live(m.nowMs, id.Name) {
+		m.count(errkind.WrongDaemon)
+		return false
+	}
+	return true
+}
+
+func (m *Machine) handleMessage(e protocol.Envelope) {
+	switch body := e.Body.(type) {
+	case protocol.Heartbeat:
+	case protocol.PeersRequest:
+		m.send(e.From, protocol.PeersReply{Peers: m.nodesFor(e.From), Record: m.record()})
+	case protocol.PeersReply:
+		m.handlePeersReply(body)
+	case protocol.HeartbeatReports:
+		for _, report := range body.Seen {
+			m.detector.ObserveReport(m.nowMs, report)
+		}
+	case protocol.Prepare:
+		m.handlePrepare(e, body)
+	case protocol.Accept:
+		m.handleAccept(e, body)
+	case protocol.RenewLease:
+		m.handleRenewLease(e, body)
+	case protocol.ReleaseLease:
+		m.witness.acceptor.Release(e.From.Name, body)
+	case protocol.Append:
+		m.handleAppend(e.From, body)
+	case protocol.Snapshot:
+		m.handleSnapshot(e.From, body)
+	case protocol.AppendReply:
+		m.handleAppendReply(e.From, body)
+	default:
+		m.handleElectionMessage(e)
+	}
+}
+
+func (m *Machine) handleElectionMessage(e protocol.Envelope) {
+	m.elect(func(machine *election.Machine, env *election.Environment) {
+		switch body := e.Body.(type) {
+		case protocol.PrepareReply:
+			machine.HandlePrepareReply(env, e.From, body)
+		case protocol.AcceptReply:
+			machine.HandleAcceptReply(env, e.From, body)
+		case protocol.PrimaryQuery:
+			machine.HandlePrimaryQuery(env, e.From, body)
+		case protocol.PrimaryReply:
+			machine.HandlePrimaryReply(env, body)
+		case protocol.TransferPrimary:
+			machine.HandleTransfer(env, e.From, body)
+		case protocol.Retire:
+			machine.HandleRetire(env, body)
+		default:
+			m.count(errkind.Malformed)
+		}
+	})
+}
+
+// nodesFor is what another daemon is told of the site. Where routers need the
+// controllers only, they get no more: all of them ask at once while a primary is
+// missing.
+func (m *Machine) nodesFor(to protocol.Node) []protocol.Node {
+	if m.set.PeersForRouters || to.Part != protocol.RoleRouter {
+		return m.detector.Nodes()
+	}
+	return append(m.detector.NodesOf(protocol.RoleController), m.set.Self)
+}
+
+var retiredRejection = protocol.Rejection{Kind: errkind.AlreadyBootstrapped, Detail: "this daemon is retired"}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -8,16 +8,14 @@
 	"myrtlewinch/internal/storage"
 )
 
-var beginCommand ledger.Command = ledger.Begin{}
-
 // replicationTiming gives the time-outs of package replication.
 func (t Timing) replicationTiming() replication.Timing {
 	return replication.Timing{LiveMs: t.ElectionTimeoutMs, RetryMs: t.AppendRetryMs, DiskStallMs: t.DiskStallMs}
 }
 
 func (m *Machine) beginReplication() {
-	m.primary.Begin(m.nowMs, m.state.Position, m.record.Replicas, m.set.ReplicaGraceMs)
-	m.primary.SentMs = m.nowMs - m.waits.AppendIntervalMs
+	m.primary.Begin(m.nowMs, m.state.Position, m.record().Replicas, m.set.ReplicaGraceMs)
+	m.primary.SentMs = m.nowMs - m.set.Timing.AppendIntervalMs
 }
 
 // submit hands commands over; done is called once all replicas have them, or with
@@ -30,10 +28,10 @@
 // writeNext writes what waits as one change, once the change before is on this
 // disk, and sends it to the followers meanwhile.
 func (m *Machine) writeNext() {
-	if !m.primary.MayWrite() || !m.isPrimary() || m.broken {
+	if !m.primary.MayWrite() || !m.isPrimary() || m.disk.failed {
 		return
 	}
-	at := protocol.Position{Epoch: m.record.Epoch, Number: m.state.Position.Number + 1}
+	at := protocol.Position{Epoch: m.record().Epoch, Number: m.state.Position.Number + 1}
 	change := protocol.Change{Before: m.state.Position, At: at}
 	change.Rows = m.state.Do(at, m.primary.TakeQueue(at.Number))
 	m.set.Application.StateChanged(host{m})
@@ -62,17 +60,17 @@
 
 // commit answers the writes that all replicas now hold.
 func (m *Machine) commit() {
-	if !m.isPrimary() || m.nowMs >= m.election.leaseUntilMs {
+	if !m.isPrimary() || !m.election.HasLease(m.nowMs) {
 		return
 	}
 	// As many disks may be lost at once as there are further replicas.
-	if len(m.record.Replicas) < m.minCopies {
+	if len(m.record().Replicas) < m.minReplicas {
 		return
 	}
-	replicaSets := [][]protocol.MemberID{m.record.Replicas}
+	replicaSets := [][]protocol.MemberID{m.record().Replicas}
 	// While a new record is on its way, either may turn out to be in force.
-	if m.election.proposal != nil {
-		replicaSets = append(replicaSets, m.election.proposal.Replicas)
+	if m.election.Proposal != nil {
+		replicaSets = append(replicaSets, m.election.Proposal.Replicas)
 	}
 	if m.primary.Commit(m.follower.Durable.Number, m.set.Self.Name, replicaSets...) {
 		m.primary.AnswerCommitted()
@@ -80,7 +78,7 @@
 }
 
 func (m *Machine) tickReplication() {
-	if !m.isPrimary() || m.nowMs-m.primary.SentMs < m.waits.AppendIntervalMs {
+	if !m.isPrimary() || m.nowMs-m.primary.SentMs < m.set.Timing.AppendIntervalMs {
 		return
 	}
 	// A stalled disk would hold up the whole site; another replica's will not.
@@ -96,7 +94,7 @@
 }
 
 func (m *Machine) sendAppends() {
-	for _, node := range m.roster.NodesOf(protocol.RoleController) {
+	for _, node := range m.detector.NodesOf(protocol.RoleController) {
 		m.sendAppend(node)
 	}
 }
@@ -106,20 +104,20 @@
 func (m *Machine) sendAppend(to protocol.Node) {
 	follower := m.primary.Follower(to)
 	if m.primary.SnapshotDue(m.nowMs, follower) {
-		m.send(to, m.primary.Snapshot(m.nowMs, follower, m.record, m.state.Position, m.state.Rowset()))
+		m.send(to, m.primary.Snapshot(m.nowMs, follower, m.record(), m.state.Position, m.state.Rowset()))
 		return
 	}
 	id := protocol.MemberID{Name: to.Name, Incarnation: follower.Incarnation}
 	message := protocol.Append{
-		Record: m.record, Ballot: m.election.ballot, Last: m.state.Position, Soft: m.hints, PeersSum: m.roster.Digest(),
+		Record: m.record(), Ballot: m.election.Ballot, Last: m.state.Position, Soft: m.hints, PeersSum: m.detector.Digest(),
 		MayLeave: follower.Leaving && m.mayLeave(id),
 	}
 	// Without the lease a majority may stand behind another primary by now.
-	if m.nowMs < m.election.leaseUntilMs {
+	if m.election.HasLease(m.nowMs) {
 		message.Contact = follower.Clock
 	}
 	if follower.NodesDigest != message.PeersSum {
-		message.Peers = m.roster.Nodes()
+		message.Peers = m.detector.Nodes()
 	}
 	m.primary.AddChanges(m.nowMs, follower, &message)
 	m.send(to, message)
@@ -128,7 +126,7 @@
 // handleAppendReply takes a follower's acknowledgement. One that knows the record
 // before only may not have received the newest yet.
 func (m *Machine) handleAppendReply(from protocol.Node, reply protocol.AppendReply) {
-	knowsRecord := reply.Epoch == m.record.Epoch || reply.Epoch == m.record.Epoch-1
+	knowsRecord := reply.Epoch == m.record().Epoch || reply.Epoch == m.record().Epoch-1
 	if !m.isPrimary() || !knowsRecord {
 		return
 	}
--- /dev/null
+++ b/internal/election/ballot.go
@@ -0,0 +1,244 @@
+package election
+
+import (
+	"slices"
+
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+// prepare begins a ballot above any that is known. For a bootstrap or a recovery
+// the witnesses of the first record are asked.
+func (m *Machine) prepare(env *Environment, bootstraps bool) {
+	m.Role, m.roleSinceMs, m.requestedMs = Preparing, env.NowMs, env.NowMs
+	m.round = max(m.round, m.RecordBallot.Round, env.Acceptor.Promised.Round) + 1
+	m.Ballot = protocol.Ballot{Round: m.round, Name: m.config.Self.Name}
+	m.asked, m.promised, m.refused = map[protocol.MemberID]bool{}, map[protocol.MemberID]bool{}, map[protocol.MemberID]bool{}
+	m.highest, m.highestBallot = m.Record, m.RecordBallot
+	// What only this daemon's own witness stores names whom to ask, too: of a
+	// bootstrap that was cut short there is nothing else.
+	if env.Acceptor.Record.Epoch > m.highest.Epoch {
+		m.highest, m.highestBallot = env.Acceptor.Record, env.Acceptor.Accepted
+	}
+	if bootstraps {
+		m.highest, m.highestBallot = m.first, protocol.Ballot{}
+	}
+	m.sendPrepares(env)
+}
+
+// prepareRequest is what a candidate asks of each witness.
+func (m *Machine) prepareRequest(env *Environment) protocol.Prepare {
+	request := protocol.Prepare{Ballot: m.Ballot}
+	if m.bootstrap == nil {
+		// Seeds that have not stored a half-recorded first record are blank still;
+		// they must be able to agree to its completion.
+		request.Found = m.config.BootstrapBySeeds && m.Record.Epoch == 0 && m.highest.Epoch == firstEpoch
+		return request
+	}
+	request.Found, request.Recover = !m.bootstrap.Recover, m.bootstrap.Recover
+	request.AllSeeds = len(m.bootstrap.Witnesses) == len(env.Seeds)
+	return request
+}
+
+// sendPrepares asks the witnesses that have not been asked under this ballot.
+func (m *Machine) sendPrepares(env *Environment) {
+	for _, voter := range m.highest.Voters() {
+		if !m.asked[voter] {
+			m.asked[voter] = true
+			m.sendTo(env, voter.Name, m.prepareRequest(env))
+		}
+	}
+}
+
+// repeatRequests repeats to the witnesses that have not granted it what this
+// candidate asks. One that held off a moment ago may be free by now, and where
+// just a majority is left, one lost message would cost the whole attempt.
+func (m *Machine) repeatRequests(env *Environment) {
+	if env.NowMs-m.requestedMs < m.config.Timing.RetryMs {
+		return
+	}
+	m.requestedMs = env.NowMs
+	if m.Role == Accepting {
+		m.sendAccepts(env)
+		return
+	}
+	for _, voter := range m.highest.Voters() {
+		if m.asked[voter] && !m.promised[voter] {
+			m.sendTo(env, voter.Name, m.prepareRequest(env))
+		}
+	}
+}
+
+// HandlePrepareReply takes a witness's promise or refusal.
+func (m *Machine) HandlePrepareReply(env *Environment, from protocol.Node, reply protocol.PrepareReply) {
+	m.round = max(m.round, reply.Highest.Round)
+	if m.Role != Preparing || reply.Ballot != m.Ballot {
+		return
+	}
+	if m.bootstrap == nil {
+		m.noteHighest(env, reply)
+	} else if reply.NotFirstDisk {
+		m.notFirstDisks[from.Incarnation] = true
+		return
+	} else if m.yieldToOtherBootstrap(env, from, reply) {
+		return
+	}
+	if !reply.Granted {
+		m.handlePrepareRefusal(env, from, reply)
+		return
+	}
+	m.promised[memberID(from)] = true
+	if m.bootstrap != nil {
+		m.acceptFirst(env)
+		return
+	}
+	if m.highest.Majority(m.hasPromised) && m.highest.Epoch > 0 {
+		m.propose(env, m.highest, true)
+	}
+}
+
+func (m *Machine) hasPromised(voter protocol.MemberID) bool { return m.promised[voter] }
+
+// noteHighest notes a newer record that a witness stores. It may be half-recorded;
+// it is completed before any other is proposed.
+func (m *Machine) noteHighest(env *Environment, reply protocol.PrepareReply) {
+	stored := reply.Record
+	newer := stored.Epoch > m.highest.Epoch || stored.Epoch == m.highest.Epoch && m.highestBallot.Less(reply.Kept)
+	if newer && stored.Epoch > 0 {
+		m.highest, m.highestBallot = stored, reply.Kept
+		m.sendPrepares(env)
+	}
+}
+
+func (m *Machine) handlePrepareRefusal(env *Environment, from protocol.Node, reply protocol.PrepareReply) {
+	if m.bootstrap == nil || !m.Ballot.Less(reply.Highest) {
+		m.yieldToRival(env, from, reply.Highest, m.highest, m.promised)
+		return
+	}
+	// A witness that this bootstrap left half taken may be ahead in ballots; it is
+	// overtaken at once, within the time of this attempt.
+	roleSinceMs := m.roleSinceMs
+	m.prepare(env, true)
+	m.roleSinceMs = roleSinceMs
+}
+
+// yieldToRival gives way to a candidate under a higher ballot, once so many refuse
+// for its sake that no majority is left. Two that go on side by side would hold
+// each other's witnesses off for as long as both of them try; but one witness may
+// remember a ballot of long ago.
+func (m *Machine) yieldToRival(env *Environment, from protocol.Node, highest protocol.Ballot, record protocol.EpochRecord, agreed map[protocol.MemberID]bool) {
+	if m.bootstrap != nil || !m.Ballot.Less(highest) {
+		return
+	}
+	m.refused[memberID(from)] = true
+	// Right after its start this daemon has not heard of the others yet.
+	justStarted := env.NowMs-m.config.StartMs < m.config.Timing.TimeoutMs
+	mayAgree := func(voter protocol.MemberID) bool {
+		reachable := justStarted || voter == m.self() || env.Nodes.Live(env.NowMs, voter.Name)
+		return agreed[voter] || reachable && !m.refused[voter]
+	}
+	if record.Majority(mayAgree) {
+		return
+	}
+	if m.Role == Accepting {
+		// What witnesses granted with the record would keep the other out.
+		m.releaseLeases(env, *m.Proposal)
+	}
+	m.retreat(env, m.config.Timing.BallotMs)
+}
+
+// propose asks the witnesses to store a record under the present ballot.
+// Completes says that it is another's record.
+func (m *Machine) propose(env *Environment, record protocol.EpochRecord, completes bool) {
+	if m.Role != Primary {
+		m.Role, m.roleSinceMs = Accepting, env.NowMs
+	}
+	m.Proposal, m.completes = &record, completes
+	m.accepted = map[protocol.MemberID]bool{}
+	if m.Role != Primary {
+		m.grants = map[protocol.MemberID]int64{}
+	}
+	m.sendAccepts(env)
+}
+
+// Propose records a change of the members at the primary.
+func (m *Machine) Propose(env *Environment, record protocol.EpochRecord) {
+	m.propose(env, record, false)
+}
+
+func (m *Machine) sendAccepts(env *Environment) {
+	for _, voter := range m.Proposal.Voters() {
+		if !m.accepted[voter] {
+			m.sendTo(env, voter.Name, protocol.Accept{Ballot: m.Ballot, Record: *m.Proposal, EchoMs: env.NowMs})
+		}
+	}
+}
+
+// HandleAcceptReply takes a witness's answer to an Accept or to a RenewLease.
+func (m *Machine) HandleAcceptReply(env *Environment, from protocol.Node, reply protocol.AcceptReply) {
+	m.round = max(m.round, reply.Highest.Round)
+	if reply.Ballot != m.Ballot {
+		return
+	}
+	if !reply.Granted {
+		m.handleAcceptRefusal(env, from, reply)
+		return
+	}
+	voter := memberID(from)
+	// Any grant under this ballot holds others off, so it counts for the lease.
+	if m.grants != nil {
+		m.grants[voter] = max(m.grants[voter], reply.EchoMs)
+	}
+	if m.Role == Primary {
+		m.countLease()
+	}
+	proposes := m.Role == Accepting || m.Role == Primary
+	if m.Proposal == nil || reply.Epoch != m.Proposal.Epoch || !proposes {
+		return
+	}
+	m.accepted[voter] = true
+	if m.Proposal.Majority(func(voter protocol.MemberID) bool { return m.accepted[voter] }) {
+		m.recordStored(env)
+	}
+}
+
+func (m *Machine) handleAcceptRefusal(env *Environment, from protocol.Node, reply protocol.AcceptReply) {
+	// A new witness that missed the record which took it in is blank still, and
+	// grants no renewal: it is given that record again.
+	missed := reply.Record.Epoch < m.Record.Epoch && !m.Ballot.Less(reply.Highest)
+	if missed && m.Role == Primary && slices.Contains(m.Record.Witnesses, memberID(from)) {
+		m.send(from, protocol.Accept{Ballot: m.Ballot, Record: m.Record, EchoMs: env.NowMs})
+	}
+	if m.Role == Accepting {
+		m.yieldToRival(env, from, reply.Highest, *m.Proposal, m.accepted)
+	}
+}
+
+// recordStored goes on once a majority of the witnesses stores the proposal.
+func (m *Machine) recordStored(env *Environment) {
+	record := *m.Proposal
+	m.Proposal = nil
+	switch {
+	case m.Role == Primary:
+		m.AdoptRecord(env, record, m.Ballot)
+		m.countLease()
+		m.output(RecordChanged{})
+	case m.completes:
+		m.AdoptRecord(env, record, m.Ballot)
+		if !m.mayLead(env, record) {
+			m.retreat(env, m.config.Timing.TimeoutMs)
+			return
+		}
+		next := record
+		next.Epoch, next.Primary, next.Before = record.Epoch+1, m.config.Self.Name, record.Witnesses
+		m.propose(env, next, false)
+	default:
+		m.becomePrimary(env, record)
+	}
+}
+
+// retreat ends an attempt; none begins within waitMs. A bootstrap fails with it.
+func (m *Machine) retreat(env *Environment, waitMs int64) {
+	m.Role, m.retryFromMs, m.Proposal = Follower, env.NowMs+waitMs, nil
+	m.failBootstrap(errkind.NotAccepted, "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it")
+}
--- /dev/null
+++ b/internal/election/bootstrap.go
@@ -0,0 +1,245 @@
+package election
+
+import (
+	"slices"
+
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+// Bootstrap begins a site, or recovers it from this daemon's copy. Seeds that
+// bootstrap the site among them make it themselves; otherwise an operator does.
+type Bootstrap struct {
+	// ID is that of the operator's request.
+	ID uint64
+	// Witnesses are the names of the controllers that are to be witnesses, Backup
+	// that of the other replica where an operator names it.
+	Witnesses []string
+	Backup    string
+	// Recover goes on from this daemon's copy instead, which must be at the change
+	// and revision that are named.
+	Recover          bool
+	Change, Revision uint64
+}
+
+const (
+	// firstEpoch is the epoch of the record that bootstraps a site.
+	firstEpoch = 1
+	// operatorWitnesses is how many witnesses an operator must name.
+	operatorWitnesses = 3
+	// seedTurnMs lets the seeds try one after the other, so that a seed that died
+	// at the very start holds the site up only for a moment.
+	seedTurnMs = 1500
+	// allSeedsMs is how long the seeds wait for all of them before a majority will
+	// do. One that is removed for good at the very start must not keep the site
+	// from being bootstrapped.
+	allSeedsMs = 3000
+)
+
+// HandleBootstrap begins a site: every witness must agree, and must be blank or
+// hold just what this very bootstrap would give it, since an earlier attempt at it
+// was cut short. Nothing else ever takes a blank disk for a beginning.
+func (m *Machine) HandleBootstrap(env *Environment, bootstrap Bootstrap) {
+	if bootstrap.Recover {
+		m.recoverSite(env, bootstrap)
+		return
+	}
+	if m.Record.Epoch > 0 || env.Position.Number > 0 {
+		m.reject(bootstrap, errkind.AlreadyBootstrapped, "this controller belongs to a founded site")
+		return
+	}
+	if m.bootstrap != nil || m.Role != Follower && env.Acceptor.Record.Epoch == 0 {
+		m.reject(bootstrap, errkind.NotAccepted, "a founding is under way")
+		return
+	}
+	first, fault := m.firstRecord(env, bootstrap)
+	if fault != "" {
+		m.reject(bootstrap, errkind.BadRequest, fault)
+		return
+	}
+	m.first = first
+	if env.Acceptor.Record.Epoch > 0 && !sameBootstrap(env.Acceptor.Record, first) {
+		m.reject(bootstrap, errkind.AlreadyBootstrapped, "this controller's witness belongs to another founding")
+		return
+	}
+	m.bootstrap, m.completesFirst = &bootstrap, false
+	m.prepare(env, true)
+}
+
+func (m *Machine) reject(bootstrap Bootstrap, kind errkind.Kind, detail string) {
+	m.output(BootstrapFailed{ID: bootstrap.ID, Rejection: protocol.Rejection{Kind: kind, Detail: detail}})
+}
+
+// failBootstrap ends the bootstrap under way, if one is.
+func (m *Machine) failBootstrap(kind errkind.Kind, detail string) {
+	if m.bootstrap == nil {
+		return
+	}
+	failed := *m.bootstrap
+	m.bootstrap = nil
+	m.reject(failed, kind, detail)
+}
+
+// firstRecord is the record that a bootstrap would make, or why it can't.
+func (m *Machine) firstRecord(env *Environment, bootstrap Bootstrap) (protocol.EpochRecord, string) {
+	names := map[string]bool{}
+	var witnesses []protocol.MemberID
+	for _, name := range bootstrap.Witnesses {
+		names[name] = true
+		node, ok := env.Nodes.Node(name)
+		if !ok || node.Part != protocol.RoleController {
+			return protocol.EpochRecord{}, "witnesses: no controller named " + name + " is known here"
+		}
+		witnesses = append(witnesses, memberID(node))
+	}
+	different := len(names) == len(bootstrap.Witnesses)
+	enough := m.config.BootstrapBySeeds || len(bootstrap.Witnesses) == operatorWitnesses
+	if !different || !enough {
+		return protocol.EpochRecord{}, "witnesses: must be three different controllers"
+	}
+	if m.config.BootstrapBySeeds {
+		return m.seedsRecord(witnesses), ""
+	}
+	backup, ok := env.Nodes.Node(bootstrap.Backup)
+	if !ok || backup.Part != protocol.RoleController || bootstrap.Backup == m.config.Self.Name {
+		return protocol.EpochRecord{}, "backup: must be another controller that is known here"
+	}
+	return m.firstRecordOf([]protocol.MemberID{m.self(), memberID(backup)}, witnesses), ""
+}
+
+func (m *Machine) firstRecordOf(replicas, witnesses []protocol.MemberID) protocol.EpochRecord {
+	return protocol.EpochRecord{Epoch: firstEpoch, Primary: m.config.Self.Name, Replicas: replicas, Witnesses: witnesses, Before: witnesses}
+}
+
+// seedsRecord is the first record of a site that its seeds bootstrap: one more of
+// them than may be lost are replicas.
+func (m *Machine) seedsRecord(witnesses []protocol.MemberID) protocol.EpochRecord {
+	replicas := []protocol.MemberID{m.self()}
+	for _, id := range witnesses {
+		if id != m.self() && len(replicas) < m.config.MaxLosses+1 {
+			replicas = append(replicas, id)
+		}
+	}
+	return m.firstRecordOf(replicas, witnesses)
+}
+
+// sameBootstrap says whether two first records are of one bootstrap.
+func sameBootstrap(a, b protocol.EpochRecord) bool {
+	return a.Epoch == b.Epoch && a.Primary == b.Primary && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Witnesses, b.Witnesses)
+}
+
+// yieldToOtherBootstrap looks at what a witness stores. It ends the bootstrap and
+// returns true where that is another's, or takes the other's over to complete it.
+func (m *Machine) yieldToOtherBootstrap(env *Environment, from protocol.Node, reply protocol.PrepareReply) bool {
+	if m.bootstrap.Recover {
+		return m.yieldToLaterCopy(env, from, reply)
+	}
+	if reply.Record.Epoch == 0 || sameBootstrap(reply.Record, m.first) {
+		return false
+	}
+	// What was stored under an earlier ballot than the attempt that this one
+	// completes was never chosen.
+	isFirst := reply.Record.Epoch == firstEpoch
+	if m.completesFirst && isFirst && !m.highestBallot.Less(reply.Kept) {
+		return false
+	}
+	// A record by which this disk is a replica may have no other to complete it.
+	if reply.Granted && isFirst && reply.Record.HasReplica(m.self()) {
+		m.first, m.highest, m.highestBallot, m.completesFirst = reply.Record, reply.Record, reply.Kept, true
+		m.sendPrepares(env)
+		return false
+	}
+	yielded := *m.bootstrap
+	m.bootstrap = nil
+	// Whoever stores that record completes it, if it is left the time.
+	m.retreat(env, seedTurnMs)
+	m.reject(yielded, errkind.AlreadyBootstrapped, "a witness belongs to another founding")
+	return true
+}
+
+// acceptFirst goes on with a bootstrap once all witnesses have agreed. All of them,
+// not a majority: if any later epoch were recorded, one would know. To complete
+// another's attempt a majority will do, as for any half-recorded record.
+func (m *Machine) acceptFirst(env *Environment) {
+	if m.completesFirst {
+		if m.first.Majority(m.hasPromised) {
+			m.propose(env, m.first, true)
+		}
+		return
+	}
+	for _, id := range m.first.Witnesses {
+		if !m.hasPromised(id) {
+			return
+		}
+	}
+	m.propose(env, m.first, false)
+}
+
+// MayVoteForBootstrap says whether this disk may vote for a first record. One that
+// was emptied after the first start may have voted for another, which it forgot.
+// An operator who bootstraps vouches for the disks.
+func (m *Machine) MayVoteForBootstrap() bool { return !m.config.BootstrapBySeeds || m.firstDisk }
+
+// markFirstDisk notes that this disk was there at the first start of the site.
+func (m *Machine) markFirstDisk(env *Environment) {
+	if m.config.FirstStart && !m.firstDisk && !env.DiskFailed {
+		m.firstDisk = true
+		m.output(FirstDiskMarked{})
+	}
+}
+
+// TickBootstrap bootstraps the site, where this is the first start of all and this
+// daemon is one of the seeds. All of those that it names must agree to the first
+// record, and they are a majority of the seeds, on disks that were there at the
+// first start, or all seeds. So of two attempts one meets a seed that has agreed
+// to the other, unless more disks were lost than may be.
+func (m *Machine) TickBootstrap(env *Environment) {
+	if !m.config.BootstrapBySeeds {
+		return
+	}
+	m.markFirstDisk(env)
+	begun := m.Record.Epoch > 0 || env.Position.Number > 0
+	if !m.firstDisk || begun || m.Role != Follower || m.bootstrap != nil {
+		return
+	}
+	seeds := slices.Sorted(slices.Values(env.Seeds))
+	turn := slices.Index(seeds, m.config.Self.Address)
+	if turn < 0 || env.NowMs < m.retryFromMs {
+		return
+	}
+	turnMs := m.config.StartMs + int64(turn)*seedTurnMs
+	if env.NowMs < turnMs {
+		return
+	}
+	majorityWillDo := env.NowMs >= turnMs+allSeedsMs
+	names := m.bootstrapSeeds(env, seeds, majorityWillDo)
+	all, majority := len(names) == len(seeds), 2*len(names) > len(seeds)
+	if all || majorityWillDo && majority {
+		m.HandleBootstrap(env, Bootstrap{Witnesses: names})
+	}
+}
+
+// bootstrapSeeds names the seeds that are known: all of them, or else those on
+// disks that were there at the first start. Once a majority will do, one that was
+// heard before may be gone for good, and must be live.
+func (m *Machine) bootstrapSeeds(env *Environment, seeds []string, mustBeLive bool) []string {
+	var known, onFirstDisks []string
+	for _, address := range seeds {
+		node, ok := env.Nodes.NodeAt(address)
+		if !ok {
+			continue
+		}
+		live := node.Name == m.config.Self.Name || env.Nodes.Live(env.NowMs, node.Name)
+		if mustBeLive && !live {
+			continue
+		}
+		known = append(known, node.Name)
+		if !m.notFirstDisks[node.Incarnation] {
+			onFirstDisks = append(onFirstDisks, node.Name)
+		}
+	}
+	if len(known) < len(seeds) {
+		return onFirstDisks
+	}
+	return known
+}
--- /dev/null
+++ b/internal/election/primary.go
@@ -0,0 +1,84 @@
+package election
+
+import (
+	"slices"
+
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+// countLease counts the lease from when the renewals that a majority granted were
+// sent, so that it ends here before it ends at any of them.
+func (m *Machine) countLease() {
+	sent := make([]int64, 0, len(m.grants))
+	for _, sentMs := range m.grants {
+		sent = append(sent, sentMs)
+	}
+	slices.Sort(sent)
+	for _, sentMs := range slices.Backward(sent) {
+		grantedSince := func(voter protocol.MemberID) bool {
+			grantedMs, granted := m.grants[voter]
+			return granted && grantedMs >= sentMs
+		}
+		if m.Record.Majority(grantedSince) {
+			m.LeaseUntilMs = max(m.LeaseUntilMs, sentMs+m.config.Timing.LeaseMs)
+			return
+		}
+	}
+}
+
+func (m *Machine) becomePrimary(env *Environment, record protocol.EpochRecord) {
+	m.AdoptRecord(env, record, m.Ballot)
+	m.Role, m.Established, m.LeaseUntilMs = Primary, false, 0
+	m.countLease()
+	m.renewedMs = env.NowMs
+	// Another may have ordered until now.
+	m.OrdersFromMs = env.NowMs + m.config.Timing.OrderGapMs
+	m.output(BecamePrimary{Recovered: m.recovers()})
+}
+
+// Establish says that all replicas hold the first change of this primacy, so that
+// it serves. It returns the bootstrap or recovery that began it, if one did.
+func (m *Machine) Establish(nowMs int64) *Bootstrap {
+	m.Established, m.quietUntilMs = true, 0
+	if m.recovers() {
+		m.quietUntilMs = nowMs + m.config.Timing.QuietAfterRecoveryMs
+	}
+	bootstrap := m.bootstrap
+	m.bootstrap = nil
+	return bootstrap
+}
+
+// losePrimacy ends this daemon's primacy without a message to anyone.
+func (m *Machine) losePrimacy(env *Environment, reason string) {
+	m.logf("no longer primary: %s", reason)
+	m.Role, m.Established, m.Proposal, m.LeaseUntilMs = Follower, false, nil, 0
+	m.retryFromMs = env.NowMs + m.config.Timing.RenewMs
+	m.HeardMs = env.NowMs
+	m.output(LostPrimacy{})
+	m.failBootstrap(errkind.AcceptanceUnknown, "the founding may have been recorded; ask for the status")
+}
+
+// StepDown ends the primacy on purpose and releases the lease, so that the next
+// primary need not wait for it to run out. The successor, where the name is not
+// empty, is told last.
+func (m *Machine) StepDown(env *Environment, reason, successor string) {
+	if !m.IsPrimary() {
+		return
+	}
+	record := m.Record
+	m.losePrimacy(env, reason)
+	m.retryFromMs = env.NowMs + 2*m.config.Timing.LeaseMs
+	m.releaseLeases(env, record)
+	if successor != "" {
+		m.sendTo(env, successor, protocol.TransferPrimary{Record: record})
+	}
+}
+
+// releaseLeases gives back what the witnesses of a record granted under the
+// present ballot.
+func (m *Machine) releaseLeases(env *Environment, record protocol.EpochRecord) {
+	for _, voter := range record.Voters() {
+		m.sendTo(env, voter.Name, protocol.ReleaseLease{Epoch: record.Epoch, Ballot: m.Ballot})
+	}
+}
--- /dev/null
+++ b/internal/election/recovery.go
@@ -0,0 +1,84 @@
+package election
+
+import (
+	"fmt"
+
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+// recoveryEpochs puts a recovery's epoch far above any that may have been recorded
+// where this daemon could not see it.
+const recoveryEpochs = 1000
+
+func (m *Machine) recovers() bool { return m.bootstrap != nil && m.bootstrap.Recover }
+
+// recoverSite goes on from this daemon's copy after all replicas were lost: an
+// operator's explicit act, which must name what it goes on from. Three live
+// controllers must agree, blank or not; none may have a later copy.
+func (m *Machine) recoverSite(env *Environment, bootstrap Bootstrap) {
+	if kind, detail := m.recoveryFault(env); detail != "" {
+		m.reject(bootstrap, kind, detail)
+		return
+	}
+	at := env.Position
+	from := fmt.Sprintf("this would go on from change %d of epoch %d, with revision %d", at.Number, at.Epoch, env.Revision)
+	if bootstrap.Change != at.Number || bootstrap.Revision != env.Revision {
+		m.reject(bootstrap, errkind.StaleBase, from+"; give change and revision to do it")
+		return
+	}
+	first, fault := m.firstRecord(env, bootstrap)
+	if fault != "" {
+		m.reject(bootstrap, errkind.BadRequest, fault)
+		return
+	}
+	first.Epoch = max(m.Record.Epoch, env.Acceptor.Record.Epoch, at.Epoch) + recoveryEpochs
+	// A lost replica that returns has another history; it may not come back, and a
+	// blank disk under its name has none of it.
+	first.Gone = m.Record.Gone
+	for _, id := range m.Record.Replicas {
+		lost := protocol.EpochRecord{Gone: first.Gone}
+		first.Gone = lost.GoneWith(id)
+	}
+	m.logf("recovering: %s", from)
+	m.first, m.bootstrap = first, &bootstrap
+	m.prepare(env, true)
+}
+
+// recoveryFault says why this daemon can't recover the site; the detail is empty
+// where it can.
+func (m *Machine) recoveryFault(env *Environment) (errkind.Kind, string) {
+	switch {
+	case env.Position.Number == 0:
+		return errkind.NotBootstrapped, "this controller has no copy to go on from"
+	case env.DiskFailed:
+		return errkind.NotAccepted, "this controller's disk failed"
+	case m.bootstrap != nil:
+		return errkind.NotAccepted, "a recovery is under way"
+	case m.IsPrimary() || m.mayStand(env):
+		return errkind.NotAccepted, "this disk is one of the pair: it takes over by itself"
+	}
+	for _, id := range m.Record.Replicas {
+		node, known := env.Nodes.Node(id.Name)
+		if known && node.Incarnation == id.Incarnation && env.Nodes.Live(env.NowMs, id.Name) {
+			return errkind.NotAccepted, "a disk of the pair is there: " + id.Name + " takes over by itself"
+		}
+	}
+	return "", ""
+}
+
+// yieldToLaterCopy ends a recovery and returns true where a witness has a later
+// copy. Otherwise it raises the epoch above any that the witness knows.
+func (m *Machine) yieldToLaterCopy(env *Environment, from protocol.Node, reply protocol.PrepareReply) bool {
+	if reply.Record.Epoch >= m.first.Epoch {
+		m.first.Epoch = reply.Record.Epoch + recoveryEpochs
+	}
+	if !env.Position.Less(reply.At) {
+		return false
+	}
+	yielded := *m.bootstrap
+	m.bootstrap = nil
+	m.retreat(env, 0)
+	m.reject(yielded, errkind.NotAccepted, fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, reply.At.Number, reply.At.Epoch))
+	return true
+}
