--- a/internal/placement/holders_test.go
+++ b/internal/placement/holders_test.go
@@ -167,14 +167,14 @@
 	s.requestLoss, s.replyLoss = 0.1, 0.1
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
+	router := newRouterSim(s, manager)
 	seen := 0
-	play(s, load, 20, func(ms int64) {
+	play(s, router, 20, func(ms int64) {
 		if s.poisson(30) {
-			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(16)))
+			router.request("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(16)))
 		}
 		if s.poisson(5) {
-			load.ask(fmt.Sprintf("m%03d", s.rnd.IntN(8)), "")
+			router.request(fmt.Sprintf("m%03d", s.rnd.IntN(8)), "")
 		}
 		if ms%5000 == 0 {
 			// One ends, and its place is taken anew.
--- a/internal/placement/lookup_test.go
+++ b/internal/placement/lookup_test.go
@@ -182,10 +182,10 @@
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
-	play(s, load, 6, func(int64) {
+	router := newRouterSim(s, manager)
+	play(s, router, 6, func(int64) {
 		if s.poisson(10) {
-			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(9)))
+			router.request("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(9)))
 		}
 	})
 	var wired bytes.Buffer
--- a/internal/placement/manager_bench_test.go
+++ b/internal/placement/manager_bench_test.go
@@ -13,28 +13,28 @@
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
-	ask := func(int64) {
+	router := newRouterSim(s, manager)
+	demand := func(int64) {
 		for range 4 {
 			if s.poisson(40) {
-				load.ask(fmt.Sprintf("m%03d", s.rnd.IntN(3)), "")
+				router.request(fmt.Sprintf("m%03d", s.rnd.IntN(3)), "")
 			}
 		}
 		if s.poisson(60) {
-			load.ask(fmt.Sprintf("m%03d", s.rnd.IntN(747)), "")
+			router.request(fmt.Sprintf("m%03d", s.rnd.IntN(747)), "")
 		}
 	}
-	play(s, load, 20, ask)
-	b.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d), orders %d, m000 %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, s.copies("m000"))
+	play(s, router, 20, demand)
+	b.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d), orders %d, m000 %d", router.lateShare(400), router.lateShare(1000), router.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, s.copies("m000"))
 	s.managers = nil
 	b.ReportAllocs()
 	for b.Loop() {
 		// A tick of 50 ms with the look-ups of it.
 		for range 11 {
-			load.ask(fmt.Sprintf("m%03d", s.rnd.IntN(3)), "")
+			router.request(fmt.Sprintf("m%03d", s.rnd.IntN(3)), "")
 		}
 		for range 3 {
-			load.ask(fmt.Sprintf("m%03d", s.rnd.IntN(747)), "")
+			router.request(fmt.Sprintf("m%03d", s.rnd.IntN(747)), "")
 		}
 		manager.replanNeeded = true
 		manager.Tick(s.events.NowMs(), s.events.NowMs()+2000)
--- a/internal/placement/manager_test.go
+++ b/internal/placement/manager_test.go
@@ -32,21 +32,22 @@
 	return n
 }
 
-// Runners take no more than they hold, and the store's pace is kept, whatever
-// is lost or late and however demand jumps, also across a take-over.
+// Runners are never ordered to load more than they have room for, and the store's
+// rate is kept, whatever is lost or late, however demand jumps, and across a
+// fail-over.
 func TestRoomAndStoreRateHoldUnderFaults(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := qt.New(t)
-			// A slow store is the one whose pace binds.
+			// Every other time the store is so slow that its rate binds.
 			s := newPlatformSim(t, seed, newServiceMap(39, 42, []float64{4.2, 1.2}[seed%2]), 12)
 			s.fill(0, 1)
 			s.requestLoss, s.replyLoss = 0.15, 0.15
 			manager := s.manager("one")
 			manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+500)
-			load := newRouterSim(s, manager)
+			router := newRouterSim(s, manager)
 			hot := 0
-			play(s, load, 40, func(ms int64) {
+			play(s, router, 40, func(ms int64) {
 				if ms%3000 == 0 {
 					hot = s.rnd.IntN(39)
 				}
@@ -56,24 +57,24 @@
 						if hot == 0 || hot == 2 {
 							adapter = fmt.Sprintf("a%d", 1+s.rnd.IntN(s.engine.Models[hot].AdapterCount))
 						}
-						load.ask(s.engine.Models[hot].Name, adapter)
+						router.request(s.engine.Models[hot].Name, adapter)
 					}
 				}
 				if s.poisson(12) {
-					load.ask(s.engine.Models[s.rnd.IntN(39)].Name, "")
+					router.request(s.engine.Models[s.rnd.IntN(39)].Name, "")
 				}
 				if s.poisson(5) {
-					load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(42)))
+					router.request("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(42)))
 				}
 				if ms%7000 == 0 {
 					s.crash(s.rnd.IntN(len(s.runners)))
 				}
 				if ms == 21_000 {
-					// Another holder takes over while the first still believes.
+					// Another primary takes over while the first still believes that it is one.
 					next := s.manager("two")
 					next.ApplySnapshot(s.events.NowMs(), manager.Snapshot())
 					next.BecomePrimary(s.events.NowMs(), 2, s.events.NowMs()+100)
-					load.manager = next
+					router.manager = next
 				}
 			})
 			c.Assert(s.violations, qt.HasLen, 0)
@@ -84,7 +85,7 @@
 	}
 }
 
-// crash ends one runner's life; another begins at its address.
+// crash ends a runner; its next incarnation starts at the same address.
 func (s *platformSim) crash(n int) {
 	ids := sortedKeys(s.runners)
 	r := s.runners[ids[n%len(ids)]]
@@ -97,75 +98,75 @@
 	})
 }
 
-// Demand that moves to another model has its copies within a few seconds.
+// A model to which demand moves has more copies within a few seconds.
 func TestCopiesFollowDemand(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 3, newServiceMap(39, 42, 4.2), 12)
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
+	router := newRouterSim(s, manager)
 	both := func(a, b string) func(ms int64) {
 		return func(int64) {
 			if s.poisson(47) {
-				load.ask(a, "")
+				router.request(a, "")
 			}
 			if s.poisson(17) {
-				load.ask(b, "")
+				router.request(b, "")
 			}
 			if s.poisson(7) {
-				load.ask(s.engine.Models[5+s.rnd.IntN(34)].Name, "")
+				router.request(s.engine.Models[5+s.rnd.IntN(34)].Name, "")
 			}
 		}
 	}
-	play(s, load, 10, both("m000", "m001"))
+	play(s, router, 10, both("m000", "m001"))
 	c.Assert(s.copies("m000") >= 2, qt.IsTrue)
 	c.Assert(s.copies("m001") >= 2, qt.IsTrue)
 	before := s.copies("m003")
-	play(s, load, 5, both("m003", "m004"))
+	play(s, router, 5, both("m003", "m004"))
 	c.Assert(before <= 2, qt.IsTrue)
 	c.Assert(s.copies("m003") >= 3, qt.IsTrue, qt.Commentf("%d copies", s.copies("m003")))
 	c.Assert(s.copies("m004") >= 2, qt.IsTrue, qt.Commentf("%d copies", s.copies("m004")))
-	play(s, load, 5, both("m000", "m001"))
+	play(s, router, 5, both("m000", "m001"))
 	c.Assert(s.copies("m000") >= 2, qt.IsTrue)
 	c.Assert(s.violations, qt.HasLen, 0)
-	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, load.denied)
-	c.Assert(load.lateShare(3000) < 0.01, qt.IsTrue)
+	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", router.lateShare(400), router.lateShare(1000), router.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, router.denied)
+	c.Assert(router.lateShare(3000) < 0.01, qt.IsTrue)
 }
 
-// Many rare models asked for at once come in turn, none is left out for ever.
+// Many rare models that are requested at once are all loaded, one after the other.
 func TestBurstOfRareModels(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 4, newServiceMap(39, 0, 4.2), 12)
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
-	play(s, load, 30, func(ms int64) {
+	router := newRouterSim(s, manager)
+	play(s, router, 30, func(ms int64) {
 		if s.poisson(40) {
-			load.ask("m000", "")
+			router.request("m000", "")
 		}
 		if s.poisson(17) {
-			load.ask("m001", "")
+			router.request("m001", "")
 		}
 		rare := 7.0
 		if ms > 10_000 && ms < 15_000 {
 			rare = 17
 		}
 		if s.poisson(rare) {
-			load.ask(s.engine.Models[5+s.rnd.IntN(34)].Name, "")
+			router.request(s.engine.Models[5+s.rnd.IntN(34)].Name, "")
 		}
 	})
-	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", load.lateShare(400), load.lateShare(1000), load.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, load.denied)
-	c.Assert(load.lateShare(3000) < 0.02, qt.IsTrue)
-	for key, asked := range load.asked {
-		c.Assert(load.late[key]*2 <= asked+1, qt.IsTrue, qt.Commentf("%v", key))
+	t.Logf("late over 0.4 s: %.3f, over 1 s: %.3f, over 3 s: %.3f, loads %d (%d from the store), orders %d, denied %d", router.lateShare(400), router.lateShare(1000), router.lateShare(3000), s.loads, len(s.storeStartsMs), s.orders, router.denied)
+	c.Assert(router.lateShare(3000) < 0.02, qt.IsTrue)
+	for key, requested := range router.requested {
+		c.Assert(router.late[key]*2 <= requested+1, qt.IsTrue, qt.Commentf("%v", key))
 	}
 	c.Assert(s.violations, qt.HasLen, 0)
 }
 
-// The adapters of one model are spread over its runners, each there once
-// before any is there often, and nobody waits for long.
+// The adapters of one model are spread over its runners, each loaded once before
+// any is loaded often, and nobody waits for long.
 func TestAdaptersSpread(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 5, newServiceMap(4, 42, 4.2), 5)
@@ -175,13 +176,13 @@
 	s.recordList()
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
-	play(s, load, 20, func(ms int64) {
+	router := newRouterSim(s, manager)
+	play(s, router, 20, func(ms int64) {
 		if s.poisson(12) {
-			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(42)))
+			router.request("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(42)))
 		}
 		if s.poisson(20) {
-			load.ask("m000", "")
+			router.request("m000", "")
 		}
 	})
 	held := map[string]bool{}
@@ -191,67 +192,69 @@
 		}
 		c.Assert(len(r.memory.Models["m000"]) >= 7, qt.IsTrue, qt.Commentf("%v", r.memory.Models))
 	}
-	t.Logf("held %d; late over 0.2 s: %.3f, 0.4 s: %.3f, over 1 s: %.3f, orders %d, denied %d", len(held), load.lateShare(200), load.lateShare(400), load.lateShare(1000), s.orders, load.denied)
+	t.Logf("held %d; late over 0.2 s: %.3f, 0.4 s: %.3f, over 1 s: %.3f, orders %d, denied %d", len(held), router.lateShare(200), router.lateShare(400), router.lateShare(1000), s.orders, router.denied)
 	c.Assert(len(held) >= 36, qt.IsTrue)
-	c.Assert(load.lateShare(1000) < 0.02, qt.IsTrue)
+	c.Assert(router.lateShare(1000) < 0.02, qt.IsTrue)
 	c.Assert(s.violations, qt.HasLen, 0)
 }
 
-// What a leaving runner alone holds is loaded elsewhere while it still serves.
+// Models of which a draining runner has the only copy are loaded elsewhere while it
+// still serves.
 func TestModelsOfDrainingRunnerAreLoadedElsewhere(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 6, newServiceMap(9, 0, 4.2), 5)
 	s.fill()
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
-	ask := func(ms int64) {
+	router := newRouterSim(s, manager)
+	demand := func(ms int64) {
 		if s.poisson(5) {
-			load.ask(s.engine.Models[s.rnd.IntN(9)].Name, "")
+			router.request(s.engine.Models[s.rnd.IntN(9)].Name, "")
 		}
 	}
-	play(s, load, 8, ask)
-	leaver := s.runners[sortedKeys(s.runners)[0]]
-	leaver.entry.Leaving = true
-	play(s, load, 6, ask)
-	c.Assert(manager.LeavingRunners(), qt.DeepEquals, []string{leaver.entry.ID})
-	for name := range leaver.memory.Models {
+	play(s, router, 8, demand)
+	draining := s.runners[sortedKeys(s.runners)[0]]
+	draining.entry.Leaving = true
+	play(s, router, 6, demand)
+	c.Assert(manager.LeavingRunners(), qt.DeepEquals, []string{draining.entry.ID})
+	for name := range draining.memory.Models {
 		c.Assert(s.copies(name) >= 2, qt.IsTrue, qt.Commentf("%s", name))
-		for _, h := range manager.LookUp(s.events.NowMs(), load.from, protocol.IndexLookUp{Service: llm, Model: name}).Holders {
-			c.Assert(h.ID, qt.Not(qt.Equals), leaver.entry.ID)
+		for _, h := range manager.LookUp(s.events.NowMs(), router.from, protocol.IndexLookUp{Service: llm, Model: name}).Holders {
+			c.Assert(h.ID, qt.Not(qt.Equals), draining.entry.ID)
 		}
 	}
-	// Leaving stays, whatever a later list says, and while it is gone.
-	leaver.entry.Leaving = false
-	play(s, load, 2, ask)
+	// It stays among the leaving runners, whatever a later list says, also when it is
+	// gone.
+	draining.entry.Leaving = false
+	play(s, router, 2, demand)
 	c.Assert(manager.LeavingRunners(), qt.HasLen, 1)
-	delete(s.runners, leaver.entry.ID)
-	play(s, load, 3, ask)
+	delete(s.runners, draining.entry.ID)
+	play(s, router, 3, demand)
 	c.Assert(manager.LeavingRunners(), qt.HasLen, 1)
 	c.Assert(s.violations, qt.HasLen, 0)
 }
 
-// Where all fits and demand is steady, nothing moves after the start.
+// Where all models fit and demand is steady, nothing moves after the start.
 func TestSteadyDemandMovesNothing(t *testing.T) {
 	c := qt.New(t)
 	s := newPlatformSim(t, 9, newServiceMap(12, 8, 4.2), 8)
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
-	load := newRouterSim(s, manager)
-	ask := func(int64) {
+	router := newRouterSim(s, manager)
+	demand := func(int64) {
 		if s.poisson(30) {
-			load.ask("m000", "")
+			router.request("m000", "")
 		}
 		if s.poisson(5) {
-			load.ask("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(8)))
+			router.request("m000", fmt.Sprintf("a%d", 1+s.rnd.IntN(8)))
 		}
 		if s.poisson(6) {
-			load.ask(fmt.Sprintf("m%03d", 1+s.rnd.IntN(11)), "")
+			router.request(fmt.Sprintf("m%03d", 1+s.rnd.IntN(11)), "")
 		}
 	}
-	play(s, load, 8, ask)
+	play(s, router, 8, demand)
 	before := s.orders
-	play(s, load, 20, ask)
+	play(s, router, 20, demand)
 	c.Assert(s.orders-before <= 2, qt.IsTrue, qt.Commentf("%d orders", s.orders-before))
 }
--- a/internal/placement/planner/planner_test.go
+++ b/internal/placement/planner/planner_test.go
@@ -74,49 +74,49 @@
 		budget Budget
 		want   []string
 	}{
-		{"nothing is asked: nothing moves", [][]string{{"m001"}, {"m002"}}, func(*runnerstate.Service) {}, full, nil},
-		{"a fill takes free room, slowly", [][]string{{"m001"}, {"m000"}}, func(*runnerstate.Service) {}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, []string{"load m002"}},
-		{"a fill leaves the last room that a larger one would need", [][]string{{"m001", "m003"}}, func(s *runnerstate.Service) {
+		{"nothing is requested: nothing moves", [][]string{{"m001"}, {"m002"}}, func(*runnerstate.Service) {}, full, nil},
+		{"a prefetch takes free room, one model at a time", [][]string{{"m001"}, {"m000"}}, func(*runnerstate.Service) {}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, []string{"load m002"}},
+		{"a prefetch leaves the last room that a larger model would need", [][]string{{"m001", "m003"}}, func(s *runnerstate.Service) {
 			s.Engine.WeightMemoryMb = 215_000
 		}, Budget{StoreLoads: 10, Concurrent: 8, Prefetch: true}, nil},
-		{"what someone waits for is loaded into free room", [][]string{{"m001", "m002", "m000"}, {"m003"}}, func(s *runnerstate.Service) {
+		{"a model with waiting requests is loaded into free room", [][]string{{"m001", "m002", "m000"}, {"m003"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 		}, full, []string{"r2 load m004"}},
-		{"the store's pace holds it back", [][]string{{"m001"}}, func(s *runnerstate.Service) {
+		{"the store's rate holds it back", [][]string{{"m001"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 		}, Budget{}, nil},
-		{"what the runner held before needs no store", [][]string{{"m001"}, {"m002"}}, func(s *runnerstate.Service) {
+		{"a model on the runner's disk needs no store", [][]string{{"m001"}, {"m002"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 			s.Runners[1].OnDisk["m004"] = true
 		}, Budget{}, []string{"r2 load m004"}},
-		{"the silent one goes, not the asked one", [][]string{{"m001", "m002", "m003"}}, func(s *runnerstate.Service) {
+		{"a model goes that nobody requests any more", [][]string{{"m001", "m002", "m003"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 			requestSteadily(s, planNowMs, "m001", 5)
 			requestSteadily(s, planNowMs-20_000, "m002", 5)
 			requestSteadily(s, planNowMs, "m003", 5)
 		}, full, []string{"r1 unload m002"}},
-		{"a surplus copy goes before a last one", [][]string{{"m001", "m002", "m003"}, {"m001", "m005", "m000"}, {"m001", "m006", "m007"}}, func(s *runnerstate.Service) {
+		{"a surplus copy goes before an only one", [][]string{{"m001", "m002", "m003"}, {"m001", "m005", "m000"}, {"m001", "m006", "m007"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 			requestSteadily(s, planNowMs, "m001", 1)
 			for _, name := range []string{"m002", "m003", "m005", "m000", "m006", "m007"} {
 				requestSteadily(s, planNowMs, name, 1)
 			}
 		}, full, []string{"unload m001"}},
-		{"what is asked for as much does not go", [][]string{{"m001", "m002", "m003"}}, func(s *runnerstate.Service) {
+		{"a model that is requested as much does not go", [][]string{{"m001", "m002", "m003"}}, func(s *runnerstate.Service) {
 			for _, name := range []string{"m001", "m002", "m003", "m004"} {
 				requestSteadily(s, planNowMs, name, 1)
 			}
 		}, full, nil},
-		{"a busy model has a second copy in another zone", [][]string{{"m001"}, {"m000"}, {"m002"}}, func(s *runnerstate.Service) {
+		{"a busy model gets a second copy in another zone", [][]string{{"m001"}, {"m000"}, {"m002"}}, func(s *runnerstate.Service) {
 			requestSteadily(s, planNowMs, "m001", 10)
 			s.Runners[1].Entry.Zone = "a"
 		}, full, []string{"r3 load m001"}},
-		{"an adapter goes where fewest are", [][]string{{"m000"}, {"m000"}}, func(s *runnerstate.Service) {
+		{"an adapter goes to the runner with the fewest", [][]string{{"m000"}, {"m000"}}, func(s *runnerstate.Service) {
 			s.Models["m000"].Demand.Add(planNowMs, 1, 1, 0)
 			s.Models["m000"].Adapter("a5").Demand.Add(planNowMs, 1, 1, 1)
 			s.Runners[0].Held["m000"].Adapters["a1"] = &runnerstate.HeldAdapter{}
 		}, full, []string{"r2 load m000 a5"}},
-		{"a full runner drops the adapter asked for longest ago", [][]string{{"m000"}}, func(s *runnerstate.Service) {
+		{"a full runner unloads the adapter that was requested longest ago", [][]string{{"m000"}}, func(s *runnerstate.Service) {
 			s.Models["m000"].Demand.Add(planNowMs, 1, 1, 0)
 			for i := range 8 {
 				name := fmt.Sprintf("a%d", i+1)
@@ -125,15 +125,15 @@
 			}
 			s.Models["m000"].Adapter("a9").Demand.Add(planNowMs, 1, 1, 1)
 		}, full, []string{"r1 unload m000 a8"}},
-		{"a runner that leaves counts no more", [][]string{{"m001", "m002", "m003"}, {"m000"}}, func(s *runnerstate.Service) {
+		{"a draining runner does not count", [][]string{{"m001", "m002", "m003"}, {"m000"}}, func(s *runnerstate.Service) {
 			requestSteadily(s, planNowMs, "m002", 1)
 			s.Runners[0].Leaving = true
 		}, full, []string{"r2 load m002"}},
-		{"a crowd on one copy goes before the first copy of a rare one that someone waits for", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *runnerstate.Service) {
+		{"a crowd on one copy goes before the first copy of a rare model with one waiting request", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 			requestSteadily(s, planNowMs, "m001", 40)
 		}, one, []string{"r2 load m001"}},
-		{"those who wait for a load go before a crowd, which is only slowed", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *runnerstate.Service) {
+		{"many waiting requests go before a crowd, which is only slowed", [][]string{{"m001", "m003", "m005"}, {"m003", "m005"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 5, 1, 5)
 			requestSteadily(s, planNowMs, "m001", 45)
 		}, one, []string{"r2 load m004"}},
@@ -143,24 +143,24 @@
 			}
 			requestSteadily(s, planNowMs, "m003", 50)
 		}, one, []string{"r6 load m003"}},
-		{"a busy runner's own disk goes before the store", [][]string{{}, {}}, func(s *runnerstate.Service) {
+		{"a busy runner with the model on disk goes before the store", [][]string{{}, {}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 0)
 			s.Runners[1].OnDisk["m004"] = true
 			s.Runners[1].State.Active = 64
 		}, full, []string{"r2 load m004"}},
-		{"most of all where someone waits", [][]string{{}, {}}, func(s *runnerstate.Service) {
+		{"most of all where requests wait", [][]string{{}, {}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 			s.Runners[1].OnDisk["m004"] = true
 			s.Runners[1].State.Active, s.Runners[1].State.Queued = 64, 115
 		}, full, []string{"r2 load m004"}},
-		{"a last copy that is silent goes before a spare one that has runs to finish", [][]string{{"m001", "m002", "m003"}, {"m005", "m006", "m007"}, {"m001"}}, func(s *runnerstate.Service) {
+		{"an only copy that nobody requests goes before a spare one with requests running", [][]string{{"m001", "m002", "m003"}, {"m005", "m006", "m007"}, {"m001"}}, func(s *runnerstate.Service) {
 			s.Models["m004"].Demand.Add(planNowMs, 1, 1, 1)
 			s.Models["m005"].Demand.Add(planNowMs-20_000, 1, 1, 0)
 			requestSteadily(s, planNowMs, "m001", 1)
 			for _, name := range []string{"m002", "m003", "m006", "m007"} {
 				requestSteadily(s, planNowMs, name, 2)
 			}
-			// It takes no order now.
+			// It takes no orders now.
 			s.Runners[2].Confirmed = false
 		}, full, []string{"r2 unload m005"}},
 	} {
--- a/internal/placement/router_test.go
+++ b/internal/placement/router_test.go
@@ -12,9 +12,9 @@
 	from    protocol.Node
 	// waiting holds since when requests wait for a holder.
 	waiting map[demand.Key][]int64
-	// asked counts the requests, late those that waited for more than lateMs.
-	asked map[demand.Key]int
-	late  map[demand.Key]int
+	// requested counts the requests, late those that waited for more than lateMs.
+	requested map[demand.Key]int
+	late      map[demand.Key]int
 	// waitsMs are how long the requests that were started had waited.
 	waitsMs []int64
 	// denied counts the holders that were listed and held the key no more.
@@ -31,14 +31,14 @@
 func newRouterSim(s *platformSim, manager *Manager) *routerSim {
 	return &routerSim{
 		s: s, manager: manager, from: protocol.Node{Name: "router-1", Address: "x"},
-		waiting: map[demand.Key][]int64{}, asked: map[demand.Key]int{}, late: map[demand.Key]int{},
+		waiting: map[demand.Key][]int64{}, requested: map[demand.Key]int{}, late: map[demand.Key]int{},
 	}
 }
 
-// ask sends one request. Holders are checked against the runners themselves.
-func (t *routerSim) ask(model, adapter string) {
+// request sends one request. Holders are checked against the runners themselves.
+func (t *routerSim) request(model, adapter string) {
 	key := demand.Key{Service: llm, Model: model, Adapter: adapter}
-	t.asked[key]++
+	t.requested[key]++
 	t.manager.LookUp(t.s.events.NowMs(), t.from, protocol.IndexLookUp{ID: 1, Service: llm, Model: model, Adapter: adapter, Tokens: 1000, Waits: !t.hasHolder(key)})
 	if !t.hasHolder(key) {
 		t.waiting[key] = append(t.waiting[key], t.s.events.NowMs())
