--- a/cmd/nativesim/pairs.go
+++ b/cmd/nativesim/pairs.go
@@ -3,10 +3,9 @@
 import (
 	"fmt"
 	"runtime"
-	"sync"
 
+	"myrtlewinch/internal/simulation/campaign"
 	"myrtlewinch/internal/simulation/nativesim"
-	"myrtlewinch/internal/threads"
 )
 
 // printPairs plays each fault alone and with each other one over the seeds, on
@@ -29,19 +28,11 @@
 func playPairs(text string, firstSeed, seeds int64) []nativesim.PairResult {
 	pairs := nativesim.FaultPairs()
 	results := make([]nativesim.PairResult, len(pairs)*int(seeds))
-	var running sync.WaitGroup
-	slots := make(chan struct{}, runtime.NumCPU())
-	for s := range seeds {
-		for i, pair := range pairs {
-			slots <- struct{}{}
-			running.Add(1)
-			threads.Go(func() {
-				defer running.Done()
-				results[int(s)*len(pairs)+i] = nativesim.PlayPair(text, firstSeed+s, pair)
-				<-slots
-			})
-		}
+	play := func(index int) nativesim.PairResult {
+		seed := firstSeed + int64(index/len(pairs))
+		return nativesim.PlayPair(text, seed, pairs[index%len(pairs)])
 	}
-	running.Wait()
+	keep := func(index int, result nativesim.PairResult) { results[index] = result }
+	campaign.Run(len(results), runtime.NumCPU(), play, keep)
 	return results
 }
