--- a/cmd/myrtlewinch/libc.go
+++ b/cmd/myrtlewinch/libc.go
@@ -3,5 +3,5 @@
 // #include <stdlib.h>
 import "C"
 
-// The platform asks for programs that link against the system's C library; the
-// import alone does it.
+// The platform requires programs that are linked against the system's C library.
+// Importing C is enough for that; nothing of it is used.
--- a/cmd/myrtlewinch/reload_test.go
+++ b/cmd/myrtlewinch/watcher_test.go
@@ -27,18 +27,20 @@
 cloud: {address: "10.200.0.4:8142", rate_s: 47.0}
 `
 
-// seeded keeps what a part was told.
-type seeded struct{ told []string }
+// recordingTarget records the seeds that it was given.
+type recordingTarget struct{ seeds []string }
 
-func (s *seeded) Reseed(seeds []string) { s.told = append(s.told, strings.Join(seeds, " ")) }
+func (s *recordingTarget) SetSeeds(seeds []string) {
+	s.seeds = append(s.seeds, strings.Join(seeds, " "))
+}
 
-func TestReload(t *testing.T) {
+func TestSettingsWatcher(t *testing.T) {
 	c := qt.New(t)
 	file := filepath.Join(t.TempDir(), "settings.yaml")
-	place, err := platform.ParseSettings([]byte(settingsYAML))
+	settings, err := platform.ParseSettings([]byte(settingsYAML))
 	c.Assert(err, qt.IsNil)
-	to := &seeded{}
-	r := newReload(file, place, to, log.New(io.Discard))
+	target := &recordingTarget{}
+	watcher := newSettingsWatcher(file, settings, target, log.New(io.Discard))
 	more := strings.Replace(settingsYAML, `["10.1.0.15:8146"]`, `["10.1.0.15:8146", "10.3.0.4:8146"]`, 1)
 	for _, step := range []struct{ name, text, want string }{
 		{"no file", "", ""},
@@ -53,8 +55,8 @@
 		if step.text != "" {
 			c.Assert(os.WriteFile(file, []byte(step.text), 0o600), qt.IsNil)
 		}
-		to.told = nil
-		r.look()
-		c.Check(strings.Join(to.told, "; "), qt.Equals, step.want, qt.Commentf(step.name))
+		target.seeds = nil
+		watcher.checkFile()
+		c.Check(strings.Join(target.seeds, "; "), qt.Equals, step.want, qt.Commentf(step.name))
 	}
 }
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -147,8 +147,8 @@
 	time.Sleep(flushTime)
 }
 
-// Reseed replaces the seeds by those of a changed settings file.
-func (d *Daemon) Reseed(seeds []string) {
+// SetSeeds replaces the seeds by those of a changed settings file.
+func (d *Daemon) SetSeeds(seeds []string) {
 	d.seeds.Store(&seeds)
 	d.runtime.Submit(consensus.SetSeeds{Seeds: seeds})
 }
--- a/internal/controller/daemon_test.go
+++ b/internal/controller/daemon_test.go
@@ -27,7 +27,7 @@
 	d, err := NewDaemon(settings, versionFormat{}, nil, newAPI, listen(), listen(), log.New(io.Discard))
 	c.Assert(err, qt.IsNil)
 	for _, seeds := range [][]string{{"a:7"}, {"b:7", "c:7"}} {
-		d.Reseed(seeds)
+		d.SetSeeds(seeds)
 		restarted := d.restartSettings(settings)
 		c.Check(restarted.Seeds, qt.DeepEquals, seeds)
 		c.Check(restarted.FirstStart, qt.IsFalse)
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -164,8 +164,8 @@
 // clientLimits returns the limits of the service map in use.
 func (s *Server) clientLimits() clientLimits { return clientLimitsOf(s.machine.Map()) }
 
-// Reseed replaces the addresses at which the control plane is searched for.
-func (s *Server) Reseed(seeds []string) { s.runtime.Submit(SetSeeds{Seeds: seeds}) }
+// SetSeeds replaces the addresses at which the control plane is searched for.
+func (s *Server) SetSeeds(seeds []string) { s.runtime.Submit(SetSeeds{Seeds: seeds}) }
 
 // Pause stops the router as a suspended machine would be, until it is
 // released. It is for tests.
