--- a/internal/storage/growth_test.go
+++ b/internal/storage/growth_test.go
@@ -21,10 +21,10 @@
 	return total
 }
 
-// However many changes there are and however large, the folder holds at most a
-// log's worth and a few times what there is to keep, also while it is written
-// anew; a restart reads no more than that.
-func TestFolderStaysSmall(t *testing.T) {
+// However many changes there are and however large, the folder takes at most the
+// size of a full log and a few times that of its rows, also while the file is
+// replaced; a restart reads no more than that.
+func TestFolderSizeIsBounded(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		rowBytes, changes  int
@@ -61,15 +61,15 @@
 					w.ClearPrefix = "state/"
 				}
 				c.Assert(d.Save(w), qt.IsNil)
-				c.Assert(d.logBytes <= max(logBytesMost, 2*d.snapshotBytes), qt.IsTrue)
+				c.Assert(d.log.bytes <= max(maxLogBytes, 2*d.log.snapshotBytes), qt.IsTrue)
 			}
 			d.Close()
 			t.Logf("at most %d bytes", most)
 			c.Assert(most <= test.most, qt.IsTrue, qt.Commentf("%d bytes", most))
-			keys := reopen(c, folder)
-			c.Assert(keys["state/position"], qt.Equals, fmt.Sprint(test.changes-1))
-			c.Assert(len(keys["state/map"]), qt.Equals, test.rowBytes)
-			c.Assert(keys["state/kept/taken/"+strings.Repeat("0", 16)] != "", qt.Equals, test.orders > 0)
+			rows := reopen(c, folder)
+			c.Assert(rows["state/position"], qt.Equals, fmt.Sprint(test.changes-1))
+			c.Assert(len(rows["state/map"]), qt.Equals, test.rowBytes)
+			c.Assert(rows["state/kept/taken/"+strings.Repeat("0", 16)] != "", qt.Equals, test.orders > 0)
 		})
 	}
 }
--- /dev/null
+++ b/internal/storage/load.go
@@ -0,0 +1,150 @@
+package storage
+
+import (
+	"crypto/rand"
+	"encoding/hex"
+	"os"
+
+	"github.com/cockroachdb/errors"
+	"github.com/tidwall/buntdb"
+)
+
+// load reads the state of the folder, or writes the first one into an empty
+// folder.
+func (s *Store) load(site string) error {
+	empty, err := s.finishReplacement()
+	if err != nil {
+		return err
+	}
+	if empty {
+		return s.initialize(site)
+	}
+	if err := s.repairAndOpenFile(); err != nil {
+		return err
+	}
+	if err := s.replay(); err != nil {
+		return err
+	}
+	if s.rows[siteRow] != site {
+		return errors.Mark(errors.Newf("data folder %s belongs to site %q, not to %q", s.folder, s.rows[siteRow], site), ErrWrongSite)
+	}
+	// A process may have been killed between a write and its sync. The write is
+	// read back now, but is lost with the power unless it is synced here.
+	if err := s.syncPath(s.path(fileName)); err != nil {
+		return err
+	}
+	return s.syncPath(s.folder)
+}
+
+// initialize writes the first state of an empty folder.
+func (s *Store) initialize(site string) error {
+	token := make([]byte, incarnationBytes)
+	if _, err := rand.Read(token); err != nil {
+		return err
+	}
+	s.rows[siteRow] = site
+	s.rows[incarnationRow] = hex.EncodeToString(token)
+	return s.replaceFile(s.rows)
+}
+
+// finishReplacement completes or undoes a replacement of the file that a loss of
+// power interrupted, and reports whether the folder holds no state. The next
+// file was synced before its rename was tried, so where there is no file under
+// the proper name, the next one is the state. Otherwise it is left over.
+func (s *Store) finishReplacement() (empty bool, err error) {
+	exists, err := fileExists(s.path(fileName))
+	if err != nil {
+		return false, s.wrap(err)
+	}
+	if !exists && isCompleteSnapshot(s.path(nextName)) {
+		return false, s.wrap(os.Rename(s.path(nextName), s.path(fileName)))
+	}
+	if err := os.Remove(s.path(nextName)); err != nil && !os.IsNotExist(err) {
+		return false, s.wrap(err)
+	}
+	return !exists, nil
+}
+
+func fileExists(path string) (bool, error) {
+	_, err := os.Stat(path)
+	if os.IsNotExist(err) {
+		return false, nil
+	}
+	return err == nil, err
+}
+
+// repairAndOpenFile opens a file whose last record a kill or a loss of power may
+// have torn.
+func (s *Store) repairAndOpenFile() error {
+	if err := repairTail(s.path(fileName), s.sync); err != nil {
+		return s.wrap(err)
+	}
+	return s.openFile()
+}
+
+// openFile opens a file of complete records.
+func (s *Store) openFile() error {
+	db, err := buntdb.Open(s.path(fileName))
+	if err != nil {
+		err = errors.Wrapf(err, "data folder %s holds a torn %s; it is left as it is", s.folder, fileName)
+		return errors.Mark(err, ErrCorrupt)
+	}
+	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Never, AutoShrinkDisabled: true}); err != nil {
+		return err
+	}
+	file, err := os.OpenFile(s.path(fileName), os.O_RDWR, 0)
+	if err != nil {
+		return s.wrap(err)
+	}
+	s.db, s.file = db, file
+	return nil
+}
+
+func (s *Store) closeFile() {
+	if s.db != nil {
+		_ = s.db.Close()
+		_ = s.file.Close()
+		s.db, s.file = nil, nil
+	}
+}
+
+// replay reads the snapshot and applies the changes of the log to it.
+func (s *Store) replay() error {
+	var changeErr error
+	err := s.db.View(func(tx *buntdb.Tx) error {
+		if err := s.replaySnapshot(tx); err != nil {
+			return err
+		}
+		return tx.AscendKeys(changePrefix+"*", func(key, text string) bool {
+			changeErr = s.replayChange(key, text)
+			return changeErr == nil
+		})
+	})
+	return errors.CombineErrors(changeErr, err)
+}
+
+func (s *Store) replaySnapshot(tx *buntdb.Tx) error {
+	text, err := tx.Get(snapshotKey)
+	if err != nil {
+		return errors.Mark(errors.Newf("data folder %s holds no snapshot; it is left as it is", s.folder), ErrCorrupt)
+	}
+	if err := decodeRecord(text, &s.rows); err != nil {
+		return s.corrupt("torn snapshot: %w", err)
+	}
+	s.log.snapshotBytes = len(text)
+	return nil
+}
+
+func (s *Store) replayChange(key, text string) error {
+	var write Write
+	if err := decodeRecord(text, &write); err != nil {
+		return s.corrupt("torn %s: %w", key, err)
+	}
+	// A gap means that a change was lost although a later one was synced.
+	if key != changeKey(s.log.changes) {
+		return s.corrupt("%s is missing", changeKey(s.log.changes))
+	}
+	write.Apply(s.rows)
+	s.log.add(len(text))
+	return nil
+}
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -223,24 +223,24 @@
 	return holds(d.Rows(), s)
 }
 
-func holds(keys map[string]string, s state) (int, error) {
+func holds(rows map[string]string, s state) (int, error) {
 	n := 0
-	_, _ = fmt.Sscan(keys["state/a"], &n)
+	_, _ = fmt.Sscan(rows["state/a"], &n)
 	orders := 0
-	for key := range keys {
+	for key := range rows {
 		if len(key) > 6 && key[:6] == "order/" {
 			orders++
 		}
 	}
 	switch {
-	case keys["state/a"] != keys["state/b"] || orders != n:
-		return n, errors.Newf("a mixture: a %q, b %q, %d orders", keys["state/a"], keys["state/b"], orders)
+	case rows["state/a"] != rows["state/b"] || orders != n:
+		return n, errors.Newf("a mixture: a %q, b %q, %d orders", rows["state/a"], rows["state/b"], orders)
 	case n < s.least:
 		return n, errors.Newf("goes back: change %d, though %d was acknowledged", n, s.least)
 	case n > s.top:
 		return n, errors.Newf("change %d, though only %d was asked for", n, s.top)
-	case s.incarnation != "" && keys["incarnation"] != s.incarnation:
-		return n, errors.Newf("another incarnation: %q", keys["incarnation"])
+	case s.incarnation != "" && rows["incarnation"] != s.incarnation:
+		return n, errors.Newf("another incarnation: %q", rows["incarnation"])
 	}
 	return n, nil
 }
@@ -250,7 +250,7 @@
 func (r *recording) play(c *qt.C, changes int) {
 	d, err := openWith(r.folder, "zagreb", r.sync)
 	c.Assert(err, qt.IsNil)
-	d.countMost = 3
+	d.log.maxChanges = 3
 	// What it read and synced may be told to others from now on.
 	n, err := holds(d.Rows(), state{least: r.acknowledged, top: r.begun, incarnation: r.incarnation})
 	c.Assert(err, qt.IsNil)
@@ -261,7 +261,7 @@
 			d.Close()
 			d, err = openWith(r.folder, "zagreb", r.sync)
 			c.Assert(err, qt.IsNil)
-			d.countMost = 3
+			d.log.maxChanges = 3
 		}
 		writes := []Write{numbered(r.begun + 1)}
 		if r.begun%4 == 2 {
--- a/internal/storage/record.go
+++ b/internal/storage/record.go
@@ -9,32 +9,50 @@
 	"github.com/cockroachdb/errors"
 )
 
-// sealed is how a record lies in the file: with a sum of its text.
-type sealed struct {
-	Sum  string          `json:"sum"`
-	Text json.RawMessage `json:"text"`
+// The keys of records in the file. They are part of the stored format.
+const (
+	snapshotKey  = "image"
+	changePrefix = "change/"
+)
+
+// changeKey is the key of a change in the log, counted from 0.
+func changeKey(number int) string { return fmt.Sprintf("%s%08d", changePrefix, number) }
+
+// checksumBytes is how much of the SHA-256 of a text is kept.
+const checksumBytes = 8
+
+// errChecksum says that a record's text is not the one that was written.
+var errChecksum = errors.New("the checksum does not match the text")
+
+// record is the stored form of a snapshot or a change.
+type record struct {
+	Checksum string          `json:"sum"`
+	Text     json.RawMessage `json:"text"`
 }
 
-func seal(value any) (string, error) {
+func checksum(text []byte) string {
+	sum := sha256.Sum256(text)
+	return hex.EncodeToString(sum[:checksumBytes])
+}
+
+// encodeRecord gives the stored form of a value.
+func encodeRecord(value any) (string, error) {
 	text, err := json.Marshal(value)
 	if err != nil {
 		return "", err
 	}
-	sum := sha256.Sum256(text)
-	out, err := json.Marshal(sealed{hex.EncodeToString(sum[:8]), text})
+	out, err := json.Marshal(record{Checksum: checksum(text), Text: text})
 	return string(out), err
 }
 
-func unseal(text string, value any) error {
-	var s sealed
-	if err := json.Unmarshal([]byte(text), &s); err != nil {
+// decodeRecord reads the stored form back into a value and verifies its checksum.
+func decodeRecord(text string, value any) error {
+	var stored record
+	if err := json.Unmarshal([]byte(text), &stored); err != nil {
 		return err
 	}
-	sum := sha256.Sum256(s.Text)
-	if hex.EncodeToString(sum[:8]) != s.Sum {
-		return errors.New("its sum does not fit its text")
+	if checksum(stored.Text) != stored.Checksum {
+		return errChecksum
 	}
-	return json.Unmarshal(s.Text, value)
+	return json.Unmarshal(stored.Text, value)
 }
-
-func changeName(number int) string { return fmt.Sprintf("%s%08d", changeKey, number) }
--- a/internal/storage/trim_test.go
+++ b/internal/storage/repair_test.go
@@ -8,9 +8,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// After a loss of power the last change, which nobody was answered for, may be
-// there, missing or torn, at any byte and in any manner; the folder still opens.
-func TestTornTail(t *testing.T) {
+// After a loss of power the last change, if it was not acknowledged, may be
+// complete, missing or torn at any byte in any manner; the folder still opens.
+func TestOpenRepairsATornLastRecord(t *testing.T) {
 	c := qt.New(t)
 	d, folder := openNew(c)
 	c.Assert(d.Save(set("state/a", "first")), qt.IsNil)
@@ -22,16 +22,16 @@
 	after, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
 	for _, manner := range []struct {
-		about string
-		spoil func(tail []byte, at int) []byte
+		about  string
+		damage func(tail []byte, at int) []byte
 	}{
 		{"cut", func(tail []byte, at int) []byte { return tail[:at] }},
-		{"noughts from there on", func(tail []byte, at int) []byte { clear(tail[at:]); return tail }},
-		{"noughts up to there", func(tail []byte, at int) []byte { clear(tail[:at+1]); return tail }},
+		{"zeroes from there on", func(tail []byte, at int) []byte { clear(tail[at:]); return tail }},
+		{"zeroes up to there", func(tail []byte, at int) []byte { clear(tail[:at+1]); return tail }},
 		{"one byte off", func(tail []byte, at int) []byte { tail[at] ^= 0x20; return tail }},
 	} {
 		for at := range len(after) - len(before) {
-			tail := manner.spoil(append([]byte{}, after[len(before):]...), at)
+			tail := manner.damage(append([]byte{}, after[len(before):]...), at)
 			c.Assert(os.WriteFile(path, append(append([]byte{}, before...), tail...), 0o644), qt.IsNil)
 			d, err := Open(folder, "zagreb")
 			c.Assert(err, qt.IsNil, qt.Commentf("%s at %d", manner.about, at))
@@ -43,8 +43,8 @@
 	}
 }
 
-// A disk that failed and works again is written anew before it is trusted.
-func TestReopen(t *testing.T) {
+// After a failure all rows are written to a new file before they are trusted.
+func TestReopenAfterAFailureWritesANewFile(t *testing.T) {
 	c := qt.New(t)
 	d, folder := openNew(c)
 	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
@@ -58,8 +58,8 @@
 	again, err := Reopen(folder, "zagreb")
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
-	// The change that failed may be there or not; the file holds just an image.
-	c.Assert(again.count, qt.Equals, 0)
+	// The change that failed may be there or not; the file holds just a snapshot.
+	c.Assert(again.log.changes, qt.Equals, 0)
 	c.Assert(again.Rows()["state/a"] == "1" || again.Rows()["state/a"] == "2", qt.IsTrue)
 	entries, err := os.ReadDir(folder)
 	c.Assert(err, qt.IsNil)
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -1,16 +1,29 @@
-// Package storage keeps a daemon's own state in one data folder, through buntdb.
+// Package storage keeps the durable state of one daemon: a table of rows, each a
+// string under a key, in one data folder.
 //
-// What buntdb leaves open is closed here. It ignores errors of its syncs, so
-// it is told never to sync and each change is synced by this package. A
-// transaction of several keys can be torn in its file, so a change is always
-// one key. Its shrink replaces the file without syncing the folder, so it is
-// never used; a fresh file is written, synced and put in place here. It
-// panics after a failed write, so a defect closes the disk for good.
+// The folder holds one file of state in the format of buntdb. It begins with a
+// snapshot of all rows, and a log of numbered changes follows it. Each of them
+// is one record with a checksum. Once the log is large, a new file with only a
+// snapshot replaces the old one.
+//
+// What is durable when: Save returns once its changes are synced, so a change
+// that it acknowledged is never lost, and changes are durable in their order. A
+// change whose Save failed, or did not return, may be found after a restart or
+// not, but always as a whole. A file that replaces another is synced before it
+// is renamed, and the folder is synced after that.
+//
+// A sync that failed says nothing about which pages reached the disk, and the
+// next sync may report success for pages that were dropped. A Store that failed
+// once therefore refuses all further changes; Reopen starts over from the file.
+//
+// The parts of buntdb that promise less than this are not used. It ignores the
+// errors of its own syncs, so it is set never to sync. A transaction over several
+// keys may be torn in its file, so each change is a single key. Its shrinking
+// replaces the file without syncing the folder, so it is disabled. It panics
+// after a failed write, which Save turns into an error.
 package storage
 
 import (
-	"crypto/rand"
-	"encoding/hex"
 	"maps"
 	"os"
 	"path/filepath"
@@ -21,54 +34,70 @@
 	"github.com/tidwall/buntdb"
 )
 
+// The files of a data folder.
 const (
-	fileName  = "state.db"
-	nextName  = "state.next"
-	lockName  = "lock"
+	fileName = "state.db"
+	// nextName is a new file of state until it is renamed to fileName.
+	nextName = "state.next"
+	// lockName is the file whose lock shows that a process has the folder open.
+	lockName = "lock"
+	// probeName is the file that CheckWritable writes and removes.
 	probeName = "probe"
-	// probeBytes is more than one change usually takes.
-	probeBytes = 64 << 10
-	imageKey   = "image"
-	changeKey  = "change/"
-	// The log of changes is replaced by a snapshot once it holds so many, or so
-	// many bytes: it is read whole at each start, and it lies in memory as well
-	// as on the disk.
-	logCountMost = 4096
-	logBytesMost = 2 << 20
 )
 
-// Store is one open data folder.
+// The rows that each data folder holds from the start.
+const (
+	siteRow = "site"
+	// incarnationRow is random, so that an emptied folder is told from the one
+	// that was there before.
+	incarnationRow   = "incarnation"
+	incarnationBytes = 8
+)
+
+// probeBytes is more than one change usually takes.
+const probeBytes = 64 << 10
+
+// The causes of a folder that can't be opened.
+var (
+	// ErrInUse says that another process has the folder open.
+	ErrInUse = errors.New("the data folder is in use")
+	// ErrWrongSite says that the folder belongs to another site.
+	ErrWrongSite = errors.New("the data folder belongs to another site")
+	// ErrCorrupt says that records are damaged that were synced. The file is
+	// left as it was.
+	ErrCorrupt = errors.New("the data folder is corrupt")
+)
+
+// syncFunc brings what was written to a file, or a folder's names, to the disk.
+type syncFunc func(*os.File) error
+
+// Store is one open data folder. Its methods are for one goroutine, apart from
+// CheckWritable and OverrideSync.
 type Store struct {
 	folder string
 	lock   *os.File
 	db     *buntdb.DB
-	file   *os.File
-	keys   map[string]string
-	// count is how many changes the log holds; logBytes and snapshotBytes are the
-	// lengths of their texts and of the snapshot's.
-	count, logBytes, snapshotBytes int
-	// countMost is how many changes the log may hold.
-	countMost int
-	defect    error
-	// sync is how a file is brought to the platter; Spoil makes it fail.
-	sync func(*os.File) error
-	// spoil replaces sync from the next save on.
-	spoil atomic.Pointer[func(*os.File) error]
-}
-
-// OverrideSync makes the disk behave as a full, failing or stalling one does, for
-// trying how the daemon takes it.
-func (d *Store) OverrideSync(sync func(*os.File) error) { d.spoil.Store(&sync) }
-
-// Open takes the folder for this process. An empty folder gets a new random
-// incarnation; one of another site or one that can't be read is refused and
-// left as it was.
+	// file is a second handle of the file that db writes to, for syncing it.
+	file *os.File
+	rows map[string]string
+	// log counts what the file holds.
+	log logSize
+	// failure is the error of the first Save that failed, nil until then.
+	failure error
+	sync    syncFunc
+	// syncOverride replaces sync from the next Save on; nil leaves it.
+	syncOverride atomic.Pointer[syncFunc]
+}
+
+// Open opens a folder for this process alone and makes it where there is none.
+// An empty folder gets the site's name and a new random incarnation. A folder
+// that belongs to another site, or is damaged, is refused and left as it was.
 func Open(folder, site string) (*Store, error) {
 	return openWith(folder, site, (*os.File).Sync)
 }
 
-// openWith is Open with another way to bring a file to the platter.
-func openWith(folder, site string, sync func(*os.File) error) (*Store, error) {
+// openWith is Open with another way to sync.
+func openWith(folder, site string, sync syncFunc) (*Store, error) {
 	if err := makeFolder(folder, sync); err != nil {
 		return nil, errors.Wrapf(err, "data folder %s", folder)
 	}
@@ -78,20 +107,21 @@
 	}
 	if err := syscall.Flock(int(lock.Fd()), syscall.LOCK_EX|syscall.LOCK_NB); err != nil {
 		_ = lock.Close()
-		return nil, errors.Newf("data folder %s is in use by another process", folder)
+		return nil, errors.Mark(errors.Newf("data folder %s is in use by another process", folder), ErrInUse)
 	}
-	d := &Store{folder: folder, lock: lock, keys: map[string]string{}, countMost: logCountMost, sync: sync}
-	if err := d.load(site); err != nil {
-		d.Close()
+	s := &Store{folder: folder, lock: lock, rows: map[string]string{}, log: logSize{maxChanges: maxLogChanges}, sync: sync}
+	if err := s.load(site); err != nil {
+		s.Close()
 		return nil, err
 	}
-	return d, nil
+	return s, nil
 }
 
-// makeFolder makes the folder where there is none, so that its name lasts.
-func makeFolder(folder string, sync func(*os.File) error) error {
-	absent, err := isAbsent(folder)
-	if err != nil || !absent {
+// makeFolder makes the folder where there is none, and syncs its parent so that
+// its name is durable.
+func makeFolder(folder string, sync syncFunc) error {
+	exists, err := fileExists(folder)
+	if err != nil || exists {
 		return err
 	}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -105,291 +135,121 @@
 	return sync(parent)
 }
 
-// Reopen opens a folder whose disk failed before. After a sync that failed the
-// system may hold as clean what never reached the platter, so all of it is
-// written anew before anything of it is trusted.
+// Reopen opens a folder after a Store on it failed. The system may hold pages as
+// clean that never reached the disk, so all rows are written to a new file
+// before any of them is trusted.
 func Reopen(folder, site string) (*Store, error) {
-	d, err := Open(folder, site)
+	s, err := Open(folder, site)
 	if err != nil {
 		return nil, err
 	}
-	if err := d.rewrite(d.keys); err != nil {
-		d.Close()
+	if err := s.replaceFile(s.rows); err != nil {
+		s.Close()
 		return nil, err
 	}
-	return d, nil
+	return s, nil
 }
 
-func (d *Store) path(name string) string { return filepath.Join(d.folder, name) }
+// Rows returns a copy of all rows.
+func (s *Store) Rows() map[string]string { return maps.Clone(s.rows) }
 
-func (d *Store) load(site string) error {
-	blank, err := d.settleNames()
-	if err != nil {
-		return err
-	}
-	if !blank {
-		if err := d.open(); err != nil {
-			return err
-		}
-		if err := d.replay(); err != nil {
-			return err
-		}
-		if d.keys["site"] != site {
-			return errors.Newf("data folder %s belongs to site %q, not to %q", d.folder, d.keys["site"], site)
-		}
-		// What a process wrote and did not sync before it was killed is read
-		// back, but a loss of power would still take it.
-		if err := d.syncPath(d.path(fileName)); err != nil {
-			return err
-		}
-		return d.syncPath(d.folder)
-	}
-	token := make([]byte, 8)
-	if _, err := rand.Read(token); err != nil {
-		return err
-	}
-	d.keys["site"] = site
-	d.keys["incarnation"] = hex.EncodeToString(token)
-	return d.rewrite(d.keys)
-}
-
-// settleNames says whether the folder holds no state yet. A next file was
-// synced whole before its rename was tried, so where a loss of power left no
-// file under the name proper, it is the state; otherwise it holds nothing that
-// counts.
-func (d *Store) settleNames() (blank bool, err error) {
-	blank, err = isAbsent(d.path(fileName))
-	if err != nil {
-		return false, errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	if blank && isSnapshot(d.path(nextName)) {
-		err = os.Rename(d.path(nextName), d.path(fileName))
-		return false, errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	if err := os.Remove(d.path(nextName)); err != nil && !os.IsNotExist(err) {
-		return false, errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	return blank, nil
-}
-
-func isAbsent(path string) (bool, error) {
-	_, err := os.Stat(path)
-	if os.IsNotExist(err) {
-		return true, nil
-	}
-	return false, err
-}
-
-// isSnapshot says whether a file holds one whole snapshot and nothing else.
-func isSnapshot(path string) bool {
-	text, err := os.ReadFile(path)
-	return err == nil && len(text) > 0 && recordSize(text, imageKey) == len(text)
-}
-
-// open opens a file that a process or a loss of power may have left torn.
-func (d *Store) open() error {
-	if err := trim(d.path(fileName), d.sync); err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	return d.attach()
-}
-
-// attach opens a file that is whole.
-func (d *Store) attach() error {
-	db, err := buntdb.Open(d.path(fileName))
-	if err != nil {
-		return errors.Wrapf(err, "data folder %s holds a torn %s; it is left as it is", d.folder, fileName)
-	}
-	if err := db.SetConfig(buntdb.Config{SyncPolicy: buntdb.Never, AutoShrinkDisabled: true}); err != nil {
-		return err
-	}
-	file, err := os.OpenFile(d.path(fileName), os.O_RDWR, 0)
-	if err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	d.db, d.file = db, file
-	return nil
-}
-
-func (d *Store) replay() error {
-	var fault error
-	err := d.db.View(func(tx *buntdb.Tx) error {
-		text, err := tx.Get(imageKey)
-		if err != nil {
-			return errors.Newf("data folder %s holds no image; it is left as it is", d.folder)
-		}
-		if err := unseal(text, &d.keys); err != nil {
-			return errors.Wrapf(err, "data folder %s: torn image", d.folder)
-		}
-		d.snapshotBytes = len(text)
-		return tx.AscendKeys(changeKey+"*", func(key, text string) bool {
-			var w Write
-			if fault = unseal(text, &w); fault != nil {
-				fault = errors.Wrapf(fault, "data folder %s: torn %s", d.folder, key)
-				return false
-			}
-			// A gap means that a change was lost under a later one.
-			if key != changeName(d.count) {
-				fault = errors.Newf("data folder %s: %s is missing", d.folder, changeName(d.count))
-				return false
-			}
-			w.Apply(d.keys)
-			d.count++
-			d.logBytes += len(text)
-			return true
-		})
-	})
-	return errors.CombineErrors(fault, err)
-}
-
-// Rows gives a copy of what the disk holds.
-func (d *Store) Rows() map[string]string { return maps.Clone(d.keys) }
-
-// Save brings changes to the platter before it returns, in their order; those
-// that belong together take one sync for all. After a defect the disk takes
-// nothing more: what was written then is unknown until the folder is opened
-// anew.
-func (d *Store) Save(writes ...Write) (err error) {
-	if d.defect != nil {
-		return d.defect
+// Save applies changes in their order and returns once they are durable. Writes
+// that can be merged share one sync. After an error the Store accepts nothing
+// more: whether the changes of that call are on the disk is unknown until the
+// folder is opened again.
+func (s *Store) Save(writes ...Write) (err error) {
+	if s.failure != nil {
+		return s.failure
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			err = errors.Newf("data folder %s: %v", d.folder, cause)
+			err = errors.Newf("data folder %s: %v", s.folder, cause)
 		}
 		if err != nil {
-			d.defect = err
+			s.failure = err
 		}
 	}()
-	if spoilt := d.spoil.Load(); spoilt != nil {
-		d.sync = *spoilt
+	if override := s.syncOverride.Load(); override != nil {
+		s.sync = *override
 	}
-	for _, w := range merge(writes) {
-		if err := d.saveOne(w); err != nil {
+	for _, write := range mergeAll(writes) {
+		if err := s.saveOne(write); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (d *Store) saveOne(w Write) error {
-	text, err := seal(w)
+// saveOne makes one change durable: in the log, or with all other rows in a new
+// file.
+func (s *Store) saveOne(write Write) error {
+	text, err := encodeRecord(write)
 	if err != nil {
 		return err
 	}
-	if d.logFull(len(text)) {
-		keys := maps.Clone(d.keys)
-		w.Apply(keys)
-		return d.rewrite(keys)
+	if s.log.isFull(len(text)) {
+		rows := maps.Clone(s.rows)
+		write.Apply(rows)
+		return s.replaceFile(rows)
 	}
-	if err := d.append(text); err != nil {
+	if err := s.appendChange(text); err != nil {
 		return err
 	}
-	w.Apply(d.keys)
+	write.Apply(s.rows)
 	return nil
 }
 
-// logFull says whether a change of so many bytes is too much for the log. A
-// large snapshot is not written for less than twice its own length of changes.
-func (d *Store) logFull(more int) bool {
-	return d.count >= d.countMost || d.logBytes+more > max(logBytesMost, 2*d.snapshotBytes)
-}
-
-// append adds a change to the log and syncs it.
-func (d *Store) append(text string) error {
-	if err := d.db.Update(func(tx *buntdb.Tx) error {
-		_, _, err := tx.Set(changeName(d.count), text, nil)
-		return err
-	}); err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	if err := d.sync(d.file); err != nil {
-		return errors.Wrapf(err, "data folder %s: sync", d.folder)
-	}
-	d.count++
-	d.logBytes += len(text)
-	return nil
-}
-
-// rewrite puts a fresh file with only a snapshot of these keys in place:
-// written, synced, renamed, and the folder synced.
-func (d *Store) rewrite(keys map[string]string) error {
-	text, err := seal(keys)
-	if err != nil {
-		return err
-	}
-	next, err := buntdb.Open(d.path(nextName))
-	if err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	err = next.Update(func(tx *buntdb.Tx) error {
-		_, _, err := tx.Set(imageKey, text, nil)
-		return err
-	})
-	if closing := next.Close(); err == nil {
-		err = closing
-	}
+// CheckWritable reports whether the folder accepts writes and syncs them, by a
+// file of its own beside the state. It works on a Store that failed, and may be
+// called from any goroutine.
+func (s *Store) CheckWritable() error {
+	file, err := os.OpenFile(s.path(probeName), os.O_CREATE|os.O_RDWR|os.O_TRUNC, 0o644)
 	if err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	if err := d.syncPath(d.path(nextName)); err != nil {
-		return err
+		return s.wrap(err)
 	}
-	d.closeFile()
-	if err := os.Rename(d.path(nextName), d.path(fileName)); err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	if err := d.syncPath(d.folder); err != nil {
-		return err
+	defer func() {
+		_ = file.Close()
+		_ = os.Remove(s.path(probeName))
+	}()
+	if _, err := file.Write(make([]byte, probeBytes)); err != nil {
+		return s.wrap(err)
 	}
-	d.keys, d.count, d.logBytes, d.snapshotBytes = keys, 0, 0, len(text)
-	return d.attach()
+	return s.wrapSync(s.currentSync()(file))
 }
 
-func (d *Store) syncPath(path string) error {
-	file, err := os.Open(path)
-	if err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
+// currentSync is the way to sync that the next Save uses.
+func (s *Store) currentSync() syncFunc {
+	if override := s.syncOverride.Load(); override != nil {
+		return *override
 	}
-	defer file.Close()
-	return errors.Wrapf(d.sync(file), "data folder %s: sync", d.folder)
+	return (*os.File).Sync
 }
 
-func (d *Store) closeFile() {
-	if d.db != nil {
-		_ = d.db.Close()
-		_ = d.file.Close()
-		d.db, d.file = nil, nil
-	}
+// OverrideSync makes the disk behave as a full, failing or stalling one does
+// from the next Save on. It is for fault injection in tests, and may be called
+// from any goroutine.
+func (s *Store) OverrideSync(sync func(*os.File) error) {
+	override := syncFunc(sync)
+	s.syncOverride.Store(&override)
 }
 
-// CheckWritable says whether the folder takes and syncs writes, apart from the state's
-// own file. It may be called after a defect, on any thread.
-func (d *Store) CheckWritable() error {
-	file, err := os.OpenFile(d.path(probeName), os.O_CREATE|os.O_RDWR|os.O_TRUNC, 0o644)
-	if err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	defer func() {
-		_ = file.Close()
-		_ = os.Remove(d.path(probeName))
-	}()
-	if _, err := file.Write(make([]byte, probeBytes)); err != nil {
-		return errors.Wrapf(err, "data folder %s", d.folder)
-	}
-	return errors.Wrapf(d.syncer()(file), "data folder %s: sync", d.folder)
+// Close closes the folder, so that another Store can open it.
+func (s *Store) Close() {
+	s.closeFile()
+	_ = s.lock.Close()
 }
 
-// syncer is how a file is brought to the platter now.
-func (d *Store) syncer() func(*os.File) error {
-	if spoilt := d.spoil.Load(); spoilt != nil {
-		return *spoilt
-	}
-	return (*os.File).Sync
+func (s *Store) path(name string) string { return filepath.Join(s.folder, name) }
+
+// wrap names the folder in an error; nil stays nil.
+func (s *Store) wrap(err error) error { return errors.Wrapf(err, "data folder %s", s.folder) }
+
+// wrapSync names the folder in the error of a sync; nil stays nil.
+func (s *Store) wrapSync(err error) error {
+	return errors.Wrapf(err, "data folder %s: sync", s.folder)
 }
 
-// Close lets the folder go.
-func (d *Store) Close() {
-	d.closeFile()
-	_ = d.lock.Close()
+// corrupt is an error about damaged records.
+func (s *Store) corrupt(format string, args ...any) error {
+	return errors.Mark(s.wrap(errors.Newf(format, args...)), ErrCorrupt)
 }
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -29,7 +29,7 @@
 	return d.Rows()
 }
 
-func TestDiskKeepsWhatItSaved(t *testing.T) {
+func TestStoreKeepsSavedRowsAcrossRestarts(t *testing.T) {
 	c := qt.New(t)
 	d, folder := openNew(c)
 	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
@@ -38,17 +38,17 @@
 	_, err := Open(folder, "zagreb")
 	c.Assert(err, qt.ErrorMatches, ".*in use.*")
 	d.Close()
-	keys := reopen(c, folder)
-	c.Assert(keys["state/a"], qt.Equals, "")
-	c.Assert(keys["state/b"], qt.Equals, "2")
-	c.Assert(keys["witness"], qt.Equals, "w")
+	rows := reopen(c, folder)
+	c.Assert(rows["state/a"], qt.Equals, "")
+	c.Assert(rows["state/b"], qt.Equals, "2")
+	c.Assert(rows["witness"], qt.Equals, "w")
 	_, err = Open(folder, "alexandria")
 	c.Assert(err, qt.ErrorMatches, `.*belongs to site "zagreb".*`)
 }
 
-// A power cut may leave any part of what was not synced. Whatever byte the
-// file ends at, the folder opens to a whole prefix of the changes.
-func TestDiskPowerCutAtEachByte(t *testing.T) {
+// A loss of power may leave any part of what was not synced. Whatever byte the
+// file ends at, the folder opens to a complete prefix of the changes.
+func TestOpenAfterTruncationAtEachByte(t *testing.T) {
 	c := qt.New(t)
 	d, folder := openNew(c)
 	path := filepath.Join(folder, fileName)
@@ -64,7 +64,7 @@
 	for cut := sizes[0]; cut <= int64(len(whole)); cut++ {
 		torn := c.TempDir()
 		c.Assert(os.WriteFile(filepath.Join(torn, fileName), whole[:cut], 0o644), qt.IsNil)
-		keys := reopen(c, torn)
+		rows := reopen(c, torn)
 		last := 0
 		for n, size := range sizes {
 			if size <= cut {
@@ -75,8 +75,8 @@
 		if last == 0 {
 			want = ""
 		}
-		c.Assert(keys["state/a"], qt.Equals, want, qt.Commentf("cut at byte %d", cut))
-		c.Assert(keys["state/b"], qt.Equals, want, qt.Commentf("cut at byte %d", cut))
+		c.Assert(rows["state/a"], qt.Equals, want, qt.Commentf("cut at byte %d", cut))
+		c.Assert(rows["state/b"], qt.Equals, want, qt.Commentf("cut at byte %d", cut))
 	}
 }
 
@@ -86,7 +86,7 @@
 	return info.Size()
 }
 
-func TestDiskFailedSync(t *testing.T) {
+func TestStoreAcceptsNothingAfterAFailedSync(t *testing.T) {
 	c := qt.New(t)
 	d, err := Open(c.TempDir(), "zagreb")
 	c.Assert(err, qt.IsNil)
@@ -94,12 +94,12 @@
 	d.sync = func(*os.File) error { return errors.New("platter gone") }
 	c.Assert(d.Save(set("state/a", "1")), qt.ErrorMatches, ".*platter gone")
 	d.sync = (*os.File).Sync
-	// Once a sync failed nothing that follows may be believed.
+	// After a failed sync the success of a later one proves nothing.
 	c.Assert(d.Save(set("state/a", "2")), qt.ErrorMatches, ".*platter gone")
 	c.Assert(d.Rows()["state/a"], qt.Equals, "")
 }
 
-func TestDiskFull(t *testing.T) {
+func TestStoreAcceptsNothingAfterAFullDisk(t *testing.T) {
 	c := qt.New(t)
 	d, folder := openNew(c)
 	defer d.Close()
@@ -121,7 +121,7 @@
 	c.Assert(d.Save(set("state/a", "2")), qt.ErrorMatches, ".*no space left.*")
 }
 
-func TestDiskTornInside(t *testing.T) {
+func TestOpenRefusesDamageBeforeALaterRecord(t *testing.T) {
 	c := qt.New(t)
 	d, folder := openNew(c)
 	c.Assert(d.Save(set("state/a", "first")), qt.IsNil)
@@ -143,15 +143,15 @@
 	c.Assert(string(after), qt.Equals, string(text), qt.Commentf("left as it was"))
 }
 
-func TestDiskRewrite(t *testing.T) {
+func TestReplacedFileKeepsAllRows(t *testing.T) {
 	c := qt.New(t)
 	d, folder := openNew(c)
 	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
-	// Reach the bound without thousands of syncs.
-	c.Assert(d.rewrite(d.Rows()), qt.IsNil)
-	c.Assert(d.count, qt.Equals, 0)
+	// The file is replaced directly, since reaching the bound takes thousands of syncs.
+	c.Assert(d.replaceFile(d.Rows()), qt.IsNil)
+	c.Assert(d.log.changes, qt.Equals, 0)
 	c.Assert(d.Save(set("state/b", "2")), qt.IsNil)
 	d.Close()
-	keys := reopen(c, folder)
-	c.Assert(keys["state/a"]+keys["state/b"], qt.Equals, "12")
+	rows := reopen(c, folder)
+	c.Assert(rows["state/a"]+rows["state/b"], qt.Equals, "12")
 }
--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Changes that are merged leave what they leave one after the other.
-func TestMergedWritesDoTheSame(t *testing.T) {
+// Merged writes leave the same rows as the writes one after the other.
+func TestMergedWritesHaveTheSameEffect(t *testing.T) {
 	c := qt.New(t)
 	for seed := range int64(3000) {
 		random := rand.New(rand.NewSource(seed))
@@ -37,16 +37,15 @@
 			writes = append(writes, w)
 			w.Apply(want)
 		}
-		for _, w := range merge(writes) {
+		for _, w := range mergeAll(writes) {
 			w.Apply(got)
 		}
 		c.Assert(got, qt.DeepEquals, want, qt.Commentf("seed %d: %v", seed, writes))
 	}
 }
 
-// Changes that wait together take one sync, and what a later one overwrites is
-// not written.
-func TestSaveTogether(t *testing.T) {
+// Writes that are saved together share one sync as far as they can be merged.
+func TestMergedWritesShareOneSync(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		writes []Write
@@ -70,8 +69,8 @@
 			c.Assert(d.Save(test.writes...), qt.IsNil)
 			d.Close()
 			c.Assert(syncs, qt.Equals, test.syncs)
-			keys := reopen(c, folder)
-			c.Assert(keys["state/a"]+keys["state/b"]+keys["witness"], qt.Equals, test.want)
+			rows := reopen(c, folder)
+			c.Assert(rows["state/a"]+rows["state/b"]+rows["witness"], qt.Equals, test.want)
 		})
 	}
 }
