--- a/internal/election/witness/witness.go
+++ b/internal/election/witness/witness.go
@@ -1,148 +1,153 @@
-// Package witness keeps epochs, and nothing else, on one durable record.
+// Package witness is the acceptor of elections: it promises ballots, stores the
+// record of the newest epoch, and grants the primary's lease. Its whole state is one
+// durable row. A witness that has never been named by a record is blank.
 package witness
 
 import (
 	"encoding/json"
+	"slices"
 
 	"myrtlewinch/internal/protocol"
 )
 
-// Key is where the record lies on the disk.
+// Key is that of the witness's row on the disk.
 const Key = "witness"
 
-// State is the durable record of one witness.
+// State is what a witness must not forget. Its fields' keys stay as they are from
+// release to release.
 type State struct {
-	Promised  protocol.Ballot      `json:"promised"`
-	Accepted  protocol.Ballot      `json:"kept"`
-	Record    protocol.EpochRecord `json:"record"`
-	Bootstrap bool                 `json:"founding,omitempty"`
+	// Promised is the highest ballot that was promised or accepted. Nothing is
+	// accepted under a lower one.
+	Promised protocol.Ballot `json:"promised"`
+	// Accepted is the ballot under which Record was stored last.
+	Accepted protocol.Ballot `json:"kept"`
+	// Record is the newest record that was stored. It may be half-recorded, so that
+	// no majority stores it.
+	Record protocol.EpochRecord `json:"record"`
+	// Bootstrap is set by no release any more; a stored one is kept.
+	Bootstrap bool `json:"founding,omitempty"`
 }
 
-// Acceptor decides what one disk promises and keeps. Its caller saves the
-// memory, where it changed, before the answer leaves.
+// Acceptor decides what one disk promises and stores. Its caller saves the state,
+// where it changed, before the answer leaves.
 type Acceptor struct {
 	State
 	self protocol.MemberID
 	// leaseMs is how long no other may become primary after a renewal.
-	leaseMs      int64
-	startMs      int64
+	leaseMs int64
+	// holder is the name of the candidate that holds the lease until leaseUntilMs; it
+	// is empty where the holder is not known.
 	holder       string
 	leaseUntilMs int64
 }
 
-// New makes a witness from what its disk holds. A lease lasts leaseMs, at all
-// witnesses and the primary alike.
+// New makes an acceptor from the row that its disk holds, which is empty for a new
+// disk. A lease lasts leaseMs, at all witnesses and the primary alike.
 func New(self protocol.MemberID, saved string, nowMs, leaseMs int64) (*Acceptor, error) {
-	w := &Acceptor{self: self, startMs: nowMs, leaseMs: leaseMs}
+	a := &Acceptor{self: self, leaseMs: leaseMs}
 	if saved == "" {
-		return w, nil
+		return a, nil
 	}
-	err := json.Unmarshal([]byte(saved), &w.State)
-	// A hold given before the restart may still run. Only the one whose record
-	// was kept last can have been given it, since a renewal is of a kept record;
-	// so all others wait it out, and that one need not.
-	w.leaseUntilMs = nowMs + w.leaseMs
-	// Where a promise came after the record, to whom a lease was given may be
-	// forgotten: then no one gets a vote until it is out.
-	if w.Accepted == w.Promised {
-		w.holder = w.Accepted.Name
+	err := json.Unmarshal([]byte(saved), &a.State)
+	// A lease granted before the restart may still run. Only the candidate whose
+	// record was stored last can hold it, since a renewal is of a stored record; so
+	// all others wait it out, and that one need not.
+	a.leaseUntilMs = nowMs + a.leaseMs
+	// Where a promise came after the record, it is not known who may hold a lease:
+	// then no candidate gets a promise until it has run out.
+	if a.Accepted == a.Promised {
+		a.holder = a.Accepted.Name
 	}
-	return w, err
+	return a, err
 }
 
-// Blank says that this disk was never taken into a recorded epoch.
-func (w *Acceptor) Blank() bool {
-	for _, seat := range w.Record.Witnesses {
-		if seat == w.self {
-			return false
-		}
-	}
-	return true
+// Blank says that the stored record, if any, doesn't name this disk as a witness.
+func (a *Acceptor) Blank() bool {
+	return !slices.Contains(a.Record.Witnesses, a.self)
 }
 
-// Encode is the memory as it is saved.
-func (w *Acceptor) Encode() string {
-	text, _ := json.Marshal(w.State)
+// Encode returns the row to be saved.
+func (a *Acceptor) Encode() string {
+	text, _ := json.Marshal(a.State)
 	return string(text)
 }
 
-// Prepare answers a candidate. Changed says that the memory must be saved.
-func (w *Acceptor) Prepare(nowMs int64, from string, ask protocol.Prepare) (answer protocol.PrepareReply, changed bool) {
-	answer = protocol.PrepareReply{Ballot: ask.Ballot, Highest: w.Promised, Record: w.Record, Kept: w.Accepted, Blank: w.Blank()}
-	// A blank disk votes only in an explicit act of the operator's.
-	if w.Blank() && !(ask.Found && w.Record.Epoch == 0) && !ask.Recover {
-		return answer, false
+// Prepare answers a candidate that asks for a promise. Changed says that the state
+// must be saved.
+func (a *Acceptor) Prepare(nowMs int64, from string, request protocol.Prepare) (reply protocol.PrepareReply, changed bool) {
+	reply = protocol.PrepareReply{Ballot: request.Ballot, Highest: a.Promised, Record: a.Record, Kept: a.Accepted, Blank: a.Blank()}
+	// A blank disk promises only for a bootstrap or a recovery.
+	if a.Blank() && !(request.Found && a.Record.Epoch == 0) && !request.Recover {
+		return reply, false
 	}
-	// The hold that was given keeps every other out while it runs.
-	if nowMs < w.leaseUntilMs && w.holder != from {
-		answer.WaitMs = w.leaseUntilMs - nowMs
-		return answer, false
+	// A lease keeps every other candidate out while it runs.
+	if nowMs < a.leaseUntilMs && a.holder != from {
+		reply.WaitMs = a.leaseUntilMs - nowMs
+		return reply, false
 	}
-	if ask.Ballot.Less(w.Promised) {
-		return answer, false
+	if request.Ballot.Less(a.Promised) {
+		return reply, false
 	}
-	changed = w.Promised != ask.Ballot
-	w.Promised = ask.Ballot
-	answer.Granted = true
-	answer.Highest = w.Promised
-	return answer, changed
+	changed = a.Promised != request.Ballot
+	a.Promised = request.Ballot
+	reply.Granted = true
+	reply.Highest = a.Promised
+	return reply, changed
 }
 
-// Accept stores a record.
-func (w *Acceptor) Accept(nowMs int64, ask protocol.Accept) (answer protocol.AcceptReply, changed bool) {
-	answer = protocol.AcceptReply{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
-	taken := false
-	for _, seat := range ask.Record.Witnesses {
-		taken = taken || seat == w.self
-	}
+// Accept stores a record under a ballot, unless a higher one was promised, and
+// grants the candidate a lease.
+func (a *Acceptor) Accept(nowMs int64, request protocol.Accept) (reply protocol.AcceptReply, changed bool) {
+	reply = protocol.AcceptReply{Ballot: request.Ballot, Epoch: request.Record.Epoch, Highest: a.Promised, Record: a.Record, EchoMs: request.EchoMs}
 	// A blank disk is taken in only by a record that names it.
-	if w.Blank() && !taken {
-		return answer, false
+	if a.Blank() && !slices.Contains(request.Record.Witnesses, a.self) {
+		return reply, false
 	}
-	if ask.Ballot.Less(w.Promised) {
-		return answer, false
+	if request.Ballot.Less(a.Promised) {
+		return reply, false
 	}
-	before := w.State
-	w.Promised = ask.Ballot
+	before := a.State
+	a.Promised = request.Ballot
 	// A higher record shows that this lower one was complete already.
-	if ask.Record.Epoch >= w.Record.Epoch {
-		w.Record = ask.Record
-		w.Accepted = ask.Ballot
+	if request.Record.Epoch >= a.Record.Epoch {
+		a.Record = request.Record
+		a.Accepted = request.Ballot
 	}
-	// The hold is the candidate's own, also while it completes another's record.
-	w.grantLease(nowMs, ask.Ballot.Name)
-	answer.Granted = true
-	answer.Highest = w.Promised
-	answer.Record = w.Record
-	return answer, before.Promised != w.Promised || before.Accepted != w.Accepted || before.Record.Epoch != w.Record.Epoch
+	// The lease is the candidate's own, also while it completes another's record.
+	a.grantLease(nowMs, request.Ballot.Name)
+	reply.Granted = true
+	reply.Highest = a.Promised
+	reply.Record = a.Record
+	return reply, before.Promised != a.Promised || before.Accepted != a.Accepted || before.Record.Epoch != a.Record.Epoch
 }
 
-// Renew prolongs the primary's hold. A witness that missed the record takes
-// it from the renewal, since only a complete record is renewed.
-func (w *Acceptor) Renew(nowMs int64, ask protocol.RenewLease) (answer protocol.AcceptReply, changed bool) {
-	answer = protocol.AcceptReply{Ballot: ask.Ballot, Epoch: ask.Record.Epoch, Highest: w.Promised, Record: w.Record, EchoMs: ask.EchoMs}
-	if w.Blank() || ask.Ballot.Less(w.Promised) || ask.Record.Epoch < w.Record.Epoch {
-		return answer, false
+// Renew renews the primary's lease. A witness that missed the record stores it from
+// the renewal, since only a complete record is renewed.
+func (a *Acceptor) Renew(nowMs int64, request protocol.RenewLease) (reply protocol.AcceptReply, changed bool) {
+	reply = protocol.AcceptReply{Ballot: request.Ballot, Epoch: request.Record.Epoch, Highest: a.Promised, Record: a.Record, EchoMs: request.EchoMs}
+	if a.Blank() || request.Ballot.Less(a.Promised) || request.Record.Epoch < a.Record.Epoch {
+		return reply, false
 	}
-	// A hold is given only under what is on the disk: after a restart it must
-	// be known whose it may be.
-	if ask.Record.Epoch > w.Record.Epoch || ask.Ballot != w.Accepted {
-		return w.Accept(nowMs, protocol.Accept{Ballot: ask.Ballot, Record: ask.Record, EchoMs: ask.EchoMs})
+	// A lease is granted only under what is on the disk: after a restart it must be
+	// known whose it may be.
+	if request.Record.Epoch > a.Record.Epoch || request.Ballot != a.Accepted {
+		return a.Accept(nowMs, protocol.Accept{Ballot: request.Ballot, Record: request.Record, EchoMs: request.EchoMs})
 	}
-	w.grantLease(nowMs, ask.Ballot.Name)
-	answer.Granted = true
-	return answer, false
+	a.grantLease(nowMs, request.Ballot.Name)
+	reply.Granted = true
+	return reply, false
 }
 
-// Release ends the lease on purpose.
-func (w *Acceptor) Release(from string, ask protocol.ReleaseLease) {
-	if ask.Epoch == w.Record.Epoch && ask.Ballot == w.Accepted && from == w.holder {
-		w.leaseUntilMs = 0
-		w.holder = ""
+// Release ends the lease on its holder's request. A late request, of an earlier
+// record or ballot, ends no later lease.
+func (a *Acceptor) Release(from string, request protocol.ReleaseLease) {
+	if request.Epoch == a.Record.Epoch && request.Ballot == a.Accepted && from == a.holder {
+		a.leaseUntilMs = 0
+		a.holder = ""
 	}
 }
 
-func (w *Acceptor) grantLease(nowMs int64, holder string) {
-	w.holder = holder
-	w.leaseUntilMs = nowMs + w.leaseMs
+func (a *Acceptor) grantLease(nowMs int64, holder string) {
+	a.holder = holder
+	a.leaseUntilMs = nowMs + a.leaseMs
 }
--- a/internal/election/witness/witness_test.go
+++ b/internal/election/witness/witness_test.go
@@ -8,20 +8,20 @@
 	"myrtlewinch/internal/protocol"
 )
 
-var seats = []protocol.MemberID{{Name: "a", Incarnation: "1"}, {Name: "b", Incarnation: "1"}, {Name: "c", Incarnation: "1"}}
+var witnesses = []protocol.MemberID{{Name: "a", Incarnation: "1"}, {Name: "b", Incarnation: "1"}, {Name: "c", Incarnation: "1"}}
 
 // leaseMs is the lease of the witnesses here.
 const leaseMs = 1500
 
 func record(epoch uint64, primary string) protocol.EpochRecord {
-	return protocol.EpochRecord{Epoch: epoch, Primary: primary, Replicas: seats[:2], Witnesses: seats, Before: seats}
+	return protocol.EpochRecord{Epoch: epoch, Primary: primary, Replicas: witnesses[:2], Witnesses: witnesses, Before: witnesses}
 }
 
 func ballot(round uint64, name string) protocol.Ballot {
 	return protocol.Ballot{Round: round, Name: name}
 }
 
-func TestWitness(t *testing.T) {
+func TestAcceptor(t *testing.T) {
 	type step struct {
 		about   string
 		nowMs   int64
@@ -29,123 +29,130 @@
 		ask     any
 		granted bool
 	}
-	founded := func(t *testing.T) *Acceptor {
-		w, err := New(seats[0], "", 0, leaseMs)
+	bootstrapped := func(t *testing.T) *Acceptor {
+		t.Helper()
+		acceptor, err := New(witnesses[0], "", 0, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
-		w.Prepare(0, "a", protocol.Prepare{Ballot: ballot(1, "a"), Found: true})
-		w.Accept(0, protocol.Accept{Ballot: ballot(1, "a"), Record: record(1, "a"), Found: true})
-		return w
+		acceptor.Prepare(0, "a", protocol.Prepare{Ballot: ballot(1, "a"), Found: true})
+		acceptor.Accept(0, protocol.Accept{Ballot: ballot(1, "a"), Record: record(1, "a"), Found: true})
+		return acceptor
 	}
 	blank := func(t *testing.T) *Acceptor {
-		w, err := New(seats[0], "", 0, leaseMs)
+		t.Helper()
+		acceptor, err := New(witnesses[0], "", 0, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
-		return w
+		return acceptor
 	}
 	restarted := func(t *testing.T) *Acceptor {
-		w, err := New(seats[0], founded(t).Encode(), 10_000, leaseMs)
+		t.Helper()
+		acceptor, err := New(witnesses[0], bootstrapped(t).Encode(), 10_000, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
-		return w
+		return acceptor
 	}
-	again := func(t *testing.T, w *Acceptor) *Acceptor {
-		w, err := New(seats[0], w.Encode(), 10_000, leaseMs)
+	again := func(t *testing.T, acceptor *Acceptor) *Acceptor {
+		t.Helper()
+		acceptor, err := New(witnesses[0], acceptor.Encode(), 10_000, leaseMs)
 		qt.Assert(t, err, qt.IsNil)
-		return w
+		return acceptor
 	}
 	promised := func(t *testing.T) *Acceptor {
-		w := founded(t)
-		w.Prepare(5_000, "b", protocol.Prepare{Ballot: ballot(2, "b")})
-		return again(t, w)
+		t.Helper()
+		acceptor := bootstrapped(t)
+		acceptor.Prepare(5_000, "b", protocol.Prepare{Ballot: ballot(2, "b")})
+		return again(t, acceptor)
 	}
 	lower := func(t *testing.T) *Acceptor {
-		w := founded(t)
-		w.Accept(1, protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")})
-		w.Accept(5_000, protocol.Accept{Ballot: ballot(2, "b"), Record: record(1, "a")})
-		return again(t, w)
+		t.Helper()
+		acceptor := bootstrapped(t)
+		acceptor.Accept(1, protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")})
+		acceptor.Accept(5_000, protocol.Accept{Ballot: ballot(2, "b"), Record: record(1, "a")})
+		return again(t, acceptor)
 	}
 	renewed := func(t *testing.T) *Acceptor {
-		w := founded(t)
-		w.Renew(5_000, protocol.RenewLease{Ballot: ballot(5, "c"), Record: record(1, "a")})
-		return again(t, w)
+		t.Helper()
+		acceptor := bootstrapped(t)
+		acceptor.Renew(5_000, protocol.RenewLease{Ballot: ballot(5, "c"), Record: record(1, "a")})
+		return again(t, acceptor)
 	}
 	cases := []struct {
 		about string
 		make  func(*testing.T) *Acceptor
 		steps []step
 	}{
-		{"a blank disk votes only in a founding", blank, []step{
+		{"a blank disk promises only for a bootstrap", blank, []step{
 			{"plain promise", 0, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
 			{"renewal", 0, "b", protocol.RenewLease{Ballot: ballot(1, "b"), Record: record(1, "b")}, false},
-			{"founding", 0, "b", protocol.Prepare{Ballot: ballot(1, "b"), Found: true}, true},
+			{"bootstrap", 0, "b", protocol.Prepare{Ballot: ballot(1, "b"), Found: true}, true},
 		}},
 		{"a blank disk is taken in only by a record that names it", blank, []step{
-			{"not named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: protocol.EpochRecord{Epoch: 3, Witnesses: seats[1:]}}, false},
+			{"not named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: protocol.EpochRecord{Epoch: 3, Witnesses: witnesses[1:]}}, false},
 			{"named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: record(3, "b")}, true},
 		}},
-		{"the hold keeps others out", founded, []step{
+		{"a lease keeps others out", bootstrapped, []step{
 			{"while it runs", 1499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
 			{"the holder itself may", 1499, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
 			{"lower ballot", 1600, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
-			{"once out", 1600, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
+			{"once it has run out", 1600, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
 			{"the old one renews no more", 1601, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
 		}},
-		{"a renewal prolongs", founded, []step{
+		{"a renewal prolongs", bootstrapped, []step{
 			{"renew", 1000, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, true},
-			{"still out", 2400, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
-			{"in at last", 2501, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
+			{"while it runs", 2400, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"once it has run out", 2501, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
 		}},
-		{"a restarted witness waits a full hold", restarted, []step{
+		{"a restarted witness waits a full lease", restarted, []step{
 			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
 			{"too early for a third", 11_499, "c", protocol.Prepare{Ballot: ballot(2, "c")}, false},
 			{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
 		}},
-		{"the one whose record it kept last need not wait for its own hold", restarted, []step{
+		{"the one whose record was stored last need not wait for its own lease", restarted, []step{
 			{"too early for others", 10_001, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
 			{"the holder", 10_001, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
 			{"still too early for others", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
 		}},
-		{"one that promised after it kept forgets whose hold runs", promised, []step{
+		{"one that promised after it stored a record does not know whose lease runs", promised, []step{
 			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
 			{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
 			{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
 		}},
-		{"one that completed a lower record for another forgets too", lower, []step{
+		{"nor does one that completed a lower record for another", lower, []step{
 			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
 			{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
 		}},
-		{"a renewal under another ballot is kept", renewed, []step{
+		{"a renewal under another ballot is stored", renewed, []step{
 			{"the holder by renewal", 10_001, "c", protocol.Prepare{Ballot: ballot(6, "c")}, true},
 			{"the one before", 10_001, "a", protocol.Prepare{Ballot: ballot(7, "a")}, false},
 		}},
-		{"a release opens at once", founded, []step{
+		{"a release ends a lease at once", bootstrapped, []step{
 			{"by another", 10, "b", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
 			{"still held", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
 			{"a late one of an earlier grant", 11, "a", protocol.ReleaseLease{Epoch: 1}, true},
-			{"still held too", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+			{"still held, too", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
 			{"by the primary", 12, "a", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
-			{"open", 13, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
+			{"free", 13, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
 		}},
-		{"a lower epoch does not replace a higher", founded, []step{
+		{"a lower epoch does not replace a higher", bootstrapped, []step{
 			{"higher", 1, "a", protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")}, true},
 			{"lower renewal", 2, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
 		}},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			w := test.make(t)
+			acceptor := test.make(t)
 			for _, s := range test.steps {
 				granted := true
 				switch ask := s.ask.(type) {
 				case protocol.Prepare:
-					answer, _ := w.Prepare(s.nowMs, s.from, ask)
+					answer, _ := acceptor.Prepare(s.nowMs, s.from, ask)
 					granted = answer.Granted
 				case protocol.Accept:
-					answer, _ := w.Accept(s.nowMs, ask)
+					answer, _ := acceptor.Accept(s.nowMs, ask)
 					granted = answer.Granted
 				case protocol.RenewLease:
-					answer, _ := w.Renew(s.nowMs, ask)
+					answer, _ := acceptor.Renew(s.nowMs, ask)
 					granted = answer.Granted
 				case protocol.ReleaseLease:
-					w.Release(s.from, ask)
+					acceptor.Release(s.from, ask)
 				}
 				qt.Assert(t, granted, qt.Equals, s.granted, qt.Commentf(s.about))
 			}
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,5 +1,8 @@
-// Package failuredetector is membership: each daemon sends heartbeats to a few watchers
-// that its place on a ring of names gives, and watchers tell the primary.
+// Package failuredetector tells which daemons of a site are alive. Each daemon
+// sends heartbeats to a few watchers, which its place on a ring of names gives, and
+// the watchers report them to the primary. So a daemon's work stays the same
+// however large the site is. The package also keeps the list of all known daemons,
+// and looks for peers while no primary is known.
 package failuredetector
 
 import (
@@ -13,100 +16,109 @@
 )
 
 const (
-	// HeartbeatMs is how often a daemon beats and a watcher tells.
+	// HeartbeatMs is how often a daemon sends heartbeats, and a watcher its reports.
 	HeartbeatMs = 300
-	// TimeoutMs is how long a silent daemon still counts as live.
+	// TimeoutMs is for how long a silent daemon still counts as live.
 	TimeoutMs = 1500
-	// Watchers is how many peers a daemon beats to.
+	// Watchers is how many peers a daemon sends heartbeats to.
 	Watchers = 3
 
-	helloMs = 1000
-	// most bounds the peers of a site; one holds some 330 routers. The names of
+	// discoveryMs is how often a daemon that knows no live primary asks for peers.
+	discoveryMs = 1000
+	// maxPeers bounds the peers of a site; one holds some 330 routers. The names of
 	// machines that were replaced stay known until there is no room left.
-	most = 2048
+	maxPeers = 2048
 )
 
+// neverMs stands for the time at which a peer was seen that never was.
+const neverMs = math.MinInt64
+
+// peer is another daemon.
 type peer struct {
-	place  protocol.Node
+	node protocol.Node
+	// seenMs is when it was last known to be alive; seen is false if it never was.
 	seenMs int64
 	seen   bool
 }
 
 // Detector is what one daemon knows of its peers.
 type Detector struct {
-	self    protocol.Node
-	seeds   []string
-	peers   map[string]*peer
-	beatMs  int64
-	helloMs int64
-	// sorted is all places in order of name and sum their sum, worked out when
-	// they are asked for; nil and nought once a place changed.
+	self  protocol.Node
+	seeds []string
+	peers map[string]*peer
+	// heartbeatMs and discoveredMs are when heartbeats and requests for peers were
+	// last sent.
+	heartbeatMs, discoveredMs int64
+	// sorted is all nodes in order of name and sum their digest, worked out when
+	// they are asked for; nil and 0 once a node changed.
 	sorted []protocol.Node
 	sum    uint64
 }
 
-// New makes a roster that knows only seeds and what was remembered.
+// New makes a detector that knows only the seeds' addresses and the nodes that were
+// remembered.
 func New(self protocol.Node, seeds []string, remembered []protocol.Node) *Detector {
-	r := &Detector{self: self, seeds: seeds, peers: map[string]*peer{}, beatMs: -HeartbeatMs, helloMs: -helloMs}
-	r.AddNodes(0, remembered)
-	return r
+	d := &Detector{self: self, seeds: seeds, peers: map[string]*peer{}, heartbeatMs: -HeartbeatMs, discoveredMs: -discoveryMs}
+	d.AddNodes(0, remembered)
+	return d
 }
 
-// AddNodes takes places told by others. A place that was heard of lately is
-// believed over one that is only told; a silent one may have moved. False says
-// that some of what was told was not believed, so that it is to be told again.
-func (r *Detector) AddNodes(nowMs int64, places []protocol.Node) bool {
+// AddNodes takes nodes that others know. What a peer that is live said of itself is
+// believed over it; a silent peer may have moved. False says that some of the nodes
+// were not believed, so that the list is to be sent again.
+func (d *Detector) AddNodes(nowMs int64, nodes []protocol.Node) bool {
 	believed := true
-	for _, place := range places {
-		if place.Name == "" || place.Name == r.self.Name {
+	for _, node := range nodes {
+		if node.Name == "" || node.Name == d.self.Name {
 			continue
 		}
-		known := r.peers[place.Name]
-		if known == nil && !r.makeRoom(nowMs) {
-			continue
-		}
-		if known == nil {
-			r.peers[place.Name] = &peer{place: place}
-			r.changed()
-		} else if known.place != place && (!known.seen || nowMs-known.seenMs > TimeoutMs) {
-			known.place = place
-			r.changed()
-		} else if known.place != place {
+		known := d.peers[node.Name]
+		switch {
+		case known == nil:
+			if d.makeRoom(nowMs) {
+				d.peers[node.Name] = &peer{node: node}
+				d.changed()
+			}
+		case known.node == node:
+		case known.seen && nowMs-known.seenMs <= TimeoutMs:
 			believed = false
+		default:
+			known.node = node
+			d.changed()
 		}
 	}
 	return believed
 }
 
 // Observe notes a message that came from the peer itself.
-func (r *Detector) Observe(nowMs int64, place protocol.Node) {
-	if place.Name == "" || place.Name == r.self.Name {
+func (d *Detector) Observe(nowMs int64, node protocol.Node) {
+	if node.Name == "" || node.Name == d.self.Name {
 		return
 	}
-	known := r.peers[place.Name]
+	known := d.peers[node.Name]
 	if known == nil {
-		if !r.makeRoom(nowMs) {
+		if !d.makeRoom(nowMs) {
 			return
 		}
 		known = &peer{}
-		r.peers[place.Name] = known
+		d.peers[node.Name] = known
 	}
-	if known.place != place {
-		known.place = place
-		r.changed()
+	if known.node != node {
+		known.node = node
+		d.changed()
 	}
 	known.seenMs, known.seen = nowMs, true
 }
 
-// makeRoom says whether there is room for a further peer. Of a full roster it
-// forgets the one that was silent for longest: on a site whose machines are
-// replaced day by day, new ones would be ignored otherwise.
-func (r *Detector) makeRoom(nowMs int64) bool {
-	if len(r.peers) < most {
+// makeRoom says whether there is room for a further peer. Of a full list it forgets
+// the one that was silent for longest: on a site whose machines are replaced day by
+// day, new ones would be ignored otherwise.
+func (d *Detector) makeRoom(nowMs int64) bool {
+	if len(d.peers) < maxPeers {
 		return true
 	}
 	oldest, oldestMs := "", nowMs-TimeoutMs
-	for name, known := range r.peers {
+	for name, known := range d.peers {
 		seenMs := known.seenMs
 		if !known.seen {
 			seenMs = neverMs
@@ -118,172 +130,178 @@
 	if oldest == "" {
 		return false
 	}
-	delete(r.peers, oldest)
-	r.changed()
+	delete(d.peers, oldest)
+	d.changed()
 	return true
 }
 
-// neverMs stands for the time at which a peer was seen that never was.
-const neverMs = math.MinInt64
-
-func (r *Detector) changed() { r.sorted, r.sum = nil, 0 }
+func (d *Detector) changed() { d.sorted, d.sum = nil, 0 }
 
-// ObserveReport takes a watcher's sighting.
-func (r *Detector) ObserveReport(nowMs int64, s protocol.HeartbeatReport) {
-	known := r.peers[s.Place.Name]
-	if known == nil || !known.seen || known.seenMs < nowMs-s.AgoMs {
-		r.Observe(nowMs-s.AgoMs, s.Place)
+// ObserveReport takes a watcher's report, unless something later is known.
+func (d *Detector) ObserveReport(nowMs int64, report protocol.HeartbeatReport) {
+	seenMs := nowMs - report.AgoMs
+	known := d.peers[report.Place.Name]
+	if known == nil || !known.seen || known.seenMs < seenMs {
+		d.Observe(seenMs, report.Place)
 	}
 }
 
-// SilentMs says how long ago the peer was last heard of, if ever.
-func (r *Detector) SilentMs(nowMs int64, name string) (int64, bool) {
-	known := r.peers[name]
+// SilentMs says how long ago the peer was last known to be alive, if it ever was.
+func (d *Detector) SilentMs(nowMs int64, name string) (int64, bool) {
+	known := d.peers[name]
 	if known == nil || !known.seen {
 		return 0, false
 	}
 	return nowMs - known.seenMs, true
 }
 
-// Live says whether the peer was heard of lately.
-func (r *Detector) Live(nowMs int64, name string) bool {
-	agoMs, seen := r.SilentMs(nowMs, name)
-	return seen && agoMs <= TimeoutMs
+// Live says whether the peer was alive lately.
+func (d *Detector) Live(nowMs int64, name string) bool {
+	silentMs, seen := d.SilentMs(nowMs, name)
+	return seen && silentMs <= TimeoutMs
 }
 
-// Node finds a peer, or this daemon itself.
-func (r *Detector) Node(name string) (protocol.Node, bool) {
-	if name == r.self.Name {
-		return r.self, true
+// Node finds a peer, or this daemon itself, by name.
+func (d *Detector) Node(name string) (protocol.Node, bool) {
+	if name == d.self.Name {
+		return d.self, true
 	}
-	known := r.peers[name]
+	known := d.peers[name]
 	if known == nil {
 		return protocol.Node{}, false
 	}
-	return known.place, true
+	return known.node, true
+}
+
+// NodeAt finds a peer that was itself heard of, or this daemon, by address.
+func (d *Detector) NodeAt(address string) (protocol.Node, bool) {
+	if address == d.self.Address {
+		return d.self, true
+	}
+	for _, known := range d.peers {
+		if known.seen && known.node.Address == address {
+			return known.node, true
+		}
+	}
+	return protocol.Node{}, false
 }
 
-// Nodes lists all known peers and this daemon, in order of name. The list
-// is shared: whoever asks must not change it.
-func (r *Detector) Nodes() []protocol.Node {
-	if r.sorted == nil {
-		r.sorted = make([]protocol.Node, 0, len(r.peers)+1)
-		r.sorted = append(r.sorted, r.self)
-		for _, known := range r.peers {
-			r.sorted = append(r.sorted, known.place)
+// Nodes lists all known peers and this daemon, in order of name. The list is
+// shared: whoever asks must not change it.
+func (d *Detector) Nodes() []protocol.Node {
+	if d.sorted == nil {
+		d.sorted = make([]protocol.Node, 0, len(d.peers)+1)
+		d.sorted = append(d.sorted, d.self)
+		for _, known := range d.peers {
+			d.sorted = append(d.sorted, known.node)
 		}
-		slices.SortFunc(r.sorted, func(a, b protocol.Node) int { return strings.Compare(a.Name, b.Name) })
+		slices.SortFunc(d.sorted, func(a, b protocol.Node) int { return strings.Compare(a.Name, b.Name) })
 	}
-	return r.sorted
+	return d.sorted
 }
 
-// Digest names the list of all places, so that it need not be told again.
-func (r *Detector) Digest() uint64 {
-	if r.sum == 0 {
-		r.sum = protocol.DigestNodes(r.Nodes())
+// Digest names the list of all nodes, so that it need not be sent again.
+func (d *Detector) Digest() uint64 {
+	if d.sum == 0 {
+		d.sum = protocol.DigestNodes(d.Nodes())
 	}
-	return r.sum
+	return d.sum
 }
 
-// OtherNodes lists all peers without this daemon.
-func (r *Detector) OtherNodes() []protocol.Node {
-	return r.those(func(p protocol.Node) bool { return true })
+// OtherNodes lists all peers, without this daemon, in order of name.
+func (d *Detector) OtherNodes() []protocol.Node {
+	return d.filter(func(protocol.Node) bool { return true })
 }
 
-// NodesOf lists the peers of a part, without this daemon.
-func (r *Detector) NodesOf(part string) []protocol.Node {
-	return r.those(func(p protocol.Node) bool { return p.Part == part })
+// NodesOf lists the peers of a part, without this daemon, in order of name.
+func (d *Detector) NodesOf(part string) []protocol.Node {
+	return d.filter(func(node protocol.Node) bool { return node.Part == part })
 }
 
-func (r *Detector) those(are func(protocol.Node) bool) []protocol.Node {
-	var out []protocol.Node
-	for _, place := range r.Nodes() {
-		if place.Name != r.self.Name && are(place) {
-			out = append(out, place)
+func (d *Detector) filter(include func(protocol.Node) bool) []protocol.Node {
+	var nodes []protocol.Node
+	for _, node := range d.Nodes() {
+		if node.Name != d.self.Name && include(node) {
+			nodes = append(nodes, node)
 		}
 	}
-	return out
+	return nodes
 }
 
-// Watchers lists whom a daemon beats to: its successors on the ring.
-func (r *Detector) Watchers(name string) []protocol.Node {
-	places := slices.Clone(r.Nodes())
-	slices.SortFunc(places, func(a, b protocol.Node) int { return cmp.Compare(spot(a.Name), spot(b.Name)) })
-	var out []protocol.Node
-	start := slices.IndexFunc(places, func(p protocol.Node) bool { return p.Name == name })
+// Watchers lists whom a daemon sends heartbeats to: its successors on the ring.
+func (d *Detector) Watchers(name string) []protocol.Node {
+	ring := slices.Clone(d.Nodes())
+	slices.SortFunc(ring, func(a, b protocol.Node) int { return cmp.Compare(ringPosition(a.Name), ringPosition(b.Name)) })
+	start := slices.IndexFunc(ring, func(node protocol.Node) bool { return node.Name == name })
 	if start < 0 {
 		return nil
 	}
-	for i := 1; i < len(places) && len(out) < Watchers; i++ {
-		out = append(out, places[(start+i)%len(places)])
+	var watchers []protocol.Node
+	for i := 1; i < len(ring) && len(watchers) < Watchers; i++ {
+		watchers = append(watchers, ring[(start+i)%len(ring)])
 	}
-	return out
+	return watchers
 }
 
-func spot(name string) uint64 {
+func ringPosition(name string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(name))
 	return sum.Sum64()
 }
 
-// Tick gives the messages that are due. Primary is whom to tell, if known.
-func (r *Detector) Tick(nowMs int64, epoch uint64, primary string, serving bool) []protocol.Send {
+// Tick returns the messages that are due. The epoch and whether this daemon serves
+// go with its heartbeats; primary is whom reports are sent to, if it is known.
+func (d *Detector) Tick(nowMs int64, epoch uint64, primary string, serving bool) []protocol.Send {
 	var sends []protocol.Send
-	if nowMs-r.beatMs >= HeartbeatMs {
-		r.beatMs = nowMs
-		for _, place := range r.Watchers(r.self.Name) {
-			sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.Heartbeat{Epoch: epoch, Serving: serving}})
+	if nowMs-d.heartbeatMs >= HeartbeatMs {
+		d.heartbeatMs = nowMs
+		heartbeat := protocol.Heartbeat{Epoch: epoch, Serving: serving}
+		for _, watcher := range d.Watchers(d.self.Name) {
+			sends = append(sends, sendTo(watcher, heartbeat))
 		}
-		if to, ok := r.Node(primary); ok && primary != r.self.Name {
-			sends = append(sends, protocol.Send{To: to.Name, Address: to.Address, Body: protocol.HeartbeatReports{Seen: r.sightings(nowMs)}})
+		if to, ok := d.Node(primary); ok && primary != d.self.Name {
+			sends = append(sends, sendTo(to, protocol.HeartbeatReports{Seen: d.reports(nowMs)}))
 		}
 	}
-	if nowMs-r.helloMs >= helloMs && !r.Live(nowMs, primary) && primary != r.self.Name {
-		r.helloMs = nowMs
-		sends = append(sends, r.hellos(nowMs)...)
+	findsPrimary := primary == d.self.Name || d.Live(nowMs, primary)
+	if nowMs-d.discoveredMs >= discoveryMs && !findsPrimary {
+		d.discoveredMs = nowMs
+		sends = append(sends, d.peersRequests(nowMs)...)
 	}
 	return sends
 }
 
-func (r *Detector) sightings(nowMs int64) []protocol.HeartbeatReport {
-	var seen []protocol.HeartbeatReport
-	for _, place := range r.Nodes() {
-		if r.Live(nowMs, place.Name) {
-			seen = append(seen, protocol.HeartbeatReport{Place: place, AgoMs: nowMs - r.peers[place.Name].seenMs})
+func sendTo(node protocol.Node, body protocol.Message) protocol.Send {
+	return protocol.Send{To: node.Name, Address: node.Address, Body: body}
+}
+
+// reports lists the live peers for the primary.
+func (d *Detector) reports(nowMs int64) []protocol.HeartbeatReport {
+	var reports []protocol.HeartbeatReport
+	for _, node := range d.Nodes() {
+		if d.Live(nowMs, node.Name) {
+			reports = append(reports, protocol.HeartbeatReport{Place: node, AgoMs: nowMs - d.peers[node.Name].seenMs})
 		}
 	}
-	return seen
+	return reports
 }
 
-// hellos goes to all seeds and, since seeds may be gone, to one remembered
-// peer after the other.
-func (r *Detector) hellos(nowMs int64) []protocol.Send {
+// peersRequests go to all seeds and, since seeds may be gone, to one known peer
+// after the other.
+func (d *Detector) peersRequests(nowMs int64) []protocol.Send {
 	var sends []protocol.Send
-	for _, seed := range r.seeds {
-		if seed != r.self.Address {
+	for _, seed := range d.seeds {
+		if seed != d.self.Address {
 			sends = append(sends, protocol.Send{Address: seed, Body: protocol.PeersRequest{}})
 		}
 	}
-	places := r.OtherNodes()
-	if len(places) > 0 {
-		place := places[int(nowMs/helloMs)%len(places)]
-		sends = append(sends, protocol.Send{To: place.Name, Address: place.Address, Body: protocol.PeersRequest{}})
+	peers := d.OtherNodes()
+	if len(peers) > 0 {
+		next := peers[int(nowMs/discoveryMs)%len(peers)]
+		sends = append(sends, sendTo(next, protocol.PeersRequest{}))
 	}
 	return sends
 }
 
-// NodeAt finds a peer that was heard of itself, or this daemon, by address.
-func (r *Detector) NodeAt(address string) (protocol.Node, bool) {
-	if address == r.self.Address {
-		return r.self, true
-	}
-	for _, known := range r.peers {
-		if known.seen && known.place.Address == address {
-			return known.place, true
-		}
-	}
-	return protocol.Node{}, false
-}
-
 // SetSeeds replaces the seeds; peers that are known stay known.
-func (r *Detector) SetSeeds(seeds []string) { r.seeds = seeds }
+func (d *Detector) SetSeeds(seeds []string) { d.seeds = seeds }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -9,45 +9,45 @@
 	"myrtlewinch/internal/protocol"
 )
 
-func place(name, address string) protocol.Node {
+func nodeAt(name, address string) protocol.Node {
 	return protocol.Node{Name: name, Address: address, Part: protocol.RoleRouter, Incarnation: address}
 }
 
-// A place heard of lately is believed over one that is only told.
-func TestLearn(t *testing.T) {
+// What a live peer said of itself is believed over what others say of it.
+func TestWhichAddressIsBelieved(t *testing.T) {
 	cases := []struct {
 		about string
-		do    func(r *Detector)
+		do    func(d *Detector)
 		at    string
 	}{
-		{"told", func(r *Detector) { r.AddNodes(1000, []protocol.Node{place("b", "old")}) }, "old"},
-		{"told anew", func(r *Detector) {
-			r.AddNodes(1000, []protocol.Node{place("b", "old")})
-			r.AddNodes(1001, []protocol.Node{place("b", "new")})
+		{"listed", func(d *Detector) { d.AddNodes(1000, []protocol.Node{nodeAt("b", "old")}) }, "old"},
+		{"listed anew", func(d *Detector) {
+			d.AddNodes(1000, []protocol.Node{nodeAt("b", "old")})
+			d.AddNodes(1001, []protocol.Node{nodeAt("b", "new")})
 		}, "new"},
-		{"heard, then told otherwise", func(r *Detector) {
-			r.Observe(1000, place("b", "heard"))
-			r.AddNodes(1000+TimeoutMs, []protocol.Node{place("b", "told")})
+		{"heard of itself, then listed otherwise", func(d *Detector) {
+			d.Observe(1000, nodeAt("b", "heard"))
+			d.AddNodes(1000+TimeoutMs, []protocol.Node{nodeAt("b", "told")})
 		}, "heard"},
-		{"heard, silent, then told otherwise", func(r *Detector) {
-			r.Observe(1000, place("b", "heard"))
-			r.AddNodes(1001+TimeoutMs, []protocol.Node{place("b", "told")})
+		{"heard of itself, silent, then listed otherwise", func(d *Detector) {
+			d.Observe(1000, nodeAt("b", "heard"))
+			d.AddNodes(1001+TimeoutMs, []protocol.Node{nodeAt("b", "told")})
 		}, "told"},
-		{"moved", func(r *Detector) { r.Observe(1000, place("b", "heard")); r.Observe(1001, place("b", "moved")) }, "moved"},
-		{"a sighting older than what was heard", func(r *Detector) {
-			r.Observe(1000, place("b", "heard"))
-			r.ObserveReport(1100, protocol.HeartbeatReport{Place: place("b", "seen"), AgoMs: 200})
+		{"moved", func(d *Detector) { d.Observe(1000, nodeAt("b", "heard")); d.Observe(1001, nodeAt("b", "moved")) }, "moved"},
+		{"a report older than what it said itself", func(d *Detector) {
+			d.Observe(1000, nodeAt("b", "heard"))
+			d.ObserveReport(1100, protocol.HeartbeatReport{Place: nodeAt("b", "seen"), AgoMs: 200})
 		}, "heard"},
-		{"a later sighting", func(r *Detector) {
-			r.Observe(1000, place("b", "heard"))
-			r.ObserveReport(1100, protocol.HeartbeatReport{Place: place("b", "seen"), AgoMs: 50})
+		{"a later report", func(d *Detector) {
+			d.Observe(1000, nodeAt("b", "heard"))
+			d.ObserveReport(1100, protocol.HeartbeatReport{Place: nodeAt("b", "seen"), AgoMs: 50})
 		}, "seen"},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			r := New(place("a", "here"), nil, nil)
-			test.do(r)
-			known, ok := r.Node("b")
+			d := New(nodeAt("a", "here"), nil, nil)
+			test.do(d)
+			known, ok := d.Node("b")
 			qt.Assert(t, ok, qt.IsTrue)
 			qt.Assert(t, known.Address, qt.Equals, test.at)
 		})
@@ -58,13 +58,13 @@
 func TestWatchers(t *testing.T) {
 	var all []protocol.Node
 	for i := range 9 {
-		all = append(all, place(fmt.Sprintf("d-%d", i), fmt.Sprint(i)))
+		all = append(all, nodeAt(fmt.Sprintf("d-%d", i), fmt.Sprint(i)))
 	}
 	watched := map[string]int{}
 	for _, self := range all {
-		r := New(self, nil, nil)
-		r.AddNodes(0, all)
-		watchers := r.Watchers(self.Name)
+		d := New(self, nil, nil)
+		d.AddNodes(0, all)
+		watchers := d.Watchers(self.Name)
 		qt.Assert(t, watchers, qt.HasLen, Watchers)
 		other := New(all[0], nil, nil)
 		other.AddNodes(0, all)
@@ -75,17 +75,17 @@
 		}
 	}
 	for _, self := range all {
-		qt.Assert(t, watched[self.Name], qt.Equals, Watchers, qt.Commentf("the burden is alike"))
+		qt.Assert(t, watched[self.Name], qt.Equals, Watchers, qt.Commentf("each watches as many"))
 	}
 }
 
-// A daemon that hears the primary asks nobody; one that does not asks its
-// seeds and one remembered peer after the other.
-func TestHellos(t *testing.T) {
-	r := New(place("a", "here"), []string{"seed", "here"}, []protocol.Node{place("b", "b"), place("c", "c")})
+// A daemon that knows a live primary asks nobody for peers; one that doesn't asks
+// its seeds and one known peer after the other.
+func TestRequestsForPeers(t *testing.T) {
+	d := New(nodeAt("a", "here"), []string{"seed", "here"}, []protocol.Node{nodeAt("b", "b"), nodeAt("c", "c")})
 	asked := map[string]bool{}
 	for nowMs := int64(10_000); nowMs < 14_000; nowMs += 50 {
-		for _, send := range r.Tick(nowMs, 1, "p", false) {
+		for _, send := range d.Tick(nowMs, 1, "p", false) {
 			if _, ok := send.Body.(protocol.PeersRequest); ok {
 				asked[send.Address] = true
 			}
@@ -93,78 +93,78 @@
 	}
 	qt.Assert(t, asked, qt.DeepEquals, map[string]bool{"seed": true, "b": true, "c": true})
 	for nowMs := int64(14_000); nowMs < 18_000; nowMs += 50 {
-		r.Observe(nowMs, place("p", "p"))
-		for _, send := range r.Tick(nowMs, 1, "p", false) {
+		d.Observe(nowMs, nodeAt("p", "p"))
+		for _, send := range d.Tick(nowMs, 1, "p", false) {
 			_, ok := send.Body.(protocol.PeersRequest)
 			qt.Assert(t, ok, qt.IsFalse)
 		}
 	}
 }
 
-// The list is named anew when a place of it changes, and only then.
-func TestSum(t *testing.T) {
+// The digest changes with a node of the list, and only then.
+func TestDigest(t *testing.T) {
 	cases := []struct {
-		about   string
-		do      func(r *Detector) bool
-		changes bool
-		took    bool
+		about    string
+		do       func(d *Detector) bool
+		changes  bool
+		believed bool
 	}{
-		{"told the same", func(r *Detector) bool { return r.AddNodes(2000, []protocol.Node{place("b", "1")}) }, false, true},
-		{"heard again", func(r *Detector) bool { r.Observe(2000, place("b", "1")); return true }, false, true},
-		{"told of another", func(r *Detector) bool { return r.AddNodes(2000, []protocol.Node{place("c", "1")}) }, true, true},
-		{"heard to have moved", func(r *Detector) bool { r.Observe(2000, place("b", "2")); return true }, true, true},
-		{"told otherwise of one that lives", func(r *Detector) bool { return r.AddNodes(2000, []protocol.Node{place("b", "2")}) }, false, false},
-		{"told otherwise of a silent one", func(r *Detector) bool { return r.AddNodes(9000, []protocol.Node{place("b", "2")}) }, true, true},
+		{"listed as it is", func(d *Detector) bool { return d.AddNodes(2000, []protocol.Node{nodeAt("b", "1")}) }, false, true},
+		{"heard of again", func(d *Detector) bool { d.Observe(2000, nodeAt("b", "1")); return true }, false, true},
+		{"another is listed", func(d *Detector) bool { return d.AddNodes(2000, []protocol.Node{nodeAt("c", "1")}) }, true, true},
+		{"it says that it moved", func(d *Detector) bool { d.Observe(2000, nodeAt("b", "2")); return true }, true, true},
+		{"a live one is listed otherwise", func(d *Detector) bool { return d.AddNodes(2000, []protocol.Node{nodeAt("b", "2")}) }, false, false},
+		{"a silent one is listed otherwise", func(d *Detector) bool { return d.AddNodes(9000, []protocol.Node{nodeAt("b", "2")}) }, true, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			r := New(place("a", "here"), nil, nil)
-			r.Observe(1000, place("b", "1"))
-			before, places := r.Digest(), r.Nodes()
-			qt.Assert(t, places, qt.HasLen, 2)
-			qt.Assert(t, test.do(r), qt.Equals, test.took)
-			qt.Assert(t, r.Digest() != before, qt.Equals, test.changes)
-			// What was given out before stays as it was.
-			qt.Assert(t, places, qt.DeepEquals, []protocol.Node{place("a", "here"), place("b", "1")})
+			d := New(nodeAt("a", "here"), nil, nil)
+			d.Observe(1000, nodeAt("b", "1"))
+			before, nodes := d.Digest(), d.Nodes()
+			qt.Assert(t, nodes, qt.HasLen, 2)
+			qt.Assert(t, test.do(d), qt.Equals, test.believed)
+			qt.Assert(t, d.Digest() != before, qt.Equals, test.changes)
+			// A list that was returned before stays as it was.
+			qt.Assert(t, nodes, qt.DeepEquals, []protocol.Node{nodeAt("a", "here"), nodeAt("b", "1")})
 		})
 	}
 }
 
-// A site of hundreds of routers is known whole.
+// All routers of a large site are known.
 func TestKnowsALargeSite(t *testing.T) {
-	r := New(place("a", "here"), nil, nil)
+	d := New(nodeAt("a", "here"), nil, nil)
 	for i := range 400 {
-		r.Observe(1000, place(fmt.Sprintf("edge-%d", i), fmt.Sprint(i)))
+		d.Observe(1000, nodeAt(fmt.Sprintf("edge-%d", i), fmt.Sprint(i)))
 	}
-	qt.Assert(t, r.NodesOf(protocol.RoleRouter), qt.HasLen, 400)
+	qt.Assert(t, d.NodesOf(protocol.RoleRouter), qt.HasLen, 400)
 }
 
 // Machines that were replaced make room for new ones; those that are there stay.
-func TestAFullRosterForgetsTheSilent(t *testing.T) {
-	place := func(i int) protocol.Node {
+func TestAFullListForgetsTheSilent(t *testing.T) {
+	router := func(i int) protocol.Node {
 		return protocol.Node{Name: fmt.Sprintf("edge-%05d", i), Address: fmt.Sprintf("10.0.%d.%d:7", i/250, i%250), Part: protocol.RoleRouter}
 	}
 	cases := []struct {
 		about string
-		add   func(r *Detector, nowMs int64, p protocol.Node)
+		add   func(d *Detector, nowMs int64, p protocol.Node)
 	}{
-		{"heard", func(r *Detector, nowMs int64, p protocol.Node) { r.Observe(nowMs, p) }},
-		{"told", func(r *Detector, nowMs int64, p protocol.Node) { r.AddNodes(nowMs, []protocol.Node{p}) }},
+		{"heard of itself", func(d *Detector, nowMs int64, p protocol.Node) { d.Observe(nowMs, p) }},
+		{"listed by another", func(d *Detector, nowMs int64, p protocol.Node) { d.AddNodes(nowMs, []protocol.Node{p}) }},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			r := New(protocol.Node{Name: "core-1"}, nil, nil)
+			d := New(protocol.Node{Name: "core-1"}, nil, nil)
 			nowMs := int64(1000)
-			for i := range 3 * most {
+			for i := range 3 * maxPeers {
 				nowMs += 10
-				r.Observe(nowMs, place(0))
-				test.add(r, nowMs, place(i+1))
-				_, known := r.Node(place(i + 1).Name)
+				d.Observe(nowMs, router(0))
+				test.add(d, nowMs, router(i+1))
+				_, known := d.Node(router(i + 1).Name)
 				qt.Assert(t, known, qt.IsTrue, qt.Commentf("%d", i))
-				qt.Assert(t, len(r.peers) <= most, qt.IsTrue)
+				qt.Assert(t, len(d.peers) <= maxPeers, qt.IsTrue)
 			}
-			qt.Assert(t, r.Live(nowMs, place(0).Name), qt.IsTrue)
-			_, known := r.Node(place(1).Name)
+			qt.Assert(t, d.Live(nowMs, router(0).Name), qt.IsTrue)
+			_, known := d.Node(router(1).Name)
 			qt.Assert(t, known, qt.IsFalse)
 		})
 	}
