--- a/internal/cli/page_test.go
+++ b/internal/cli/page_test.go
@@ -20,7 +20,7 @@
 	kinds, err := os.ReadFile("../errkind/kind.go")
 	c.Assert(err, qt.IsNil)
 	counters, fields, lines := 0, 0, 0
-	for _, folder := range []string{"consensus", "native/controller", "native/router", "process"} {
+	for _, folder := range []string{"consensus", "election", "election/witness", "replication", "membership", "failuredetector", "native/controller", "native/router", "process"} {
 		files, err := filepath.Glob("../" + folder + "/*.go")
 		c.Assert(err, qt.IsNil)
 		for _, name := range files {
@@ -39,7 +39,7 @@
 				c.Assert(kind, qt.HasLen, 2)
 				c.Check(regexp.MustCompile(`\| `+kind[1]+` \| [a-z]`).MatchString(page), qt.IsTrue, qt.Commentf("counter %q is not on the page", kind[1]))
 			}
-			for _, found := range regexp.MustCompile(`\.(?:note|Logf)\("([^"]+)"`).FindAllStringSubmatch(string(code), -1) {
+			for _, found := range regexp.MustCompile(`(?:\.(?:note|Logf|logf)|\blogLinef)\("([^"]+)"`).FindAllStringSubmatch(string(code), -1) {
 				// The longest part that is the same in every such line.
 				longest := ""
 				for _, part := range regexp.MustCompile(`%[a-z]`).Split(found[1], -1) {
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -64,23 +64,6 @@
 	MemberStatus() MemberStatus
 }
 
-// MemberStatus is what a controller believes of itself and of its peers.
-type MemberStatus struct {
-	Role         string
-	DiskBroken   bool
-	Retired      bool
-	WitnessBlank bool
-	// Away lists the witnesses that the primary has missed for long.
-	Away  []string
-	Peers []PeerStatus
-}
-
-// PeerStatus is a peer and when it was last heard of (-1: never).
-type PeerStatus struct {
-	protocol.Node
-	AgoMs int64 `json:"agoMs"`
-}
-
 func (h host) IsPrimary() bool                   { return h.m.isPrimary() }
 func (h host) Record() protocol.EpochRecord      { return h.m.record() }
 func (h host) PrimaryHeardMs() int64             { return h.m.election.HeardMs }
@@ -95,24 +78,3 @@
 func (h host) SubmitCommands(then func(ok bool), commands ...ledger.Command) {
 	h.m.submit(then, commands...)
 }
-
-func (h host) MemberStatus() MemberStatus {
-	m := h.m
-	status := MemberStatus{
-		Role: m.election.Role.String(), DiskBroken: m.disk.failed, Retired: m.retired, WitnessBlank: m.witness.acceptor.Blank(),
-	}
-	for _, seat := range m.silentWitnesses() {
-		status.Away = append(status.Away, seat.Name)
-	}
-	for _, place := range m.detector.Nodes() {
-		if place.Name == m.set.Self.Name {
-			continue
-		}
-		agoMs, seen := m.detector.SilentMs(m.nowMs, place.Name)
-		if !seen {
-			agoMs = -1
-		}
-		status.Peers = append(status.Peers, PeerStatus{place, agoMs})
-	}
-	return status
-}
--- /dev/null
+++ b/internal/consensus/status.go
@@ -0,0 +1,42 @@
+package consensus
+
+import "myrtlewinch/internal/protocol"
+
+// MemberStatus is what a controller knows of itself and of its peers.
+type MemberStatus struct {
+	Role         string
+	DiskBroken   bool
+	Retired      bool
+	WitnessBlank bool
+	// Away lists the witnesses that the primary has missed for long.
+	Away  []string
+	Peers []PeerStatus
+}
+
+// PeerStatus is a peer and when it was last heard of (-1: never).
+type PeerStatus struct {
+	protocol.Node
+	AgoMs int64 `json:"agoMs"`
+}
+
+// MemberStatus is what this daemon knows of itself and of its peers.
+func (h host) MemberStatus() MemberStatus {
+	m := h.m
+	status := MemberStatus{
+		Role: m.election.Role.String(), DiskBroken: m.disk.failed, Retired: m.retired, WitnessBlank: m.witness.acceptor.Blank(),
+	}
+	for _, witness := range m.silentWitnesses() {
+		status.Away = append(status.Away, witness.Name)
+	}
+	for _, node := range m.detector.Nodes() {
+		if node.Name == m.set.Self.Name {
+			continue
+		}
+		agoMs, seen := m.detector.SilentMs(m.nowMs, node.Name)
+		if !seen {
+			agoMs = -1
+		}
+		status.Peers = append(status.Peers, PeerStatus{node, agoMs})
+	}
+	return status
+}
--- a/internal/membership/planner.go
+++ b/internal/membership/planner.go
@@ -34,7 +34,7 @@
 	next.Before = v.Record.Witnesses
 	if change, ok := v.nextReplicas(); ok {
 		next.Replicas, next.Gone = change.replicas, change.gone
-		return Plan{Record: next, Change: true, LogLine: change.reason}
+		return Plan{Record: next, Change: true, LogLine: change.logLine}
 	}
 	// Once a new set of witnesses is recorded, the one before need not agree any
 	// more.
@@ -46,7 +46,7 @@
 		return Plan{LogLine: warning}
 	}
 	next.Witnesses, next.Gone = change.apply(v.Record)
-	return Plan{Record: next, Change: true, LogLine: change.reason}
+	return Plan{Record: next, Change: true, LogLine: change.logLine}
 }
 
 // nextWitness returns the change that the witnesses need, if any, or else a
@@ -70,9 +70,13 @@
 		return witnessChange{}, "", false
 	}
 	p.reported = replace[0].Name
-	return witnessChange{}, fmt.Sprintf("witness %s stays away and no other core machine can take its place; the next loss stops control", p.reported), false
+	warning = logLinef("witness %s stays away and no other core machine can take its place; the next loss stops control", p.reported)
+	return witnessChange{}, warning, false
 }
 
+// logLinef formats a sentence for the log.
+func logLinef(format string, args ...any) string { return fmt.Sprintf(format, args...) }
+
 // apply returns the witnesses after the change, and the disks that are gone for
 // good: one that came back with another disk has lost the one before.
 func (c witnessChange) apply(record protocol.EpochRecord) (witnesses, gone []protocol.MemberID) {
--- a/internal/membership/replicas.go
+++ b/internal/membership/replicas.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"fmt"
 	"slices"
 
 	"myrtlewinch/internal/protocol"
@@ -11,8 +10,8 @@
 type replicaChange struct {
 	replicas []protocol.MemberID
 	// gone are the disks whose names have passed to another disk.
-	gone   []protocol.MemberID
-	reason string
+	gone    []protocol.MemberID
+	logLine string
 }
 
 // nextReplicas returns the change that the replicas need, if any: one member at a
@@ -26,9 +25,9 @@
 	wanted, reliable, proven := v.wantedReplicas(), v.countReplicas(v.reliableReplica), v.countReplicas(v.provenReplica)
 	switch {
 	case proven >= wanted && lost != protocol.MemberID{}:
-		return v.dropReplica(lost, "enough others are"), true
+		return v.dropReplica(lost, logLinef("%s is a copy no longer; enough others are", lost.Name)), true
 	case proven > wanted && surplus != protocol.MemberID{}:
-		return v.dropReplica(surplus, "more are kept than must be"), true
+		return v.dropReplica(surplus, logLinef("%s is a copy no longer; more are kept than must be", surplus.Name)), true
 	case reliable >= wanted:
 		return replicaChange{}, false
 	}
@@ -41,8 +40,8 @@
 	if old, ok := v.Record.Member(recruit.Name); ok && old != recruit {
 		gone = v.Record.GoneWith(old)
 	}
-	reason := fmt.Sprintf("recruiting %s as a copy", recruit.Name)
-	return replicaChange{append(v.replicasWithout(lost), recruit), gone, reason}, true
+	logLine := logLinef("recruiting %s as a copy", recruit.Name)
+	return replicaChange{append(v.replicasWithout(lost), recruit), gone, logLine}, true
 }
 
 // lostAndSurplus returns the last replica that can't be relied on, and the last
@@ -60,9 +59,8 @@
 	return lost, surplus
 }
 
-func (v *View) dropReplica(dropped protocol.MemberID, reason string) replicaChange {
-	reason = fmt.Sprintf("%s is a copy no longer; %s", dropped.Name, reason)
-	return replicaChange{v.replicasWithout(dropped), v.Record.Gone, reason}
+func (v *View) dropReplica(dropped protocol.MemberID, logLine string) replicaChange {
+	return replicaChange{v.replicasWithout(dropped), v.Record.Gone, logLine}
 }
 
 func (v *View) replicasWithout(dropped protocol.MemberID) []protocol.MemberID {
--- a/internal/membership/witnesses.go
+++ b/internal/membership/witnesses.go
@@ -1,7 +1,6 @@
 package membership
 
 import (
-	"fmt"
 	"slices"
 
 	"myrtlewinch/internal/protocol"
@@ -12,7 +11,7 @@
 type witnessChange struct {
 	index   int
 	witness protocol.MemberID
-	reason  string
+	logLine string
 }
 
 // SilentWitnesses lists the witnesses that have not answered this primary for
@@ -49,7 +48,7 @@
 			continue
 		}
 		returned := protocol.MemberID{Name: id.Name, Incarnation: progress.Incarnation}
-		return witnessChange{i, returned, "taking in the new witness disk of " + id.Name}, true
+		return witnessChange{i, returned, logLinef("taking in the new witness disk of %s", id.Name)}, true
 	}
 	return witnessChange{}, false
 }
@@ -62,7 +61,7 @@
 		return witnessChange{}, false
 	}
 	id, ok := v.spareWitness()
-	return witnessChange{have, id, id.Name + " becomes a further witness"}, ok
+	return witnessChange{have, id, logLinef("%s becomes a further witness", id.Name)}, ok
 }
 
 // witnessesToReplace lists the witnesses that are silent for long, then the first
@@ -89,6 +88,6 @@
 }
 
 func (v *View) replaceWitness(old, spare protocol.MemberID) witnessChange {
-	reason := fmt.Sprintf("%s takes the place of witness %s, which stays away or leaves", spare.Name, old.Name)
-	return witnessChange{slices.Index(v.Record.Witnesses, old), spare, reason}
+	logLine := logLinef("%s takes the place of witness %s, which stays away or leaves", spare.Name, old.Name)
+	return witnessChange{slices.Index(v.Record.Witnesses, old), spare, logLine}
 }
