--- a/internal/config/validate.go
+++ b/internal/config/validate.go
@@ -21,7 +21,7 @@
 		v.fault("version: must be above 0")
 	}
 	for i := range c.Services {
-		v.checkService(i, &c.Services[i])
+		v.checkName("services", i, c.Services[i].Name, v.services)
 	}
 	for i := range c.Routes {
 		v.checkRoute(i, &c.Routes[i])
@@ -46,18 +46,8 @@
 	v.faults = append(v.faults, fmt.Sprintf(format, args...))
 }
 
-func (v *validator) checkService(i int, s *Service) {
-	if s.Name == "" {
-		v.fault("services[%d]: has no name", i)
-	}
-	if v.services[s.Name] {
-		v.fault("services[%d] %s: is given twice", i, s.Name)
-	}
-	v.services[s.Name] = true
-}
-
 func (v *validator) checkRoute(i int, r *Route) {
-	v.checkRouteName(i, r)
+	v.checkName("routes", i, r.Name, v.names)
 	v.checkRouteKey(i, r)
 	if r.TimeoutMs <= 0 {
 		v.fault("routes[%d] %s: would be given up after %d ms; it must be above 0", i, r.Name, r.TimeoutMs)
@@ -65,14 +55,16 @@
 	v.checkSplit(i, r)
 }
 
-func (v *validator) checkRouteName(i int, r *Route) {
-	if r.Name == "" {
-		v.fault("routes[%d]: has no name", i)
+// checkName checks that an item of a list has a name, and one that no item before
+// it has.
+func (v *validator) checkName(list string, i int, name string, names map[string]bool) {
+	if name == "" {
+		v.fault("%s[%d]: has no name", list, i)
 	}
-	if v.names[r.Name] {
-		v.fault("routes[%d] %s: is given twice", i, r.Name)
+	if names[name] {
+		v.fault("%s[%d] %s: is given twice", list, i, name)
 	}
-	v.names[r.Name] = true
+	names[name] = true
 }
 
 // checkRouteKey checks the host and the path prefix.
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -71,7 +71,10 @@
 // NewDaemon opens the data folder and makes the controller. Nothing runs before
 // AddTasks. The caller makes the calls to the platform and its runners;
 // newOperatorAPI makes the handler that serves operators at the web listener.
-func NewDaemon(settings DaemonSettings, format ConfigFormat, caller process.OutboundCaller, newOperatorAPI func(*process.Runtime) http.Handler, peers, web net.Listener, logger *log.Logger) (*Daemon, error) {
+func NewDaemon(
+	settings DaemonSettings, format ConfigFormat, caller process.OutboundCaller,
+	newOperatorAPI func(*process.Runtime) http.Handler, peers, web net.Listener, logger *log.Logger,
+) (*Daemon, error) {
 	clock := process.NewClock()
 	machine, store, err := settings.openMachine(storage.Open, format, clock)
 	if err != nil {
@@ -103,7 +106,9 @@
 }
 
 // openMachine opens the data folder and makes a machine from what it holds.
-func (s DaemonSettings) openMachine(open func(folder, site string) (*storage.Store, error), format ConfigFormat, clock process.Clock) (process.Machine, *storage.Store, error) {
+func (s DaemonSettings) openMachine(
+	open func(folder, site string) (*storage.Store, error), format ConfigFormat, clock process.Clock,
+) (process.Machine, *storage.Store, error) {
 	store, err := open(s.Data, s.Site)
 	if err != nil {
 		return nil, nil, err
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -176,7 +176,6 @@
 // when that version is in force and a copy of the submission is delivered late.
 func TestRejectedSubmissionStaysRejected(t *testing.T) {
 	c := qt.New(t)
-	stale := string(errkind.StaleBase)
 	h, controller := newPendingPrimary(nil)
 	acceptVersions(h, controller, 1)
 	early := SubmitConfig{ID: 1, BaseVersion: 2, Text: "version 3 early"}
--- a/internal/controller/orders_test.go
+++ b/internal/controller/orders_test.go
@@ -43,27 +43,54 @@
 	return orders
 }
 
+// orderingSettings are those of a controller that lists and orders runners.
+var orderingSettings = Settings{
+	Self: testSelf, ListAddress: "list", ListPerSec: 10,
+	Bounds: bounds.Bounds{
+		DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1,
+	},
+}
+
+// lookUpModel has a router look up the model of engineFormat, so that there is
+// demand for it.
+func lookUpModel(h *pendingHost, controller *Controller) {
+	controller.HandleMessage(h, protocol.Envelope{
+		From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter},
+		Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true},
+	})
+}
+
+const (
+	// gapMs is how long the predecessor may still order.
+	gapMs = 2000
+	// never stands for what does not happen.
+	never = int64(-1)
+)
+
+var orderRightTests = []struct {
+	name string
+	// row is the controller that had the right to order before, or empty.
+	row string
+	// commitMs is how long a write takes; never means that its outcome stays
+	// unknown.
+	commitMs int64
+	// writeMs and orderMs are when the row is written and the first order
+	// leaves, after the start; a tick or two may be needed.
+	writeMs, orderMs int64
+}{
+	{"own name: at once", testSelf.Name, 100, never, 0},
+	{"none: at once", "", 0, 0, 0},
+	{"none: once the row is committed", "", 600, 0, 600},
+	{"another's name: after the gap", "core-2", 0, gapMs, gapMs},
+	{"another's name: after the gap, once the row is committed", "core-2", 600, gapMs, gapMs + 600},
+	{"none: never while the commit is unknown", "", never, 0, never},
+	{"another's name: never while the commit is unknown", "core-2", never, gapMs, never},
+}
+
 // The right to order is committed before the first order. Only a primary that
 // finds another's name in the row waits until that one can't order any more.
 func TestOrderRightIsClaimed(t *testing.T) {
-	const gapMs, never = 2000, int64(-1)
-	for _, test := range []struct {
-		name string
-		row  string
-		// safeMs is how long a write takes; never means that its outcome stays unknown.
-		safeMs int64
-		// writeMs and orderMs are when the row is written and the first order
-		// leaves, after the start; a tick or two may be needed.
-		writeMs, orderMs int64
-	}{
-		{"own name: at once", testSelf.Name, 100, never, 0},
-		{"none: at once", "", 0, 0, 0},
-		{"none: once the row is committed", "", 600, 0, 600},
-		{"another's name: after the gap", "core-2", 0, gapMs, gapMs},
-		{"another's name: after the gap, once the row is committed", "core-2", 600, gapMs, gapMs + 600},
-		{"none: never while the commit is unknown", "", never, 0, never},
-		{"another's name: never while the commit is unknown", "core-2", never, gapMs, never},
-	} {
+	for _, test := range orderRightTests {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
 			h := newPendingHost()
@@ -76,11 +103,11 @@
 			}
 			beganMs := h.nowMs
 			h.ordersMs = beganMs + gapMs
-			controller := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
+			controller := New(orderingSettings, engineFormat{})
 			controller.BecamePrimary(h)
 			writeMs, orderMs, endMs := never, never, never
 			for ; h.nowMs < beganMs+4000; h.nowMs += 50 {
-				controller.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+				lookUpModel(h, controller)
 				controller.Tick(h)
 				if orders := answerCalls(h, controller); orders > 0 && orderMs == never {
 					orderMs = h.nowMs - beganMs
@@ -88,11 +115,11 @@
 				if len(h.writes) > 0 && writeMs == never {
 					c.Check(h.writes[0].keys, qt.DeepEquals, []string{ordererRow})
 					c.Check(h.rows[ordererRow], qt.Equals, testSelf.Name)
-					writeMs, endMs = h.nowMs-beganMs, h.nowMs+test.safeMs
+					writeMs, endMs = h.nowMs-beganMs, h.nowMs+test.commitMs
 				}
-				if len(h.writes) > 0 && test.safeMs != never && h.nowMs >= endMs {
+				if len(h.writes) > 0 && test.commitMs != never && h.nowMs >= endMs {
 					h.endWrite(true)
-				} else if len(h.writes) > 0 && test.safeMs == never && h.nowMs >= beganMs+3000 {
+				} else if len(h.writes) > 0 && test.commitMs == never && h.nowMs >= beganMs+3000 {
 					h.endWrite(false)
 				}
 			}
@@ -112,14 +139,14 @@
 	c := qt.New(t)
 	h := newPendingHost()
 	h.rows[ordererRow] = testSelf.Name
-	controller := New(Settings{Self: testSelf, Bounds: bounds.Bounds{DrainMs: 3000, LeaseMs: 3000, ThawMs: 300, InTouchMs: 3000, OriginWindowMs: 5000, OriginOver: 1.1}, ListAddress: "list", ListPerSec: 10}, engineFormat{})
+	controller := New(orderingSettings, engineFormat{})
 	controller.BecamePrimary(h)
 	controller.HandleInput(h, SubmitConfig{Text: "version 1"})
 	h.endWrite(true)
 	controller.LostPrimacy(h)
 	orders := 0
 	for endMs := h.nowMs + 2000; h.nowMs < endMs; h.nowMs += 50 {
-		controller.HandleMessage(h, protocol.Envelope{From: protocol.Node{Name: "router-1", Part: protocol.RoleRouter}, Body: protocol.IndexLookUp{ID: uint64(h.nowMs), Service: "llm", Model: "m1", Waits: true}})
+		lookUpModel(h, controller)
 		controller.Tick(h)
 		orders += answerCalls(h, controller)
 	}
