--- a/internal/simulation/localcluster/cluster.go
+++ b/internal/simulation/localcluster/cluster.go
@@ -52,7 +52,9 @@
 	Routers     []*Daemon
 	Runners     []*Runner
 
-	options         Options
+	options Options
+	// ports are those of the daemons, reserved until Stop.
+	ports           []*reservedPort
 	platformAddress string
 	platformHTTP    *http.Server
 }
@@ -168,6 +170,9 @@
 		_ = runner.http.Close()
 	}
 	_ = c.platformHTTP.Close()
+	for _, port := range c.ports {
+		port.release()
+	}
 }
 
 // RouterAddresses lists the addresses that clients send to.
--- a/internal/simulation/localcluster/daemon.go
+++ b/internal/simulation/localcluster/daemon.go
@@ -46,7 +46,7 @@
 	var opened []listeners
 	var seeds []string
 	for i := range members {
-		l, err := listenAt("127.0.0.1:0", "127.0.0.1:0")
+		l, err := c.listenAtReserved()
 		if err != nil {
 			return err
 		}
@@ -81,6 +81,23 @@
 	return set
 }
 
+// listenAtReserved reserves two ports until the cluster stops, and listens at
+// them. Otherwise another socket could take a port while its daemon is down,
+// and the daemon could not be restarted.
+func (c *Cluster) listenAtReserved() (listeners, error) {
+	var addresses [2]string
+	for i := range addresses {
+		port, err := reservePort()
+		if err != nil {
+			return listeners{}, errors.Wrap(err, "reserve a port")
+		}
+		c.ports = append(c.ports, port)
+		addresses[i] = port.address
+	}
+	return listenAt(addresses[0], addresses[1])
+}
+
+// listenAt listens at the two addresses of a daemon.
 func listenAt(peers, http string) (listeners, error) {
 	forPeers, err := net.Listen("tcp", peers)
 	if err != nil {
