--- a/internal/consensus/seeds_test.go
+++ b/internal/consensus/campaignseeds_test.go
@@ -8,11 +8,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// ciSeeds is how many seeds of each campaign CI plays. A longer campaign takes
-// its number from the environment.
+// ciSeeds is how many seeds of each campaign CI plays. CAMPAIGN_SEEDS in the
+// environment asks for another number.
 const ciSeeds = 6
 
 func campaignSeeds(t *testing.T) uint64 {
+	t.Helper()
 	text := os.Getenv("CAMPAIGN_SEEDS")
 	if text == "" {
 		return ciSeeds
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -14,29 +14,29 @@
 
 // rowApplication keeps one row and tells what happened to it.
 type rowApplication struct {
-	began, ended int
-	row          string
+	becamePrimary, lostPrimacy int
+	row                        string
 }
 
 func (k *rowApplication) StateChanged(h Host)                        { k.row = h.Row("row") }
-func (k *rowApplication) BecamePrimary(h Host)                       { k.began++; k.row = h.Row("row") }
-func (k *rowApplication) LostPrimacy(Host)                           { k.ended++ }
+func (k *rowApplication) BecamePrimary(h Host)                       { k.becamePrimary++; k.row = h.Row("row") }
+func (k *rowApplication) LostPrimacy(Host)                           { k.lostPrimacy++ }
 func (k *rowApplication) HandleMessage(Host, protocol.Envelope) bool { return false }
 func (k *rowApplication) Tick(Host)                                  {}
 
-type put struct {
+type submitRow struct {
 	row  string
-	then func(bool)
+	done func(bool)
 }
 
-// inspect lets a test look at the machine as its application sees it.
-type inspect struct{ look func(h Host) }
+// inspectHost lets a test look at the machine as its application sees it.
+type inspectHost struct{ look func(h Host) }
 
 func (k *rowApplication) HandleInput(h Host, input any) bool {
 	switch in := input.(type) {
-	case put:
-		h.Submit(map[string]string{"row": in.row}, in.then)
-	case inspect:
+	case submitRow:
+		h.Submit(map[string]string{"row": in.row}, in.done)
+	case inspectHost:
 		in.look(h)
 	default:
 		return false
@@ -44,45 +44,46 @@
 	return true
 }
 
-// core is a few controllers on a network without loss, in virtual time.
-type core struct {
-	c       *qt.C
-	nowMs   int64
-	losses  int
-	seeds   []string
-	nodes   map[string]*coreNode
-	ahead   []coreEvent
-	cut     map[string]bool
-	wiped   int
-	history []string
-	// delay, where it is set, draws how long a message is on its way.
+// cluster is a few controllers in virtual time, on a network that loses nothing but
+// at partitions.
+type cluster struct {
+	c           *qt.C
+	nowMs       int64
+	losses      int
+	seeds       []string
+	nodes       map[string]*clusterNode
+	events      []event
+	partitioned map[string]bool
+	wiped       int
+	logLines    []string
+	// delay, where it is set, draws how long a message takes.
 	delay func() int64
 }
 
-type coreNode struct {
-	machine *Machine
-	tenant  *rowApplication
-	keys    map[string]string
-	place   protocol.Node
-	down    bool
-	// gone says that the machine was removed for good.
-	gone bool
-	life int
-	// saveMs replaces the usual time that a save takes.
-	saveMs int64
-	saves  []protocol.DiskWrite
-	saving bool
-	// departed, where it is set, is called once a planned stop was answered.
-	departed func()
+type clusterNode struct {
+	machine     *Machine
+	application *rowApplication
+	rows        map[string]string
+	node        protocol.Node
+	down        bool
+	// removed says that the member was removed for good.
+	removed bool
+	starts  int
+	// writeMs is how long a write takes; usualWriteMs if less.
+	writeMs int64
+	writes  []protocol.DiskWrite
+	writing bool
+	// onLeave, where it is set, is called once a Leave was answered.
+	onLeave func()
 }
 
-type coreEvent struct {
+type event struct {
 	atMs int64
 	do   func()
 }
 
-func newCore(c *qt.C, losses, count int) *core {
-	w := &core{c: c, nowMs: 3_600_000, losses: losses, nodes: map[string]*coreNode{}, cut: map[string]bool{}}
+func newCluster(c *qt.C, losses, count int) *cluster {
+	w := &cluster{c: c, nowMs: 3_600_000, losses: losses, nodes: map[string]*clusterNode{}, partitioned: map[string]bool{}}
 	for i := range count {
 		if i < 3 {
 			w.seeds = append(w.seeds, fmt.Sprintf("10.0.0.%d:7", i+1))
@@ -90,7 +91,7 @@
 	}
 	for i := range count {
 		name := fmt.Sprintf("core-%d", i+1)
-		w.nodes[name] = &coreNode{place: protocol.Node{
+		w.nodes[name] = &clusterNode{node: protocol.Node{
 			Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+1), Zone: fmt.Sprintf("zone-%d", i%3), Part: protocol.RoleController, Incarnation: name + "-disk",
 		}}
 		w.start(name, map[string]string{}, true)
@@ -98,114 +99,115 @@
 	return w
 }
 
-// addNode starts a further, empty machine. Its seeds are two of those there now.
-func (w *core) addNode(name, address, zone string) {
+// addNode starts a further member with an empty disk. Its seeds are members that run
+// now.
+func (w *cluster) addNode(name, address, zone string) {
 	var seeds []string
 	for _, n := range w.nodes {
 		if !n.down {
-			seeds = append(seeds, n.place.Address)
+			seeds = append(seeds, n.node.Address)
 		}
 	}
 	slices.Sort(seeds)
 	w.seeds = seeds[:min(3, len(seeds))]
-	w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: address, Zone: zone, Part: protocol.RoleController, Incarnation: name + "-disk"}}
+	w.nodes[name] = &clusterNode{node: protocol.Node{Name: name, Address: address, Zone: zone, Part: protocol.RoleController, Incarnation: name + "-disk"}}
 	w.start(name, map[string]string{}, false)
 }
 
-func (w *core) start(name string, keys map[string]string, first bool) {
+func (w *cluster) start(name string, keys map[string]string, first bool) {
 	n := w.nodes[name]
-	n.down, n.keys, n.tenant = false, keys, &rowApplication{}
-	n.saveMs, n.departed = 0, nil
-	n.life++
-	n.saves, n.saving = nil, false
+	n.down, n.rows, n.application = false, keys, &rowApplication{}
+	n.writeMs, n.onLeave = 0, nil
+	n.starts++
+	n.writes, n.writing = nil, false
 	machine, err := New(Settings{
-		Site: "s", Self: n.place, Seeds: w.seeds, Application: n.tenant, MaxLosses: w.losses, FirstStart: first, WitnessTimeoutMs: 1000, ReplicaGraceMs: 400,
+		Site: "s", Self: n.node, Seeds: w.seeds, Application: n.application, MaxLosses: w.losses, FirstStart: first, WitnessTimeoutMs: 1000, ReplicaGraceMs: 400,
 	}, keys, w.nowMs)
 	w.c.Assert(err, qt.IsNil)
 	n.machine = machine
 }
 
-func (w *core) kill(name string) { w.nodes[name].down = true }
+func (w *cluster) kill(name string) { w.nodes[name].down = true }
 
-func (w *core) restart(name string) { w.start(name, w.nodes[name].keys, false) }
+func (w *cluster) restart(name string) { w.start(name, w.nodes[name].rows, false) }
 
-// wipe brings a daemon back with an empty disk.
-func (w *core) wipe(name string) {
+// wipe starts a member again with an empty disk.
+func (w *cluster) wipe(name string) {
 	w.wiped++
-	w.nodes[name].place.Incarnation = fmt.Sprintf("%s-disk-%d", name, w.wiped)
+	w.nodes[name].node.Incarnation = fmt.Sprintf("%s-disk-%d", name, w.wiped)
 	w.start(name, map[string]string{}, false)
 }
 
-func (w *core) after(ms int64, do func()) { w.ahead = append(w.ahead, coreEvent{w.nowMs + ms, do}) }
+func (w *cluster) schedule(ms int64, do func()) { w.events = append(w.events, event{w.nowMs + ms, do}) }
 
-func (w *core) step(name string, input any) {
+func (w *cluster) step(name string, input any) {
 	n := w.nodes[name]
 	if n.down {
 		return
 	}
-	life := n.life
+	life := n.starts
 	out := n.machine.Step(w.nowMs, input)
 	for _, note := range out.LogLines {
-		w.history = append(w.history, fmt.Sprintf("%7d %s: %s", w.nowMs-3_600_000, name, note))
+		w.logLines = append(w.logLines, fmt.Sprintf("%7d %s: %s", w.nowMs-3_600_000, name, note))
 	}
-	n.saves = append(n.saves, out.DiskWrites...)
-	w.saveNext(n, life)
+	n.writes = append(n.writes, out.DiskWrites...)
+	w.writeNext(n, life)
 	for _, answer := range out.Responses {
-		if _, is := answer.Body.(LeaveResult); is && n.departed != nil {
-			n.departed()
+		if _, is := answer.Body.(LeaveResult); is && n.onLeave != nil {
+			n.onLeave()
 		}
 	}
 	for _, send := range out.Sends {
-		from := n.place
+		from := n.node
 		for _, to := range slices.Sorted(maps.Keys(w.nodes)) {
-			if w.nodes[to].place.Address == send.Address && !w.cut[name+">"+to] {
-				w.after(w.delayMs(), func() { w.step(to, protocol.Envelope{Site: "s", From: from, To: send.To, Body: send.Body}) })
+			if w.nodes[to].node.Address == send.Address && !w.partitioned[name+">"+to] {
+				w.schedule(w.delayMs(), func() { w.step(to, protocol.Envelope{Site: "s", From: from, To: send.To, Body: send.Body}) })
 			}
 		}
 	}
 }
 
-func (w *core) delayMs() int64 {
+func (w *cluster) delayMs() int64 {
 	if w.delay == nil {
 		return 1
 	}
 	return w.delay()
 }
 
-// saveNext brings the first save that waits to the disk, one after the other.
-func (w *core) saveNext(n *coreNode, life int) {
-	if n.saving || len(n.saves) == 0 {
+// writeNext brings the first write that waits to the disk, one after the other.
+func (w *cluster) writeNext(n *clusterNode, life int) {
+	if n.writing || len(n.writes) == 0 {
 		return
 	}
-	n.saving = true
-	w.after(max(coreSaveMs, n.saveMs), func() {
-		if n.down || n.life != life {
+	n.writing = true
+	w.schedule(max(usualWriteMs, n.writeMs), func() {
+		if n.down || n.starts != life {
 			return
 		}
-		save := n.saves[0]
-		n.saves, n.saving = n.saves[1:], false
-		keys := maps.Clone(n.keys)
+		save := n.writes[0]
+		n.writes, n.writing = n.writes[1:], false
+		keys := maps.Clone(n.rows)
 		save.Write.Apply(keys)
-		n.keys = keys
-		w.step(n.place.Name, protocol.DiskWriteDone{Number: save.Number, Ok: true})
-		w.saveNext(n, life)
+		n.rows = keys
+		w.step(n.node.Name, protocol.DiskWriteDone{Number: save.Number, Ok: true})
+		w.writeNext(n, life)
 	})
 }
 
-// coreSaveMs is how long a save usually takes.
-const coreSaveMs = 5
+// usualWriteMs is how long a write to a disk usually takes.
+const usualWriteMs = 5
 
-func (w *core) run(ms int64) {
+func (w *cluster) run(ms int64) {
 	end := w.nowMs + ms
 	for w.nowMs < end {
 		w.nowMs++
 		for {
-			sort.SliceStable(w.ahead, func(i, j int) bool { return w.ahead[i].atMs < w.ahead[j].atMs })
-			if len(w.ahead) == 0 || w.ahead[0].atMs > w.nowMs {
+			sort.SliceStable(w.events, func(i, j int) bool { return w.events[i].atMs < w.events[j].atMs })
+			if len(w.events) == 0 || w.events[0].atMs > w.nowMs {
 				break
 			}
-			next := w.ahead[0]
-			w.ahead = w.ahead[1:]
+			next := w.events[0]
+			w.events = w.events[1:]
 			next.do()
 		}
 		if w.nowMs%50 == 0 {
@@ -216,44 +218,44 @@
 	}
 }
 
-// primary names the one that may speak, and checks that no two may.
-func (w *core) primary() string {
-	var active []string
+// primary names the member that serves, and checks that no two do.
+func (w *cluster) primary() string {
+	var serving []string
 	for _, name := range slices.Sorted(maps.Keys(w.nodes)) {
 		if n := w.nodes[name]; !n.down && n.machine.nowMs == w.nowMs && n.machine.serves() {
-			active = append(active, name)
+			serving = append(serving, name)
 		}
 	}
-	w.c.Assert(len(active) <= 1, qt.IsTrue, qt.Commentf("%v are all active", active))
-	if len(active) == 0 {
+	w.c.Assert(len(serving) <= 1, qt.IsTrue, qt.Commentf("%v all serve", serving))
+	if len(serving) == 0 {
 		return ""
 	}
-	return active[0]
+	return serving[0]
 }
 
-// put writes a row at the primary and says whether it was answered.
-func (w *core) put(row string) *bool {
+// submitRow submits a row at the primary and returns whether it was committed.
+func (w *cluster) submitRow(row string) *bool {
 	var answered bool
 	name := w.primary()
 	w.c.Assert(name, qt.Not(qt.Equals), "")
-	w.step(name, put{row, func(ok bool) { answered = ok }})
+	w.step(name, submitRow{row, func(ok bool) { answered = ok }})
 	return &answered
 }
 
-func (w *core) record() protocol.EpochRecord { return w.nodes[w.primary()].machine.record() }
+func (w *cluster) recordInForce() protocol.EpochRecord { return w.nodes[w.primary()].machine.record() }
 
-func (w *core) until(ms int64, what string, ok func() bool) {
+func (w *cluster) until(ms int64, what string, ok func() bool) {
 	for range ms / 50 {
 		w.run(50)
 		if ok() {
 			return
 		}
 	}
-	w.c.Fatalf("%s: not within %d ms; %v", what, ms, w.history[max(0, len(w.history)-20):])
+	w.c.Fatalf("%s: not within %d ms; %v", what, ms, w.logLines[max(0, len(w.logLines)-20):])
 }
 
-// states tells what each machine is about.
-func (w *core) states() []string {
+// states describes each member's machine.
+func (w *cluster) states() []string {
 	var out []string
 	for _, name := range slices.Sorted(maps.Keys(w.nodes)) {
 		n := w.nodes[name]
@@ -262,7 +264,7 @@
 		}
 		m := n.machine
 		out = append(out, fmt.Sprintf("%s disk %s: role %s, record %v, witness keeps %v promised %v, proposal %v, lease %d, established %v, broken %v, retired %v, at %v",
-			name, n.place.Incarnation, m.election.Role, m.record(), m.witness.acceptor.Record, m.witness.acceptor.Promised, m.election.Proposal,
+			name, n.node.Incarnation, m.election.Role, m.record(), m.witness.acceptor.Record, m.witness.acceptor.Promised, m.election.Proposal,
 			m.election.LeaseUntilMs-w.nowMs, m.election.Established, m.disk.failed, m.retired, m.follower.Durable))
 		for peer := range w.nodes {
 			if progress := m.primary.Tracker.Named(peer); progress != nil {
@@ -273,36 +275,36 @@
 	return out
 }
 
-func (w *core) serves() bool { return w.primary() != "" }
+func (w *cluster) serves() bool { return w.primary() != "" }
 
-// The first start founds the site; the losses to be borne tell how many copies
-// and witnesses there are.
-func TestSeedsFoundTheSite(t *testing.T) {
+// The first start bootstraps the site, with as many replicas and witnesses as the
+// losses to be borne need.
+func TestSeedsBootstrapTheSite(t *testing.T) {
 	for _, test := range []struct {
-		losses, count, copies, witnesses int
+		losses, count, replicas, witnesses int
 	}{{1, 3, 2, 3}, {1, 4, 2, 3}, {2, 5, 3, 5}, {2, 6, 3, 5}} {
 		t.Run(fmt.Sprintf("%d of %d", test.losses, test.count), func(t *testing.T) {
-			w := newCore(qt.New(t), test.losses, test.count)
-			w.until(2500, "founding", w.serves)
+			w := newCluster(qt.New(t), test.losses, test.count)
+			w.until(2500, "bootstrap", w.serves)
 			w.run(2000)
-			record := w.record()
-			w.c.Assert(record.Replicas, qt.HasLen, test.copies)
+			record := w.recordInForce()
+			w.c.Assert(record.Replicas, qt.HasLen, test.replicas)
 			w.c.Assert(record.Witnesses, qt.HasLen, test.witnesses)
 		})
 	}
 }
 
-// A seed that is gone for good at the very start does not keep the site from
-// being founded, with as many copies as must be.
+// A seed that is gone for good at the very start does not keep the site from being
+// bootstrapped, with as many replicas as must be.
 func TestBootstrapWithoutOneSeed(t *testing.T) {
 	for _, shape := range [][2]int{{1, 3}, {1, 4}, {2, 5}, {2, 6}} {
 		for gone := 1; gone <= 3; gone++ {
 			t.Run(fmt.Sprintf("%d of %d without seed %d", shape[0], shape[1], gone), func(t *testing.T) {
-				w := newCore(qt.New(t), shape[0], shape[1])
+				w := newCluster(qt.New(t), shape[0], shape[1])
 				w.kill(fmt.Sprintf("core-%d", gone))
 				w.until(9000, "bootstrap", w.serves)
-				w.c.Assert(w.record().Replicas, qt.HasLen, shape[0]+1)
-				answered := w.put("kept")
+				w.c.Assert(w.recordInForce().Replicas, qt.HasLen, shape[0]+1)
+				answered := w.submitRow("kept")
 				w.until(1000, "an answer", func() bool { return *answered })
 			})
 		}
@@ -310,20 +312,20 @@
 }
 
 // A seed that is lost for good at any moment of the bootstrap, with any part of
-// what it sends at that moment, does not keep the site from being founded.
+// what it sends at that moment, does not keep the site from being bootstrapped.
 func TestBootstrapWithASeedLostOnTheWay(t *testing.T) {
 	for lostMs := int64(0); lostMs <= 200; lostMs += 2 {
 		for gone := 1; gone <= 3; gone++ {
 			for reaches := 1; reaches <= 3; reaches++ {
-				t.Run(fmt.Sprintf("seed %d after %d ms, its last words reach %d", gone, lostMs, reaches), func(t *testing.T) {
-					w := newCore(qt.New(t), 1, 3)
+				t.Run(fmt.Sprintf("seed %d after %d ms, its last messages reach %d", gone, lostMs, reaches), func(t *testing.T) {
+					w := newCluster(qt.New(t), 1, 3)
 					lost := fmt.Sprintf("core-%d", gone)
-					w.after(lostMs, func() {
+					w.schedule(lostMs, func() {
 						for other := 1; other <= 3; other++ {
-							w.cut[fmt.Sprintf("%s>core-%d", lost, other)] = other != reaches
+							w.partitioned[fmt.Sprintf("%s>core-%d", lost, other)] = other != reaches
 						}
 					})
-					w.after(lostMs+2, func() { w.kill(lost) })
+					w.schedule(lostMs+2, func() { w.kill(lost) })
 					w.until(12_000, "bootstrap", w.serves)
 				})
 			}
@@ -334,23 +336,23 @@
 // A disk that was emptied since the first start votes for no first record: it
 // may have voted for another one.
 func TestEmptiedSeedVotesForNoFirstRecord(t *testing.T) {
-	w := newCore(qt.New(t), 1, 3)
-	w.cut = map[string]bool{"core-1>core-3": true, "core-3>core-1": true, "core-2>core-3": true, "core-3>core-2": true}
+	w := newCluster(qt.New(t), 1, 3)
+	w.partitioned = map[string]bool{"core-1>core-3": true, "core-3>core-1": true, "core-2>core-3": true, "core-3>core-2": true}
 	w.until(9000, "bootstrap by two", w.serves)
-	answered := w.put("kept")
+	answered := w.submitRow("kept")
 	w.until(1000, "an answer", func() bool { return *answered })
 	// One is gone and the other comes back empty, beside the third seed, which
 	// knows of no site.
 	w.kill("core-1")
 	w.kill("core-2")
-	w.cut = map[string]bool{}
+	w.partitioned = map[string]bool{}
 	w.wipe("core-2")
 	w.run(12_000)
 	w.c.Assert(w.primary(), qt.Equals, "")
 }
 
-// Seeds that are cut from each other, die and come back found one site at most,
-// and found it once they are left alone.
+// Seeds that are partitioned, crash and come back bootstrap one site at most, and
+// bootstrap it once nothing more happens to them.
 func TestBootstrapCampaign(t *testing.T) {
 	for _, shape := range campaignShapes {
 		for seed := range campaignSeeds(t) * 4 {
@@ -367,7 +369,7 @@
 func TestBootstrapCutShortIsFinished(t *testing.T) {
 	for late := range 60 {
 		t.Run(fmt.Sprintf("message %d is late", late), func(t *testing.T) {
-			w := newCore(qt.New(t), 1, 3)
+			w := newCluster(qt.New(t), 1, 3)
 			count := 0
 			w.delay = func() int64 {
 				count++
@@ -381,18 +383,18 @@
 	}
 }
 
-// Each core machine in turn dies, is wiped, and must be whole again within the
-// catch-up time, so that the next may be lost then; what was answered stays.
+// Each member in turn crashes or is wiped, and must have recovered within the
+// catch-up time, so that the next may be lost then. What was committed stays.
 func TestEachLossInTurn(t *testing.T) {
 	for _, test := range []struct{ losses, count int }{{1, 3}, {1, 4}, {2, 5}, {2, 6}} {
 		for _, how := range []string{"killed", "wiped"} {
 			t.Run(fmt.Sprintf("%d of %d %s", test.losses, test.count, how), func(t *testing.T) {
-				w := newCore(qt.New(t), test.losses, test.count)
-				w.until(2500, "founding", w.serves)
+				w := newCluster(qt.New(t), test.losses, test.count)
+				w.until(2500, "bootstrap", w.serves)
 				w.run(2000)
 				for round := range 2 * test.count {
 					row := fmt.Sprint("row ", round)
-					answered := w.put(row)
+					answered := w.submitRow(row)
 					w.until(1000, "an answer", func() bool { return *answered })
 					lost := []string{fmt.Sprintf("core-%d", round%test.count+1)}
 					if test.losses > 1 {
@@ -411,7 +413,7 @@
 					}
 					w.run(4000)
 					w.until(2500, "a primary", w.serves)
-					w.c.Assert(w.nodes[w.primary()].tenant.row, qt.Equals, row)
+					w.c.Assert(w.nodes[w.primary()].application.row, qt.Equals, row)
 				}
 			})
 		}
@@ -426,15 +428,15 @@
 				continue
 			}
 			t.Run(fmt.Sprintf("%d of %d", wiped, count), func(t *testing.T) {
-				w := newCore(qt.New(t), 1, count)
-				w.until(2500, "founding", w.serves)
+				w := newCluster(qt.New(t), 1, count)
+				w.until(2500, "bootstrap", w.serves)
 				w.run(3000)
-				answered := w.put("kept")
+				answered := w.submitRow("kept")
 				w.until(1000, "an answer", func() bool { return *answered })
 				for name := range w.nodes {
 					w.kill(name)
 				}
-				w.ahead = nil
+				w.events = nil
 				w.run(700)
 				for i := range count {
 					name := fmt.Sprintf("core-%d", i+1)
@@ -445,7 +447,7 @@
 					}
 				}
 				w.until(8000, "a primary", w.serves)
-				w.c.Assert(w.nodes[w.primary()].tenant.row, qt.Equals, "kept")
+				w.c.Assert(w.nodes[w.primary()].application.row, qt.Equals, "kept")
 			})
 		}
 	}
@@ -454,10 +456,10 @@
 // A machine that is gone for good is replaced by an empty one elsewhere, again
 // and again, until none of the first ones and none of the seeds is left.
 func TestEachReplacedByAnEmptyOneElsewhere(t *testing.T) {
-	w := newCore(qt.New(t), 1, 3)
-	w.until(2500, "founding", w.serves)
+	w := newCluster(qt.New(t), 1, 3)
+	w.until(2500, "bootstrap", w.serves)
 	w.run(2000)
-	answered := w.put("kept")
+	answered := w.submitRow("kept")
 	w.until(1000, "an answer", func() bool { return *answered })
 	for i := range 3 {
 		gone, name := fmt.Sprintf("core-%d", i+1), fmt.Sprintf("core-%d", i+11)
@@ -465,19 +467,19 @@
 		w.seeds = nil
 		for _, n := range w.nodes {
 			if !n.down {
-				w.seeds = append(w.seeds, n.place.Address)
+				w.seeds = append(w.seeds, n.node.Address)
 			}
 		}
 		slices.Sort(w.seeds)
-		w.nodes[name] = &coreNode{place: protocol.Node{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: protocol.RoleController, Incarnation: name}}
+		w.nodes[name] = &clusterNode{node: protocol.Node{Name: name, Address: fmt.Sprintf("10.0.0.%d:7", i+11), Zone: "zone-1", Part: protocol.RoleController, Incarnation: name}}
 		w.start(name, map[string]string{}, false)
 		w.run(4000)
 		w.until(2500, "a primary", w.serves)
-		w.c.Assert(w.nodes[w.primary()].tenant.row, qt.Equals, "kept")
+		w.c.Assert(w.nodes[w.primary()].application.row, qt.Equals, "kept")
 	}
-	record := w.record()
-	for _, seat := range append(record.Replicas, record.Witnesses...) {
-		w.c.Assert(w.nodes[seat.Name].down, qt.IsFalse, qt.Commentf("%s sits still", seat.Name))
+	record := w.recordInForce()
+	for _, id := range append(record.Replicas, record.Witnesses...) {
+		w.c.Assert(w.nodes[id.Name].down, qt.IsFalse, qt.Commentf("%s sits still", id.Name))
 	}
 }
 
@@ -485,30 +487,30 @@
 // gives way; no two ever speak at once.
 func TestPrimaryCutOff(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
-		w := newCore(qt.New(t), 1, 3)
-		w.until(2500, "founding", w.serves)
+		w := newCluster(qt.New(t), 1, 3)
+		w.until(2500, "bootstrap", w.serves)
 		w.run(1000)
 		before := w.primary()
 		for name := range w.nodes {
-			w.cut[before+">"+name] = true
-			w.cut[name+">"+before] = !oneWay
+			w.partitioned[before+">"+name] = true
+			w.partitioned[name+">"+before] = !oneWay
 		}
 		for range 120 {
 			w.run(50)
 			w.primary()
 		}
 		w.c.Assert(w.primary(), qt.Not(qt.Equals), before)
-		answered := w.put("after")
+		answered := w.submitRow("after")
 		w.until(1000, "an answer", func() bool { return *answered })
-		w.cut = map[string]bool{}
+		w.partitioned = map[string]bool{}
 		w.run(3000)
-		w.c.Assert(w.nodes[before].tenant.row, qt.Equals, "after")
+		w.c.Assert(w.nodes[before].application.row, qt.Equals, "after")
 	}
 }
 
 // A blank daemon of a later start founds nothing, and votes for nobody.
 func TestBlankOnesFoundNothing(t *testing.T) {
-	w := newCore(qt.New(t), 1, 3)
+	w := newCluster(qt.New(t), 1, 3)
 	for name := range w.nodes {
 		w.wipe(name)
 	}
--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -17,26 +17,26 @@
 	m.Step(m.nowMs+99, protocol.Tick{})
 	qt.Assert(t, m.isPrimary(), qt.IsTrue)
 	m.election.LeaseUntilMs = m.nowMs + 1
-	m.Step(m.nowMs+1, inspect{func(h Host) {
-		qt.Assert(t, application.ended, qt.Equals, 1)
+	m.Step(m.nowMs+1, inspectHost{func(h Host) {
+		qt.Assert(t, application.lostPrimacy, qt.Equals, 1)
 		qt.Assert(t, h.Active(), qt.IsFalse)
 	}})
 	qt.Assert(t, m.isPrimary(), qt.IsFalse)
 }
 
-// The newest record reached only members that hold no copy in it. Those who
-// hold one learn of it from them, and take over.
-func TestNewerRecordIsToldToWhomItEntitles(t *testing.T) {
+// The newest record reached only members that are no replicas by it. Those that are
+// learn of it from them, and take over.
+func TestReplicasLearnOfANewerRecord(t *testing.T) {
 	cases := []struct {
 		about string
-		// kept says that witnesses alone keep the record, as after a primary that
-		// was lost before it told anyone; else members hold it as complete.
-		kept bool
-	}{{"members hold it as complete", false}, {"only witnesses keep it", true}}
+		// stored says that only witnesses store the record, as after a primary that
+		// was lost before it sent it to anyone; else members know it as complete.
+		stored bool
+	}{{"members know it as complete", false}, {"only witnesses store it", true}}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			w := served(qt.New(t), 2, 5)
-			w.write("kept")
+			w := servingCluster(qt.New(t), 2, 5)
+			w.writeRow("kept")
 			primary := w.primary()
 			m := w.nodes[primary].machine
 			next := m.record()
@@ -44,45 +44,45 @@
 			ballot := m.election.Ballot
 			w.kill(primary)
 			for name, n := range w.nodes {
-				if n.down || next.HasReplica(protocol.MemberID{Name: name, Incarnation: n.place.Incarnation}) {
+				if n.down || next.HasReplica(protocol.MemberID{Name: name, Incarnation: n.node.Incarnation}) {
 					continue
 				}
 				n.machine.witness.acceptor.Record, n.machine.witness.acceptor.Accepted = next, ballot
-				if !test.kept {
+				if !test.stored {
 					n.machine.election.Record = next
 				}
 			}
 			w.until(6000, "a take-over", w.serves)
-			w.c.Assert(w.record().Epoch > next.Epoch, qt.IsTrue)
-			w.c.Assert(w.nodes[w.primary()].tenant.row, qt.Equals, "kept")
+			w.c.Assert(w.recordInForce().Epoch > next.Epoch, qt.IsTrue)
+			w.c.Assert(w.nodes[w.primary()].application.row, qt.Equals, "kept")
 		})
 	}
 }
 
-// A copy that was recruited by a record which no one told it of is the only one
-// left that is entitled by it.
-func TestRecruitThatWasNeverToldTakesOver(t *testing.T) {
-	w := served(qt.New(t), 2, 5)
-	w.write("kept")
+// A replica that was recruited by a record which it was never sent is the only one
+// left that may become primary by it.
+func TestRecruitWithoutTheRecordTakesOver(t *testing.T) {
+	w := servingCluster(qt.New(t), 2, 5)
+	w.writeRow("kept")
 	primary := w.primary()
 	m := w.nodes[primary].machine
 	var spare string
 	for name, n := range w.nodes {
-		if !m.record().HasReplica(protocol.MemberID{Name: name, Incarnation: n.place.Incarnation}) {
+		if !m.record().HasReplica(protocol.MemberID{Name: name, Incarnation: n.node.Incarnation}) {
 			spare = name
 		}
 	}
 	next := m.record()
 	next.Epoch++
 	var replaced string
-	for i, seat := range next.Replicas {
-		if seat.Name != primary {
-			replaced = seat.Name
+	for i, id := range next.Replicas {
+		if id.Name != primary {
+			replaced = id.Name
 			next.Replicas = append(append([]protocol.MemberID{}, next.Replicas[:i]...), next.Replicas[i+1:]...)
 			break
 		}
 	}
-	next.Replicas = append(next.Replicas, protocol.MemberID{Name: spare, Incarnation: w.nodes[spare].place.Incarnation})
+	next.Replicas = append(next.Replicas, protocol.MemberID{Name: spare, Incarnation: w.nodes[spare].node.Incarnation})
 	for name, n := range w.nodes {
 		if name != spare {
 			n.machine.witness.acceptor.Record, n.machine.witness.acceptor.Accepted = next, m.election.Ballot
@@ -90,14 +90,14 @@
 	}
 	w.kill(primary)
 	w.kill(replaced)
-	// The third copy holds everything too, but knows the record before only.
+	// The third replica holds everything, too, but knows the record before only.
 	w.until(6000, "a take-over", w.serves)
-	w.c.Assert(w.nodes[w.primary()].tenant.row, qt.Equals, "kept")
+	w.c.Assert(w.nodes[w.primary()].application.row, qt.Equals, "kept")
 }
 
-// Of two candidates the one under the lower ballot gives way, and gives back
-// what witnesses granted it.
-func TestCandidateGivesWayToAHigherBallot(t *testing.T) {
+// Of two candidates the one under the lower ballot gives way, and releases what
+// witnesses granted it.
+func TestCandidateYieldsToAHigherBallotInACluster(t *testing.T) {
 	rival := protocol.Ballot{Round: 1 << 40, Name: "core-9"}
 	cases := []struct {
 		about    string
@@ -115,17 +115,17 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			w := served(qt.New(t), 1, 3)
+			w := servingCluster(qt.New(t), 1, 3)
 			primary, name := w.primary(), w.backup()
 			m := w.nodes[name].machine
 			w.kill(primary)
-			m.Step(w.nowMs, w.from(primary, name, protocol.TransferPrimary{Record: m.record()}))
+			m.Step(w.nowMs, w.envelope(primary, name, protocol.TransferPrimary{Record: m.record()}))
 			qt.Assert(t, m.election.Role, qt.Equals, election.Preparing)
 			var refusal protocol.Message = protocol.PrepareReply{Ballot: m.election.Ballot, Highest: test.highest}
 			if test.keeps {
 				for peer := range w.nodes {
 					if peer != name {
-						m.Step(w.nowMs, w.from(peer, name, protocol.PrepareReply{Ballot: m.election.Ballot, Granted: true}))
+						m.Step(w.nowMs, w.envelope(peer, name, protocol.PrepareReply{Ballot: m.election.Ballot, Granted: true}))
 					}
 				}
 				qt.Assert(t, m.election.Role, qt.Equals, election.Accepting)
@@ -136,7 +136,7 @@
 			for peer := range w.nodes {
 				if peer != name && refusing > 0 {
 					refusing--
-					effects = m.Step(w.nowMs, w.from(peer, name, refusal))
+					effects = m.Step(w.nowMs, w.envelope(peer, name, refusal))
 				}
 			}
 			qt.Assert(t, m.election.Role == election.Follower, qt.Equals, test.givesWay)
@@ -151,33 +151,33 @@
 	}
 }
 
-// After a kill of all the recorded primary serves again at once, also where one
-// witness remembers a ballot of long ago.
-func TestRestartedPrimaryHeedsNoBallotOfLongAgo(t *testing.T) {
+// After a crash of all members the recorded primary serves again at once, also where
+// one witness remembers a ballot of long ago.
+func TestRestartedPrimaryServesDespiteAnOldBallot(t *testing.T) {
 	for _, remembers := range []string{"core-1", "core-2", "core-3"} {
 		t.Run(remembers, func(t *testing.T) {
-			w := served(qt.New(t), 1, 3)
-			w.write("kept")
+			w := servingCluster(qt.New(t), 1, 3)
+			w.writeRow("kept")
 			primary := w.primary()
 			if remembers == primary {
 				return
 			}
-			// Some attempts of its own, behind a cut, that nobody heard of.
+			// Some attempts of its own, behind a partition.
 			n := w.nodes[remembers]
 			n.machine.witness.acceptor.Promised = protocol.Ballot{Round: 40, Name: remembers}
-			n.keys[witness.Key] = n.machine.witness.acceptor.Encode()
+			n.rows[witness.Key] = n.machine.witness.acceptor.Encode()
 			for name := range w.nodes {
 				w.kill(name)
 			}
-			w.ahead = nil
+			w.events = nil
 			w.run(700)
 			for name := range w.nodes {
 				// The refusal comes before anything of the third member.
-				w.cut[name+">"+primary] = name != remembers
+				w.partitioned[name+">"+primary] = name != remembers
 				w.restart(name)
 			}
 			w.run(100)
-			w.cut = map[string]bool{}
+			w.partitioned = map[string]bool{}
 			w.until(400, "the recorded primary", func() bool { return w.primary() == primary })
 		})
 	}
--- a/internal/consensus/helpers_test.go
+++ b/internal/consensus/helpers_test.go
@@ -9,17 +9,17 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// served is a core that serves, with its members' catch-up behind it.
-func served(c *qt.C, losses, count int) *core {
-	w := newCore(c, losses, count)
+// servingCluster is a cluster that serves, after its members' catch-up time.
+func servingCluster(c *qt.C, losses, count int) *cluster {
+	w := newCluster(c, losses, count)
 	w.until(10_000, "bootstrap", w.serves)
 	w.run(5000)
 	return w
 }
 
-// write hands a row over and waits until it is acknowledged.
-func (w *core) write(row string) {
-	answered := w.put(row)
+// writeRow submits a row and waits until it is committed.
+func (w *cluster) writeRow(row string) {
+	answered := w.submitRow(row)
 	w.until(3000, "an acknowledgement", func() bool { return *answered })
 }
 
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -9,7 +9,7 @@
 type BootstrapMode int
 
 const (
-	// BootstrapBySeeds lets the seeds found the site among them at its first start.
+	// BootstrapBySeeds lets the seeds bootstrap the site among them at its first start.
 	BootstrapBySeeds BootstrapMode = iota
 	// BootstrapByOperator waits for the input Bootstrap, which names the witnesses
 	// and the backup.
@@ -28,10 +28,10 @@
 	// Bootstrapped says, after Application.BecamePrimary, that this primacy is the site's first
 	// and was begun by an operator's Bootstrap input.
 	Bootstrapped()
-	// Hints gives what a primary tells its followers beside rows. It is asked for
+	// Hints returns what a primary sends its followers beside rows. It is called
 	// before each regular round of messages to them.
 	Hints() protocol.Hints
-	// HintsReceived brings a follower what the primary's Hints gave.
+	// HintsReceived gives a follower what the primary's Hints returned.
 	HintsReceived(hints protocol.Hints)
 	// InputWhileRetired takes an input at a daemon whose name has passed to
 	// another disk. It may only answer that input.
@@ -46,20 +46,20 @@
 	IsPrimary() bool
 	// Record is the epoch record in force, as far as this daemon knows.
 	Record() protocol.EpochRecord
-	// PrimaryHeardMs is when the primary was last heard.
+	// PrimaryHeardMs is when the primary was last known to be alive.
 	PrimaryHeardMs() int64
-	// Peers lists all known daemons, this one too; Known those of one part,
-	// without this one. Neither asks whether they are alive.
+	// Peers lists all known daemons, with this one; Known those of one part, without
+	// this one. They may be silent.
 	Peers() []protocol.Node
 	Known(part string) []protocol.Node
-	// State is the replicated state; at a primary it may be ahead of what is safe.
+	// State is the replicated state; at a primary it may be ahead of what is committed.
 	// A snapshot replaces it, so it must not be kept.
 	State() *ledger.State
-	// Settled says whether all copies hold all that is in State.
+	// Settled says whether all replicas hold all that is in State.
 	Settled() bool
 	// SubmitCommands is Submit for commands. They are applied together with others
 	// that wait, once the write before has ended.
-	SubmitCommands(then func(ok bool), commands ...ledger.Command)
+	SubmitCommands(done func(ok bool), commands ...ledger.Command)
 	// MemberStatus is what this daemon believes of itself and of its peers.
 	MemberStatus() MemberStatus
 }
@@ -75,6 +75,6 @@
 	return h.m.primary.Committed >= h.m.state.Position.Number
 }
 
-func (h host) SubmitCommands(then func(ok bool), commands ...ledger.Command) {
-	h.m.submit(then, commands...)
+func (h host) SubmitCommands(done func(ok bool), commands ...ledger.Command) {
+	h.m.submit(done, commands...)
 }
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -1,21 +1,22 @@
 package consensus
 
-// LeaveResult answers a Leave: nothing in the site waits for this daemon.
+// LeaveResult answers a Leave: the daemon may stop.
 type LeaveResult struct {
-	// HandedOver says that its copy and its vote are with others, as far as
-	// there are any; otherwise the time for it ran out.
+	// HandedOver says that this daemon's replica and vote are with others, as far as
+	// there are others; otherwise the time for that ran out.
 	HandedOver bool
 }
 
-// plannedStop is a planned stop. The members of a record that is in force may
-// not just go: one that goes for good counts no longer as lost, so as many
-// further disks may be lost right after. Its copy and its vote are handed to
-// others by recorded changes first.
+// plannedStop is a stop of this daemon that was announced by a Leave. A member of the
+// record in force can't just stop for good: it would count as lost, so that fewer
+// further disks might be lost. Its replica and its vote are handed to others first, by
+// recorded changes.
 type plannedStop struct {
 	begun bool
-	// done says that the answer was given.
-	done    bool
-	id      uint64
+	// done says that the Leave with the id was answered.
+	done bool
+	id   uint64
+	// untilMs is when it is answered at the latest.
 	untilMs int64
 }
 
@@ -30,8 +31,8 @@
 		m.endLeave("planned stop")
 		return
 	}
-	if place, ok := m.detector.Node(m.record().Primary); ok && !m.isPrimary() {
-		m.acknowledge(place)
+	if primary, ok := m.detector.Node(m.record().Primary); ok && !m.isPrimary() {
+		m.acknowledge(primary)
 	}
 	m.tickLeave()
 }
@@ -56,11 +57,12 @@
 	m.respond(m.leaving.id, LeaveResult{})
 }
 
-func (m *Machine) endLeave(why string) {
+// endLeave answers the Leave: nothing is left to hand over.
+func (m *Machine) endLeave(reason string) {
 	if m.leaving.done {
 		return
 	}
-	m.logf("free to stop: %s", why)
+	m.logf("free to stop: %s", reason)
 	m.leaving.done = true
 	m.respond(m.leaving.id, LeaveResult{HandedOver: true})
 }
--- a/internal/consensus/machine_test.go
+++ b/internal/consensus/messages_test.go
@@ -8,10 +8,10 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// A record is taken over only from who can have it whole.
-func TestKnownRecords(t *testing.T) {
-	seats := []protocol.MemberID{{Name: "b", Incarnation: "1"}, {Name: "a", Incarnation: "1"}}
-	whole := protocol.EpochRecord{Epoch: 7, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}
+// A record is learned only from who can have it complete.
+func TestRecordsLearnedFromPeers(t *testing.T) {
+	members := []protocol.MemberID{{Name: "b", Incarnation: "1"}, {Name: "a", Incarnation: "1"}}
+	whole := protocol.EpochRecord{Epoch: 7, Primary: "b", Replicas: members, Witnesses: members, Before: members}
 	cases := []struct {
 		about  string
 		record protocol.EpochRecord
@@ -19,15 +19,15 @@
 	}{
 		{"whole and newer", whole, 7},
 		{"a router's, without the pair", protocol.EpochRecord{Epoch: 7, Primary: "b"}, 2},
-		{"older", protocol.EpochRecord{Epoch: 1, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}, 2},
-		{"one that says that this disk is gone", protocol.EpochRecord{Epoch: 7, Primary: "b", Replicas: seats[:1], Witnesses: seats, Before: seats, Gone: seats[1:]}, 2},
+		{"older", protocol.EpochRecord{Epoch: 1, Primary: "b", Replicas: members, Witnesses: members, Before: members}, 2},
+		{"one that says that this disk is gone", protocol.EpochRecord{Epoch: 7, Primary: "b", Replicas: members[:1], Witnesses: members, Before: members, Gone: members[1:]}, 2},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			self := protocol.Node{Name: "a", Address: "a:1", Zone: "z", Part: protocol.RoleController, Incarnation: "1"}
 			m, err := New(Settings{Site: "s", Self: self, Application: &rowApplication{}}, map[string]string{}, 100_000)
 			qt.Assert(t, err, qt.IsNil)
-			m.election.Record = protocol.EpochRecord{Epoch: 2, Primary: "b", Replicas: seats, Witnesses: seats, Before: seats}
+			m.election.Record = protocol.EpochRecord{Epoch: 2, Primary: "b", Replicas: members, Witnesses: members, Before: members}
 			m.Step(100_001, protocol.Envelope{
 				Site: "s", To: "a", From: protocol.Node{Name: "x", Address: "x:1", Part: protocol.RoleRouter, Incarnation: "1"},
 				Body: protocol.PeersReply{Record: test.record},
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -9,26 +9,26 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// backup names a copy that is not the primary's.
-func (w *core) backup() string {
+// backup names a replica that is not the primary.
+func (w *cluster) backup() string {
 	primary := w.primary()
-	for _, seat := range w.record().Replicas {
-		if seat.Name != primary {
-			return seat.Name
+	for _, id := range w.recordInForce().Replicas {
+		if id.Name != primary {
+			return id.Name
 		}
 	}
 	w.c.Fatal("no backup")
 	return ""
 }
 
-// from makes a message of one member to another.
-func (w *core) from(from, to string, body protocol.Message) protocol.Envelope {
-	return protocol.Envelope{Site: "s", From: w.nodes[from].place, To: to, Body: body}
+// envelope makes a message of one member to another.
+func (w *cluster) envelope(from, to string, body protocol.Message) protocol.Envelope {
+	return protocol.Envelope{Site: "s", From: w.nodes[from].node, To: to, Body: body}
 }
 
 // A message that a cut held up comes after later ones; right then the primary
 // is lost. What was acknowledged meanwhile stays.
-func TestLateMessagesTakeNothingBack(t *testing.T) {
+func TestLateMessagesUndoNothing(t *testing.T) {
 	cases := []struct {
 		about string
 		// late makes the message before the write that it must not undo.
@@ -47,23 +47,23 @@
 	for _, test := range cases {
 		for _, shape := range [][2]int{{1, 3}, {2, 5}} {
 			t.Run(test.about, func(t *testing.T) {
-				w := served(qt.New(t), shape[0], shape[1])
-				w.write("before")
+				w := servingCluster(qt.New(t), shape[0], shape[1])
+				w.writeRow("before")
 				primary := w.primary()
 				late := test.late(w.nodes[primary].machine)
-				w.write("after")
+				w.writeRow("after")
 				var backups []string
-				for _, seat := range w.record().Replicas {
-					if seat.Name != primary {
-						backups = append(backups, seat.Name)
+				for _, id := range w.recordInForce().Replicas {
+					if id.Name != primary {
+						backups = append(backups, id.Name)
 					}
 				}
 				for _, name := range backups {
-					w.step(name, w.from(primary, name, late))
+					w.step(name, w.envelope(primary, name, late))
 				}
 				w.kill(primary)
 				w.until(20_000, "a take-over", w.serves)
-				w.c.Assert(w.nodes[w.primary()].tenant.row, qt.Equals, "after")
+				w.c.Assert(w.nodes[w.primary()].application.row, qt.Equals, "after")
 			})
 		}
 	}
@@ -72,14 +72,14 @@
 // A primary never counts a copy as holding less than that very disk once said,
 // nor as more than it said.
 func TestLateAcknowledgements(t *testing.T) {
-	w := served(qt.New(t), 1, 3)
-	w.write("before")
+	w := servingCluster(qt.New(t), 1, 3)
+	w.writeRow("before")
 	primary, backup := w.primary(), w.backup()
 	m := w.nodes[primary].machine
 	old := protocol.AppendReply{Epoch: m.record().Epoch, At: m.state.Position, Taken: m.state.Position}
-	w.write("after")
+	w.writeRow("after")
 	acked := m.primary.Tracker.Named(backup).Acknowledged
-	w.step(primary, w.from(backup, primary, old))
+	w.step(primary, w.envelope(backup, primary, old))
 	w.c.Assert(m.primary.Tracker.Named(backup).Acknowledged, qt.Equals, acked)
 	w.c.Assert(m.primary.Tracker.Named(backup).NeedsSnapshot, qt.IsFalse)
 	w.c.Assert(m.out.Counts, qt.Contains, string(errkind.Overtaken))
@@ -87,22 +87,22 @@
 
 // A change that is lost on its way is sent again at once, also while further
 // changes keep coming.
-func TestLostChangeIsSentAgainInAStorm(t *testing.T) {
-	w := served(qt.New(t), 1, 3)
+func TestLostChangeIsResentAmongManyWrites(t *testing.T) {
+	w := servingCluster(qt.New(t), 1, 3)
 	primary, backup := w.primary(), w.backup()
-	w.cut[primary+">"+backup] = true
-	first := w.put("lost")
+	w.partitioned[primary+">"+backup] = true
+	first := w.submitRow("lost")
 	w.run(50)
-	delete(w.cut, primary+">"+backup)
+	delete(w.partitioned, primary+">"+backup)
 	for range 8 {
-		w.put("further")
+		w.submitRow("further")
 		w.run(100)
 	}
 	w.c.Assert(*first, qt.IsTrue)
 }
 
 // Contact lasts for a lease from the moment that the primary's echo tells of.
-func TestContact(t *testing.T) {
+func TestQuorumContact(t *testing.T) {
 	cases := []struct {
 		about string
 		echo  func(m *Machine) protocol.ClockEcho
@@ -124,7 +124,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			w := served(qt.New(t), 1, 3)
+			w := servingCluster(qt.New(t), 1, 3)
 			m := w.nodes[w.backup()].machine
 			m.follower.ContactMs = 0
 			m.follower.NoteContact(m.nowMs, m.startMs, test.echo(m))
@@ -135,10 +135,10 @@
 
 // A member that a cut holds off loses contact within a lease, on either side of
 // the cut, and has it again soon after the cut heals.
-func TestContactEndsBehindACut(t *testing.T) {
+func TestQuorumContactEndsBehindAPartition(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
 		for _, whom := range []string{"primary", "backup"} {
-			w := served(qt.New(t), 1, 3)
+			w := servingCluster(qt.New(t), 1, 3)
 			name := w.primary()
 			if whom == "backup" {
 				name = w.backup()
@@ -146,15 +146,15 @@
 			m := w.nodes[name].machine
 			w.c.Assert(m.inContact(), qt.IsTrue)
 			for other := range w.nodes {
-				w.cut[other+">"+name] = true
-				w.cut[name+">"+other] = !oneWay
+				w.partitioned[other+">"+name] = true
+				w.partitioned[name+">"+other] = !oneWay
 			}
 			w.run(1600)
 			for range 370 {
 				w.run(50)
 				w.c.Assert(m.inContact(), qt.IsFalse)
 			}
-			w.cut = map[string]bool{}
+			w.partitioned = map[string]bool{}
 			w.until(3000, "contact", m.inContact)
 			w.c.Assert(w.primary(), qt.Not(qt.Equals), "")
 		}
@@ -162,7 +162,7 @@
 }
 
 // A word of the primary that was held up on its way does not show that it lives.
-func TestLateWordIsNoSignOfLife(t *testing.T) {
+func TestLateAppendIsNoSignOfLife(t *testing.T) {
 	cases := []struct {
 		about string
 		echo  func(m *Machine) protocol.ClockEcho
@@ -178,12 +178,12 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			w := served(qt.New(t), 1, 3)
+			w := servingCluster(qt.New(t), 1, 3)
 			primary, name := w.primary(), w.backup()
 			m, p := w.nodes[name].machine, w.nodes[primary].machine
 			w.kill(primary)
 			w.run(800)
-			m.Step(w.nowMs, w.from(primary, name, protocol.Append{Record: m.record(), Ballot: p.election.Ballot, Sequence: p.primary.Sequence + 1, Contact: test.echo(m)}))
+			m.Step(w.nowMs, w.envelope(primary, name, protocol.Append{Record: m.record(), Ballot: p.election.Ballot, Sequence: p.primary.Sequence + 1, Contact: test.echo(m)}))
 			qt.Assert(t, m.election.HeardMs == w.nowMs, qt.Equals, test.lives)
 		})
 	}
--- a/internal/consensus/timing.go
+++ b/internal/consensus/timing.go
@@ -1,33 +1,36 @@
 package consensus
 
-// Timing holds the waits of election and replication, in ms.
+// Timing holds the waits of election and replication, in ms. TimingFor gives those for
+// a catch-up time. All members of a site must have the same.
 type Timing struct {
-	// LeaseMs is how long a primary may speak for the site after a majority of
-	// the witnesses renewed its lease, counted from when the renewal was sent. A
-	// witness that was restarted gives no vote for as long.
+	// LeaseMs is how long a primary may speak for the site after a majority of the
+	// witnesses renewed its lease, counted from when the renewal was sent. A witness
+	// that was restarted promises nothing to others for as long.
 	LeaseMs int64
 	// RenewMs passes between two renewals.
 	RenewMs int64
-	// TimeoutMs is how long a primary may be silent before peers are asked.
+	// ElectionTimeoutMs is how long a primary may be silent before a replica asks its
+	// peers whether they miss it, too.
 	ElectionTimeoutMs int64
 	// PreVoteMs is how long they have to answer.
 	PreVoteMs int64
-	// BallotTimeoutMs bounds each half of an election: the promises, the record.
+	// BallotTimeoutMs bounds each half of a ballot: the promises, the record.
 	BallotTimeoutMs int64
-	// RequestRetryMs passes until an unanswered question of an election is repeated.
+	// RequestRetryMs passes until an unanswered request to a witness is repeated.
 	RequestRetryMs int64
-	// AppendIntervalMs passes between two words of the primary to a follower.
+	// AppendIntervalMs passes between two messages of the primary to a follower that
+	// lacks no changes.
 	AppendIntervalMs int64
 	// AppendRetryMs is how long a change or a snapshot may stay unacknowledged before
 	// it is sent again.
 	AppendRetryMs int64
-	// DiskStallMs is how long a disk may take for a write before its daemon does not
-	// count as a copy.
+	// DiskStallMs is how long a disk may take for a write before its daemon is no
+	// longer relied on as a replica.
 	DiskStallMs int64
 }
 
-// usualCatchUpMs is the catch-up time for which the usual waits were chosen: in
-// it a lost member's part is taken by another, so that the next may be lost.
+// usualCatchUpMs is the catch-up time for which the usual waits were chosen: within
+// it another member takes the place of a lost one, so that the next may be lost.
 const usualCatchUpMs = 4000
 
 var usualTiming = Timing{
@@ -35,7 +38,7 @@
 	AppendIntervalMs: 300, AppendRetryMs: 900, DiskStallMs: 1500,
 }
 
-// leastMs is the least of any wait: machines step each 50 ms.
+// leastMs is the least of any wait, since machines tick each 50 ms.
 const leastMs = 100
 
 // TimingFor gives the waits for a catch-up time, in ms. Where there is more time
@@ -44,51 +47,51 @@
 	if catchUpMs >= usualCatchUpMs || catchUpMs <= 0 {
 		return usualTiming
 	}
-	part := func(usualMs int64) int64 { return max(leastMs, usualMs*catchUpMs/usualCatchUpMs) }
+	scale := func(usualMs int64) int64 { return max(leastMs, usualMs*catchUpMs/usualCatchUpMs) }
 	return Timing{
-		LeaseMs: part(usualTiming.LeaseMs), RenewMs: part(usualTiming.RenewMs), ElectionTimeoutMs: part(usualTiming.ElectionTimeoutMs),
-		PreVoteMs: part(usualTiming.PreVoteMs), BallotTimeoutMs: part(usualTiming.BallotTimeoutMs), RequestRetryMs: part(usualTiming.RequestRetryMs),
-		AppendIntervalMs: part(usualTiming.AppendIntervalMs), AppendRetryMs: part(usualTiming.AppendRetryMs), DiskStallMs: part(usualTiming.DiskStallMs),
+		LeaseMs: scale(usualTiming.LeaseMs), RenewMs: scale(usualTiming.RenewMs), ElectionTimeoutMs: scale(usualTiming.ElectionTimeoutMs),
+		PreVoteMs: scale(usualTiming.PreVoteMs), BallotTimeoutMs: scale(usualTiming.BallotTimeoutMs), RequestRetryMs: scale(usualTiming.RequestRetryMs),
+		AppendIntervalMs: scale(usualTiming.AppendIntervalMs), AppendRetryMs: scale(usualTiming.AppendRetryMs), DiskStallMs: scale(usualTiming.DiskStallMs),
 	}
 }
 
-// stepMs is the time between two steps of a machine, by which each stage of a
-// repair may be late.
+// stepMs is the time between two ticks of a machine, by which each stage of a
+// recovery may be late.
 const stepMs = 50
 
 // RecoveryMs is the longest that the loss of the primary and of losses members in
-// all takes until their parts are with others, from the moment of the loss: the
-// primary is missed and the lease runs out, one election, then the copies and
-// the votes one after the other. A sync takes syncMs, a message there and back
-// roundTripMs; showMs and awayMs are those of Settings.
-func (t Timing) RecoveryMs(losses int, syncMs, roundTripMs, showMs, awayMs int64) int64 {
+// all takes until others have taken their places, from the moment of the loss: the
+// primary is missed and the lease runs out, one election, then the replicas and the
+// witnesses one after the other. A write takes syncMs, a message there and back
+// roundTripMs; replicaGraceMs and witnessTimeoutMs are those of Settings.
+func (t Timing) RecoveryMs(losses int, syncMs, roundTripMs, replicaGraceMs, witnessTimeoutMs int64) int64 {
 	// The primary's last renewal may be granted right before it is lost; its last
-	// word may be older. Who asks too early repeats its question.
+	// append may be older. A pre-vote that comes too early is repeated.
 	missedMs := t.ElectionTimeoutMs + t.PreVoteMs + 2*stepMs
 	leaseMs := t.LeaseMs + t.RequestRetryMs + stepMs
-	// A promise, the last record kept once more, the new one: each is synced by
-	// the witnesses, with the member's own copy of the record before it in turn.
+	// A promise, the last record stored once more, the new one: each is written by the
+	// witnesses, with the member's own row of the record before it in turn.
 	electionMs := 3*(roundTripMs+2*syncMs) + stepMs
 	recordMs := roundTripMs + 2*syncMs + stepMs
-	copiesMs := showMs + stepMs + int64(losses)*recordMs
-	// Each vote takes a record that changes the set and one that ends the change.
-	votesMs := max(0, awayMs-copiesMs) + stepMs + int64(losses)*2*recordMs
-	return max(missedMs, leaseMs) + electionMs + copiesMs + votesMs
+	replicasMs := replicaGraceMs + stepMs + int64(losses)*recordMs
+	// Each witness takes a record that changes the set and one that ends the change.
+	witnessesMs := max(0, witnessTimeoutMs-replicasMs) + stepMs + int64(losses)*2*recordMs
+	return max(missedMs, leaseMs) + electionMs + replicasMs + witnessesMs
 }
 
-// WitnessTimeoutFor is after how long a silent witness's vote passes to another, for a
-// catch-up time, in ms. A moment's silence should not move it.
+// WitnessTimeoutFor gives Settings.WitnessTimeoutMs for a catch-up time, in ms. A
+// moment's silence should not move a witness.
 func WitnessTimeoutFor(catchUpMs int64) int64 {
 	return max(TimingFor(catchUpMs).ElectionTimeoutMs, catchUpMs/4)
 }
 
-// ReplicaGraceFor is how long a recorded copy has to show itself to a new primary, for
-// a catch-up time, in ms: one that lives answers in a few ms.
+// ReplicaGraceFor gives Settings.ReplicaGraceMs for a catch-up time, in ms: a replica
+// that is live answers in a few ms.
 func ReplicaGraceFor(catchUpMs int64) int64 {
-	return max(leastMs, min(usualShowMs, catchUpMs/10))
+	return max(leastMs, min(usualReplicaGraceMs, catchUpMs/10))
 }
 
-const usualShowMs = 400
+const usualReplicaGraceMs = 400
 
 // usualWitnessTimeoutMs is how long a witness is silent before another daemon
 // takes its place, where nothing else is set.
--- a/internal/consensus/timing_test.go
+++ b/internal/consensus/timing_test.go
@@ -7,7 +7,7 @@
 )
 
 // The waits of a repair, one after the other, fit into the catch-up time.
-func TestRepairFitsTheCatchUpTime(t *testing.T) {
+func TestRecoveryFitsTheCatchUpTime(t *testing.T) {
 	cases := []struct {
 		about                          string
 		losses                         int
@@ -24,16 +24,16 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			repairMs := TimingFor(test.catchUpMs).RecoveryMs(test.losses, test.syncMs, test.roundTripMs, ReplicaGraceFor(test.catchUpMs), WitnessTimeoutFor(test.catchUpMs))
-			t.Logf("%d ms of %d", repairMs, test.catchUpMs)
-			qt.Assert(t, repairMs <= test.catchUpMs, qt.IsTrue)
+			recoveryMs := TimingFor(test.catchUpMs).RecoveryMs(test.losses, test.syncMs, test.roundTripMs, ReplicaGraceFor(test.catchUpMs), WitnessTimeoutFor(test.catchUpMs))
+			t.Logf("%d ms of %d", recoveryMs, test.catchUpMs)
+			qt.Assert(t, recoveryMs <= test.catchUpMs, qt.IsTrue)
 		})
 	}
 }
 
 // A primary renews its lease several times within one, and is missed before the
 // lease would run out only where its lease is renewed no more.
-func TestTimingHangsTogether(t *testing.T) {
+func TestTimingIsConsistent(t *testing.T) {
 	for _, catchUpMs := range []int64{0, 1500, 2000, 3000, 4000, 6000, 60_000} {
 		waits := TimingFor(catchUpMs)
 		qt.Check(t, 3*waits.RenewMs <= waits.LeaseMs, qt.IsTrue)
--- a/internal/consensus/machine_witness_test.go
+++ b/internal/consensus/witness_test.go
@@ -10,7 +10,7 @@
 
 // A witness answers nothing before what it rests on is on its disk, also when
 // the same is asked again meanwhile.
-func TestWitnessAnswersOnceItIsSynced(t *testing.T) {
+func TestWitnessAnswersOnceItsStateIsDurable(t *testing.T) {
 	ballot := protocol.Ballot{Round: 90, Name: "core-9"}
 	cases := []struct {
 		about string
@@ -25,7 +25,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			w := served(qt.New(t), 1, 3)
+			w := servingCluster(qt.New(t), 1, 3)
 			name := w.backup()
 			m := w.nodes[name].machine
 			m.witness.acceptor.Release(m.record().Primary, protocol.ReleaseLease{Epoch: m.record().Epoch, Ballot: m.witness.acceptor.Accepted})
