--- a/internal/process/runtime.go
+++ b/internal/process/runtime.go
@@ -53,7 +53,7 @@
 // machine; false says that it does not know the call. May makes the check at
 // the socket: no byte may be written once the process's clock shows untilMs.
 type OutboundCaller interface {
-	Call(ctx context.Context, out *httpclient.Client, call protocol.OutboundCall, may func(untilMs int64) func() bool) (any, bool)
+	Call(ctx context.Context, out *httpclient.Client, call protocol.OutboundCall, may func(untilMs int64) func() bool) (protocol.OutboundResult, bool)
 }
 
 // Runtime runs one machine.
