--- a/internal/compatibility/frames_test.go
+++ b/internal/compatibility/frames_test.go
@@ -15,8 +15,8 @@
 
 	// Registers the messages between controllers.
 	_ "myrtlewinch/internal/controller"
-	"myrtlewinch/internal/process"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/transport"
 )
 
 // recordedMessages is how many types of message the release before had.
@@ -47,7 +47,7 @@
 		messages++
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			codec := protocol.NewServerCodec(newConnection(c, path))
+			codec := transport.NewServerCodec(newConnection(c, path))
 			var header rpc.Request
 			c.Assert(codec.ReadRequestHeader(&header), qt.IsNil)
 			c.Assert(header, qt.Equals, rpc.Request{ServiceMethod: "Door.Take", Seq: 7})
@@ -69,11 +69,11 @@
 // understood.
 func TestDecodeTheAcknowledgementOfTheReleaseBefore(t *testing.T) {
 	c := qt.New(t)
-	codec := protocol.NewClientCodec(newConnection(c, filepath.Join(releaseBefore, "frames", "ack.frame")))
+	codec := transport.NewClientCodec(newConnection(c, filepath.Join(releaseBefore, "frames", "ack.frame")))
 	var header rpc.Response
 	c.Assert(codec.ReadResponseHeader(&header), qt.IsNil)
 	c.Assert(header, qt.Equals, rpc.Response{ServiceMethod: "Door.Take", Seq: 7})
-	c.Assert(codec.ReadResponseBody(&process.Ack{}), qt.IsNil)
+	c.Assert(codec.ReadResponseBody(&transport.Ack{}), qt.IsNil)
 }
 
 // listFields lists the value of each exported field with its path, as the
--- a/internal/controller/history_test.go
+++ b/internal/controller/history_test.go
@@ -213,7 +213,7 @@
 	row := encodeRow(successor{math.MaxUint64, protocol.Digest("")})
 	bytes := maxHistory * (len(successorKey(math.MaxUint64)) + len(row) + len("state/kept/"))
 	t.Logf("%d bytes", bytes)
-	qt.Assert(t, bytes < protocol.MaxFrameBytes/4, qt.IsTrue)
+	qt.Assert(t, bytes < protocol.MaxMessageBytes/4, qt.IsTrue)
 }
 
 // A rejection that may not have been committed is answered as unknown.
--- a/internal/process/boot_linux.go
+++ b/internal/process/boot_linux.go
@@ -2,13 +2,13 @@
 
 import "golang.org/x/sys/unix"
 
-// bootMs reads the time since the machine booted, suspended time included.
-// Go's own monotonic time stands still meanwhile.
+// bootMs is the time since the machine booted, including suspensions. Go's own
+// monotonic time stops during those.
 func bootMs() int64 {
 	var at unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at); err != nil {
-		// It is there on every kernel that Go runs on; a hold can't be
-		// counted without it.
+		// Every kernel that Go supports has this clock, and leases can't be
+		// kept without it.
 		panic("process: the boot clock can't be read: " + err.Error())
 	}
 	return at.Nano() / 1_000_000
--- a/internal/process/boot_other.go
+++ b/internal/process/boot_other.go
@@ -4,8 +4,8 @@
 
 import "time"
 
-var begun = time.Now()
+var startTime = time.Now()
 
-// bootMs is Go's monotonic time, which may stand still while the machine is
-// suspended; docs/limits.md says so.
-func bootMs() int64 { return time.Since(begun).Milliseconds() }
+// bootMs is Go's monotonic time, which may stop while the machine is suspended;
+// docs/limits.md says so.
+func bootMs() int64 { return time.Since(startTime).Milliseconds() }
--- a/internal/process/diskwriter.go
+++ b/internal/process/diskwriter.go
@@ -8,111 +8,133 @@
 	"myrtlewinch/internal/threads"
 )
 
-// probeMs is how often a disk that failed is looked at again.
-const probeMs = 250
+const (
+	// recheckInterval is how often a disk that failed is checked again.
+	recheckInterval = 250 * time.Millisecond
+	// maxBatchWrites bounds the writes that are saved together.
+	maxBatchWrites = 1024
+)
 
-// saving is a write with the disk that it is for: after a defect the next
-// machine has another.
-type saving struct {
+// diskWrite is a write with the store that it is for: after a failure the next
+// machine has another one.
+type diskWrite struct {
 	protocol.DiskWrite
-	disk *storage.Store
+	store *storage.Store
 }
 
-// saved ends a write of a disk.
-type saved struct {
+// diskWriteDone is the input that ends a diskWrite.
+type diskWriteDone struct {
 	protocol.DiskWriteDone
-	disk *storage.Store
+	store *storage.Store
 }
 
-// renewed brings a machine that was made anew.
-type renewed struct {
+// machineReopened is the input that replaces the machine after its disk failed.
+type machineReopened struct {
 	machine Machine
-	disk    *storage.Store
+	store   *storage.Store
 }
 
-// savesMost bounds the writes that go to the platter together.
-const savesMost = 1024
+// queueWrite queues a write of the machine. One that can't be queued has failed.
+func (r *Runtime) queueWrite(write protocol.DiskWrite) {
+	if r.store == nil || !r.writes.Push(diskWrite{write, r.store}) {
+		r.submitWriteDone(diskWrite{write, r.store}, false)
+	}
+}
 
-// save is the disk's own thread. Writes that waited while the disk was at work
-// go to the platter together: one by one, a slow disk would fall behind by a
-// sync for each.
-func (s *Runtime) save() error {
-	current := s.disk
+func (r *Runtime) submitWriteDone(write diskWrite, ok bool) {
+	r.Submit(diskWriteDone{protocol.DiskWriteDone{Number: write.Number, Ok: ok}, write.store})
+}
+
+// writeToDisk is the disk's goroutine. Writes that waited while the disk was busy
+// are saved together: with a sync for each, a slow disk would fall behind.
+func (r *Runtime) writeToDisk() error {
+	store := r.store
+	defer func() { store.Close() }()
 	var failed *storage.Store
-	defer func() { current.Close() }()
-	var waiting []saving
+	var batch, rest []diskWrite
 	for {
-		batch, rest, ok := s.takeSaves(waiting)
-		if !ok {
+		var ok bool
+		if batch, rest, ok = r.nextWrites(rest); !ok {
 			return nil
 		}
-		waiting = rest
-		s.halt.wait()
-		current = batch[0].disk
-		writes := make([]storage.Write, 0, len(batch))
-		for _, next := range batch {
-			writes = append(writes, next.Write)
-		}
-		err := current.Save(writes...)
-		for _, next := range batch {
-			s.Submit(saved{protocol.DiskWriteDone{Number: next.Number, Ok: err == nil}, current})
+		r.pause.wait()
+		store = batch[0].store
+		err := saveBatch(store, batch)
+		for _, write := range batch {
+			r.submitWriteDone(write, err == nil)
 		}
-		if err != nil && failed != current {
-			failed = current
-			s.set.Log.Error("the disk failed", "cause", err)
-			if s.set.Reopen != nil {
-				threads.Go(func() { s.renew(failed) })
-			}
+		if err != nil && failed != store {
+			failed = store
+			r.handleDiskFailure(failed, err)
 		}
 	}
 }
 
-// takeSaves gives the writes that wait for one disk, at least one, and a write
-// for the next disk that was taken with them. False ends the thread.
-func (s *Runtime) takeSaves(held []saving) (batch, rest []saving, ok bool) {
-	batch = held
+func saveBatch(store *storage.Store, batch []diskWrite) error {
+	writes := make([]storage.Write, 0, len(batch))
+	for _, write := range batch {
+		writes = append(writes, write.Write)
+	}
+	return store.Save(writes...)
+}
+
+// nextWrites gives the writes that wait for one store, at least one, and a write
+// for the next store that was taken from the queue with them. Writes that an
+// earlier call gave back go first. False means that the queue is closed.
+func (r *Runtime) nextWrites(givenBack []diskWrite) (batch, rest []diskWrite, ok bool) {
+	batch = givenBack
 	if len(batch) == 0 {
-		first, ok := s.saves.Pop()
+		first, ok := r.writes.Pop()
 		if !ok {
 			return nil, nil, false
 		}
-		batch = []saving{first}
+		batch = []diskWrite{first}
 	}
-	for waiting, _ := s.saves.Stats(); waiting > 0 && len(batch) < savesMost; waiting-- {
-		next, ok := s.saves.Pop()
+	for waiting, _ := r.writes.Stats(); waiting > 0 && len(batch) < maxBatchWrites; waiting-- {
+		next, ok := r.writes.Pop()
 		if !ok {
 			break
 		}
-		if next.disk != batch[0].disk {
-			return batch, []saving{next}, true
+		if next.store != batch[0].store {
+			return batch, []diskWrite{next}, true
 		}
 		batch = append(batch, next)
 	}
 	return batch, nil, true
 }
 
-// renew waits until the disk takes writes again and begins anew from it. A
-// daemon that stayed deaf would be one loss more for good, and one that ended
-// by itself would be counted as one that can't be relied on.
-func (s *Runtime) renew(failed *storage.Store) {
+// handleDiskFailure logs the first failure of a store and starts to wait for its
+// disk.
+func (r *Runtime) handleDiskFailure(failed *storage.Store, cause error) {
+	r.options.Log.Error("the disk failed", "cause", cause)
+	if r.options.Reopen != nil {
+		threads.Go(func() { r.reopenWhenWritable(failed) })
+	}
+}
+
+// reopenWhenWritable waits until the disk accepts writes again and replaces the
+// machine by one that starts from it. A process that stayed without its disk
+// would be one loss more for good, and one that ended by itself would be counted
+// as unreliable.
+func (r *Runtime) reopenWhenWritable(failed *storage.Store) {
 	for {
 		select {
-		case <-s.ended:
+		case <-r.ended:
 			return
-		case <-time.After(probeMs * time.Millisecond):
+		case <-time.After(recheckInterval):
 		}
-		s.halt.wait()
+		r.pause.wait()
 		if failed.CheckWritable() != nil {
 			continue
 		}
 		failed.Close()
-		machine, d, err := s.set.Reopen()
+		machine, store, err := r.options.Reopen()
 		if err != nil {
-			s.set.Log.Error("the disk can't be read", "cause", err)
+			r.options.Log.Error("the disk can't be read", "cause", err)
 			continue
 		}
-		if !s.inputs.Push(renewed{machine, d}) {
-			d.Close()
+		if !r.inputs.Push(machineReopened{machine, store}) {
+			store.Close()
 		}
 		return
 	}
--- a/internal/process/diskwriter_test.go
+++ b/internal/process/diskwriter_test.go
@@ -16,7 +16,7 @@
 	"myrtlewinch/internal/threads"
 )
 
-// writer is a machine that writes when it is told to and tells how it ended.
+// writer is a machine that writes each text it gets and reports the outcome.
 type writer struct {
 	name  string
 	ended chan string
@@ -40,9 +40,9 @@
 	return protocol.Effects{}
 }
 
-// A daemon whose disk failed begins anew from it once it takes writes again;
-// without that it would be one loss more for good.
-func TestADiskThatFailedIsTakenUpAgain(t *testing.T) {
+// A process whose disk failed restarts its machine from the disk once that
+// accepts writes again; otherwise it would be one loss more for good.
+func TestMachineIsReopenedAfterItsDiskFailed(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
 	d, err := storage.Open(folder, "s")
@@ -82,9 +82,9 @@
 	c.Assert(again.Rows()["key"], qt.Equals, "two")
 }
 
-// What waits while the disk is at work goes to the platter with one sync, and
-// each write is answered; a slow disk would else fall behind by a sync for each.
-func TestWritesThatWaitAreSyncedTogether(t *testing.T) {
+// Writes that wait while the disk is busy share one sync, and each of them is
+// acknowledged.
+func TestWaitingWritesShareOneSync(t *testing.T) {
 	c := qt.New(t)
 	folder := c.TempDir()
 	d, err := storage.Open(folder, "s")
@@ -112,7 +112,7 @@
 	for _, text := range []string{"two", "three", "four", "five", "six"} {
 		c.Assert(s.Submit(text), qt.IsTrue)
 	}
-	// The machine has asked for all of them once it answers this.
+	// The machine has queued all of them once it answers this.
 	c.Assert(s.Submit("who"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first")
 	close(gate)
@@ -128,8 +128,8 @@
 	c.Assert(again.Rows()["key"], qt.Equals, "six")
 }
 
-// Writes are taken together for one disk alone, up to a bound and in order.
-func TestTakeSaves(t *testing.T) {
+// Writes are saved together for one store alone, up to a bound and in order.
+func TestNextWritesAreForOneStore(t *testing.T) {
 	first, second := &storage.Store{}, &storage.Store{}
 	for _, test := range []struct {
 		name        string
@@ -139,26 +139,26 @@
 	}{
 		{"one", 0, 1, 0, 1, 0},
 		{"all that wait", 0, 5, 0, 5, 0},
-		{"another disk's stay", 0, 5, 2, 5, 1},
-		{"what was held goes first", 1, 3, 0, 4, 0},
-		{"the bound", 0, savesMost + 5, 0, savesMost, 0},
+		{"those of another store stay", 0, 5, 2, 5, 1},
+		{"what was given back goes first", 1, 3, 0, 4, 0},
+		{"the bound", 0, maxBatchWrites + 5, 0, maxBatchWrites, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := &Runtime{saves: ringbuffer.New[saving](inputsMost)}
-			var held []saving
+			r := &Runtime{writes: ringbuffer.New[diskWrite](maxInputs)}
+			var held []diskWrite
 			number := uint64(0)
-			next := func(d *storage.Store) saving { number++; return saving{protocol.DiskWrite{Number: number}, d} }
+			next := func(d *storage.Store) diskWrite { number++; return diskWrite{protocol.DiskWrite{Number: number}, d} }
 			for range test.held {
 				held = append(held, next(first))
 			}
 			for range test.first {
-				s.saves.Push(next(first))
+				r.writes.Push(next(first))
 			}
 			for range test.then {
-				s.saves.Push(next(second))
+				r.writes.Push(next(second))
 			}
-			batch, rest, ok := s.takeSaves(held)
+			batch, rest, ok := r.nextWrites(held)
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(batch, qt.HasLen, test.batch)
 			c.Assert(rest, qt.HasLen, test.rest)
--- /dev/null
+++ b/internal/process/machine.go
@@ -0,0 +1,79 @@
+package process
+
+import (
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/threads"
+)
+
+// runMachine is the machine's goroutine: one input at a time, until the queue of
+// inputs is closed and empty.
+func (r *Runtime) runMachine() error {
+	defer close(r.ended)
+	defer r.sender.Close()
+	defer r.caller.client.Close()
+	for {
+		input, ok := r.inputs.Pop()
+		if !ok {
+			return nil
+		}
+		r.pause.wait()
+		r.handleInput(input)
+	}
+}
+
+// handleInput gives an input to the machine, or is about the machine itself.
+func (r *Runtime) handleInput(input any) {
+	switch in := input.(type) {
+	case machineReopened:
+		r.machine, r.store = in.machine, in.store
+		r.options.Log.Info("the disk accepts writes again; restarted from what it holds")
+	case diskWriteDone:
+		// The outcome of an earlier machine's write means nothing to this one.
+		if in.store == r.store {
+			r.step(in.DiskWriteDone)
+		}
+	default:
+		r.step(input)
+	}
+}
+
+func (r *Runtime) step(input any) {
+	r.apply(r.machine.Step(r.options.Clock.NowMs(), input))
+}
+
+// apply carries the effects of a step out, in their order within each kind.
+func (r *Runtime) apply(effects protocol.Effects) {
+	for _, line := range effects.LogLines {
+		r.options.Log.Info(line)
+	}
+	for _, name := range effects.Counts {
+		r.Count(name)
+	}
+	for _, write := range effects.DiskWrites {
+		r.queueWrite(write)
+	}
+	for _, send := range effects.Sends {
+		r.Count("messages sent")
+		r.sender.Send(send.Address, protocol.Envelope{Site: r.options.Site, From: r.options.Self, To: send.To, Body: send.Body})
+	}
+	for _, response := range effects.Responses {
+		r.replies.deliver(response)
+	}
+	for _, call := range effects.Calls {
+		r.startCall(call)
+	}
+}
+
+// startCall makes a call out beside the machine; its result comes back as an
+// input.
+func (r *Runtime) startCall(call protocol.OutboundCall) {
+	if !r.caller.reserve() {
+		r.Count("calls outward too many")
+		r.Submit(failedResult(call))
+		return
+	}
+	threads.Go(func() {
+		defer r.caller.release()
+		r.Submit(r.caller.call(call))
+	})
+}
--- /dev/null
+++ b/internal/process/outbound.go
@@ -0,0 +1,167 @@
+package process
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"myrtlewinch/internal/httpclient"
+	"myrtlewinch/internal/protocol"
+)
+
+const (
+	// outboundTimeout bounds a call out.
+	outboundTimeout = time.Second
+	// maxOutboundCalls bounds the calls at once, so that back ends that don't
+	// answer can't use up the process's goroutines.
+	maxOutboundCalls = 256
+	// maxResponseBytes bounds the body of a response.
+	maxResponseBytes = 4 << 20
+	// noDeadlineMs is later than any time of the clock.
+	noDeadlineMs = math.MaxInt64
+)
+
+// OutboundCaller makes calls out that are not in this project's own format.
+type OutboundCaller interface {
+	// Call makes a call and returns its result, which becomes an input for the
+	// machine; ok is false where the type of call is unknown. The request has to be written
+	// under the check that writeCheck makes: no byte of it may be written once
+	// the process's clock shows untilMs.
+	Call(ctx context.Context, client *httpclient.Client, call protocol.OutboundCall, writeCheck func(untilMs int64) func() bool) (result protocol.OutboundResult, ok bool)
+}
+
+// outboundCaller makes the machine's calls out, a bounded number at once.
+type outboundCaller struct {
+	client *httpclient.Client
+	// custom makes the calls that it knows; nil knows none.
+	custom OutboundCaller
+	// writeCheck is Runtime.WriteCheck, count adds one to a named counter.
+	writeCheck func(allowed func(nowMs int64) bool) func() bool
+	count      func(name string)
+	inFlight   atomic.Int64
+}
+
+// reserve takes a place for a call; false means that there is none.
+func (o *outboundCaller) reserve() bool {
+	if o.inFlight.Add(1) > maxOutboundCalls {
+		o.inFlight.Add(-1)
+		return false
+	}
+	return true
+}
+
+// release gives the place of a call back.
+func (o *outboundCaller) release() { o.inFlight.Add(-1) }
+
+// call makes one call and returns its result.
+func (o *outboundCaller) call(call protocol.OutboundCall) protocol.OutboundResult {
+	ctx, cancel := context.WithTimeout(context.Background(), outboundTimeout)
+	defer cancel()
+	if o.custom != nil {
+		if result, ok := o.custom.Call(ctx, o.client, call, o.writeUntil); ok {
+			return result
+		}
+	}
+	switch body := call.Body.(type) {
+	case protocol.OrderCall:
+		return o.sendOrder(ctx, call.Address, body)
+	case protocol.ReportCall:
+		return o.fetchReport(ctx, call.Address, body)
+	case protocol.PlatformCall:
+		return o.fetchRunners(ctx, call.Address)
+	}
+	return failedResult(call)
+}
+
+// writeUntil makes the check for a request that may be written until a time.
+func (o *outboundCaller) writeUntil(untilMs int64) func() bool {
+	return o.writeCheck(func(nowMs int64) bool { return nowMs < untilMs })
+}
+
+// sendOrder sends an order to a runner while the sender's lease lasts.
+func (o *outboundCaller) sendOrder(ctx context.Context, address string, call protocol.OrderCall) protocol.RunnerReportResult {
+	result := protocol.RunnerReportResult{Runner: call.Runner, Address: address}
+	body, err := json.Marshal(call.Order)
+	if err != nil {
+		o.count("calls outward failed")
+		return result
+	}
+	request := outboundRequest{method: http.MethodPost, address: address, path: "/orders", body: body, untilMs: call.UntilMs}
+	result.Ok = o.fetchJSON(ctx, request, &result.Report)
+	return result
+}
+
+func (o *outboundCaller) fetchReport(ctx context.Context, address string, call protocol.ReportCall) protocol.RunnerReportResult {
+	result := protocol.RunnerReportResult{Runner: call.Runner, Address: address, Number: call.Number}
+	path := fmt.Sprintf("/report?epoch=%d", call.Epoch)
+	request := outboundRequest{method: http.MethodGet, address: address, path: path, untilMs: noDeadlineMs}
+	result.Ok = o.fetchJSON(ctx, request, &result.Report)
+	return result
+}
+
+func (o *outboundCaller) fetchRunners(ctx context.Context, address string) protocol.RunnerListResult {
+	var result protocol.RunnerListResult
+	request := outboundRequest{method: http.MethodGet, address: address, path: "/runners", untilMs: noDeadlineMs}
+	result.Ok = o.fetchJSON(ctx, request, &result.Runners)
+	return result
+}
+
+// outboundRequest is one request of this project's own format.
+type outboundRequest struct {
+	method, address, path string
+	body                  []byte
+	// untilMs is the time of the process's clock from which the request may not
+	// be written.
+	untilMs int64
+}
+
+// fetchJSON makes a request and decodes its response into a value. A failure is
+// counted.
+func (o *outboundCaller) fetchJSON(ctx context.Context, request outboundRequest, value any) bool {
+	if err := o.fetch(ctx, request, value); err != nil {
+		o.count("calls outward failed")
+		return false
+	}
+	return true
+}
+
+func (o *outboundCaller) fetch(ctx context.Context, request outboundRequest, value any) error {
+	url := "http://" + request.address + request.path
+	response, _, err := o.client.Do(ctx, request.method, url, request.body, o.writeUntil(request.untilMs))
+	if err != nil {
+		return err
+	}
+	defer response.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
+	if err != nil {
+		return err
+	}
+	if response.StatusCode/100 != 2 {
+		return errors.Newf("%s: status %d", url, response.StatusCode)
+	}
+	return json.Unmarshal(text, value)
+}
+
+// failedResult is the result of a call that was not made.
+func failedResult(call protocol.OutboundCall) protocol.OutboundResult {
+	switch body := call.Body.(type) {
+	case protocol.OrderCall:
+		return protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address}
+	case protocol.ReportCall:
+		return protocol.RunnerReportResult{Runner: body.Runner, Address: call.Address, Number: body.Number}
+	case protocol.ListRunners:
+		return protocol.RunnerList{}
+	case protocol.GetRunnerState:
+		return protocol.RunnerStateResult{Runner: body.Runner, Number: body.Number}
+	case protocol.RunnerOrder:
+		return protocol.RunnerOrderResult{Runner: body.Runner, Number: body.Number}
+	}
+	return protocol.RunnerListResult{}
+}
--- a/internal/process/pause.go
+++ b/internal/process/pause.go
@@ -2,33 +2,34 @@
 
 import "sync"
 
-// halt lets a daemon's threads stand still where they are, as a machine that
-// freezes does, for trying what comes of it once they go on.
-type halt struct {
-	mu    sync.Mutex
-	until chan struct{}
+// pauseSwitch lets the goroutines of a process hang where they are, as on a
+// machine that freezes.
+type pauseSwitch struct {
+	mu sync.Mutex
+	// released is closed at the end of the pause; nil while there is none.
+	released chan struct{}
 }
 
-// wait passes at once unless the daemon is halted.
-func (h *halt) wait() {
-	h.mu.Lock()
-	until := h.until
-	h.mu.Unlock()
-	if until != nil {
-		<-until
+// wait returns at once, or at the end of the pause that is on.
+func (p *pauseSwitch) wait() {
+	p.mu.Lock()
+	released := p.released
+	p.mu.Unlock()
+	if released != nil {
+		<-released
 	}
 }
 
-// begin halts; what it gives lets go again.
-func (h *halt) begin() (release func()) {
-	until := make(chan struct{})
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.until = until
+// begin starts a pause; release ends it.
+func (p *pauseSwitch) begin() (release func()) {
+	released := make(chan struct{})
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.released = released
 	return func() {
-		h.mu.Lock()
-		defer h.mu.Unlock()
-		h.until = nil
-		close(until)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		p.released = nil
+		close(released)
 	}
 }
--- a/internal/simulation/endurance/sizes_test.go
+++ b/internal/simulation/endurance/sizes_test.go
@@ -8,6 +8,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/transport"
 )
 
 // rowBytes is the size of the row of a configuration of largeRoutes routes, as
@@ -50,7 +51,7 @@
 				batch = append(batch, protocol.Envelope{Site: "s", To: "core-1", Body: test.body})
 			}
 			size, err := (&link{}).encode(batch)
-			c.Assert(errors.Is(err, protocol.ErrFrame), qt.Equals, test.tooLarge)
+			c.Assert(errors.Is(err, transport.ErrFrame), qt.Equals, test.tooLarge)
 			t.Logf("%d bytes", size)
 			if !test.tooLarge {
 				c.Assert(size <= test.atMost, qt.IsTrue, qt.Commentf("%d bytes", size))
--- a/internal/simulation/endurance/transport_test.go
+++ b/internal/simulation/endurance/transport_test.go
@@ -5,6 +5,7 @@
 	"net/rpc"
 
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/transport"
 )
 
 // What the transport between daemons does, as in package process.
@@ -34,7 +35,7 @@
 	busy    bool
 	// written and codec belong to the open connection; codec is nil without one.
 	written *byteCounter
-	codec   *protocol.ClientCodec
+	codec   *transport.ClientCodec
 	// totalBytes and largestBytes are those of all batches and the largest one.
 	totalBytes, largestBytes int
 	// tooLarge and late count the batches that were lost because they were larger
@@ -50,7 +51,7 @@
 func (l *link) encode(batch []protocol.Envelope) (int, error) {
 	if l.codec == nil {
 		l.written = &byteCounter{}
-		l.codec = protocol.NewClientCodec(l.written)
+		l.codec = transport.NewClientCodec(l.written)
 	}
 	before := l.written.bytes
 	err := l.codec.WriteRequest(&rpc.Request{ServiceMethod: "Door.Take"}, batch)
--- a/internal/simulation/scalesim/codec.go
+++ b/internal/simulation/scalesim/codec.go
@@ -6,8 +6,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"myrtlewinch/internal/process"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/transport"
 )
 
 const (
@@ -29,8 +29,8 @@
 // one frame, so the count is an upper bound.
 type frameCodec struct {
 	stream   stream
-	encoder  *protocol.ClientCodec
-	decoder  *protocol.ServerCodec
+	encoder  *transport.ClientCodec
+	decoder  *transport.ServerCodec
 	sequence uint64
 	// ackBytes is the size of the reply to a frame.
 	ackBytes int
@@ -42,7 +42,7 @@
 		return nil, errors.Wrap(err, "encoding an acknowledgement")
 	}
 	c := &frameCodec{ackBytes: ackBytes}
-	c.encoder, c.decoder = protocol.NewClientCodec(&c.stream), protocol.NewServerCodec(&c.stream)
+	c.encoder, c.decoder = transport.NewClientCodec(&c.stream), transport.NewServerCodec(&c.stream)
 	return c, nil
 }
 
@@ -50,10 +50,10 @@
 // the types of its fields.
 func ackSize() (int, error) {
 	replies := &stream{}
-	encoder := protocol.NewServerCodec(replies)
+	encoder := transport.NewServerCodec(replies)
 	for range 2 {
 		replies.Reset()
-		if err := encoder.WriteResponse(&rpc.Response{ServiceMethod: rpcMethod, Seq: typicalSequence}, &process.Ack{}); err != nil {
+		if err := encoder.WriteResponse(&rpc.Response{ServiceMethod: rpcMethod, Seq: typicalSequence}, &transport.Ack{}); err != nil {
 			return 0, err
 		}
 	}
--- /dev/null
+++ b/internal/transport/batch.go
@@ -0,0 +1,72 @@
+package transport
+
+import (
+	"time"
+
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/ringbuffer"
+)
+
+const (
+	// maxBatchMessages bounds a batch, and so does maxBatchBytes: the message
+	// that reaches it is the last, so that small messages don't wait behind, or
+	// get lost with, more than one large one.
+	maxBatchMessages = 64
+	maxBatchBytes    = 256 << 10
+	// callTimeoutMs is the time for a call beside what its bytes take over a
+	// slow link that others share.
+	callTimeoutMs      = 1500
+	slowLinkBytesPerMs = 600
+)
+
+// nextBatch waits for a message and takes those that wait behind it, up to the
+// bounds. It returns false once the queue is closed and empty.
+func nextBatch(queue *ringbuffer.Buffer[protocol.Envelope]) ([]protocol.Envelope, bool) {
+	first, ok := queue.Pop()
+	if !ok {
+		return nil, false
+	}
+	batch, bytes := []protocol.Envelope{first}, payloadBytes(first)
+	waiting, _ := queue.Stats()
+	for waiting > 0 && len(batch) < maxBatchMessages && bytes < maxBatchBytes {
+		next, ok := queue.Pop()
+		if !ok {
+			break
+		}
+		batch, bytes = append(batch, next), bytes+payloadBytes(next)
+		waiting--
+	}
+	return batch, true
+}
+
+// payloadBytes is about how many bytes of rows or of a configuration a message
+// carries. All other messages are small.
+func payloadBytes(envelope protocol.Envelope) (bytes int) {
+	switch body := envelope.Body.(type) {
+	case protocol.Snapshot:
+		return rowBytes(body.Rows)
+	case protocol.Append:
+		for _, change := range body.Changes {
+			bytes += rowBytes(change.Rows)
+		}
+	case protocol.ConfigUpdate:
+		return len(body.Packed)
+	}
+	return bytes
+}
+
+func rowBytes(rows map[string]string) (bytes int) {
+	for key, row := range rows {
+		bytes += len(key) + len(row)
+	}
+	return bytes
+}
+
+// callTimeout is how long a call with this batch may take.
+func callTimeout(batch []protocol.Envelope) time.Duration {
+	bytes := 0
+	for _, envelope := range batch {
+		bytes += payloadBytes(envelope)
+	}
+	return time.Duration(callTimeoutMs+bytes/slowLinkBytesPerMs) * time.Millisecond
+}
