--- a/internal/simulation/faultsim/faults_controllers.go
+++ b/internal/simulation/faultsim/faults_controllers.go
@@ -5,6 +5,7 @@
 	"strings"
 
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/disk"
 )
 
 // disasters affect all controllers at the same time. The site has
@@ -104,15 +105,15 @@
 }
 
 func (sim *Simulation) stallDisk(n *node) {
-	sim.degradeDisk(n, func(d *disk) { d.isStalled = true })
+	sim.degradeDisk(n, func(d *disk.Disk) { d.IsStalled = true })
 }
 
 func (sim *Simulation) slowDisk(n *node) {
-	sim.degradeDisk(n, func(d *disk) { d.slowMs = 50 + sim.random.Int63n(400) })
+	sim.degradeDisk(n, func(d *disk.Disk) { d.SlowMs = 50 + sim.random.Int63n(400) })
 }
 
 func (sim *Simulation) fillDisk(n *node) {
-	sim.degradeDisk(n, func(d *disk) { d.isFull = true })
+	sim.degradeDisk(n, func(d *disk.Disk) { d.IsFull = true })
 }
 
 // afterFullDiskMs is when a controller whose disk was full has caught up; the
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -47,7 +47,7 @@
 	// backlog is what waits for the end of a freeze.
 	backlog []func()
 	// disk is nil for routers.
-	disk *disk
+	disk *controllerDisk
 	// requests are those that the router handles, by ID.
 	requests      map[uint64]*proxiedRequest
 	lastRequestID uint64
@@ -58,7 +58,7 @@
 // isHealthy says that it runs and its disk, if it has one, works.
 func (n *node) isHealthy() bool {
 	isRunning := n.isUp && !n.isFrozen && !n.isStopping
-	return isRunning && (n.disk == nil || n.disk.isHealthy())
+	return isRunning && (n.disk == nil || n.disk.IsHealthy())
 }
 
 // runs says whether an incarnation of the process is the running one.
@@ -74,7 +74,7 @@
 		Incarnation: fmt.Sprintf("%s-life-%d", n.name, n.incarnation),
 	}
 	if n.isController() {
-		identity.Incarnation = n.disk.incarnation
+		identity.Incarnation = n.disk.Incarnation()
 	}
 	return identity
 }
@@ -82,7 +82,7 @@
 func (sim *Simulation) addNode(name, address, zone, role string) *node {
 	n := &node{name: name, address: address, zone: zone, role: role, requests: map[uint64]*proxiedRequest{}}
 	if role == protocol.RoleController {
-		n.disk = newDisk(name, 0)
+		n.disk = newControllerDisk(name)
 	}
 	sim.nodes[name] = n
 	return n
@@ -126,7 +126,7 @@
 		MaxLosses: sim.allowedLosses, FirstStart: isFirstStart, GapMs: sim.Bounds.LeaseMs + sim.Bounds.ThawMs,
 		WitnessTimeoutMs: consensus.WitnessTimeoutFor(catchUpMs), ReplicaGraceMs: consensus.ReplicaGraceFor(catchUpMs),
 		Timing: consensus.TimingFor(catchUpMs), LeaveTimeoutMs: controller.ShutdownHandoverMs(sim.Bounds),
-	}, maps.Clone(n.disk.contents), n.clock(sim.NowMs()))
+	}, maps.Clone(n.disk.Contents), n.clock(sim.NowMs()))
 	if err != nil {
 		panic(fmt.Sprintf("faultsim: %s does not start: %v", n.name, err))
 	}
--- a/internal/simulation/faultsim/node_lifecycle.go
+++ b/internal/simulation/faultsim/node_lifecycle.go
@@ -45,8 +45,8 @@
 	n.isUp = false
 	if n.disk != nil {
 		// A loss of power leaves some prefix of the writes that were not synced.
-		synced := sim.random.Intn(len(n.disk.pending) + 1)
-		n.disk.losePower(synced, sim.Bugs.LoseSyncedWrites)
+		durable := sim.random.Intn(n.disk.Pending() + 1)
+		n.disk.losePower(durable, sim.Bugs.LoseSyncedWrites)
 	}
 	for _, id := range slices.Sorted(maps.Keys(n.requests)) {
 		n.requests[id].routerCrashed()
--- a/internal/simulation/faultsim/workload_test.go
+++ b/internal/simulation/faultsim/workload_test.go
@@ -194,7 +194,7 @@
 func (sim *Simulation) slowOtherDisks(n *node, ms int64) {
 	for _, name := range sim.nodeNames(protocol.RoleController) {
 		if other := sim.nodes[name]; other != n {
-			other.disk.slowMs = ms
+			other.disk.SlowMs = ms
 		}
 	}
 }
@@ -204,7 +204,7 @@
 func (sim *Simulation) isConfigOnlyOn(n *node) bool {
 	const key = "state/kept/map"
 	for _, name := range sim.nodeNames(protocol.RoleController) {
-		if other := sim.nodes[name]; other != n && other.disk.contents[key] == n.disk.contents[key] {
+		if other := sim.nodes[name]; other != n && other.disk.Contents[key] == n.disk.Contents[key] {
 			return false
 		}
 	}
--- a/internal/simulation/nativesim/bootstrap_test.go
+++ b/internal/simulation/nativesim/bootstrap_test.go
@@ -65,7 +65,7 @@
 	kept := false
 	for _, name := range witnesses {
 		n := w.nodes[name]
-		if n.disk.keys["witness"] != "" && !w.status(n).WitnessBlank {
+		if n.disk.Contents["witness"] != "" && !w.status(n).WitnessBlank {
 			kept = true
 		}
 	}
--- a/internal/simulation/nativesim/faults.go
+++ b/internal/simulation/nativesim/faults.go
@@ -92,7 +92,7 @@
 	count := 0
 	for _, name := range w.nodeNames(protocol.RoleController) {
 		n := w.nodes[name]
-		diskFails := n.disk.full || n.disk.stalled
+		diskFails := n.disk.IsFull || n.disk.IsStalled
 		if !n.up || n.frozen || diskFails || w.recovering[name] {
 			count++
 		}
@@ -152,10 +152,10 @@
 func (w *World) repairNode(name string) {
 	if disk := w.nodes[name].disk; disk != nil {
 		// What a failed write left is known only after a restart.
-		if disk.full && w.nodes[name].up {
+		if disk.IsFull && w.nodes[name].up {
 			w.Kill(name)
 		}
-		disk.full, disk.stalled, disk.slowMs = false, false, 0
+		disk.Repair()
 	}
 	w.Thaw(name)
 	w.Start(name)
--- a/internal/simulation/nativesim/faults_daemons.go
+++ b/internal/simulation/nativesim/faults_daemons.go
@@ -36,9 +36,9 @@
 func (w *World) fillDisk() {
 	w.faultController(w.primaryOrRandom(), func(name string) {
 		w.tracef("the disk of %s fills", name)
-		w.nodes[name].disk.full = true
+		w.nodes[name].disk.IsFull = true
 		w.repairLater(name, func() {
-			w.nodes[name].disk.full = false
+			w.nodes[name].disk.IsFull = false
 			w.Kill(name)
 			w.Start(name)
 		})
@@ -48,15 +48,15 @@
 func (w *World) stallDisk() {
 	w.faultController(w.primaryOrRandom(), func(name string) {
 		w.tracef("the disk of %s stalls", name)
-		w.nodes[name].disk.stalled = true
-		w.repairLater(name, func() { w.nodes[name].disk.stalled = false })
+		w.nodes[name].disk.IsStalled = true
+		w.repairLater(name, func() { w.nodes[name].disk.IsStalled = false })
 	})
 }
 
 func (w *World) slowDisk() {
 	name := w.randomNode(protocol.RoleController)
-	w.nodes[name].disk.slowMs = 50 + w.Random.Int63n(200)
-	w.events.After(w.randomDurationMs(), func() { w.nodes[name].disk.slowMs = 0 })
+	w.nodes[name].disk.SlowMs = 50 + w.Random.Int63n(200)
+	w.events.After(w.randomDurationMs(), func() { w.nodes[name].disk.SlowMs = 0 })
 }
 
 func (w *World) killRouter() {
--- a/internal/simulation/nativesim/lifecycle.go
+++ b/internal/simulation/nativesim/lifecycle.go
@@ -49,8 +49,8 @@
 	w.nodeAt[old.address], w.nodeAt[n.address] = oldName, name
 	n.seeds, n.incarnation = old.seeds, old.incarnation
 	if old.disk != nil {
-		n.disk = &disk{keys: map[string]string{}, wipes: old.disk.wipes}
-		w.Wipe(name)
+		n.disk = old.disk.Successor(name)
+		w.tracef("%s loses its disk", name)
 	}
 	w.tracef("%s is replaced beside the old one", name)
 	w.Start(name)
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -8,6 +8,7 @@
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/disk"
 
 	daemonprocess "myrtlewinch/internal/process"
 )
@@ -32,7 +33,7 @@
 	// seeds are those of its settings; only a replaced machine gets new ones.
 	seeds []string
 	// disk is nil for routers.
-	disk *disk
+	disk *disk.Disk
 	// incarnation counts its processes. incarnationName is the name that their
 	// ids are made of, if it is another than name.
 	incarnation     int
@@ -120,7 +121,7 @@
 	settings := controller.Settings{
 		Site: w.Description.Site, Self: w.identity(n), Seeds: n.seeds, Platform: platformEndpoint, GapMs: w.Bugs.HolderGapMs,
 	}
-	machine, err := controller.New(settings, maps.Clone(n.disk.keys), w.clockNow(n))
+	machine, err := controller.New(settings, maps.Clone(n.disk.Contents), w.clockNow(n))
 	if err != nil {
 		panic(fmt.Sprintf("nativesim: %s does not start: %v", n.name, err))
 	}
@@ -216,7 +217,7 @@
 // incarnationID is that of the disk, or of the process where there is no disk.
 func (n *node) incarnationID() string {
 	if n.role == protocol.RoleController {
-		return n.disk.incarnation
+		return n.disk.Incarnation()
 	}
 	name := n.name
 	if n.incarnationName != "" {
--- a/internal/simulation/nativesim/scenarios_disks.go
+++ b/internal/simulation/nativesim/scenarios_disks.go
@@ -79,7 +79,7 @@
 
 func fillPrimaryDisk(w *World) {
 	primary := w.Primary()
-	w.nodes[primary].disk.full = true
+	w.nodes[primary].disk.IsFull = true
 	w.SubmitDescription(primary, 1, w.Variant(1))
 	w.Run(6000)
 	w.SubmitDescription(w.Primary(), 1, w.Variant(2))
@@ -87,28 +87,28 @@
 
 func fillBackupDisk(w *World) {
 	backup := w.backup()
-	w.nodes[backup].disk.full = true
+	w.nodes[backup].disk.IsFull = true
 	w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 	w.Run(15_000)
 	w.checkAccepted(2)
-	w.nodes[backup].disk.full = false
+	w.nodes[backup].disk.IsFull = false
 	w.Kill(backup)
 	w.Start(backup)
 }
 
 func stallBackupDisk(w *World) {
 	backup := w.backup()
-	w.nodes[backup].disk.stalled = true
+	w.nodes[backup].disk.IsStalled = true
 	w.SubmitDescription(w.Primary(), 1, w.Variant(1))
 	w.Run(15_000)
 	w.checkAccepted(2)
-	w.nodes[backup].disk.stalled = false
+	w.nodes[backup].disk.IsStalled = false
 }
 
 func stallPrimaryDisk(w *World) {
 	primary := w.Primary()
-	w.nodes[primary].disk.stalled = true
+	w.nodes[primary].disk.IsStalled = true
 	w.SubmitDescription(primary, 1, w.Variant(1))
 	w.Run(6000)
-	w.nodes[primary].disk.stalled = false
+	w.nodes[primary].disk.IsStalled = false
 }
--- a/internal/simulation/nativesim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -13,6 +13,7 @@
 
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/simulation/disk"
 	"myrtlewinch/internal/simulation/eventqueue"
 	"myrtlewinch/internal/simulation/invariants"
 	"myrtlewinch/internal/simulation/network"
@@ -136,7 +137,7 @@
 func (w *World) addNodes() {
 	for i, member := range w.Description.Controllers {
 		n := w.addNode(member, protocol.RoleController)
-		n.disk = &disk{keys: map[string]string{}, incarnation: member.Name + "-disk-0"}
+		n.disk = disk.New(member.Name)
 		if i < seedCount {
 			w.seeds = append(w.seeds, n.address)
 		}
