--- a/cmd/myrtlewinch/process.go
+++ b/cmd/myrtlewinch/process.go
@@ -79,9 +79,12 @@
 		return platform.OperatorHandler(runtime, settings.Bounds.AckMs)
 	}
 	return controller.NewDaemon(controller.DaemonSettings{
-		Site: site, Self: selfNode(settings, protocol.RoleController), Seeds: settings.PeerSeeds(), Losses: settings.MaxLosses,
-		FirstStart: settings.FirstStart, Bounds: settings.Bounds, ListAddress: settings.RunnerList.Address,
-		ListPerSec: settings.RunnerList.CallsPerSec, ControlPort: operatorPort, Data: settings.DataFolder,
+		Settings: controller.Settings{
+			Self: selfNode(settings, protocol.RoleController), Bounds: settings.Bounds, ControlPort: operatorPort,
+			ListAddress: settings.RunnerList.Address, ListPerSec: settings.RunnerList.CallsPerSec,
+		},
+		Site: site, Seeds: settings.PeerSeeds(), MaxLosses: settings.MaxLosses,
+		FirstStart: settings.FirstStart, DataFolder: settings.DataFolder,
 	}, platform.ConfigFormat{}, platform.Client{}, newOperatorAPI, peers, operators, logger)
 }
 
--- a/internal/compatibility/data_test.go
+++ b/internal/compatibility/data_test.go
@@ -160,9 +160,11 @@
 	for i, name := range names {
 		web := listen(c)
 		made, err := controller.NewDaemon(controller.DaemonSettings{
-			Site: "platform", Self: protocol.Node{Name: name, Address: seeds[i], Zone: fmt.Sprint("zone-", i)}, Seeds: seeds,
-			Losses: 1, Bounds: platformBounds, ListAddress: "127.0.0.1:1", ListPerSec: 1, ControlPort: "1",
-			Data: copyData(c, "platform", name),
+			Settings: controller.Settings{
+				Self:   protocol.Node{Name: name, Address: seeds[i], Zone: fmt.Sprint("zone-", i)},
+				Bounds: platformBounds, ListAddress: "127.0.0.1:1", ListPerSec: 1, ControlPort: "1",
+			},
+			Site: "platform", Seeds: seeds, MaxLosses: 1, DataFolder: copyData(c, "platform", name),
 		}, platform.ConfigFormat{}, platform.Client{}, func(runtime *process.Runtime) http.Handler {
 			return platform.OperatorHandler(runtime, platformBounds.AckMs)
 		}, peers[i], web, log.New(io.Discard))
--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -12,7 +12,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// configRow is the replicated row that holds the configuration in force.
+// configRow is the key of the replicated row that holds the configuration in force.
+// It is the key that earlier releases wrote.
 const configRow = "map"
 
 // activeConfig is a configuration in the forms in which it is needed. Version 0
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -26,6 +26,9 @@
 	// exitMs is the part of a planned stop's grace time that is kept for all but
 	// the handover: last messages, open calls of operators, the process's end.
 	exitMs = 1500
+	// incarnationRow is the row of the data folder that has its incarnation. The
+	// storage writes it when it makes the folder.
+	incarnationRow = "incarnation"
 )
 
 // ShutdownHandoverMs is how long, in ms, a planned stop may take to hand over.
@@ -35,26 +38,19 @@
 	return max(flushTime.Milliseconds(), min(b.CatchUpMs, b.GraceMs-exitMs))
 }
 
-// DaemonSettings is what a controller process is started with.
+// DaemonSettings is what a controller process is started with. NewDaemon sets the
+// part and the incarnation of Self.
 type DaemonSettings struct {
+	Settings
 	// Site is the name that all processes of the site share.
 	Site string
-	// Self is this process as its peers know it. NewDaemon sets the part and
-	// the incarnation.
-	Self protocol.Node
 	// Seeds are the addresses of controllers at which peers are looked for.
 	Seeds []string
-	// Losses is how many disks may be lost at once.
-	Losses int
+	// MaxLosses is how many disks may be lost at the same time.
+	MaxLosses int
 	// FirstStart says that the site is being founded by this start.
 	FirstStart bool
-	Bounds     bounds.Bounds
-	// ListAddress, ListPerSec and ControlPort are those of Settings.
-	ListAddress string
-	ListPerSec  float64
-	ControlPort string
-	// Data is the data folder.
-	Data string
+	DataFolder string
 }
 
 // Daemon is a controller as a process: its state machine in a process.Runtime.
@@ -80,7 +76,7 @@
 	if err != nil {
 		return nil, err
 	}
-	settings.Self.Part, settings.Self.Incarnation = protocol.RoleController, store.Rows()["incarnation"]
+	settings.identify(store)
 	d := &Daemon{handoverTimeout: time.Duration(ShutdownHandoverMs(settings.Bounds)) * time.Millisecond}
 	d.seeds.Store(&settings.Seeds)
 	// The API needs the runtime and the runtime needs a handler, so the handler
@@ -109,13 +105,12 @@
 func (s DaemonSettings) openMachine(
 	open func(folder, site string) (*storage.Store, error), format ConfigFormat, clock process.Clock,
 ) (process.Machine, *storage.Store, error) {
-	store, err := open(s.Data, s.Site)
+	store, err := open(s.DataFolder, s.Site)
 	if err != nil {
 		return nil, nil, err
 	}
-	keys := store.Rows()
-	s.Self.Part, s.Self.Incarnation = protocol.RoleController, keys["incarnation"]
-	machine, err := consensus.New(s.consensusSettings(format), keys, clock.NowMs())
+	s.identify(store)
+	machine, err := consensus.New(s.consensusSettings(format), store.Rows(), clock.NowMs())
 	if err != nil {
 		store.Close()
 		return nil, nil, err
@@ -123,12 +118,15 @@
 	return machine, store, nil
 }
 
+// identify completes Self with the incarnation of the data folder.
+func (s *DaemonSettings) identify(store *storage.Store) {
+	s.Self.Part, s.Self.Incarnation = protocol.RoleController, store.Rows()[incarnationRow]
+}
+
 func (s DaemonSettings) consensusSettings(format ConfigFormat) consensus.Settings {
-	application := New(Settings{
-		Self: s.Self, Bounds: s.Bounds, ListAddress: s.ListAddress, ListPerSec: s.ListPerSec, ControlPort: s.ControlPort,
-	}, format)
 	return consensus.Settings{
-		Site: s.Site, Self: s.Self, Seeds: s.Seeds, Application: application, MaxLosses: s.Losses, FirstStart: s.FirstStart,
+		Site: s.Site, Self: s.Self, Seeds: s.Seeds, MaxLosses: s.MaxLosses, FirstStart: s.FirstStart,
+		Application: New(s.Settings, format),
 		// An order may be delivered this long after the holder's lease ended.
 		GapMs: s.Bounds.LeaseMs + s.Bounds.ThawMs,
 		// The next loss may come once a lost machine is back for this long.
--- a/internal/controller/daemon_test.go
+++ b/internal/controller/daemon_test.go
@@ -22,7 +22,7 @@
 		c.Cleanup(func() { at.Close() })
 		return at
 	}
-	settings := DaemonSettings{Site: "s", Self: testSelf, Seeds: []string{"a:7"}, FirstStart: true, Data: c.TempDir()}
+	settings := DaemonSettings{Settings: Settings{Self: testSelf}, Site: "s", Seeds: []string{"a:7"}, FirstStart: true, DataFolder: c.TempDir()}
 	newAPI := func(*process.Runtime) http.Handler { return http.NotFoundHandler() }
 	d, err := NewDaemon(settings, versionFormat{}, nil, newAPI, listen(), listen(), log.New(io.Discard))
 	c.Assert(err, qt.IsNil)
@@ -31,6 +31,6 @@
 		restarted := d.restartSettings(settings)
 		c.Check(restarted.Seeds, qt.DeepEquals, seeds)
 		c.Check(restarted.FirstStart, qt.IsFalse)
-		c.Check(restarted.Data, qt.Equals, settings.Data)
+		c.Check(restarted.DataFolder, qt.Equals, settings.DataFolder)
 	}
 }
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -15,7 +15,7 @@
 // tells whether a submission that comes again was accepted. This is what makes
 // submissions idempotent: an operator who got no answer submits again.
 
-// Keys of the replicated rows.
+// Keys of the replicated rows. They are those that earlier releases wrote.
 const (
 	// historyRow holds a historyRange.
 	historyRow = "history"
