--- a/internal/cli/page_test.go
+++ b/internal/cli/page_test.go
@@ -20,7 +20,7 @@
 	kinds, err := os.ReadFile("../errkind/kind.go")
 	c.Assert(err, qt.IsNil)
 	counters, fields, lines := 0, 0, 0
-	for _, folder := range []string{"consensus", "election", "election/witness", "replication", "membership", "failuredetector", "native/controller", "native/router", "process", "transport"} {
+	for _, folder := range []string{"consensus", "election", "election/witness", "replication", "membership", "failuredetector", "dataplane", "native/controller", "native/router", "process", "proxy", "transport"} {
 		files, err := filepath.Glob("../" + folder + "/*.go")
 		c.Assert(err, qt.IsNil)
 		for _, name := range files {
@@ -29,11 +29,11 @@
 			}
 			code, err := os.ReadFile(name)
 			c.Assert(err, qt.IsNil)
-			for _, found := range regexp.MustCompile(`(?i:count\(|counts, )"([^"]+)"`).FindAllStringSubmatch(string(code), -1) {
+			for _, found := range regexp.MustCompile(`(?:(?i:count\(|counts, )|\bcount\w+ += )"([^"]+)"`).FindAllStringSubmatch(string(code), -1) {
 				counters++
 				c.Check(strings.Contains(page, "| "+found[1]+" |"), qt.IsTrue, qt.Commentf("counter %q is not on the page", found[1]))
 			}
-			for _, found := range regexp.MustCompile(`(?i:\.count\()(?:string\()?errkind\.(\w+)\)`).FindAllStringSubmatch(string(code), -1) {
+			for _, found := range regexp.MustCompile(`(?i:\.count(?:error)?\()(?:string\()?errkind\.(\w+)\)`).FindAllStringSubmatch(string(code), -1) {
 				counters++
 				kind := regexp.MustCompile(found[1] + ` +Kind = "([^"]+)"`).FindStringSubmatch(string(kinds))
 				c.Assert(kind, qt.HasLen, 2)
--- /dev/null
+++ b/internal/dataplane/outbox.go
@@ -0,0 +1,55 @@
+// Package dataplane holds what the two routers share: that of sites with a
+// service map (package proxy) and that of the own interface (package
+// native/router).
+package dataplane
+
+import (
+	"fmt"
+
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
+
+// Outbox collects the effects of one step of a state machine. Its zero value
+// is empty.
+type Outbox struct{ protocol.Effects }
+
+// Send adds a message to another daemon.
+func (o *Outbox) Send(to protocol.Node, body protocol.Message) {
+	o.Sends = append(o.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
+}
+
+// SendToAddress adds a message to whichever daemon is at the address.
+func (o *Outbox) SendToAddress(address string, body protocol.Message) {
+	o.Sends = append(o.Sends, protocol.Send{Address: address, Body: body})
+}
+
+// Respond adds the response to the input with this id.
+func (o *Outbox) Respond(id uint64, body any) {
+	o.Responses = append(o.Responses, protocol.Response{ID: id, Body: body})
+}
+
+// Logf adds a log line.
+func (o *Outbox) Logf(format string, args ...any) {
+	o.LogLines = append(o.LogLines, fmt.Sprintf(format, args...))
+}
+
+// CountError adds one to the process's counter of an error kind.
+func (o *Outbox) CountError(kind errkind.Kind) {
+	o.Counts = append(o.Counts, string(kind))
+}
+
+// Misaddressed reports whether a message is not meant for the daemon of this
+// name, and counts it if so. An address may have belonged to another daemon
+// before, so a message may name the daemon it is for.
+func (o *Outbox) Misaddressed(e protocol.Envelope, site, name string) bool {
+	if e.Site != site {
+		o.CountError(errkind.WrongSite)
+		return true
+	}
+	if e.To != "" && e.To != name {
+		o.CountError(errkind.WrongDaemon)
+		return true
+	}
+	return false
+}
--- /dev/null
+++ b/internal/dataplane/statuspage.go
@@ -0,0 +1,27 @@
+package dataplane
+
+import (
+	"context"
+	"encoding/json"
+	"net/http"
+	"time"
+
+	"myrtlewinch/internal/process"
+)
+
+// statusTimeout is how long a machine may take for its status.
+const statusTimeout = 2 * time.Second
+
+// QueryStatus asks the machine of a process for its status by the input that
+// query makes. It returns false if there was no answer in time.
+func QueryStatus(r *http.Request, runtime *process.Runtime, query func(id uint64) any) (any, bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
+	defer cancel()
+	return runtime.Call(ctx, query)
+}
+
+// WriteJSON writes a value as a JSON document.
+func WriteJSON(w http.ResponseWriter, value any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(value)
+}
--- a/internal/native/router/cache.go
+++ b/internal/native/router/cache.go
@@ -8,125 +8,164 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// cacheEntry is a cached line of the choice table, for a key that was named.
+const (
+	maxCacheEntries = 4096
+	// entryMaxAgeMs is how old an entry may be and still count as a hit.
+	entryMaxAgeMs = 10_000
+	// staleEntryMaxAgeMs replaces entryMaxAgeMs once no controller has
+	// answered for controllersSilentMs. A runner that no longer holds the
+	// item rejects the request without running it.
+	staleEntryMaxAgeMs  = 600_000
+	controllersSilentMs = 1000
+	// lookUpTimeoutMs is how long a look-up may be unanswered before the next
+	// controller is used.
+	lookUpTimeoutMs = 300
+	// keyParts is the number of parts of a choice.Key in a message.
+	keyParts = 3
+)
+
+// cacheEntry is a cached entry of the choice table, for a key that requests
+// have named.
 type cacheEntry struct {
+	// position is the entry's version, asOfMs the time it was valid at.
 	position protocol.Position
 	asOfMs   int64
 	holders  []protocol.Holder
 }
 
-// cachedEntry gives the cached line if it is a hit: known, not too old, and with a
-// runner in it.
+// cachedEntry returns the entry of a key if it counts as a hit, otherwise nil:
+// it is recent enough and names a runner.
 func (m *Machine) cachedEntry(key choice.Key) *cacheEntry {
-	e := m.cache[key]
-	oldestMs := int64(entryMaxAgeMs)
-	// While no controller answers, an old entry is better than none: a runner
-	// that no longer holds the item says so without running it.
+	entry := m.cache[key]
+	maxAgeMs := int64(entryMaxAgeMs)
 	if m.controllersSilentSinceMs > 0 && m.nowMs-m.controllersSilentSinceMs > controllersSilentMs {
-		oldestMs = staleEntryMaxAgeMs
+		maxAgeMs = staleEntryMaxAgeMs
 	}
-	if e == nil || m.nowMs-e.asOfMs > oldestMs || len(e.holders) == 0 {
+	if entry == nil || m.nowMs-entry.asOfMs > maxAgeMs || len(entry.holders) == 0 {
 		return nil
 	}
-	return e
+	return entry
 }
 
-// applyLookUpReply takes an answer of the index, or its word of a change.
-func (m *Machine) applyLookUpReply(said protocol.LookUpReply) {
-	delete(m.unansweredLookUps, said.ID)
+// applyLookUpReply applies an answer to a look-up, or the notification of a
+// change of the choice table, which has no ID.
+func (m *Machine) applyLookUpReply(reply protocol.LookUpReply) {
+	delete(m.unansweredLookUps, reply.ID)
 	m.controllersSilentSinceMs = 0
-	parts := strings.SplitN(said.Key, "/", 3)
-	if len(parts) != 3 || said.Behind {
+	parts := strings.SplitN(reply.Key, "/", keyParts)
+	if len(parts) != keyParts || reply.Behind {
 		return
 	}
 	key := choice.Key{Service: parts[0], Model: parts[1], Adapter: parts[2]}
-	asked := false
-	for _, r := range m.requests {
-		if r.key == key {
-			asked = true
-			r.lookUpAnswered = r.lookUpAnswered || said.ID == r.lookUpID || said.ID == 0
-			if r.loadExpectedMs = 0; said.TurnMs > 0 {
-				r.loadExpectedMs = m.nowMs + said.TurnMs
-			}
-		}
-	}
+	requested := m.noteReply(key, reply)
+	// Only keys that requests have named are cached.
 	old := m.cache[key]
-	// Only what requests named is kept, and newer replaces older, never the
-	// reverse.
-	if !asked && old == nil && said.ID == 0 {
+	if !requested && old == nil && reply.ID == 0 {
 		return
 	}
-	atMs := m.nowMs - said.AgeMs
-	if old != nil && (isNewer(old.position, said.At) || old.position == said.At && old.asOfMs > atMs) {
-		m.dispatchQueue()
-		return
-	}
-	if old == nil && len(m.cache) >= maxCacheEntries {
-		m.evictOldest()
+	asOfMs := m.nowMs - reply.AgeMs
+	if old == nil || !old.isNewer(reply.At, asOfMs) {
+		if old == nil && len(m.cache) >= maxCacheEntries {
+			m.evictOldest()
+		}
+		m.cache[key] = &cacheEntry{position: reply.At, asOfMs: asOfMs, holders: slices.Clone(reply.Holders)}
 	}
-	m.cache[key] = &cacheEntry{position: said.At, asOfMs: atMs, holders: slices.Clone(said.Holders)}
 	m.dispatchQueue()
 }
 
-func isNewer(a, b protocol.Position) bool {
-	return a.Epoch > b.Epoch || a.Epoch == b.Epoch && a.Number > b.Number
+// noteReply notes in the requests for the key that they have an answer, and
+// when a load is expected. It reports whether there is such a request.
+func (m *Machine) noteReply(key choice.Key, reply protocol.LookUpReply) bool {
+	requested := false
+	for _, r := range m.requests {
+		if r.key != key {
+			continue
+		}
+		requested = true
+		r.lookUpAnswered = r.lookUpAnswered || reply.ID == r.lookUpID || reply.ID == 0
+		r.loadExpectedMs = 0
+		if reply.TurnMs > 0 {
+			r.loadExpectedMs = m.nowMs + reply.TurnMs
+		}
+	}
+	return requested
+}
+
+// isNewer reports whether the entry is newer than one of the given position
+// and time.
+func (e *cacheEntry) isNewer(position protocol.Position, asOfMs int64) bool {
+	if e.position == position {
+		return e.asOfMs > asOfMs
+	}
+	return position.Less(e.position)
 }
 
+// evictOldest removes one entry; ties are broken by key, so that equal states
+// evolve equally.
 func (m *Machine) evictOldest() {
 	var oldest choice.Key
+	var oldestMs int64
 	found := false
-	for key, e := range m.cache {
-		if !found || e.asOfMs < m.cache[oldest].asOfMs || e.asOfMs == m.cache[oldest].asOfMs && key.String() < oldest.String() {
-			oldest, found = key, true
+	for key, entry := range m.cache {
+		older := entry.asOfMs < oldestMs || entry.asOfMs == oldestMs && key.String() < oldest.String()
+		if !found || older {
+			oldest, oldestMs, found = key, entry.asOfMs, true
 		}
 	}
 	delete(m.cache, oldest)
 }
 
-// removeHolder takes a runner that said that it does not hold the item out of the line.
-func (m *Machine) removeHolder(key choice.Key, mark protocol.LeavingRunner) {
-	if e := m.cache[key]; e != nil {
-		e.holders = slices.DeleteFunc(e.holders, func(h protocol.Holder) bool {
-			return h.Runner == mark.Runner && h.Incarnation == mark.Incarnation
-		})
+// removeHolder removes a runner that does not hold the item after all.
+func (m *Machine) removeHolder(key choice.Key, runner protocol.LeavingRunner) {
+	entry := m.cache[key]
+	if entry == nil {
+		return
 	}
+	entry.holders = slices.DeleteFunc(entry.holders, func(h protocol.Holder) bool {
+		return h.Runner == runner.Runner && h.Incarnation == runner.Incarnation
+	})
 }
 
-// retryLookUps sends the look-ups of waiting requests to the next controller,
-// since the one before left them unanswered. It is the only case in which a
-// request sends more than one, and not oftener than the target turns.
-func (m *Machine) retryLookUps() {
-	for _, id := range m.queue {
-		r := m.requests[id]
-		if r == nil || r.attemptActive || r.lookUpAnswered || r.lookUpID == 0 || m.cachedEntry(r.key) != nil {
-			continue
-		}
-		m.Counters.LookUpRetries++
-		m.sendLookUp(r)
+// sendLookUp sends the look-up of a request to the present target.
+func (m *Machine) sendLookUp(r *request) {
+	controllers := m.detector.NodesOf(protocol.RoleController)
+	if len(controllers) == 0 {
+		return
 	}
+	target := controllers[m.lookUpTarget%len(controllers)]
+	m.unansweredLookUps[r.lookUpID] = m.nowMs
+	m.outbox.Send(target, protocol.LookUp{ID: r.lookUpID, Service: r.Service, Model: r.Model, Adapter: r.Adapter})
 }
 
-func (m *Machine) sendLookUp(r *request) {
-	if controllers := m.detector.NodesOf(protocol.RoleController); len(controllers) > 0 {
-		to := controllers[m.lookUpTarget%len(controllers)]
-		m.unansweredLookUps[r.lookUpID] = m.nowMs
-		m.send(to, protocol.LookUp{ID: r.lookUpID, Service: r.Service, Model: r.Model, Adapter: r.Adapter})
+// checkLookUpTarget moves to the next controller once a look-up has been
+// unanswered for lookUpTimeoutMs.
+func (m *Machine) checkLookUpTarget() {
+	for _, sentMs := range m.unansweredLookUps {
+		if m.nowMs-sentMs < lookUpTimeoutMs {
+			continue
+		}
+		m.lookUpTarget++
+		if m.controllersSilentSinceMs == 0 {
+			m.controllersSilentSinceMs = sentMs
+		}
+		clear(m.unansweredLookUps)
+		m.retryLookUps()
+		return
 	}
 }
 
-// checkLookUpTarget sends look-ups to another controller once one leaves them
-// unanswered.
-func (m *Machine) checkLookUpTarget() {
-	for id, sentMs := range m.unansweredLookUps {
-		if m.nowMs-sentMs >= lookUpTimeoutMs {
-			m.lookUpTarget++
-			if m.controllersSilentSinceMs == 0 {
-				m.controllersSilentSinceMs = sentMs
-			}
-			clear(m.unansweredLookUps)
-			m.retryLookUps()
-			return
+// retryLookUps repeats the unanswered look-ups of waiting requests at the new
+// target. A request sends more than one look-up only here.
+func (m *Machine) retryLookUps() {
+	for _, id := range m.queue {
+		r := m.requests[id]
+		if r == nil || r.attemptActive || r.lookUpAnswered {
+			continue
+		}
+		if r.lookUpID == 0 || m.cachedEntry(r.key) != nil {
+			continue
 		}
-		_ = id
+		m.Counters.LookUpRetries++
+		m.sendLookUp(r)
 	}
 }
--- /dev/null
+++ b/internal/native/router/exchange.go
@@ -0,0 +1,225 @@
+package router
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+
+	"github.com/cockroachdb/errors"
+
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/httpclient"
+)
+
+const (
+	// maxResponseBytes limits a response that is not a stream, maxLineBytes a
+	// line of a stream and a rejection.
+	maxResponseBytes = 8 << 20
+	maxLineBytes     = 256 << 10
+	// lineBufferBytes is the first size of the buffer for lines.
+	lineBufferBytes = 4 << 10
+	// countStreamsAborted is a counter; docs/operators.md explains it.
+	countStreamsAborted = "tellings broken off"
+)
+
+// exchange is a client's request and its response on their way through this
+// router. It belongs to the goroutine that serves the request.
+type exchange struct {
+	server  *Server
+	writer  http.ResponseWriter
+	request *http.Request
+	// id is the request's id in the machine, requestID that for runners.
+	id        uint64
+	requestID string
+	input     json.RawMessage
+}
+
+// serve passes the request to the machine and performs what the machine
+// orders, until the client has its response.
+func (e *exchange) serve(request Request) {
+	runtime := e.server.runtime
+	id, outputs := runtime.OpenReplies()
+	defer runtime.CloseReplies(id)
+	e.id, request.ID = id, id
+	if !runtime.Submit(request) {
+		tooManyRequests(e.requestID).Write(e.writer)
+		return
+	}
+	for finished := false; !finished; {
+		select {
+		case <-e.request.Context().Done():
+			e.disconnected()
+		case output := <-outputs:
+			finished = e.perform(output)
+		}
+	}
+}
+
+// disconnected ends the exchange after the client disconnected. It aborts the
+// connection, since the client may have closed only its own direction and
+// would read an empty response.
+func (e *exchange) disconnected() {
+	e.server.runtime.Submit(ClientDisconnected{ID: e.id})
+	panic(http.ErrAbortHandler)
+}
+
+// perform carries out one output of the machine and reports whether the
+// request is finished.
+func (e *exchange) perform(output any) (finished bool) {
+	switch output := output.(type) {
+	case Reject:
+		errkind.ErrorBody{
+			Kind: output.Kind, Detail: output.Detail, Request: e.requestID, RetryMs: output.RetryMs,
+		}.Write(e.writer)
+		return true
+	case StartAttempt:
+		ended, broken := e.runAttempt(output)
+		if e.request.Context().Err() != nil && (broken || ended.Outcome != Completed) {
+			e.disconnected()
+		}
+		e.server.runtime.Submit(ended)
+		if broken {
+			// Only an aborted connection shows that a stream is incomplete.
+			panic(http.ErrAbortHandler)
+		}
+		return ended.Outcome == Completed
+	}
+	return false
+}
+
+// runAttempt sends the request to a runner once and forwards the response.
+// broken reports that a part of a stream was forwarded and the rest will not
+// follow.
+func (e *exchange) runAttempt(order StartAttempt) (ended AttemptEnded, broken bool) {
+	ended.ID = e.id
+	leftMs := order.DeadlineMs - e.server.runtime.Clock().NowMs()
+	ctx, cancel := context.WithCancel(e.request.Context())
+	defer cancel()
+	timeout := startTimeout(leftMs, cancel)
+	defer timeout.stop()
+	response, written, err := e.forwardRequest(ctx, order)
+	if err != nil {
+		ended.Outcome = sendFailure(written, err)
+		return ended, false
+	}
+	defer response.Body.Close()
+	switch {
+	case response.StatusCode != http.StatusOK:
+		ended.Outcome, ended.Revision = readRejection(response, order.RequestID)
+	case order.Streaming:
+		ended.Outcome, broken = e.forwardStream(response, order, timeout)
+	default:
+		ended.Outcome = e.forwardComplete(response, order)
+	}
+	return ended, broken
+}
+
+// forwardRequest writes the request to the runner and reads the head of the
+// response. It reports whether any byte was written.
+func (e *exchange) forwardRequest(ctx context.Context, order StartAttempt) (response *http.Response, written bool, err error) {
+	body, err := json.Marshal(RunRequest{
+		Request: order.RequestID, Service: order.Service, Model: order.Model, Adapter: order.Adapter,
+		Revision: order.Revision, Incarnation: order.Incarnation,
+		Repeatable: order.Repeatable, Streaming: order.Streaming, Input: e.input,
+	})
+	if err != nil {
+		return nil, false, errors.Wrap(err, "encoding the request to the runner")
+	}
+	mayWrite := e.server.runtime.WriteCheck(func(nowMs int64) bool {
+		return e.server.machine.MaySend(nowMs, order)
+	})
+	return e.server.runtime.HTTPClient().Do(ctx, http.MethodPost, "http://"+order.Address+"/run", body, mayWrite)
+}
+
+// sendFailure classifies an attempt that brought no response head.
+func sendFailure(written bool, err error) Outcome {
+	switch {
+	case written:
+		return ResponseLost
+	case errors.Is(err, httpclient.ErrNotAllowed):
+		return Expired
+	}
+	return NotSent
+}
+
+// readRejection reads a runner's statement that it did not run the request,
+// and the revision with StaleRevision. Without a valid statement the runner
+// may have run it.
+func readRejection(response *http.Response, requestID string) (outcome Outcome, revision uint64) {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxLineBytes))
+	if err != nil {
+		return ResponseLost, 0
+	}
+	var rejection RunRejection
+	if json.Unmarshal(text, &rejection) != nil || !rejection.isFor(requestID) {
+		return InvalidResponse, 0
+	}
+	switch errkind.Kind(rejection.Kind) {
+	case errkind.NotHeld:
+		return NotLoaded, 0
+	case errkind.StaleRevision:
+		return StaleRevision, rejection.Revision
+	case errkind.WrongIncarnation:
+		return OtherRunner, 0
+	case errkind.DuplicateRequest:
+		return Duplicate, 0
+	}
+	return RunnerBusy, 0
+}
+
+// forwardComplete reads a response that is not a stream completely and
+// forwards it if it is valid.
+func (e *exchange) forwardComplete(response *http.Response, order StartAttempt) Outcome {
+	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	if err != nil {
+		return ResponseLost
+	}
+	if len(text) > maxResponseBytes || !ValidResponse(text, order.RequestID, order.Incarnation) {
+		return InvalidResponse
+	}
+	e.writer.Header().Set("Content-Type", "application/json")
+	e.writer.Header().Set("Content-Length", fmt.Sprint(len(text)))
+	_, _ = e.writer.Write(text)
+	return Completed
+}
+
+// forwardStream forwards the lines of a stream, each at once. Once a line was
+// forwarded the attempt counts as Completed whatever follows, since the
+// request cannot be sent again; broken reports that the stream is incomplete.
+func (e *exchange) forwardStream(response *http.Response, order StartAttempt, timeout attemptTimeout) (outcome Outcome, broken bool) {
+	check := StreamCheck{Request: order.RequestID, Incarnation: order.Incarnation}
+	controller := http.NewResponseController(e.writer)
+	lines := bufio.NewScanner(response.Body)
+	lines.Buffer(make([]byte, 0, lineBufferBytes), maxLineBytes)
+	for lines.Scan() {
+		started := check.Started()
+		if !check.Accept(lines.Bytes()) {
+			return e.streamFailed(started, InvalidResponse)
+		}
+		if !started {
+			e.writer.Header().Set("Content-Type", "application/x-ndjson")
+		}
+		if _, err := e.writer.Write(append(bytes.Clone(lines.Bytes()), '\n')); err != nil {
+			return Completed, true
+		}
+		_ = controller.Flush()
+		timeout.restart(order.ChunkTimeoutMs)
+		if check.Complete() {
+			return Completed, false
+		}
+	}
+	return e.streamFailed(check.Started(), ResponseLost)
+}
+
+// streamFailed returns the result of a stream that failed.
+func (e *exchange) streamFailed(started bool, outcome Outcome) (Outcome, bool) {
+	if !started {
+		return outcome, false
+	}
+	e.server.runtime.Count(countStreamsAborted)
+	return Completed, true
+}
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -1,5 +1,11 @@
-// Package router is the data plane: the router's state machine, the policies
-// that a request passes, and the going to a runner and back.
+// Package router is the data plane of the own interface: the state machine of
+// a router, and the server that forwards clients' requests to runners.
+//
+// A router sends requests only while it is certain that no newer description
+// is in force: the primary gives it a lease on its revision (description.go),
+// which a majority of its peers can extend while the primary is silent
+// (lease.go). A request passes a list of stages on arrival and another one at
+// each dispatch (stages.go).
 package router
 
 import (
@@ -7,6 +13,7 @@
 	"slices"
 	"sync/atomic"
 
+	"myrtlewinch/internal/dataplane"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/failuredetector"
 	"myrtlewinch/internal/native/choice"
@@ -15,201 +22,214 @@
 )
 
 const (
+	// pollEachMs is the time between two polls of the primary.
 	pollEachMs = 300
-	// pendingLeaseMs is how long a router that acknowledged a next revision goes
-	// on with the present one after the question whose answer said "pending".
-	pendingLeaseMs = 1500
-	// drainingMaxAgeMs is how old the last word on leaving runners may be at a send.
-	drainingMaxAgeMs = 2000
-	// ownReadAfterMs is when the router reads the platform for itself.
+	// maxMissingKeys limits the keys that a poll lists as missing.
+	maxMissingKeys = 64
+	// ownReadAfterMs is the age of what is known of draining runners from
+	// which on the router reads the platform's list itself, every
+	// listReadEachMs.
 	ownReadAfterMs = 1000
 	listReadEachMs = 300
-	// missDelayedMs is how long a miss waits for its look-up before it counts as held.
-	missDelayedMs = 50
-	// maxWaitMs ends a request whose look-up was never answered, and one
-	// for which there is no word from control.
-	maxWaitMs = 1500
-	// entryMaxAgeMs is how old a cached entry may be and still be a hit.
-	entryMaxAgeMs   = 10_000
-	maxCacheEntries = 4096
-	// controllersSilentMs is how long all controllers are silent before old entries serve,
-	// and staleEntryMaxAgeMs how old those may be.
-	controllersSilentMs = 1000
-	staleEntryMaxAgeMs  = 600_000
-	maxRecentIDs        = 65_536
-	// unhealthyMs keeps a runner that just failed from being the first choice.
-	unhealthyMs     = 1000
-	lookUpTimeoutMs = 300
-	// maxMissingKeys bounds the keys that a question names.
-	maxMissingKeys = 64
 )
 
-// Settings is what a router knows before it knows anyone.
+// Settings is the configuration of a router, fixed at its start.
 type Settings struct {
-	Site     string
-	Self     protocol.Node
-	Seeds    []string
+	// Site is the site's name. Messages of other sites are ignored.
+	Site string
+	// Self is this router as its peers know it.
+	Self protocol.Node
+	// Seeds are the addresses at which peers are searched for.
+	Seeds []string
+	// Platform is the address of the platform's list of runners. If it is
+	// empty, the router never reads the list itself.
 	Platform string
 }
 
-// Machine is one router.
+// Machine is the state machine of one router. It takes inputs through Step and
+// returns effects; it has no clock, connection or goroutine of its own. All of
+// it but MaySend belongs to the goroutine that calls Step.
 type Machine struct {
+	// Counters counts what the router did since its start.
+	Counters Counters
+
 	settings Settings
 	nowMs    int64
-	effects  protocol.Effects
+	// outbox collects the effects of the current step.
+	outbox dataplane.Outbox
+	// detector knows the daemons of the site and which of them are alive.
 	detector *failuredetector.Detector
 
-	// The revision in force as far as this router knows.
-	revision uint64
-	// revisionInUse is the revision for those at the socket, on other threads.
-	revisionInUse       atomic.Uint64
-	description         *description.Description
-	leaseUntilMs        int64
-	pendingDigest       string
-	pendingDescription  *description.Description
-	pendingSeenMs       int64
+	// revision is that of the description in use; 0 without one.
+	revision    uint64
+	description *description.Description
+	// revisionInUse is revision for the goroutines that call MaySend.
+	revisionInUse atomic.Uint64
+	// leaseUntilMs is until when no higher revision can be in force.
+	leaseUntilMs int64
+	// pendingDescription is the next one, if this router has acknowledged
+	// one: its digest is pendingDigest, otherwise empty. pendingSeenMs is when
+	// the last poll was sent whose answer called it pending.
+	pendingDigest      string
+	pendingDescription *description.Description
+	pendingSeenMs      int64
+	// highestSeenRevision is the highest revision that a runner reported.
 	highestSeenRevision uint64
-	// extensionsUntilMs is until when renewals given to peers may run.
-	extensionsUntilMs  int64
-	lastExtendMs       int64
-	extensions         map[string]int64
-	epoch              uint64
-	primary            string
+	// extensionsUntilMs is until when extensions may run that this router has
+	// granted to its peers.
+	extensionsUntilMs int64
+	lastExtendMs      int64
+	// extensions are the times of the requests that each peer granted last.
+	extensions map[string]int64
+
+	// epoch and primary are those of the control plane as this router knows
+	// them.
+	epoch   uint64
+	primary string
+	// primaryConfirmedMs is when the last answered poll was sent,
+	// lastHeartbeatMs when the primary's last heartbeat came.
 	primaryConfirmedMs int64
 	lastHeartbeatMs    int64
 	lastPollMs         int64
-	drainingAsOfMs     int64
-	lastListReadMs     int64
-	listReadPending    bool
-	listReadStartMs    int64
-	drained            map[protocol.LeavingRunner]bool
-	// drainingRunners are the runners whose present incarnation is leaving by the
-	// latest word. A cached entry may still name the incarnation before, and
-	// a request to that would reach the leaver as well.
-	drainingRunners map[string]bool
-	draining        bool
-	// registration is what the primary registered this process under.
+	// registration is the number under which the primary registered this
+	// process.
 	registration uint64
-	// retired says that a later process has this router's name.
+	// retired is set once a later process has this router's name.
 	retired bool
+	// draining is set by Drain.
+	draining bool
+
+	// drained are all processes of runners that have ever been reported as
+	// draining. drainingRunners are the runners that the last report, as of
+	// drainingAsOfMs, names: a cached entry may still name the incarnation
+	// before, and a request to that would reach the draining one.
+	drained         map[protocol.LeavingRunner]bool
+	drainingRunners map[string]bool
+	drainingAsOfMs  int64
+	// lastListReadMs and listReadStartMs are when the last read of the
+	// platform's list began; listReadPending is set while it is under way.
+	lastListReadMs  int64
+	listReadPending bool
+	listReadStartMs int64
 
 	cache    map[choice.Key]*cacheEntry
 	requests map[uint64]*request
-	// queue keeps requests as they came, so that the eldest goes first.
-	queue             []uint64
-	queued            map[string]int
-	retryBudgets      map[string]*retryBudget
-	recentIDs         recentIDs
-	inFlight          map[string]int64
-	unhealthyUntilMs  map[string]int64
-	lookUpTarget      int
-	lookUpCount       uint64
+	// queue is the order of arrival of the requests.
+	queue []uint64
+	// queued counts the requests in the waiting queue, by service.
+	queued       map[string]int
+	retryBudgets map[string]*dataplane.TokenBucket
+	recentIDs    recentIDs
+	// inFlight counts this router's attempts under way, by runner.
+	inFlight map[string]int64
+	// unhealthyUntilMs is until when a runner is the last choice.
+	unhealthyUntilMs map[string]int64
+
+	// lookUpTarget selects the controller that look-ups are sent to;
+	// lookUpCount is the id of the last one.
+	lookUpTarget int
+	lookUpCount  uint64
+	// unansweredLookUps are the ids of look-ups, with when they were sent.
 	unansweredLookUps map[uint64]int64
-	// controllersSilentSinceMs is since when no look-up has been answered, or nought.
+	// controllersSilentSinceMs is since when no look-up has been answered; 0
+	// while they are.
 	controllersSilentSinceMs int64
-	Counters                 Counters
 }
 
-// Counters counts what a router did.
-type Counters struct {
-	Requests      uint64
-	LookUps       uint64
-	LookUpRetries uint64 `json:"LookUpsAgain"`
-	Hits          uint64
-	Misses        uint64
-	MissesDelayed uint64                  `json:"MissesHeld"`
-	Attempts      uint64                  `json:"Goes"`
-	Retries       uint64                  `json:"SecondGoes"`
-	Rejections    map[errkind.Kind]uint64 `json:"Drops"`
-}
-
-// New makes a router that knows nothing but its seeds.
-func New(set Settings, nowMs int64) *Machine {
+// New returns the machine of a router that knows only its settings.
+func New(settings Settings, nowMs int64) *Machine {
 	return &Machine{
-		settings: set, nowMs: nowMs, detector: failuredetector.New(set.Self, set.Seeds, nil),
-		lastPollMs: nowMs - pollEachMs, drainingAsOfMs: nowMs - drainingMaxAgeMs - 1, primaryConfirmedMs: nowMs - 1, leaseUntilMs: nowMs,
-		extensionsUntilMs: nowMs + leaseMs, extensions: map[string]int64{},
-		drained: map[protocol.LeavingRunner]bool{}, cache: map[choice.Key]*cacheEntry{}, requests: map[uint64]*request{},
-		queued: map[string]int{}, retryBudgets: map[string]*retryBudget{}, recentIDs: newRecentIDs(),
-		inFlight: map[string]int64{}, unhealthyUntilMs: map[string]int64{}, unansweredLookUps: map[uint64]int64{},
-		Counters: Counters{Rejections: map[errkind.Kind]uint64{}},
+		settings: settings, nowMs: nowMs, detector: failuredetector.New(settings.Self, settings.Seeds, nil),
+		lastPollMs:         nowMs - pollEachMs,
+		drainingAsOfMs:     nowMs - drainingMaxAgeMs - 1,
+		primaryConfirmedMs: nowMs - 1,
+		leaseUntilMs:       nowMs,
+		// An earlier process of this name may have granted extensions.
+		extensionsUntilMs: nowMs + leaseMs,
+		extensions:        map[string]int64{},
+		drained:           map[protocol.LeavingRunner]bool{},
+		cache:             map[choice.Key]*cacheEntry{},
+		requests:          map[uint64]*request{},
+		queued:            map[string]int{},
+		retryBudgets:      map[string]*dataplane.TokenBucket{},
+		recentIDs:         newRecentIDs(),
+		inFlight:          map[string]int64{},
+		unhealthyUntilMs:  map[string]int64{},
+		unansweredLookUps: map[uint64]int64{},
+		Counters:          Counters{Rejections: map[errkind.Kind]uint64{}},
 	}
 }
 
-// WriteCheck is the check at the socket: a go that was made under an earlier
-// revision, or whose time has passed, may not be written any more.
-func (m *Machine) MaySend(nowMs int64, to StartAttempt) bool {
-	return nowMs < to.WriteByMs && m.revisionInUse.Load() == to.Revision
+// MaySend reports whether the first byte of an attempt may be written now. It
+// may not once its time has passed or another revision is in use. It may be
+// called from any goroutine.
+func (m *Machine) MaySend(nowMs int64, attempt StartAttempt) bool {
+	return nowMs < attempt.WriteByMs && m.revisionInUse.Load() == attempt.Revision
 }
 
-// Step takes one input and returns what to do.
+// Step applies one input at the given time and returns its effects. Times of
+// successive calls must not decrease. An input that is neither an Input nor
+// one of the types of package protocol that Input names panics.
 func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
 	m.nowMs = nowMs
-	m.effects = protocol.Effects{}
+	m.outbox = dataplane.Outbox{}
 	switch in := input.(type) {
+	case Input:
+		in.apply(m)
 	case protocol.Envelope:
-		// It disturbs no one any more, and nothing brings it back.
+		// A retired router is never used again.
 		if !m.retired {
 			m.receive(in)
 		}
-	case Request:
-		m.admit(in)
-	case AttemptEnded:
-		m.attemptEnded(in)
-	case ClientDisconnected:
-		if r := m.requests[in.ID]; r != nil {
-			// It comes only while no go is under way, so one that was made
-			// and not begun yet never will be.
-			if r.attemptActive {
-				m.inFlight[r.runner]--
-			} else if r.idRecorded && !r.mayHaveRun {
-				// It only waited, so its sender may come back with its id.
-				m.recentIDs.forget(r.Service + "/" + r.RequestID)
-			}
-			m.forget(r)
-		}
 	case protocol.RunnerListResult:
 		m.runnerListRead(in)
-	case Drain:
-		m.draining = true
-		m.dispatchQueue()
-	case StatusQuery:
-		m.reportStatus(in)
 	case protocol.Tick:
 		m.tick()
 	default:
-		panic(fmt.Sprintf("traffic: unknown input %T", input))
+		panic(fmt.Sprintf("router: unknown input %T", input))
 	}
-	return m.effects
+	return m.outbox.Effects
+}
+
+// startDraining rejects what is queued.
+func (m *Machine) startDraining() {
+	m.draining = true
+	m.dispatchQueue()
 }
 
+// tick does what is due by the time.
 func (m *Machine) tick() {
 	if m.retired {
 		m.dispatchQueue()
 		return
 	}
-	m.effects.Sends = append(m.effects.Sends, m.detector.Tick(m.nowMs, m.epoch, m.primary, false)...)
+	m.outbox.Sends = append(m.outbox.Sends, m.detector.Tick(m.nowMs, m.epoch, m.primary, false)...)
 	if m.nowMs-m.lastPollMs >= pollEachMs {
 		m.pollPrimary()
 	}
-	// The platform is read here only while the primary gives no word.
-	if m.settings.Platform != "" && m.nowMs-m.drainingAsOfMs > ownReadAfterMs && m.nowMs-m.lastListReadMs >= listReadEachMs && !m.listReadPending {
-		m.lastListReadMs, m.listReadStartMs, m.listReadPending = m.nowMs, m.nowMs, true
-		m.effects.Calls = append(m.effects.Calls, protocol.OutboundCall{Address: m.settings.Platform, Body: protocol.PlatformCall{}})
+	if m.listReadDue() {
+		m.readRunnerList()
 	}
 	m.extendLease()
 	m.checkLookUpTarget()
 	m.dispatchQueue()
 }
 
+// pollPrimary asks the primary for changes and reports what this router has.
 func (m *Machine) pollPrimary() {
 	m.lastPollMs = m.nowMs
-	if place, ok := m.detector.Node(m.primary); ok && m.primary != "" {
-		m.send(place, protocol.RouterPoll{EchoMs: m.nowMs, Revision: m.revision, Held: m.pendingDigest, GivenMs: max(0, m.extensionsUntilMs-m.nowMs), Waiting: m.missingKeys(), Number: m.registration})
+	node, known := m.detector.Node(m.primary)
+	if !known || m.primary == "" {
+		return
 	}
+	m.outbox.Send(node, protocol.RouterPoll{
+		EchoMs: m.nowMs, Revision: m.revision, Held: m.pendingDigest,
+		GivenMs: max(0, m.extensionsUntilMs-m.nowMs), Waiting: m.missingKeys(), Number: m.registration,
+	})
 }
 
-// missingKeys lists what the eldest waiting requests need, once each.
+// missingKeys returns what the oldest queued requests need and the cache does
+// not have, once each.
 func (m *Machine) missingKeys() []protocol.LookUp {
 	var keys []protocol.LookUp
 	for _, id := range m.queue {
@@ -225,38 +245,25 @@
 	return keys
 }
 
+// receive handles a message of another daemon. One that is not meant for this
+// daemon is counted and ignored.
 func (m *Machine) receive(e protocol.Envelope) {
-	if e.Site != m.settings.Site {
-		m.count(errkind.WrongSite)
-		return
-	}
-	// An address may have passed to another daemon.
-	if e.To != "" && e.To != m.settings.Self.Name {
-		m.count(errkind.WrongDaemon)
+	if m.outbox.Misaddressed(e, m.settings.Site, m.settings.Self.Name) {
 		return
 	}
 	m.detector.Observe(m.nowMs, e.From)
 	switch body := e.Body.(type) {
 	case protocol.Heartbeat:
-		if body.Serving && body.Epoch == m.epoch {
-			m.lastHeartbeatMs = m.nowMs
-		}
+		m.noteHeartbeat(body)
 	case protocol.PeersRequest:
-		m.send(e.From, protocol.PeersReply{Peers: m.detector.Nodes(), Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary}})
+		m.answerPeersRequest(e.From)
 	case protocol.PeersReply:
 		m.detector.AddNodes(m.nowMs, body.Peers)
 		m.observePrimary(body.Record.Epoch, body.Record.Primary)
 	case protocol.PrimaryQuery:
-		if body.Epoch == m.epoch {
-			m.send(e.From, protocol.PrimaryReply{Epoch: body.Epoch, HeardMs: m.nowMs - max(m.lastHeartbeatMs, m.primaryConfirmedMs)})
-		}
+		m.answerPrimaryQuery(e.From, body)
 	case protocol.PollRequest:
-		if body.Epoch < m.epoch {
-			m.count(errkind.LowerEpoch)
-			return
-		}
-		m.observePrimary(body.Epoch, e.From.Name)
-		m.pollPrimary()
+		m.pollRequested(e.From, body)
 	case protocol.RouterUpdate:
 		m.applyUpdate(e.From, body)
 	case protocol.ExtendLease:
@@ -266,141 +273,48 @@
 	case protocol.LookUpReply:
 		m.applyLookUpReply(body)
 	default:
-		m.count(errkind.Malformed)
+		m.outbox.CountError(errkind.Malformed)
 	}
 }
 
-// observePrimary takes a newer primary as the one to ask. Only its word makes its epoch
-// the least that is listened to.
-func (m *Machine) observePrimary(epoch uint64, primary string) {
-	if epoch >= m.epoch && primary != "" && epoch > 0 {
-		m.primary = primary
-	}
-}
-
-// applyUpdate takes the primary's answer to a question of this very process.
-func (m *Machine) applyUpdate(from protocol.Node, w protocol.RouterUpdate) {
-	if w.Epoch < m.epoch {
-		m.count(errkind.LowerEpoch)
-		return
-	}
-	// An answer that was overtaken by a later one says nothing any more.
-	if w.For != m.settings.Self.Incarnation || w.EchoMs <= m.primaryConfirmedMs || w.EchoMs > m.nowMs {
-		return
-	}
-	if w.Retired {
-		m.note("retired: another router has this one's name; stop this one")
-		m.retired, m.draining = true, true
-		m.dispatchQueue()
-		return
+// noteHeartbeat notes that the primary is alive.
+func (m *Machine) noteHeartbeat(heartbeat protocol.Heartbeat) {
+	if heartbeat.Serving && heartbeat.Epoch == m.epoch {
+		m.lastHeartbeatMs = m.nowMs
 	}
-	// A router never goes back to an older description.
-	if w.Revision < m.revision {
-		m.count(errkind.StaleRevision)
-		return
-	}
-	// A number of an earlier primary says nothing to the next.
-	m.registration = w.Number
-	m.epoch, m.primary, m.primaryConfirmedMs = w.Epoch, from.Name, w.EchoMs
-	m.detector.AddNodes(m.nowMs, w.Peers)
-	m.setDraining(w.Leaving)
-	m.drainingAsOfMs = max(m.drainingAsOfMs, w.EchoMs)
-	if w.Revision > m.revision {
-		d := m.pendingDescription
-		if w.Sum != m.pendingDigest {
-			d = m.parseDescription(w.Text)
-		}
-		if d == nil {
-			return
-		}
-		m.revision, m.description = w.Revision, d
-		m.revisionInUse.Store(w.Revision)
-		m.pendingDigest, m.pendingDescription = "", nil
-		m.leaseUntilMs = m.nowMs
-		m.extensions = map[string]int64{}
-		m.note("revision %d is in use", m.revision)
-		m.resizeRetryBudgets()
-	}
-	if w.Renew {
-		m.leaseUntilMs = max(m.leaseUntilMs, w.EchoMs+leaseMs)
-	}
-	switch {
-	case w.Pending == "":
-		m.pendingDigest, m.pendingDescription = "", nil
-	case w.Pending == m.pendingDigest:
-		m.pendingSeenMs = w.EchoMs
-	case w.PendingText != "":
-		if d := m.parseDescription(w.PendingText); d != nil {
-			m.pendingDigest, m.pendingDescription, m.pendingSeenMs = w.Pending, d, w.EchoMs
-			// The sooner it is acknowledged, the sooner it is taken.
-			m.pollPrimary()
-		}
-	}
-	m.dispatchQueue()
 }
 
-// leaseMs is the hold on a revision that the primary's word gives.
-const leaseMs = 6000
-
-func (m *Machine) parseDescription(text string) *description.Description {
-	d, faults := description.Read([]byte(text), m.settings.Site)
-	if len(faults) > 0 {
-		m.count(errkind.Malformed)
-		return nil
-	}
-	return d
+// answerPeersRequest reports the known daemons and the primary.
+func (m *Machine) answerPeersRequest(from protocol.Node) {
+	m.outbox.Send(from, protocol.PeersReply{
+		Peers:  m.detector.Nodes(),
+		Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary},
+	})
 }
 
-func (m *Machine) setDraining(leaving []protocol.LeavingRunner) {
-	m.drainingRunners = map[string]bool{}
-	for _, mark := range leaving {
-		m.drained[mark] = true
-		m.drainingRunners[mark.Runner] = true
+// answerPrimaryQuery reports when this router last heard of the primary of the
+// queried epoch.
+func (m *Machine) answerPrimaryQuery(from protocol.Node, query protocol.PrimaryQuery) {
+	if query.Epoch == m.epoch {
+		aliveMs := max(m.lastHeartbeatMs, m.primaryConfirmedMs)
+		m.outbox.Send(from, protocol.PrimaryReply{Epoch: query.Epoch, HeardMs: m.nowMs - aliveMs})
 	}
 }
 
-func (m *Machine) runnerListRead(in protocol.RunnerListResult) {
-	m.listReadPending = false
-	if !in.Ok {
+// pollRequested polls a primary that asks for it.
+func (m *Machine) pollRequested(from protocol.Node, request protocol.PollRequest) {
+	if request.Epoch < m.epoch {
+		m.outbox.CountError(errkind.LowerEpoch)
 		return
 	}
-	var leaving []protocol.LeavingRunner
-	for _, l := range in.Runners {
-		if l.Leaving {
-			leaving = append(leaving, protocol.LeavingRunner{Runner: l.Name, Incarnation: l.Incarnation})
-		}
-	}
-	m.setDraining(leaving)
-	m.drainingAsOfMs = max(m.drainingAsOfMs, m.listReadStartMs)
-	m.dispatchQueue()
+	m.observePrimary(request.Epoch, from.Name)
+	m.pollPrimary()
 }
 
-// maySendUntil says until when this router may send under its revision: as
-// long as its hold runs, it need not fear that a next one is in force, and
-// its word on leaving runners is fresh.
-func (m *Machine) maySendUntil() int64 {
-	if m.description == nil || m.highestSeenRevision > m.revision || m.retired {
-		return m.nowMs
-	}
-	until := min(m.leaseUntilMs, m.drainingAsOfMs+drainingMaxAgeMs)
-	if m.pendingDigest != "" {
-		until = min(until, m.pendingSeenMs+pendingLeaseMs)
+// observePrimary takes note of a primary that a peer reports. An update of an
+// older epoch is rejected only once the newer primary has sent one itself.
+func (m *Machine) observePrimary(epoch uint64, primary string) {
+	if epoch >= m.epoch && primary != "" && epoch > 0 {
+		m.primary = primary
 	}
-	return until
 }
-
-func (m *Machine) maySendNow() bool { return m.nowMs < m.maySendUntil() }
-
-func (m *Machine) send(to protocol.Node, body protocol.Message) {
-	m.effects.Sends = append(m.effects.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
-}
-
-func (m *Machine) answer(id uint64, body any) {
-	m.effects.Responses = append(m.effects.Responses, protocol.Response{ID: id, Body: body})
-}
-
-func (m *Machine) note(format string, args ...any) {
-	m.effects.LogLines = append(m.effects.LogLines, fmt.Sprintf(format, args...))
-}
-
-func (m *Machine) count(kind errkind.Kind) { m.effects.Counts = append(m.effects.Counts, string(kind)) }
--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -89,7 +89,7 @@
 
 func (b *bench) kind() errkind.Kind {
 	for _, answer := range b.out.Responses {
-		if said, ok := answer.Body.(protocol.Rejection); ok {
+		if said, ok := answer.Body.(Reject); ok {
 			return said.Kind
 		}
 	}
@@ -450,7 +450,7 @@
 				b.receive(protocol.LookUpReply{Key: "narration/narrator-7/", At: protocol.Position{Epoch: 1, Number: 1}, TurnMs: 90_000})
 			}
 			b.c.Assert(b.kind(), qt.Equals, errkind.PlacementTimeout)
-			said := b.out.Responses[0].Body.(protocol.Rejection)
+			said := b.out.Responses[0].Body.(Reject)
 			b.c.Assert(said.RetryMs > 50_000, qt.IsTrue)
 			// It has not run, so the same id may come back at its turn.
 			b.index("narration/narrator-7/", 2, "language-1")
--- a/internal/native/router/recentids.go
+++ b/internal/native/router/recentids.go
@@ -1,9 +1,14 @@
 package router
 
-// recentIDs remembers the ids that were taken lately, in a bounded ring.
+// maxRecentIDs is the number of request ids that are remembered.
+const maxRecentIDs = 65_536
+
+// recentIDs remembers the ids of the last requests in a ring.
 type recentIDs struct {
-	known map[string]uint64
-	ring  []recentID
+	// numbers are the numbers under which the remembered ids were added.
+	numbers map[string]uint64
+	ring    []recentID
+	// count is how many ids have ever been added.
 	count uint64
 }
 
@@ -12,26 +17,28 @@
 	number uint64
 }
 
-func newRecentIDs() recentIDs { return recentIDs{known: map[string]uint64{}} }
+func newRecentIDs() recentIDs { return recentIDs{numbers: map[string]uint64{}} }
 
-func (t *recentIDs) has(id string) bool { return t.known[id] > 0 }
+// has reports whether an id is remembered.
+func (r *recentIDs) has(id string) bool { return r.numbers[id] > 0 }
 
-func (t *recentIDs) add(id string) {
-	t.count++
-	slot := recentID{id, t.count}
-	t.known[id] = t.count
-	if len(t.ring) < maxRecentIDs {
-		t.ring = append(t.ring, slot)
+// add remembers an id, in place of the oldest one if the ring is full.
+func (r *recentIDs) add(id string) {
+	r.count++
+	added := recentID{id, r.count}
+	r.numbers[id] = r.count
+	if len(r.ring) < maxRecentIDs {
+		r.ring = append(r.ring, added)
 		return
 	}
-	at := int((t.count - 1) % maxRecentIDs)
-	// An id that was forgotten and taken anew lies in the ring twice.
-	if old := t.ring[at]; t.known[old.id] == old.number {
-		delete(t.known, old.id)
+	slot := int((r.count - 1) % maxRecentIDs)
+	// An id that was forgotten and added again is in the ring twice; only the
+	// later place counts.
+	if oldest := r.ring[slot]; r.numbers[oldest.id] == oldest.number {
+		delete(r.numbers, oldest.id)
 	}
-	t.ring[at] = slot
+	r.ring[slot] = added
 }
 
-// forget frees the id of a request that was dropped: it has not run, so it
-// may be sent again.
-func (t *recentIDs) forget(id string) { delete(t.known, id) }
+// forget removes the id of a request that has not run and may be sent again.
+func (r *recentIDs) forget(id string) { delete(r.numbers, id) }
--- a/internal/native/router/request.go
+++ b/internal/native/router/request.go
@@ -7,156 +7,113 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Inputs of the data plane.
-type (
-	// Request is what a sender asked.
-	Request struct {
-		ID                      uint64
-		Service, Model, Adapter string
-		// RequestID is the request's id towards the runner; Given says that the
-		// sender chose it.
-		RequestID     string
-		ClientChoseID bool
-		BodyBytes     int64
-	}
-	// AttemptEnded says how a go ended.
-	AttemptEnded struct {
-		ID      uint64
-		Outcome Outcome
-		// Revision is the higher one a runner told of.
-		Revision uint64
-	}
-	// ClientDisconnected says that the sender went away.
-	ClientDisconnected struct{ ID uint64 }
-	// Drain begins a planned stop: nothing new is taken.
-	Drain struct{}
-)
-
-// Outcome is how a go ended.
-type Outcome int
-
-// The outcomes, by what is known of the runner.
-const (
-	// Completed: the whole answer was relayed, or the relay has begun and the
-	// rest is between the sender and the go.
-	Completed Outcome = iota
-	// Expired: the go's time had passed before a byte was written.
-	Expired
-	// NotSent: no byte was written.
-	NotSent
-	// NotLoaded, Stale, Other, Busy, Repeated: the runner said that it did not run it.
-	NotLoaded
-	StaleRevision
-	OtherRunner
-	RunnerBusy
-	Duplicate
-	// ResponseLost: bytes were written and no whole answer came.
-	ResponseLost
-	// InvalidResponse: what came is not an answer to this request.
-	InvalidResponse
-)
-
-// StartAttempt tells the shell to send a request to a runner.
-type StartAttempt struct {
-	RequestID, Service, Model, Adapter string
-	Runner, Address, Incarnation       string
-	Revision                           uint64
-	Streaming, Repeatable              bool
-	// WriteByMs is the last moment at which the first byte may be written.
-	WriteByMs  int64
-	DeadlineMs int64
-	// ChunkTimeoutMs is the most that may pass between two pieces of a telling.
-	ChunkTimeoutMs int64
-}
+// unhealthyMs is how long a runner is the last choice after a failure.
+const unhealthyMs = 1000
 
-// request is one that is under way here.
+// request is the state of a client's request from its arrival to its end.
 type request struct {
 	Request
-	key            choice.Key
-	service        *description.Service
-	arrivedMs      int64
-	deadlineMs     int64
+	key choice.Key
+	// service is set by checkNames, and again at each choice of a runner.
+	service *description.Service
+	// arrivedMs is when it arrived, deadlineMs when it is rejected.
+	arrivedMs  int64
+	deadlineMs int64
+	// lookUpID is the id of its look-up; lookUpAnswered says that the choice
+	// table has answered it, or reported a change of the key since.
 	lookUpID       uint64
 	lookUpAnswered bool
-	cacheMiss      bool
-	missCounted    bool
-	isQueued       bool
-	attemptActive  bool
-	attempts       int
+	// cacheMiss says that no runner was known on arrival, missCounted that it
+	// has been counted in MissesDelayed.
+	cacheMiss   bool
+	missCounted bool
+	// isQueued says that it is counted in Machine.queued.
+	isQueued bool
+	// attemptActive says that an attempt at runner is under way; otherwise
+	// runner is that of the last attempt.
+	attemptActive bool
+	runner        string
+	// attempts counts the attempts without those that expired.
+	attempts int
+	// idRecorded says that its id is in Machine.recentIDs, budgetCredited that
+	// the retry budget has had its deposit for it.
 	idRecorded     bool
 	budgetCredited bool
-	// mayHaveRun is set once a go was lost: from then on no answer is a drop.
-	mayHaveRun   bool
-	runner       string
+	// mayHaveRun is set by the first attempt that a runner may have executed:
+	// from then on the client is never told that the request has not run.
+	mayHaveRun bool
+	// triedRunners are the processes that it was sent to.
 	triedRunners map[protocol.LeavingRunner]bool
-	// loadExpectedMs is when what it needs may be held, by the index's last word, or
-	// nought.
+	// loadExpectedMs is when a runner may hold what it needs, by the last
+	// answer of the choice table; 0 if that is not known.
 	loadExpectedMs int64
-	// lastErrorKind is the kind a request gets when no further go is to be had.
+	// lastErrorKind is the error kind of the last attempt, for the client if
+	// no other attempt follows.
 	lastErrorKind errkind.Kind
 }
 
-// Policy is one step on the way of a request. The way ends at the first step
-// that does not say next.
-type Policy interface {
-	Decide(m *Machine, r *request) verdict
-}
-
-type verdict struct {
-	next bool
-	// kind ends the request; without one it waits.
-	kind   errkind.Kind
-	detail string
-}
-
-var (
-	next = verdict{next: true}
-	wait = verdict{}
-)
-
-func drop(kind errkind.Kind, detail string) verdict { return verdict{kind: kind, detail: detail} }
-
-// The ways: what is asked when a request comes, and at each later turn.
-var (
-	arrival = []Policy{namePolicy{}, repeatPolicy{}, roomPolicy{}, lookUpPolicy{}}
-	turn    = []Policy{timePolicy{}, wordPolicy{}, choicePolicy{}, budgetPolicy{}, sendPolicy{}}
-)
+// idKey is the request's id among those of all services.
+func (r *request) idKey() string { return r.Service + "/" + r.RequestID }
 
+// admit takes a new request.
 func (m *Machine) admit(in Request) {
 	m.Counters.Requests++
 	r := &request{
-		Request: in, arrivedMs: m.nowMs, deadlineMs: m.nowMs + maxWaitMs, triedRunners: map[protocol.LeavingRunner]bool{},
-		key: choice.Key{Service: in.Service, Model: in.Model, Adapter: in.Adapter},
+		Request: in, arrivedMs: m.nowMs, deadlineMs: m.nowMs + maxWaitMs,
+		triedRunners: map[protocol.LeavingRunner]bool{},
+		key:          choice.Key{Service: in.Service, Model: in.Model, Adapter: in.Adapter},
 	}
 	m.requests[in.ID] = r
 	m.queue = append(m.queue, in.ID)
-	if m.runStages(arrival, r) {
+	if m.runStages(arrivalStages, r) {
 		m.dispatch(r)
 	}
 }
 
-// runStages leads a request along a way; true says that it came to the end.
-func (m *Machine) runStages(way []Policy, r *request) bool {
-	for _, policy := range way {
-		v := policy.Decide(m, r)
-		if v.next {
+// runStages runs stages until one does not proceed. It reports whether all
+// did.
+func (m *Machine) runStages(stages []stage, r *request) bool {
+	for _, decide := range stages {
+		d := decide(m, r)
+		if d.proceed {
 			continue
 		}
-		if v.kind != "" {
-			m.reject(r, v.kind, v.detail)
+		if d.kind != "" {
+			m.reject(r, d.kind, d.detail)
 		}
 		return false
 	}
 	return true
 }
 
+// dispatch starts the next attempt of a request, rejects the request, or
+// queues it.
 func (m *Machine) dispatch(r *request) {
-	if !r.attemptActive && !m.runStages(turn, r) && m.requests[r.ID] != nil {
+	if r.attemptActive || m.runStages(dispatchStages, r) {
+		return
+	}
+	if m.requests[r.ID] != nil {
 		m.enqueue(r)
 	}
 }
 
-// enqueue gives a waiting request its place, or drops it where there is none.
+// dispatchQueue dispatches every request that has no attempt under way, the
+// oldest first.
+func (m *Machine) dispatchQueue() {
+	kept := m.queue[:0]
+	for _, id := range m.queue {
+		if r := m.requests[id]; r != nil {
+			m.dispatch(r)
+		}
+		if m.requests[id] != nil {
+			kept = append(kept, id)
+		}
+	}
+	m.queue = kept
+}
+
+// enqueue counts a request as waiting, or rejects it if the queue of its
+// service is full.
 func (m *Machine) enqueue(r *request) {
 	if r.isQueued || r.service == nil {
 		return
@@ -169,48 +126,57 @@
 	m.queued[r.Service]++
 }
 
+// dequeue counts a request as no longer waiting.
+func (m *Machine) dequeue(r *request) {
+	if r.isQueued {
+		r.isQueued = false
+		m.queued[r.Service]--
+	}
+}
+
+// reject ends a request with an error. A kind that states that the request has
+// not run is replaced if a runner may have run it.
 func (m *Machine) reject(r *request, kind errkind.Kind, detail string) {
 	if r.mayHaveRun && kind.Response().NotExecuted {
 		kind, detail = errkind.OutcomeUnknown, "an earlier go may have run; then: "+detail
 	}
-	if r.idRecorded && kind.Response().NotExecuted {
-		m.recentIDs.forget(r.Service + "/" + r.RequestID)
+	response := kind.Response()
+	if r.idRecorded && response.NotExecuted {
+		m.recentIDs.forget(r.idKey())
 	}
 	m.Counters.Rejections[kind]++
-	said := protocol.Rejection{Kind: kind, Detail: detail}
-	if r.loadExpectedMs > m.nowMs && kind.Response().RetryAfterSec > 0 {
-		said.RetryMs = r.loadExpectedMs - m.nowMs
+	rejection := Reject{Kind: kind, Detail: detail}
+	if r.loadExpectedMs > m.nowMs && response.RetryAfterSec > 0 {
+		rejection.RetryMs = r.loadExpectedMs - m.nowMs
 	}
-	m.answer(r.ID, said)
+	m.respond(r.ID, rejection)
 	m.forget(r)
 }
 
-func (m *Machine) dequeue(r *request) {
-	if r.isQueued {
-		r.isQueued = false
-		m.queued[r.Service]--
-	}
-}
-
+// forget removes a request that has ended.
 func (m *Machine) forget(r *request) {
 	m.dequeue(r)
 	delete(m.requests, r.ID)
 }
 
-// dispatchQueue gives every waiting request its turn, the eldest first.
-func (m *Machine) dispatchQueue() {
-	kept := m.queue[:0]
-	for _, id := range m.queue {
-		if r := m.requests[id]; r != nil {
-			m.dispatch(r)
-		}
-		if m.requests[id] != nil {
-			kept = append(kept, id)
-		}
+// clientDisconnected forgets a request whose client disconnected.
+func (m *Machine) clientDisconnected(id uint64) {
+	r := m.requests[id]
+	if r == nil {
+		return
 	}
-	m.queue = kept
+	if r.attemptActive {
+		// The attempt was ordered and will not begin any more.
+		m.inFlight[r.runner]--
+	} else if r.idRecorded && !r.mayHaveRun {
+		// It has only waited, so its id may be used again.
+		m.recentIDs.forget(r.idKey())
+	}
+	m.forget(r)
 }
 
+// attemptEnded applies the outcome of an attempt: it updates what is known of
+// the runner, then finishes the request or dispatches it again.
 func (m *Machine) attemptEnded(in AttemptEnded) {
 	r := m.requests[in.ID]
 	if r == nil || !r.attemptActive {
@@ -218,48 +184,63 @@
 	}
 	r.attemptActive = false
 	m.inFlight[r.runner]--
-	mark := protocol.LeavingRunner{Runner: r.runner}
-	for tried := range r.triedRunners {
-		if tried.Runner == r.runner {
-			mark = tried
-		}
-	}
+	process := r.triedProcess()
 	switch in.Outcome {
 	case Completed:
 		m.forget(r)
 		return
 	case Expired:
-		// Nothing was tried, so nothing is used up.
+		// No byte was written, so no attempt is used up.
 		r.attempts--
-		delete(r.triedRunners, mark)
+		delete(r.triedRunners, process)
 	case NotSent:
 		m.unhealthyUntilMs[r.runner] = m.nowMs + unhealthyMs
 		r.lastErrorKind = errkind.NoRunner
 	case NotLoaded, OtherRunner:
-		m.removeHolder(r.key, mark)
+		m.removeHolder(r.key, process)
 		r.lastErrorKind = errkind.NoRunner
 	case StaleRevision:
 		m.highestSeenRevision = max(m.highestSeenRevision, in.Revision)
 		r.lastErrorKind = errkind.NoConfig
-		delete(r.triedRunners, mark)
+		delete(r.triedRunners, process)
 	case RunnerBusy:
 		r.lastErrorKind = errkind.RunnerRejected
 	case Duplicate:
 		m.reject(r, errkind.DuplicateRequest, "the runner has seen this id; the first sending may have run")
 		return
 	case ResponseLost, InvalidResponse:
-		m.unhealthyUntilMs[r.runner] = m.nowMs + unhealthyMs
-		r.mayHaveRun = true
-		kind, detail := errkind.OutcomeUnknown, "the runner got the request and gave no whole answer; it may have run"
-		if in.Outcome == InvalidResponse {
-			kind, detail = errkind.BrokenResponse, "what came from the runner is no answer to this request; it may have run"
-		}
-		// What may have run goes on only if it may run twice.
-		if !r.service.Repeatable {
-			m.reject(r, kind, detail)
-			return
+		m.attemptFailed(r, in.Outcome)
+		return
+	}
+	m.dispatch(r)
+}
+
+// triedProcess returns the process that the last attempt was sent to.
+func (r *request) triedProcess() protocol.LeavingRunner {
+	for tried := range r.triedRunners {
+		if tried.Runner == r.runner {
+			return tried
 		}
-		r.lastErrorKind = kind
 	}
+	return protocol.LeavingRunner{Runner: r.runner}
+}
+
+// attemptFailed handles an attempt that the runner may have executed: the
+// request is sent again only if its service is repeatable.
+func (m *Machine) attemptFailed(r *request, outcome Outcome) {
+	m.unhealthyUntilMs[r.runner] = m.nowMs + unhealthyMs
+	r.mayHaveRun = true
+	kind, detail := errkind.OutcomeUnknown, "the runner got the request and gave no whole answer; it may have run"
+	if outcome == InvalidResponse {
+		kind, detail = errkind.BrokenResponse, "what came from the runner is no answer to this request; it may have run"
+	}
+	if !r.service.Repeatable {
+		m.reject(r, kind, detail)
+		return
+	}
+	r.lastErrorKind = kind
 	m.dispatch(r)
 }
+
+// respond adds an output for a request to the effects.
+func (m *Machine) respond(id uint64, output Output) { m.outbox.Respond(id, output) }
--- a/internal/native/router/retrybudget.go
+++ b/internal/native/router/retrybudget.go
@@ -1,42 +1,32 @@
 package router
 
-// retryBudget is the token bucket of a service's second goes. Each first go earns
-// a fifth; what it may save up is the router's share of the allowance. So no
-// ten seconds anywhere see more than a fifth and the allowance.
-type retryBudget struct {
-	tokens, capacity float64
-}
+import "myrtlewinch/internal/dataplane"
 
+// retryRatio is what each first attempt adds to the retry budget of its
+// service. Together with the capacities it bounds the retries of a service in
+// any ten seconds to a fifth of its requests and the description's allowance.
 const retryRatio = 0.2
 
-func (b *retryBudget) deposit() { b.tokens = min(b.capacity, b.tokens+retryRatio) }
-
-func (b *retryBudget) withdraw() bool {
-	if b.tokens < 1 {
-		return false
-	}
-	b.tokens--
-	return true
-}
-
-// retryAllowance is this router's part of the allowance of a service.
+// retryAllowance is this router's share of the description's allowance of
+// retries, which each service has.
 func (m *Machine) retryAllowance() float64 {
 	return float64(m.description.SecondGoes) / float64(max(1, len(m.description.Routers)))
 }
 
-func (m *Machine) retryBudget(service string) *retryBudget {
-	b := m.retryBudgets[service]
-	if b == nil {
-		b = &retryBudget{tokens: m.retryAllowance(), capacity: max(1, m.retryAllowance())}
-		m.retryBudgets[service] = b
+// retryBudget returns the budget of a service, and creates it on first use.
+func (m *Machine) retryBudget(service string) *dataplane.TokenBucket {
+	budget := m.retryBudgets[service]
+	if budget == nil {
+		created := dataplane.NewTokenBucket(m.retryAllowance(), max(1, m.retryAllowance()))
+		budget = &created
+		m.retryBudgets[service] = budget
 	}
-	return b
+	return budget
 }
 
-// resizeRetryBudgets follows a new description; a bucket is never filled by it.
+// resizeRetryBudgets applies a new description.
 func (m *Machine) resizeRetryBudgets() {
-	for _, b := range m.retryBudgets {
-		b.capacity = max(1, m.retryAllowance())
-		b.tokens = min(b.tokens, b.capacity)
+	for _, budget := range m.retryBudgets {
+		budget.Resize(max(1, m.retryAllowance()))
 	}
 }
--- a/internal/native/router/runnerprotocol.go
+++ b/internal/native/router/runnerprotocol.go
@@ -5,82 +5,108 @@
 	"encoding/json"
 )
 
-// RunRequest is what a runner is sent.
+// RunRequest is the request to a runner.
 type RunRequest struct {
-	Request     string          `json:"request"`
-	Service     string          `json:"service"`
-	Model       string          `json:"model,omitempty"`
-	Adapter     string          `json:"adapter,omitempty"`
-	Revision    uint64          `json:"revision"`
-	Incarnation string          `json:"incarnation"`
-	Repeatable  bool            `json:"repeatable"`
-	Streaming   bool            `json:"telling"`
-	Input       json.RawMessage `json:"input,omitempty"`
+	// Request is the request's id.
+	Request string `json:"request"`
+	Service string `json:"service"`
+	Model   string `json:"model,omitempty"`
+	Adapter string `json:"adapter,omitempty"`
+	// Revision is that of the description that the router uses; a runner that
+	// knows a higher one rejects the request.
+	Revision uint64 `json:"revision"`
+	// Incarnation is that of the process that alone may run the request.
+	Incarnation string `json:"incarnation"`
+	// Repeatable says that the request may run twice.
+	Repeatable bool `json:"repeatable"`
+	// Streaming asks for a stream of lines in place of one response.
+	Streaming bool            `json:"telling"`
+	Input     json.RawMessage `json:"input,omitempty"`
 }
 
-// RunResponse is a runner's whole plain answer, or a line of a telling.
+// RunResponse is a runner's complete response, or one line of a stream.
 type RunResponse struct {
-	Request     string          `json:"request"`
-	Incarnation string          `json:"incarnation"`
-	Answer      json.RawMessage `json:"answer,omitempty"`
-	// Chunk counts from one; End is the count of all pieces, on the last line.
+	// Request and Incarnation are those of the RunRequest.
+	Request     string `json:"request"`
+	Incarnation string `json:"incarnation"`
+	// Answer is set in a response that is not a stream.
+	Answer json.RawMessage `json:"answer,omitempty"`
+	// Chunk counts the lines of a stream from 1; Text is the line's content.
 	Chunk int    `json:"piece,omitempty"`
 	Text  string `json:"text,omitempty"`
-	End   *int   `json:"end,omitempty"`
+	// End is the number of chunks. It is set in the last line, which has no
+	// chunk.
+	End *int `json:"end,omitempty"`
 }
 
-// RunRejection is a runner's word that it did not run a request.
+// RunRejection is a runner's statement that it did not run a request.
 type RunRejection struct {
-	Kind     string `json:"kind"`
-	Request  string `json:"request"`
-	Ran      *bool  `json:"ran"`
+	// Kind is an error kind.
+	Kind string `json:"kind"`
+	// Request is the request's id.
+	Request string `json:"request"`
+	// Ran must be present and false.
+	Ran *bool `json:"ran"`
+	// Revision is the runner's own, if it is higher than the request's.
 	Revision uint64 `json:"revision,omitempty"`
 }
 
-// StreamCheck checks a streamed answer line by line: its pieces must come in
-// order, from one run, and only the end mark ends it.
+// isFor reports whether the rejection is a valid one of the request.
+func (r *RunRejection) isFor(requestID string) bool {
+	return r.Request == requestID && r.Ran != nil && !*r.Ran
+}
+
+// StreamCheck checks a stream line by line: its chunks must be those of the
+// request, from one process and in order, and only the end line ends it.
 type StreamCheck struct {
 	Request, Incarnation string
-	pieces               int
+	chunks               int
 	ended                bool
 }
 
-// Accept says whether the line may be relayed.
-func (t *StreamCheck) Accept(line []byte) bool {
-	answer, ok := parseStrictly(line)
-	if !ok || t.ended || answer.Request != t.Request || answer.Incarnation != t.Incarnation || answer.Answer != nil {
+// Accept reports whether the line may be forwarded. After a line that may not,
+// the check must not be used again.
+func (c *StreamCheck) Accept(line []byte) bool {
+	response, ok := parseStrictly(line)
+	if !ok || c.ended || response.Answer != nil {
+		return false
+	}
+	if response.Request != c.Request || response.Incarnation != c.Incarnation {
 		return false
 	}
-	if answer.End != nil {
-		t.ended = *answer.End == t.pieces && answer.Chunk == 0
-		return t.ended
+	if response.End != nil {
+		c.ended = *response.End == c.chunks && response.Chunk == 0
+		return c.ended
 	}
-	if answer.Chunk != t.pieces+1 {
+	if response.Chunk != c.chunks+1 {
 		return false
 	}
-	t.pieces++
+	c.chunks++
 	return true
 }
 
-// Complete says whether the telling is whole.
-func (t *StreamCheck) Complete() bool { return t.ended }
+// Complete reports whether the stream has ended well.
+func (c *StreamCheck) Complete() bool { return c.ended }
 
-// Started says whether a piece was taken.
-func (t *StreamCheck) Started() bool { return t.pieces > 0 || t.ended }
+// Started reports whether a line has been accepted.
+func (c *StreamCheck) Started() bool { return c.chunks > 0 || c.ended }
 
-// ValidResponse says whether a text is the whole plain answer to the request.
-func ValidResponse(text []byte, request, incarnation string) bool {
-	answer, ok := parseStrictly(text)
-	return ok && answer.Request == request && answer.Incarnation == incarnation && answer.Answer != nil &&
-		answer.End == nil && answer.Chunk == 0
+// ValidResponse reports whether a text is the complete response to the
+// request, and not a line of a stream.
+func ValidResponse(text []byte, requestID, incarnation string) bool {
+	response, ok := parseStrictly(text)
+	if !ok || response.Request != requestID || response.Incarnation != incarnation {
+		return false
+	}
+	return response.Answer != nil && response.End == nil && response.Chunk == 0
 }
 
-// parseStrictly reads one whole JSON value and nothing after it.
+// parseStrictly parses exactly one JSON value.
 func parseStrictly(text []byte) (RunResponse, bool) {
-	var answer RunResponse
+	var response RunResponse
 	decoder := json.NewDecoder(bytes.NewReader(text))
-	if decoder.Decode(&answer) != nil {
-		return answer, false
+	if decoder.Decode(&response) != nil {
+		return response, false
 	}
-	return answer, len(bytes.TrimSpace(text[decoder.InputOffset():])) == 0
+	return response, len(bytes.TrimSpace(text[decoder.InputOffset():])) == 0
 }
--- a/internal/native/router/stages.go
+++ b/internal/native/router/stages.go
@@ -4,90 +4,131 @@
 	"fmt"
 
 	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/protocol"
 )
 
-// namePolicy checks what the request names against the description.
-type namePolicy struct{}
+const (
+	// missDelayedMs is how long a miss waits before it counts as delayed.
+	missDelayedMs = 50
+	// maxWaitMs ends a request whose look-up is not answered, or that waits
+	// for the primary.
+	maxWaitMs = 1500
+)
+
+// The cost of a candidate, which the least one wins: loadCost for each request
+// there, otherZoneCost outside the router's zone, and unhealthyCost after a
+// failure.
+const (
+	loadCost      = 4
+	otherZoneCost = 2
+	unhealthyCost = 1000
+)
+
+// stage decides on one aspect of a request. A list of stages is run until one
+// does not return proceed.
+type stage func(m *Machine, r *request) decision
+
+// decision is the result of a stage.
+type decision struct {
+	// proceed goes on with the next stage.
+	proceed bool
+	// kind and detail reject the request. Without a kind it waits.
+	kind   errkind.Kind
+	detail string
+}
+
+var (
+	proceed = decision{proceed: true}
+	wait    = decision{}
+)
+
+func rejectWith(kind errkind.Kind, detail string) decision {
+	return decision{kind: kind, detail: detail}
+}
 
-// Decide drops what the description does not allow.
-func (namePolicy) Decide(m *Machine, r *request) verdict {
+// arrivalStages are run when a request arrives, dispatchStages then and at
+// each later dispatch.
+var (
+	arrivalStages  = []stage{checkNames, checkDuplicate, checkQueueLimit, startLookUp}
+	dispatchStages = []stage{checkTime, checkLease, chooseRunner, checkRetryBudget, startAttempt}
+)
+
+// checkNames checks what the request names against the description.
+func checkNames(m *Machine, r *request) decision {
 	if m.draining {
-		return drop(errkind.ShuttingDown, "this router is stopping")
+		return rejectWith(errkind.ShuttingDown, "this router is stopping")
 	}
 	if m.description == nil {
-		return drop(errkind.NoConfig, "this router has no description yet")
+		return rejectWith(errkind.NoConfig, "this router has no description yet")
 	}
-	service, ok := m.description.Service(r.Service)
-	if !ok {
-		return drop(errkind.UnknownService, r.Service)
+	service, found := m.description.Service(r.Service)
+	if !found {
+		return rejectWith(errkind.UnknownService, r.Service)
 	}
 	r.service = service
 	r.deadlineMs = m.nowMs + service.DeadlineMs
 	if r.BodyBytes > service.BytesMost {
-		return drop(errkind.TooLarge, fmt.Sprintf("this service takes %d bytes at most", service.BytesMost))
+		return rejectWith(errkind.TooLarge, fmt.Sprintf("this service takes %d bytes at most", service.BytesMost))
 	}
+	return checkModel(m, r, service)
+}
+
+// checkModel checks that the service may use the model and the adapter.
+func checkModel(m *Machine, r *request, service *description.Service) decision {
 	if len(service.Models) == 0 {
 		if r.Model != "" || r.Adapter != "" {
-			return drop(errkind.ModelNotAllowed, "this service has no models")
+			return rejectWith(errkind.ModelNotAllowed, "this service has no models")
 		}
-		return next
+		return proceed
 	}
-	if _, ok := m.description.Model(r.Model); !ok {
-		return drop(errkind.UnknownModel, "model: "+r.Model)
+	if _, found := m.description.Model(r.Model); !found {
+		return rejectWith(errkind.UnknownModel, "model: "+r.Model)
 	}
 	if !service.Allows(r.Model) {
-		return drop(errkind.ModelNotAllowed, "model: "+r.Model)
+		return rejectWith(errkind.ModelNotAllowed, "model: "+r.Model)
 	}
 	if r.Adapter == "" {
-		return next
+		return proceed
 	}
-	adapter, ok := m.description.Adapter(r.Adapter)
-	if !ok {
-		return drop(errkind.UnknownAdapter, "adapter: "+r.Adapter)
+	adapter, found := m.description.Adapter(r.Adapter)
+	if !found {
+		return rejectWith(errkind.UnknownAdapter, "adapter: "+r.Adapter)
 	}
 	if adapter.Model != r.Model {
-		return drop(errkind.ModelNotAllowed, "adapter: "+r.Adapter+" belongs to model "+adapter.Model)
+		return rejectWith(errkind.ModelNotAllowed, "adapter: "+r.Adapter+" belongs to model "+adapter.Model)
 	}
-	return next
+	return proceed
 }
 
-// repeatPolicy refuses an id that was seen lately where its first sending may
-// have run and may not run twice.
-type repeatPolicy struct{}
-
-// Decide lets what may be repeated pass.
-func (repeatPolicy) Decide(m *Machine, r *request) verdict {
+// checkDuplicate rejects an id that came before if the first request may have
+// run and the service's requests must not run twice.
+func checkDuplicate(m *Machine, r *request) decision {
 	if !r.ClientChoseID || r.service.Repeatable {
-		return next
+		return proceed
 	}
-	if m.recentIDs.has(r.Service + "/" + r.RequestID) {
-		return drop(errkind.DuplicateRequest, "this id was taken here before; the first sending may have run")
+	if m.recentIDs.has(r.idKey()) {
+		return rejectWith(errkind.DuplicateRequest, "this id was taken here before; the first sending may have run")
 	}
-	// Taken from now on, so that two of one id that wait together are no two.
-	m.recentIDs.add(r.Service + "/" + r.RequestID)
+	// Recorded now, since two requests of one id may wait together.
+	m.recentIDs.add(r.idKey())
 	r.idRecorded = true
-	return next
+	return proceed
 }
 
-// roomPolicy drops early when no place is left to wait in, so that a request
-// costs nothing that it can't use.
-type roomPolicy struct{}
-
-// Decide drops only what would have to wait.
-func (roomPolicy) Decide(m *Machine, r *request) verdict {
-	if m.queued[r.Service] >= int(r.service.Holding) && (m.cachedEntry(r.key) == nil || !m.maySendNow()) {
-		return drop(errkind.QueueFull, "too many requests of this service wait here")
+// checkQueueLimit rejects a request that would have to wait in a full queue.
+func checkQueueLimit(m *Machine, r *request) decision {
+	queueFull := m.queued[r.Service] >= int(r.service.Holding)
+	if queueFull && (m.cachedEntry(r.key) == nil || !m.maySendNow()) {
+		return rejectWith(errkind.QueueFull, "too many requests of this service wait here")
 	}
-	return next
+	return proceed
 }
 
-// lookUpPolicy sends the one look-up of the request, hit or miss, so that the
-// index's burden follows the requests and never the warmth of this cache.
-type lookUpPolicy struct{}
-
-// Decide never waits: a hit goes on at once.
-func (lookUpPolicy) Decide(m *Machine, r *request) verdict {
+// startLookUp sends the look-up of the request. There is one for every
+// request, hit or miss, so that the load of the control plane follows the
+// number of requests. A hit does not wait for the answer.
+func startLookUp(m *Machine, r *request) decision {
 	m.lookUpCount++
 	r.lookUpID = m.lookUpCount
 	m.Counters.LookUps++
@@ -98,142 +139,136 @@
 		m.Counters.Misses++
 	}
 	m.sendLookUp(r)
-	return next
+	return proceed
 }
 
-// timePolicy gives the final answer as soon as it is certain.
-type timePolicy struct{}
-
-// Decide ends what has no time, no word or no look-up left to hope for.
-func (timePolicy) Decide(m *Machine, r *request) verdict {
-	// What waits here can be taken by another router at once.
+// checkTime rejects a request as soon as waiting is hopeless.
+func checkTime(m *Machine, r *request) decision {
 	if m.draining {
-		return drop(errkind.ShuttingDown, "this router is stopping; another takes it")
+		return rejectWith(errkind.ShuttingDown, "this router is stopping; another takes it")
 	}
 	if m.nowMs >= r.deadlineMs {
-		return drop(errkind.DeadlinePassed, "its time passed while it waited")
+		return rejectWith(errkind.DeadlinePassed, "its time passed while it waited")
 	}
-	// What can't be had in time is not waited for: who comes back at its turn
-	// finds it held.
-	if r.loadExpectedMs >= r.deadlineMs && m.cachedEntry(r.key) == nil {
-		return drop(errkind.PlacementTimeout, "what it needs is not held, and its turn comes after this request's time")
+	hit := m.cachedEntry(r.key) != nil
+	if r.loadExpectedMs >= r.deadlineMs && !hit {
+		return rejectWith(errkind.PlacementTimeout, "what it needs is not held, and its turn comes after this request's time")
 	}
-	if m.nowMs-r.arrivedMs >= maxWaitMs && !m.maySendNow() {
-		return drop(errkind.NoConfig, "no word from control")
+	waitedMs := m.nowMs - r.arrivedMs
+	if waitedMs >= maxWaitMs && !m.maySendNow() {
+		return rejectWith(errkind.NoConfig, "no word from control")
 	}
-	if m.nowMs-r.arrivedMs >= maxWaitMs && !r.lookUpAnswered && m.cachedEntry(r.key) == nil {
-		return drop(errkind.NoConfig, "the index did not answer")
+	if waitedMs >= maxWaitMs && !r.lookUpAnswered && !hit {
+		return rejectWith(errkind.NoConfig, "the index did not answer")
 	}
-	if r.cacheMiss && !r.missCounted && m.nowMs-r.arrivedMs >= missDelayedMs {
+	if r.cacheMiss && !r.missCounted && waitedMs >= missDelayedMs {
 		r.missCounted = true
 		m.Counters.MissesDelayed++
 	}
-	return next
+	return proceed
 }
 
-// wordPolicy holds requests while this router may not use its revision.
-type wordPolicy struct{}
-
-// Decide waits for control's word.
-func (wordPolicy) Decide(m *Machine, _ *request) verdict {
+// checkLease lets requests wait while this router may not use its revision.
+func checkLease(m *Machine, _ *request) decision {
 	if !m.maySendNow() {
 		return wait
 	}
-	return next
+	return proceed
 }
 
-// choicePolicy looks the runner up in the cached line.
-type choicePolicy struct{}
-
-// Decide takes the least burdened holder, one of this zone where they are alike.
-func (choicePolicy) Decide(m *Machine, r *request) verdict {
-	e := m.cachedEntry(r.key)
-	if e == nil {
-		// A runner has said no and the index knows no other: that is final.
-		if r.lastErrorKind != "" {
-			return drop(r.lastErrorKind, "no other runner is to be had")
-		}
-		return wait
+// chooseRunner chooses the holder of the least cost.
+func chooseRunner(m *Machine, r *request) decision {
+	entry := m.cachedEntry(r.key)
+	if entry == nil {
+		return r.noRunner()
 	}
 	// The description may have changed while the request waited.
-	service, ok := m.description.Service(r.Service)
-	if !ok || r.Model != "" && !service.Allows(r.Model) {
-		return drop(errkind.ModelNotAllowed, "the description has changed")
+	service, found := m.description.Service(r.Service)
+	if !found || r.Model != "" && !service.Allows(r.Model) {
+		return rejectWith(errkind.ModelNotAllowed, "the description has changed")
 	}
 	r.service = service
 	best, bestCost := -1, int64(0)
-	for i, h := range e.holders {
-		mark := protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}
-		runner, listed := m.description.Runner(h.Runner)
-		if !listed || !service.Uses(runner.Pool) || m.drained[mark] || m.drainingRunners[h.Runner] || r.triedRunners[mark] {
-			continue
-		}
-		cost := 4 * (m.inFlight[h.Runner] + h.Burden)
-		if runner.Zone != m.settings.Self.Zone {
-			cost += 2
-		}
-		if m.unhealthyUntilMs[h.Runner] > m.nowMs {
-			cost += 1000
-		}
-		if best < 0 || cost < bestCost {
+	for i := range entry.holders {
+		cost, usable := m.holderCost(r, entry.holders[i])
+		if usable && (best < 0 || cost < bestCost) {
 			best, bestCost = i, cost
 		}
 	}
 	if best < 0 {
-		// Where a runner has already said no, waiting for another would only
-		// keep the sender from coming back.
-		if r.lastErrorKind != "" {
-			return drop(r.lastErrorKind, "no other runner is to be had")
-		}
-		return wait
+		return r.noRunner()
+	}
+	r.runner = entry.holders[best].Runner
+	return proceed
+}
+
+// noRunner decides on a request for which no runner is known. After a failed
+// attempt it is rejected, so that its client can come back soon.
+func (r *request) noRunner() decision {
+	if r.lastErrorKind != "" {
+		return rejectWith(r.lastErrorKind, "no other runner is to be had")
 	}
-	r.runner = e.holders[best].Runner
-	return next
+	return wait
 }
 
-// budgetPolicy keeps second goes within their bucket.
-type budgetPolicy struct{}
+// holderCost returns the cost of a holder, and whether it may get the request
+// at all.
+func (m *Machine) holderCost(r *request, holder protocol.Holder) (cost int64, usable bool) {
+	process := protocol.LeavingRunner{Runner: holder.Runner, Incarnation: holder.Incarnation}
+	runner, listed := m.description.Runner(holder.Runner)
+	if !listed || !r.service.Uses(runner.Pool) || m.isDraining(process) || r.triedRunners[process] {
+		return 0, false
+	}
+	cost = loadCost * (m.inFlight[holder.Runner] + holder.Burden)
+	if runner.Zone != m.settings.Self.Zone {
+		cost += otherZoneCost
+	}
+	if m.unhealthyUntilMs[holder.Runner] > m.nowMs {
+		cost += unhealthyCost
+	}
+	return cost, true
+}
 
-// Decide earns for a first go and spends for each further one.
-func (budgetPolicy) Decide(m *Machine, r *request) verdict {
-	b := m.retryBudget(r.Service)
+// checkRetryBudget takes a token for every attempt but the first.
+func checkRetryBudget(m *Machine, r *request) decision {
+	budget := m.retryBudget(r.Service)
 	if r.attempts == 0 {
-		return next
+		return proceed
 	}
-	if !b.withdraw() {
-		return drop(r.lastErrorKind, "second goes of this service are used up")
+	if !budget.Withdraw() {
+		return rejectWith(r.lastErrorKind, "second goes of this service are used up")
 	}
 	m.Counters.Retries++
-	return next
+	return proceed
 }
 
-// sendPolicy makes the go, with the last moment at which it may be written.
-type sendPolicy struct{}
-
-// Decide is the check at the moment of sending.
-func (sendPolicy) Decide(m *Machine, r *request) verdict {
-	e := m.cachedEntry(r.key)
-	for _, h := range e.holders {
-		if h.Runner != r.runner {
-			continue
-		}
-		if !r.budgetCredited {
-			r.budgetCredited = true
-			m.retryBudget(r.Service).deposit()
+// startAttempt starts an attempt at the chosen runner.
+func startAttempt(m *Machine, r *request) decision {
+	for _, holder := range m.cachedEntry(r.key).holders {
+		if holder.Runner == r.runner {
+			m.startAttemptAt(r, holder)
+			return proceed
 		}
-		r.attempts++
-		r.attemptActive = true
-		m.dequeue(r)
-		m.inFlight[h.Runner]++
-		m.Counters.Attempts++
-		r.triedRunners[protocol.LeavingRunner{Runner: h.Runner, Incarnation: h.Incarnation}] = true
-		m.answer(r.ID, StartAttempt{
-			RequestID: r.RequestID, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
-			Runner: h.Runner, Address: h.Address, Incarnation: h.Incarnation, Revision: m.revision,
-			Streaming: r.service.Telling, Repeatable: r.service.Repeatable,
-			WriteByMs: min(m.maySendUntil(), r.deadlineMs), DeadlineMs: r.deadlineMs, ChunkTimeoutMs: r.service.DeadlineMs,
-		})
-		return next
 	}
 	return wait
 }
+
+// startAttemptAt starts an attempt at a holder.
+func (m *Machine) startAttemptAt(r *request, holder protocol.Holder) {
+	if !r.budgetCredited {
+		r.budgetCredited = true
+		m.retryBudget(r.Service).Deposit(retryRatio)
+	}
+	r.attempts++
+	r.attemptActive = true
+	m.dequeue(r)
+	m.inFlight[holder.Runner]++
+	m.Counters.Attempts++
+	r.triedRunners[protocol.LeavingRunner{Runner: holder.Runner, Incarnation: holder.Incarnation}] = true
+	m.respond(r.ID, StartAttempt{
+		RequestID: r.RequestID, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
+		Runner: holder.Runner, Address: holder.Address, Incarnation: holder.Incarnation, Revision: m.revision,
+		Streaming: r.service.Telling, Repeatable: r.service.Repeatable,
+		WriteByMs: min(m.maySendUntil(), r.deadlineMs), DeadlineMs: r.deadlineMs, ChunkTimeoutMs: r.service.DeadlineMs,
+	})
+}
--- a/internal/native/router/status.go
+++ b/internal/native/router/status.go
@@ -8,30 +8,58 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// StatusQuery asks for the status.
-type StatusQuery struct{ ID uint64 }
+// Counters counts what a router did since its start. They are part of the
+// status page.
+type Counters struct {
+	Requests uint64
+	// LookUps counts the look-ups of requests, one each; LookUpRetries those
+	// repeated at another controller.
+	LookUps       uint64
+	LookUpRetries uint64 `json:"LookUpsAgain"`
+	// Hits counts the looked-up requests for which a runner was known on
+	// arrival, Misses the others, and MissesDelayed the misses that waited for
+	// at least 50 ms.
+	Hits          uint64
+	Misses        uint64
+	MissesDelayed uint64 `json:"MissesHeld"`
+	// Attempts counts all attempts, Retries those after the first one of a
+	// request.
+	Attempts uint64 `json:"Goes"`
+	Retries  uint64 `json:"SecondGoes"`
+	// Rejections counts the rejected requests by error kind.
+	Rejections map[errkind.Kind]uint64 `json:"Drops"`
+}
 
-// Status is what a router believes.
+// Status is the status page of a router, as it is encoded to JSON.
 type Status struct {
-	Site     string                   `json:"site"`
-	Name     string                   `json:"name"`
-	Part     string                   `json:"part"`
-	Epoch    uint64                   `json:"epoch"`
-	Primary  string                   `json:"primary"`
-	Revision uint64                   `json:"revision"`
-	Held     string                   `json:"held,omitempty"`
-	Usable   bool                     `json:"usable"`
-	Stopping bool                     `json:"stopping"`
-	Retired  bool                     `json:"retired"`
-	UsableMs int64                    `json:"usableMs"`
-	WordMs   int64                    `json:"wordAgeMs"`
+	Site string `json:"site"`
+	Name string `json:"name"`
+	// Part is the daemon's role.
+	Part string `json:"part"`
+	// Epoch and Primary are those of the control plane as this router knows
+	// them.
+	Epoch   uint64 `json:"epoch"`
+	Primary string `json:"primary"`
+	// Revision is that of the description in use, Held the digest of the next
+	// one that this router has acknowledged.
+	Revision uint64 `json:"revision"`
+	Held     string `json:"held,omitempty"`
+	// Usable reports whether this router may send requests now, UsableMs for
+	// how long it still may.
+	Usable   bool  `json:"usable"`
+	Stopping bool  `json:"stopping"`
+	Retired  bool  `json:"retired"`
+	UsableMs int64 `json:"usableMs"`
+	// WordMs is the age of what it knows of draining runners.
+	WordMs int64 `json:"wordAgeMs"`
+	// Waiting is the number of requests under way.
 	Waiting  int                      `json:"waiting"`
 	Leaving  []protocol.LeavingRunner `json:"leaving"`
 	Cache    []EntryStatus            `json:"cache"`
 	Counters Counters                 `json:"tally"`
 }
 
-// EntryStatus is a cached entry.
+// EntryStatus is one cached entry of the choice table.
 type EntryStatus struct {
 	Key     string            `json:"key"`
 	At      protocol.Position `json:"at"`
@@ -39,25 +67,28 @@
 	Runners []string          `json:"runners"`
 }
 
-func (m *Machine) reportStatus(in StatusQuery) {
-	s := Status{
-		Site: m.settings.Site, Name: m.settings.Self.Name, Part: m.settings.Self.Part, Epoch: m.epoch, Primary: m.primary,
-		Revision: m.revision, Held: m.pendingDigest, Usable: m.maySendNow(), Stopping: m.draining, Retired: m.retired,
-		UsableMs: m.maySendUntil() - m.nowMs, WordMs: m.nowMs - m.drainingAsOfMs, Waiting: len(m.requests), Counters: m.Counters,
+// status returns the status page; it shares no memory with the machine.
+func (m *Machine) status() Status {
+	status := Status{
+		Site: m.settings.Site, Name: m.settings.Self.Name, Part: m.settings.Self.Part,
+		Epoch: m.epoch, Primary: m.primary, Revision: m.revision, Held: m.pendingDigest,
+		Usable: m.maySendNow(), Stopping: m.draining, Retired: m.retired,
+		UsableMs: m.maySendUntil() - m.nowMs, WordMs: m.nowMs - m.drainingAsOfMs,
+		Waiting: len(m.requests), Counters: m.Counters,
 	}
-	s.Counters.Rejections = map[errkind.Kind]uint64{}
-	maps.Copy(s.Counters.Rejections, m.Counters.Rejections)
-	for mark := range m.drained {
-		s.Leaving = append(s.Leaving, mark)
+	status.Counters.Rejections = map[errkind.Kind]uint64{}
+	maps.Copy(status.Counters.Rejections, m.Counters.Rejections)
+	for runner := range m.drained {
+		status.Leaving = append(status.Leaving, runner)
 	}
-	sort.Slice(s.Leaving, func(i, j int) bool { return s.Leaving[i].Runner < s.Leaving[j].Runner })
-	for key, e := range m.cache {
-		line := EntryStatus{Key: key.String(), At: e.position, AgeMs: m.nowMs - e.asOfMs}
-		for _, h := range e.holders {
-			line.Runners = append(line.Runners, h.Runner)
+	sort.Slice(status.Leaving, func(i, j int) bool { return status.Leaving[i].Runner < status.Leaving[j].Runner })
+	for key, entry := range m.cache {
+		line := EntryStatus{Key: key.String(), At: entry.position, AgeMs: m.nowMs - entry.asOfMs}
+		for _, holder := range entry.holders {
+			line.Runners = append(line.Runners, holder.Runner)
 		}
-		s.Cache = append(s.Cache, line)
+		status.Cache = append(status.Cache, line)
 	}
-	sort.Slice(s.Cache, func(i, j int) bool { return s.Cache[i].Key < s.Cache[j].Key })
-	m.answer(in.ID, s)
+	sort.Slice(status.Cache, func(i, j int) bool { return status.Cache[i].Key < status.Cache[j].Key })
+	return status
 }
--- a/internal/proxy/controlplane.go
+++ b/internal/proxy/controlplane.go
@@ -71,7 +71,7 @@
 	if !known || m.primary == "" {
 		return
 	}
-	m.sendMessage(node, protocol.ConfigPoll{
+	m.outbox.Send(node, protocol.ConfigPoll{
 		EchoMs: m.nowMs, Version: m.mapVersion, Sum: m.mapDigest,
 		LeavingSum: m.drainingDigest, ControllersSum: m.controllersDigest,
 	})
@@ -82,27 +82,21 @@
 func (m *Machine) searchPrimary() {
 	m.lastSearchMs = m.nowMs
 	for _, seed := range m.seeds {
-		m.effects.Sends = append(m.effects.Sends, protocol.Send{Address: seed, Body: protocol.PeersRequest{}})
+		m.outbox.SendToAddress(seed, protocol.PeersRequest{})
 	}
 	controllers := m.detector.NodesOf(protocol.RoleController)
 	controllers = slices.DeleteFunc(controllers, func(node protocol.Node) bool {
 		return slices.Contains(m.seeds, node.Address)
 	})
 	if len(controllers) > 0 {
-		m.sendMessage(controllers[int(m.nowMs/searchEachMs)%len(controllers)], protocol.PeersRequest{})
+		m.outbox.Send(controllers[int(m.nowMs/searchEachMs)%len(controllers)], protocol.PeersRequest{})
 	}
 }
 
 // receive handles a message of another daemon. One that is not meant for this
 // daemon is counted and ignored.
 func (m *Machine) receive(e protocol.Envelope) {
-	if e.Site != m.settings.Site {
-		m.countError(errkind.WrongSite)
-		return
-	}
-	// The address may have belonged to another daemon before.
-	if e.To != "" && e.To != m.settings.Self.Name {
-		m.countError(errkind.WrongDaemon)
+	if m.outbox.Misaddressed(e, m.settings.Site, m.settings.Self.Name) {
 		return
 	}
 	m.detector.Observe(m.nowMs, e.From)
@@ -123,13 +117,13 @@
 	case protocol.IndexReply:
 		m.applyIndexReply(body)
 	default:
-		m.countError(errkind.Malformed)
+		m.outbox.CountError(errkind.Malformed)
 	}
 }
 
 // answerPeersRequest reports the known daemons and the primary.
 func (m *Machine) answerPeersRequest(from protocol.Node) {
-	m.sendMessage(from, protocol.PeersReply{
+	m.outbox.Send(from, protocol.PeersReply{
 		Peers:  m.detector.Nodes(),
 		Record: protocol.EpochRecord{Epoch: m.epoch, Primary: m.primary},
 	})
@@ -139,7 +133,7 @@
 // answered this router.
 func (m *Machine) answerPrimaryQuery(from protocol.Node, query protocol.PrimaryQuery) {
 	if query.Epoch == m.epoch {
-		m.sendMessage(from, protocol.PrimaryReply{Epoch: query.Epoch, HeardMs: m.nowMs - m.primaryConfirmedMs})
+		m.outbox.Send(from, protocol.PrimaryReply{Epoch: query.Epoch, HeardMs: m.nowMs - m.primaryConfirmedMs})
 	}
 }
 
@@ -165,7 +159,7 @@
 // comes unasked.
 func (m *Machine) applyConfigUpdate(from protocol.Node, update protocol.ConfigUpdate) {
 	if update.Epoch < m.epoch {
-		m.countError(errkind.LowerEpoch)
+		m.outbox.CountError(errkind.LowerEpoch)
 		return
 	}
 	if update.EchoMs > m.nowMs {
@@ -239,7 +233,7 @@
 	if len(update.Packed) > 0 {
 		unpacked, err := protocol.Decompress(update.Packed)
 		if err != nil || protocol.Digest(unpacked) != update.Sum {
-			m.countError(errkind.Malformed)
+			m.outbox.CountError(errkind.Malformed)
 			return
 		}
 		text = unpacked
@@ -254,13 +248,13 @@
 	}
 	serviceMap, faults := m.format.Parse([]byte(text))
 	if len(faults) > 0 || serviceMap == nil {
-		m.countError(errkind.Malformed)
+		m.outbox.CountError(errkind.Malformed)
 		return
 	}
 	serviceMap.BuildIndex()
 	m.mapVersion, m.mapDigest = update.Version, update.Sum
 	m.serviceMap.Store(serviceMap)
-	m.logf("map version %d is in use", update.Version)
+	m.outbox.Logf("map version %d is in use", update.Version)
 }
 
 // markDraining notes that a runner is shutting down, so that it is no longer a
--- a/internal/proxy/lookup.go
+++ b/internal/proxy/lookup.go
@@ -26,7 +26,7 @@
 	}
 	r.lookUpsSent++
 	r.lookUpSentMs, r.lookUpController = m.nowMs, controller
-	m.sendMessage(node, protocol.IndexLookUp{
+	m.outbox.Send(node, protocol.IndexLookUp{
 		ID: r.lookUpID, Service: r.key.service, Model: r.key.model, Adapter: r.key.adapter,
 		Tokens: r.tokens, Waits: r.cacheMiss, Prompt: r.Params.PromptTokens,
 		ReadMs: m.prefillReports.takeMinimum(r.key.service, r.key.model),
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -20,6 +20,7 @@
 
 	"myrtlewinch/internal/bounds"
 	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/dataplane"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/failuredetector"
 	"myrtlewinch/internal/protocol"
@@ -79,8 +80,8 @@
 	format     Format
 	nowMs      int64
 	lastStepMs int64
-	// effects collects the effects of the current step.
-	effects protocol.Effects
+	// outbox collects the effects of the current step.
+	outbox dataplane.Outbox
 	// detector knows the daemons of the site and which of them are alive.
 	detector *failuredetector.Detector
 
@@ -159,7 +160,7 @@
 // protocol that Input names panics.
 func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
 	m.nowMs = nowMs
-	m.effects = protocol.Effects{}
+	m.outbox = dataplane.Outbox{}
 	if nowMs-m.lastStepMs > stallMs {
 		m.resumeAfterStall()
 	}
@@ -176,7 +177,7 @@
 	default:
 		panic(fmt.Sprintf("proxy: unknown input %T", input))
 	}
-	return m.effects
+	return m.outbox.Effects
 }
 
 // resumeAfterStall polls the primary at once, since everything this router
@@ -241,22 +242,5 @@
 	}
 }
 
-// sendMessage adds a message to another daemon to the effects.
-func (m *Machine) sendMessage(to protocol.Node, body protocol.Message) {
-	m.effects.Sends = append(m.effects.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
-}
-
 // reply adds the output for the request or query with this id to the effects.
-func (m *Machine) reply(id uint64, output Output) {
-	m.effects.Responses = append(m.effects.Responses, protocol.Response{ID: id, Body: output})
-}
-
-// logf adds a log line to the effects.
-func (m *Machine) logf(format string, args ...any) {
-	m.effects.LogLines = append(m.effects.LogLines, fmt.Sprintf(format, args...))
-}
-
-// countError adds one to the process's counter of an error kind.
-func (m *Machine) countError(kind errkind.Kind) {
-	m.effects.Counts = append(m.effects.Counts, string(kind))
-}
+func (m *Machine) reply(id uint64, output Output) { m.outbox.Respond(id, output) }
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -68,6 +68,12 @@
 	return b
 }
 
+// setRetryTokens sets what is in a service's retry budget, up to its capacity.
+func (b *machineBench) setRetryTokens(service string, tokens float64) {
+	budget := b.m.retryBudget(service)
+	budget.Deposit(tokens - budget.Tokens())
+}
+
 func (b *machineBench) step(input any) protocol.Effects { return b.m.Step(b.nowMs, input) }
 
 func (b *machineBench) receive(place protocol.Node, body protocol.Message) protocol.Effects {
@@ -385,7 +391,7 @@
 	b := newReadyBench(c)
 	b.request("/safe/")
 	onlyOutput[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: ResponseLost}))
-	b.m.retryBudget("pages").tokens = 0
+	b.setRetryTokens("pages", 0)
 	out := b.step(AttemptEnded{ID: b.id, Outcome: Rejected})
 	c.Assert(onlyOutput[Reject](c, out).Kind, qt.Equals, errkind.OutcomeUnknown)
 }
@@ -393,7 +399,7 @@
 func TestAttemptsAreLimited(t *testing.T) {
 	c := qt.New(t)
 	b := newReadyBench(c)
-	b.m.retryBudget("pages").tokens = 100
+	b.setRetryTokens("pages", 100)
 	b.index(protocol.IndexReply{Service: "pages", Change: 1, Holders: []protocol.IndexHolder{holder("p1"), holder("p2"), holder("p3"), holder("p4"), holder("p5")}})
 	out := b.request("/unsafe/")
 	sends := 0
@@ -414,12 +420,12 @@
 	c := qt.New(t)
 	b := newReadyBench(c)
 	b.request("/unsafe/")
-	b.m.retryBudget("pages").tokens = 0.5
+	b.setRetryTokens("pages", 0.5)
 	c.Assert(onlyOutput[Reject](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
 	// A runner that could not be reached has cost nothing.
 	b = newReadyBench(c)
 	b.request("/unsafe/")
-	b.m.retryBudget("pages").tokens = 0.5
+	b.setRetryTokens("pages", 0.5)
 	onlyOutput[StartAttempt](c, b.step(AttemptEnded{ID: b.id, Outcome: NotSent}))
 }
 
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -255,7 +255,7 @@
 // tryCandidates starts an attempt at one of the candidates. A further attempt
 // needs a token of the retry budget.
 func (m *Machine) tryCandidates(r *request, candidates []candidate) {
-	if r.attempts > 0 && (r.attemptsExhausted() || !m.retryBudget(r.service.Name).withdraw()) {
+	if r.attempts > 0 && (r.attemptsExhausted() || !m.retryBudget(r.service.Name).Withdraw()) {
 		m.failAfterAttempts(r)
 		return
 	}
--- a/internal/proxy/retrybudget.go
+++ b/internal/proxy/retrybudget.go
@@ -1,5 +1,7 @@
 package proxy
 
+import "myrtlewinch/internal/dataplane"
+
 const (
 	// limitMargin is the part of a site-wide limit that the routers use
 	// together. The rest covers routers that restart with a new state, and
@@ -13,35 +15,25 @@
 // retryBudget limits the retries of a service at this router: a token bucket
 // to which each first attempt adds the retry ratio of the site and from which
 // each retry takes one token.
-type retryBudget struct{ tokens, capacity float64 }
+type retryBudget struct{ dataplane.TokenBucket }
 
 // newRetryBudget returns a budget with an initial part of its capacity.
 func newRetryBudget(siteCapacity, routers int) *retryBudget {
-	b := &retryBudget{}
-	b.resize(siteCapacity, routers)
-	b.tokens = b.capacity * initialBudgetPart
-	return b
+	capacity := budgetCapacity(siteCapacity, routers)
+	return &retryBudget{dataplane.NewTokenBucket(capacity*initialBudgetPart, capacity)}
 }
 
-// deposit adds what a first attempt earns.
-func (b *retryBudget) deposit(ratio float64) {
-	b.tokens = min(b.capacity, b.tokens+limitMargin*ratio)
+// budgetCapacity returns this router's share of the site's capacity.
+func budgetCapacity(siteCapacity, routers int) float64 {
+	return max(1, limitMargin*float64(siteCapacity)/float64(max(1, routers)))
 }
 
-// withdraw takes one token and reports whether there was one.
-func (b *retryBudget) withdraw() bool {
-	if b.tokens < 1 {
-		return false
-	}
-	b.tokens--
-	return true
-}
+// deposit adds what a first attempt earns.
+func (b *retryBudget) deposit(ratio float64) { b.Deposit(limitMargin * ratio) }
 
-// resize sets the capacity to this router's share of the site's. It never
-// adds tokens.
+// resize applies a new number of routers. It never adds tokens.
 func (b *retryBudget) resize(siteCapacity, routers int) {
-	b.capacity = max(1, limitMargin*float64(siteCapacity)/float64(max(1, routers)))
-	b.tokens = min(b.tokens, b.capacity)
+	b.Resize(budgetCapacity(siteCapacity, routers))
 }
 
 // retryBudget returns the budget of a service, and creates it on first use.
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -27,7 +27,7 @@
 				b.deposit(0.2)
 			}
 			spent := 0
-			for b.withdraw() {
+			for b.Withdraw() {
 				spent++
 			}
 			c.Assert(spent, qt.Equals, test.most)
@@ -39,9 +39,9 @@
 func TestResizeNeverAddsTokens(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudget(58, 9)
-	before := b.tokens
+	before := b.Tokens()
 	b.resize(58, 1)
-	c.Assert(b.tokens, qt.Equals, before)
+	c.Assert(b.Tokens(), qt.Equals, before)
 	b.resize(58, 100)
-	c.Assert(b.tokens, qt.Equals, 1.0)
+	c.Assert(b.Tokens(), qt.Equals, 1.0)
 }
--- a/internal/proxy/runnerlist.go
+++ b/internal/proxy/runnerlist.go
@@ -43,7 +43,7 @@
 func (m *Machine) readRunnerList() {
 	m.listReadPending = true
 	m.nextListReadMs = m.nowMs + max(primarySilentMs, int64(m.routerCount)*listReadPerRouterMs)
-	m.effects.Calls = append(m.effects.Calls, protocol.OutboundCall{
+	m.outbox.Calls = append(m.outbox.Calls, protocol.OutboundCall{
 		Address: m.settings.ListAddress, Body: protocol.ListRunners{},
 	})
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"io"
 	"net"
 	"net/http"
@@ -13,6 +12,7 @@
 	"github.com/charmbracelet/log"
 	"github.com/cockroachdb/errors"
 
+	"myrtlewinch/internal/dataplane"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/process"
 	"myrtlewinch/internal/threads"
@@ -28,8 +28,6 @@
 	smallBodyBytes = 64 << 10
 	// bodyReadTimeout is how long the reading of a body may take.
 	bodyReadTimeout = 10 * time.Second
-	// statusTimeout is how long the machine may take for a status page.
-	statusTimeout = 2 * time.Second
 	// drainPoll is the time between two looks for the end of a shutdown.
 	drainPoll = 20 * time.Millisecond
 
@@ -206,21 +204,19 @@
 	case "/status":
 		s.serveStatus(w, r)
 	case "/counters":
-		writeJSON(w, s.runtime.Counts())
+		dataplane.WriteJSON(w, s.runtime.Counts())
 	default:
 		s.serveReady(w)
 	}
 }
 
 func (s *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
-	defer cancel()
-	status, ok := s.runtime.Call(ctx, func(id uint64) any { return StatusQuery{ID: id} })
+	status, ok := dataplane.QueryStatus(r, s.runtime, func(id uint64) any { return StatusQuery{ID: id} })
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	writeJSON(w, status)
+	dataplane.WriteJSON(w, status)
 }
 
 // serveReady answers whether the platform may send clients here.
@@ -232,11 +228,6 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func writeJSON(w http.ResponseWriter, value any) {
-	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(value)
-}
-
 // ServeHTTP serves one request of a client.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// Counted before draining is read, so that Shutdown misses no request.
--- a/internal/simulation/nativesim/clocks_test.go
+++ b/internal/simulation/nativesim/clocks_test.go
@@ -34,6 +34,7 @@
 	"internal/placement/planner",
 	"internal/placement/runnerstate",
 	"internal/placement/weightstore",
+	"internal/proxy",
 	"internal/simulation/eventqueue",
 	"internal/simulation/faultsim",
 	"internal/simulation/nativesim",
@@ -46,6 +47,9 @@
 	"internal/controller/daemon.go",
 	"internal/native/controller/daemon.go",
 	"internal/native/router/server.go",
+	"internal/proxy/clientconn.go",
+	"internal/proxy/exchange.go",
+	"internal/proxy/server.go",
 }
 
 // goroutinePackage is the only one that starts goroutines.
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -72,7 +72,7 @@
 // or an attempt to start.
 func (r *clientRequest) routerAnswered(body any) {
 	switch response := body.(type) {
-	case protocol.Rejection:
+	case router.Reject:
 		r.retryMs = response.RetryMs
 		r.answer(testbackend.Outcome(response.Kind), response.Kind.Response().NotExecuted)
 	case router.StartAttempt:
