--- a/cmd/testplatform/main.go
+++ b/cmd/testplatform/main.go
@@ -1,5 +1,5 @@
-// Program platform is the stand-in for the platform: it lists the runners and
-// marks those about to leave.
+// Program testplatform is the stand-in for the platform: it lists the runners
+// and marks those that are about to leave.
 package main
 
 import (
@@ -11,8 +11,8 @@
 
 func main() {
 	cli.Setup("testplatform", "Stand-in: lists runners (GET /runners) and marks leavers (POST /runners/NAME/leaving).")
-	http := ""
-	flaggy.String(&http, "", "http", "IP:port to listen at")
+	address := ""
+	flaggy.String(&address, "", "http", "IP:port to listen at")
 	cli.Parse()
-	cli.Serve(cli.Listen("http", http), testbackend.NewPlatform())
+	cli.Serve(cli.Listen("http", address), testbackend.NewPlatform())
 }
--- a/cmd/testrunner/main.go
+++ b/cmd/testrunner/main.go
@@ -1,4 +1,4 @@
-// Program runner is the stand-in for a runner with its weight store.
+// Program testrunner is the stand-in for a runner with its weight store.
 package main
 
 import (
@@ -10,6 +10,7 @@
 	"net/http"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/integrii/flaggy"
 
 	"myrtlewinch/internal/cli"
@@ -18,51 +19,81 @@
 	"myrtlewinch/internal/simulation/testbackend"
 )
 
-func main() {
-	cli.Setup("testrunner", "Stand-in: a runner that holds models, announced to the platform.")
-	var name, address, platform string
-	var room, loadMs, workMs int64 = 96, 3000, 200
-	pieces := 8
-	flaggy.String(&name, "", "name", "name of the runner")
-	flaggy.String(&address, "", "http", "IP:port to listen at")
-	flaggy.String(&platform, "", "platform", "IP:port of the platform")
-	flaggy.Int64(&room, "", "room", "room for models")
-	flaggy.Int64(&loadMs, "", "loadMs", "how long a load takes")
-	flaggy.Int64(&workMs, "", "workMs", "how long an answer takes, or a piece of a telling")
-	flaggy.Int(&pieces, "", "pieces", "pieces of a telling")
+const (
+	// announceTimeout bounds the call that lists the runner at the platform.
+	announceTimeout = 5 * time.Second
+	// incarnationBytes is the length of a random incarnation, before encoding.
+	incarnationBytes = 8
+)
+
+// options are the program's flags.
+type options struct {
+	name, address, platform  string
+	capacity, loadMs, workMs int64
+	pieces                   int
+}
+
+func parseOptions() options {
+	o := options{capacity: 96, loadMs: 3000, workMs: 200, pieces: 8}
+	flaggy.String(&o.name, "", "name", "name of the runner")
+	flaggy.String(&o.address, "", "http", "IP:port to listen at")
+	flaggy.String(&o.platform, "", "platform", "IP:port of the platform")
+	flaggy.Int64(&o.capacity, "", "room", "capacity for models")
+	flaggy.Int64(&o.loadMs, "", "loadMs", "how long a load takes")
+	flaggy.Int64(&o.workMs, "", "workMs", "how long an answer takes, or a piece of a stream")
+	flaggy.Int(&o.pieces, "", "pieces", "pieces of a stream")
 	cli.Parse()
 	switch {
-	case name == "":
+	case o.name == "":
 		cli.UsageError("name: must be given")
-	case platform == "":
+	case o.platform == "":
 		cli.UsageError("platform: must be given")
-	case room < 0 || loadMs < 0 || workMs < 0 || pieces < 0:
+	case o.capacity < 0 || o.loadMs < 0 || o.workMs < 0 || o.pieces < 0:
 		cli.UsageError("room, loadMs, workMs, pieces: must not be negative")
 	}
-	at := cli.Listen("http", address)
-	token := make([]byte, 8)
-	if _, err := rand.Read(token); err != nil {
+	return o
+}
+
+func main() {
+	cli.Setup("testrunner", "Stand-in: a runner that holds models, announced to the platform.")
+	o := parseOptions()
+	listener := cli.Listen("http", o.address)
+	incarnation, err := newIncarnation()
+	if err != nil {
 		cli.Fatal("%v", err)
 	}
-	incarnation := hex.EncodeToString(token)
-	if err := announce(platform, protocol.ListedRunner{Name: name, Address: address, Incarnation: incarnation}); err != nil {
+	if err := announce(o.platform, protocol.ListedRunner{Name: o.name, Address: o.address, Incarnation: incarnation}); err != nil {
 		cli.Fatal("platform: %v", err)
 	}
-	runner := testbackend.NewRunner(name, incarnation, room, loadMs, nil)
-	cli.Serve(at, testbackend.NewRunnerServer(runner, process.NewClock().NowMs, workMs, pieces))
+	runner := testbackend.NewRunner(o.name, incarnation, o.capacity, o.loadMs, nil)
+	cli.Serve(listener, testbackend.NewRunnerServer(runner, process.NewClock().NowMs, o.workMs, o.pieces))
+}
+
+// newIncarnation draws an id for this life of the process.
+func newIncarnation() (string, error) {
+	random := make([]byte, incarnationBytes)
+	if _, err := rand.Read(random); err != nil {
+		return "", errors.Wrap(err, "incarnation")
+	}
+	return hex.EncodeToString(random), nil
 }
 
+// announce lists the runner at the platform.
 func announce(platform string, listed protocol.ListedRunner) error {
-	text, _ := json.Marshal(listed)
-	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
+	body, err := json.Marshal(listed)
+	if err != nil {
+		return errors.Wrap(err, "announcement")
+	}
+	ctx, cancel := context.WithTimeout(context.Background(), announceTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+platform+"/runners/"+listed.Name, bytes.NewReader(text))
+	url := "http://" + platform + "/runners/" + listed.Name
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(body))
 	if err != nil {
 		return err
 	}
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return err
 	}
-	return answer.Body.Close()
+	return response.Body.Close()
 }
