--- a/internal/protocol/effects.go
+++ b/internal/protocol/effects.go
@@ -5,57 +5,67 @@
 	"myrtlewinch/internal/storage"
 )
 
-// Send is a message to be sent. The address leads; the name may be unknown
-// when a seed is called for the first time.
+// Tick is the input that tells a machine only that time has passed.
+type Tick struct{}
+
+// Effects is what a state machine wants done after a step. The process carries
+// them out in their order within each list.
+type Effects struct {
+	Sends      []Send
+	DiskWrites []DiskWrite
+	Responses  []Response
+	Calls      []OutboundCall
+	// LogLines are sentences for the log.
+	LogLines []string
+	// Counts names counters of the process; each is increased by one.
+	Counts []string
+}
+
+// Send is a message to another daemon.
 type Send struct {
+	// To is the receiver's name, empty where only the address is known.
 	To      string
 	Address string
 	Body    Message
 }
 
-// DiskWrite is a change of the disk; its end comes back as Saved with the number.
+// DiskWrite is a change of the disk. DiskWriteDone with the same number follows
+// as an input.
 type DiskWrite struct {
 	Number uint64
 	Write  storage.Write
 }
 
-// DiskWriteDone ends a Save.
+// DiskWriteDone is the input that ends a DiskWrite. Where Ok is false, it is
+// unknown whether the change is on the disk.
 type DiskWriteDone struct {
 	Number uint64
 	Ok     bool
 }
 
-// Response ends something a caller or an operator asked.
+// Response answers a request that a caller or an operator submitted with this id.
 type Response struct {
 	ID   uint64
 	Body any
 }
 
-// Rejection answers with a kind of defect.
+// Rejection is the body of a response that refuses a request.
 type Rejection struct {
-	Kind     errkind.Kind
-	Detail   string
-	Faults   []string
+	Kind   errkind.Kind
+	Detail string
+	// Faults lists what is wrong with a text that was submitted.
+	Faults []string
+	// Revision is the one in force, where that helps.
 	Revision uint64
-	Primary  string
-	// RetryMs says when to come back, where that could be worked out.
+	// Primary is the controller to turn to, where that is known.
+	Primary string
+	// RetryMs is when to come back, where that can be estimated.
 	RetryMs int64
 }
 
-// OutboundCall goes outward, over HTTP: to a runner or to the platform.
+// OutboundCall is a call over HTTP to a runner or to the platform. Its
+// OutboundResult follows as an input.
 type OutboundCall struct {
 	Address string
 	Body    OutboundRequest
 }
-
-// Effects is what a state machine returns from a step.
-type Effects struct {
-	Sends      []Send
-	DiskWrites []DiskWrite
-	Responses  []Response
-	Calls      []OutboundCall
-	// LogLines are short sentences for the log.
-	LogLines []string
-	// Counts are added to the counters of the process.
-	Counts []string
-}
--- a/internal/protocol/record.go
+++ b/internal/protocol/record.go
@@ -2,13 +2,14 @@
 
 import "slices"
 
-// Ballot orders the candidates for an epoch.
+// Ballot is a proposal number of an election.
 type Ballot struct {
 	Round uint64 `json:"round"`
-	Name  string `json:"name"`
+	// Name is the candidate's, so that no two candidates share a ballot.
+	Name string `json:"name"`
 }
 
-// Less orders ballots by round, then name.
+// Less orders ballots by round, then by name.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Round != other.Round {
 		return b.Round < other.Round
@@ -16,77 +17,82 @@
 	return b.Name < other.Name
 }
 
-// MemberID is one disk: a daemon's name with the incarnation of its disk.
+// MemberID names one disk: a daemon's name with the incarnation of its data
+// folder.
 type MemberID struct {
 	Name        string `json:"name"`
 	Incarnation string `json:"incarnation"`
 }
 
-// EpochRecord is what witnesses keep of an epoch.
+// EpochRecord is what witnesses accept for an epoch: who is the primary, and
+// whose disks hold replicas and votes. Its JSON form is stored.
 type EpochRecord struct {
 	Epoch   uint64 `json:"epoch"`
 	Primary string `json:"primary"`
-	// Replicas names the two disks that hold every answered write.
-	Replicas  []MemberID `json:"pair"`
+	// Replicas are the disks that hold every acknowledged write.
+	Replicas []MemberID `json:"pair"`
+	// Witnesses are the voters. A change of the record needs a majority of them
+	// and, where they were changed, a majority of those before.
 	Witnesses []MemberID `json:"witnesses"`
-	// Before is the witness set that had to agree to this record.
-	Before []MemberID `json:"before"`
-	// Gone are the disks whose names passed to another disk, the latest last.
-	// They never come back.
+	Before    []MemberID `json:"before"`
+	// Gone are disks whose names passed to another disk, the latest last. They
+	// never return.
 	Gone []MemberID `json:"gone,omitempty"`
 }
 
-const goneMost = 16
+// maxGone is how many disks Gone remembers.
+const maxGone = 16
 
-// GoneWith gives the list of the gone with one more.
-func (r EpochRecord) GoneWith(seat MemberID) []MemberID {
-	gone := append(slices.Clone(r.Gone), seat)
-	return gone[max(0, len(gone)-goneMost):]
+// GoneWith returns Gone with one more disk.
+func (r EpochRecord) GoneWith(member MemberID) []MemberID {
+	gone := append(slices.Clone(r.Gone), member)
+	return gone[max(0, len(gone)-maxGone):]
 }
 
-// Member gives the disk that the record names for a daemon, if it does.
+// Member returns the disk that the record names for a daemon, if it names one.
 func (r EpochRecord) Member(name string) (MemberID, bool) {
-	for _, seat := range append(slices.Clone(r.Replicas), r.Witnesses...) {
-		if seat.Name == name {
-			return seat, true
+	for _, member := range append(slices.Clone(r.Replicas), r.Witnesses...) {
+		if member.Name == name {
+			return member, true
 		}
 	}
 	return MemberID{}, false
 }
 
-// HasReplica says whether the disk is one of the pair.
-func (r EpochRecord) HasReplica(seat MemberID) bool { return slices.Contains(r.Replicas, seat) }
+// HasReplica reports whether the disk is one of the replicas.
+func (r EpochRecord) HasReplica(member MemberID) bool { return slices.Contains(r.Replicas, member) }
 
-// OtherReplica gives the other disk of the pair.
+// OtherReplica returns the first replica of another daemon.
 func (r EpochRecord) OtherReplica(name string) (MemberID, bool) {
-	for _, seat := range r.Replicas {
-		if seat.Name != name {
-			return seat, true
+	for _, member := range r.Replicas {
+		if member.Name != name {
+			return member, true
 		}
 	}
 	return MemberID{}, false
 }
 
-// Voters is every disk whose word a change of the record may need.
+// Voters returns every disk whose vote a change of the record may need.
 func (r EpochRecord) Voters() []MemberID {
 	voters := slices.Clone(r.Witnesses)
-	for _, seat := range r.Before {
-		if !slices.Contains(voters, seat) {
-			voters = append(voters, seat)
+	for _, member := range r.Before {
+		if !slices.Contains(voters, member) {
+			voters = append(voters, member)
 		}
 	}
 	return voters
 }
 
-// Majority says whether those who agree are a majority of both sets.
+// Majority reports whether those who agree are a majority of the witnesses and of
+// those before them.
 func (r EpochRecord) Majority(agrees func(MemberID) bool) bool {
-	return most(r.Witnesses, agrees) && most(r.Before, agrees)
+	return isMajority(r.Witnesses, agrees) && isMajority(r.Before, agrees)
 }
 
-func most(set []MemberID, agrees func(MemberID) bool) bool {
+func isMajority(set []MemberID, agrees func(MemberID) bool) bool {
 	count := 0
-	for _, seat := range set {
-		if agrees(seat) {
+	for _, member := range set {
+		if agrees(member) {
 			count++
 		}
 	}
