--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -95,6 +95,16 @@
 	w.c.Assert(w.nodes[w.primary()].application.row, qt.Equals, "kept")
 }
 
+// grantPromises gives a candidate the promises of all others.
+func (w *cluster) grantPromises(candidate string) {
+	m := w.nodes[candidate].machine
+	for peer := range w.nodes {
+		if peer != candidate {
+			m.Step(w.nowMs, w.envelope(peer, candidate, protocol.PrepareReply{Ballot: m.election.Ballot, Granted: true}))
+		}
+	}
+}
+
 // Of two candidates the one under the lower ballot gives way, and releases what
 // witnesses granted it.
 func TestCandidateYieldsToAHigherBallotInACluster(t *testing.T) {
@@ -123,11 +133,7 @@
 			qt.Assert(t, m.election.Role, qt.Equals, election.Preparing)
 			var refusal protocol.Message = protocol.PrepareReply{Ballot: m.election.Ballot, Highest: test.highest}
 			if test.keeps {
-				for peer := range w.nodes {
-					if peer != name {
-						m.Step(w.nowMs, w.envelope(peer, name, protocol.PrepareReply{Ballot: m.election.Ballot, Granted: true}))
-					}
-				}
+				w.grantPromises(name)
 				qt.Assert(t, m.election.Role, qt.Equals, election.Accepting)
 				refusal = protocol.AcceptReply{Ballot: m.election.Ballot, Highest: test.highest, Record: m.record()}
 			}
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -29,8 +29,8 @@
 }
 
 // isRecordedDisk says whether a message of a controller counts. A name has one
-// disk: the one that the record names. One that was replaced is told so, and a
-// blank one waits until the recorded one is silent.
+// disk: the one that the record names. One that was replaced is notified of it,
+// and a blank one is ignored until the recorded one is silent.
 func (m *Machine) isRecordedDisk(from protocol.Node) bool {
 	id, record := memberID(from), m.record()
 	if slices.Contains(record.Gone, id) {
@@ -101,7 +101,7 @@
 	})
 }
 
-// nodesFor is what another daemon is told of the site. Where routers need the
+// nodesFor lists the nodes that another daemon is sent. Where routers need the
 // controllers only, they get no more: all of them ask at once while a primary is
 // missing.
 func (m *Machine) nodesFor(to protocol.Node) []protocol.Node {
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -13,7 +13,7 @@
 	Peers []PeerStatus
 }
 
-// PeerStatus is a peer and when it was last heard of (-1: never).
+// PeerStatus is a peer and how long ago it was known to be alive; -1 if it never was.
 type PeerStatus struct {
 	protocol.Node
 	AgoMs int64 `json:"agoMs"`
--- a/internal/election/bootstrap.go
+++ b/internal/election/bootstrap.go
@@ -44,30 +44,42 @@
 		m.recoverSite(env, bootstrap)
 		return
 	}
-	if m.Record.Epoch > 0 || env.Position.Number > 0 {
-		m.reject(bootstrap, errkind.AlreadyBootstrapped, "this controller belongs to a founded site")
-		return
-	}
-	if m.bootstrap != nil || m.Role != Follower && env.Acceptor.Record.Epoch == 0 {
-		m.reject(bootstrap, errkind.NotAccepted, "a founding is under way")
+	if rejection := m.rejectBootstrap(env); rejection != nil {
+		m.reject(bootstrap, rejection)
 		return
 	}
-	first, fault := m.firstRecord(env, bootstrap)
-	if fault != "" {
-		m.reject(bootstrap, errkind.BadRequest, fault)
+	first, rejection := m.firstRecord(env, bootstrap)
+	if rejection != nil {
+		m.reject(bootstrap, rejection)
 		return
 	}
 	m.first = first
 	if env.Acceptor.Record.Epoch > 0 && !sameBootstrap(env.Acceptor.Record, first) {
-		m.reject(bootstrap, errkind.AlreadyBootstrapped, "this controller's witness belongs to another founding")
+		m.reject(bootstrap, rejected(errkind.AlreadyBootstrapped, "this controller's witness belongs to another founding"))
 		return
 	}
 	m.bootstrap, m.completesFirst = &bootstrap, false
 	m.prepare(env, true)
 }
 
-func (m *Machine) reject(bootstrap Bootstrap, kind errkind.Kind, detail string) {
-	m.output(BootstrapFailed{ID: bootstrap.ID, Rejection: protocol.Rejection{Kind: kind, Detail: detail}})
+// rejectBootstrap says why this daemon can't begin a site now; nil if it can.
+func (m *Machine) rejectBootstrap(env *Environment) *protocol.Rejection {
+	if m.Record.Epoch > 0 || env.Position.Number > 0 {
+		return rejected(errkind.AlreadyBootstrapped, "this controller belongs to a founded site")
+	}
+	// A candidate without a bootstrap completes what its own witness stores.
+	if m.bootstrap != nil || m.Role != Follower && env.Acceptor.Record.Epoch == 0 {
+		return rejected(errkind.NotAccepted, "a founding is under way")
+	}
+	return nil
+}
+
+func rejected(kind errkind.Kind, detail string) *protocol.Rejection {
+	return &protocol.Rejection{Kind: kind, Detail: detail}
+}
+
+func (m *Machine) reject(bootstrap Bootstrap, rejection *protocol.Rejection) {
+	m.output(BootstrapFailed{ID: bootstrap.ID, Rejection: *rejection})
 }
 
 // failBootstrap ends the bootstrap under way, if one is.
@@ -77,34 +89,34 @@
 	}
 	failed := *m.bootstrap
 	m.bootstrap = nil
-	m.reject(failed, kind, detail)
+	m.reject(failed, rejected(kind, detail))
 }
 
-// firstRecord is the record that a bootstrap would make, or why it can't.
-func (m *Machine) firstRecord(env *Environment, bootstrap Bootstrap) (protocol.EpochRecord, string) {
+// firstRecord returns the record that a bootstrap would make, or why it can't.
+func (m *Machine) firstRecord(env *Environment, bootstrap Bootstrap) (protocol.EpochRecord, *protocol.Rejection) {
 	names := map[string]bool{}
 	var witnesses []protocol.MemberID
 	for _, name := range bootstrap.Witnesses {
 		names[name] = true
 		node, ok := env.Nodes.Node(name)
 		if !ok || node.Part != protocol.RoleController {
-			return protocol.EpochRecord{}, "witnesses: no controller named " + name + " is known here"
+			return protocol.EpochRecord{}, rejected(errkind.BadRequest, "witnesses: no controller named "+name+" is known here")
 		}
 		witnesses = append(witnesses, memberID(node))
 	}
 	different := len(names) == len(bootstrap.Witnesses)
 	enough := m.config.BootstrapBySeeds || len(bootstrap.Witnesses) == operatorWitnesses
 	if !different || !enough {
-		return protocol.EpochRecord{}, "witnesses: must be three different controllers"
+		return protocol.EpochRecord{}, rejected(errkind.BadRequest, "witnesses: must be three different controllers")
 	}
 	if m.config.BootstrapBySeeds {
-		return m.seedsRecord(witnesses), ""
+		return m.seedsRecord(witnesses), nil
 	}
 	backup, ok := env.Nodes.Node(bootstrap.Backup)
 	if !ok || backup.Part != protocol.RoleController || bootstrap.Backup == m.config.Self.Name {
-		return protocol.EpochRecord{}, "backup: must be another controller that is known here"
+		return protocol.EpochRecord{}, rejected(errkind.BadRequest, "backup: must be another controller that is known here")
 	}
-	return m.firstRecordOf([]protocol.MemberID{m.self(), memberID(backup)}, witnesses), ""
+	return m.firstRecordOf([]protocol.MemberID{m.self(), memberID(backup)}, witnesses), nil
 }
 
 func (m *Machine) firstRecordOf(replicas, witnesses []protocol.MemberID) protocol.EpochRecord {
@@ -153,7 +165,7 @@
 	m.bootstrap = nil
 	// Whoever stores that record completes it, if it is left the time.
 	m.retreat(env, seedTurnMs)
-	m.reject(yielded, errkind.AlreadyBootstrapped, "a witness belongs to another founding")
+	m.reject(yielded, rejected(errkind.AlreadyBootstrapped, "a witness belongs to another founding"))
 	return true
 }
 
@@ -221,7 +233,7 @@
 
 // bootstrapSeeds names the seeds that are known: all of them, or else those on
 // disks that were there at the first start. Once a majority will do, one that was
-// heard before may be gone for good, and must be live.
+// known before may be gone for good, and must be live.
 func (m *Machine) bootstrapSeeds(env *Environment, seeds []string, mustBeLive bool) []string {
 	var known, onFirstDisks []string
 	for _, address := range seeds {
--- a/internal/election/machine.go
+++ b/internal/election/machine.go
@@ -190,8 +190,8 @@
 }
 
 // mayStand says whether this daemon may be a candidate. It also goes by what only
-// its own witness knows: a new replica may not have been told yet that its record
-// is complete.
+// its own witness knows: a new replica may not know yet that its record is
+// complete.
 func (m *Machine) mayStand(env *Environment) bool {
 	own := env.Acceptor.Record
 	return m.mayLead(env, m.Record) || own.Epoch > m.Record.Epoch && m.mayLead(env, own)
--- a/internal/election/primary.go
+++ b/internal/election/primary.go
@@ -61,7 +61,7 @@
 
 // StepDown ends the primacy on purpose and releases the lease, so that the next
 // primary need not wait for it to run out. The successor, where the name is not
-// empty, is told last.
+// empty, is notified last.
 func (m *Machine) StepDown(env *Environment, reason, successor string) {
 	if !m.IsPrimary() {
 		return
--- a/internal/election/recovery.go
+++ b/internal/election/recovery.go
@@ -17,19 +17,19 @@
 // operator's explicit act, which must name what it goes on from. Three live
 // controllers must agree, blank or not; none may have a later copy.
 func (m *Machine) recoverSite(env *Environment, bootstrap Bootstrap) {
-	if kind, detail := m.recoveryFault(env); detail != "" {
-		m.reject(bootstrap, kind, detail)
+	if rejection := m.rejectRecovery(env); rejection != nil {
+		m.reject(bootstrap, rejection)
 		return
 	}
 	at := env.Position
 	from := fmt.Sprintf("this would go on from change %d of epoch %d, with revision %d", at.Number, at.Epoch, env.Revision)
 	if bootstrap.Change != at.Number || bootstrap.Revision != env.Revision {
-		m.reject(bootstrap, errkind.StaleBase, from+"; give change and revision to do it")
+		m.reject(bootstrap, rejected(errkind.StaleBase, from+"; give change and revision to do it"))
 		return
 	}
-	first, fault := m.firstRecord(env, bootstrap)
-	if fault != "" {
-		m.reject(bootstrap, errkind.BadRequest, fault)
+	first, rejection := m.firstRecord(env, bootstrap)
+	if rejection != nil {
+		m.reject(bootstrap, rejection)
 		return
 	}
 	first.Epoch = max(m.Record.Epoch, env.Acceptor.Record.Epoch, at.Epoch) + recoveryEpochs
@@ -45,26 +45,25 @@
 	m.prepare(env, true)
 }
 
-// recoveryFault says why this daemon can't recover the site; the detail is empty
-// where it can.
-func (m *Machine) recoveryFault(env *Environment) (errkind.Kind, string) {
+// rejectRecovery says why this daemon can't recover the site; nil if it can.
+func (m *Machine) rejectRecovery(env *Environment) *protocol.Rejection {
 	switch {
 	case env.Position.Number == 0:
-		return errkind.NotBootstrapped, "this controller has no copy to go on from"
+		return rejected(errkind.NotBootstrapped, "this controller has no copy to go on from")
 	case env.DiskFailed:
-		return errkind.NotAccepted, "this controller's disk failed"
+		return rejected(errkind.NotAccepted, "this controller's disk failed")
 	case m.bootstrap != nil:
-		return errkind.NotAccepted, "a recovery is under way"
+		return rejected(errkind.NotAccepted, "a recovery is under way")
 	case m.IsPrimary() || m.mayStand(env):
-		return errkind.NotAccepted, "this disk is one of the pair: it takes over by itself"
+		return rejected(errkind.NotAccepted, "this disk is one of the pair: it takes over by itself")
 	}
 	for _, id := range m.Record.Replicas {
 		node, known := env.Nodes.Node(id.Name)
 		if known && node.Incarnation == id.Incarnation && env.Nodes.Live(env.NowMs, id.Name) {
-			return errkind.NotAccepted, "a disk of the pair is there: " + id.Name + " takes over by itself"
+			return rejected(errkind.NotAccepted, "a disk of the pair is there: "+id.Name+" takes over by itself")
 		}
 	}
-	return "", ""
+	return nil
 }
 
 // yieldToLaterCopy ends a recovery and returns true where a witness has a later
@@ -79,6 +78,7 @@
 	yielded := *m.bootstrap
 	m.bootstrap = nil
 	m.retreat(env, 0)
-	m.reject(yielded, errkind.NotAccepted, fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, reply.At.Number, reply.At.Epoch))
+	detail := fmt.Sprintf("%s has a later copy, up to change %d of epoch %d: recover from it", from.Name, reply.At.Number, reply.At.Epoch)
+	m.reject(yielded, rejected(errkind.NotAccepted, detail))
 	return true
 }
--- a/internal/election/witness/witness_test.go
+++ b/internal/election/witness/witness_test.go
@@ -21,140 +21,162 @@
 	return protocol.Ballot{Round: round, Name: name}
 }
 
-func TestAcceptor(t *testing.T) {
-	type step struct {
-		about   string
-		nowMs   int64
-		from    string
-		ask     any
-		granted bool
-	}
-	bootstrapped := func(t *testing.T) *Acceptor {
-		t.Helper()
-		acceptor, err := New(witnesses[0], "", 0, leaseMs)
-		qt.Assert(t, err, qt.IsNil)
-		acceptor.Prepare(0, "a", protocol.Prepare{Ballot: ballot(1, "a"), Found: true})
-		acceptor.Accept(0, protocol.Accept{Ballot: ballot(1, "a"), Record: record(1, "a"), Found: true})
-		return acceptor
-	}
-	blank := func(t *testing.T) *Acceptor {
-		t.Helper()
-		acceptor, err := New(witnesses[0], "", 0, leaseMs)
-		qt.Assert(t, err, qt.IsNil)
-		return acceptor
-	}
-	restarted := func(t *testing.T) *Acceptor {
-		t.Helper()
-		acceptor, err := New(witnesses[0], bootstrapped(t).Encode(), 10_000, leaseMs)
-		qt.Assert(t, err, qt.IsNil)
-		return acceptor
-	}
-	again := func(t *testing.T, acceptor *Acceptor) *Acceptor {
-		t.Helper()
-		acceptor, err := New(witnesses[0], acceptor.Encode(), 10_000, leaseMs)
-		qt.Assert(t, err, qt.IsNil)
-		return acceptor
-	}
-	promised := func(t *testing.T) *Acceptor {
-		t.Helper()
-		acceptor := bootstrapped(t)
-		acceptor.Prepare(5_000, "b", protocol.Prepare{Ballot: ballot(2, "b")})
-		return again(t, acceptor)
-	}
-	lower := func(t *testing.T) *Acceptor {
-		t.Helper()
-		acceptor := bootstrapped(t)
-		acceptor.Accept(1, protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")})
-		acceptor.Accept(5_000, protocol.Accept{Ballot: ballot(2, "b"), Record: record(1, "a")})
-		return again(t, acceptor)
-	}
-	renewed := func(t *testing.T) *Acceptor {
-		t.Helper()
-		acceptor := bootstrapped(t)
-		acceptor.Renew(5_000, protocol.RenewLease{Ballot: ballot(5, "c"), Record: record(1, "a")})
-		return again(t, acceptor)
-	}
-	cases := []struct {
-		about string
-		make  func(*testing.T) *Acceptor
-		steps []step
-	}{
-		{"a blank disk promises only for a bootstrap", blank, []step{
-			{"plain promise", 0, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
-			{"renewal", 0, "b", protocol.RenewLease{Ballot: ballot(1, "b"), Record: record(1, "b")}, false},
-			{"bootstrap", 0, "b", protocol.Prepare{Ballot: ballot(1, "b"), Found: true}, true},
-		}},
-		{"a blank disk is taken in only by a record that names it", blank, []step{
-			{"not named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: protocol.EpochRecord{Epoch: 3, Witnesses: witnesses[1:]}}, false},
-			{"named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: record(3, "b")}, true},
-		}},
-		{"a lease keeps others out", bootstrapped, []step{
-			{"while it runs", 1499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
-			{"the holder itself may", 1499, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
-			{"lower ballot", 1600, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
-			{"once it has run out", 1600, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
-			{"the old one renews no more", 1601, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
-		}},
-		{"a renewal prolongs", bootstrapped, []step{
-			{"renew", 1000, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, true},
-			{"while it runs", 2400, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
-			{"once it has run out", 2501, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
-		}},
-		{"a restarted witness waits a full lease", restarted, []step{
-			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
-			{"too early for a third", 11_499, "c", protocol.Prepare{Ballot: ballot(2, "c")}, false},
-			{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
-		}},
-		{"the one whose record was stored last need not wait for its own lease", restarted, []step{
-			{"too early for others", 10_001, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
-			{"the holder", 10_001, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
-			{"still too early for others", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
-		}},
-		{"one that promised after it stored a record does not know whose lease runs", promised, []step{
-			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
-			{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
-			{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
-		}},
-		{"nor does one that completed a lower record for another", lower, []step{
-			{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
-			{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
-		}},
-		{"a renewal under another ballot is stored", renewed, []step{
-			{"the holder by renewal", 10_001, "c", protocol.Prepare{Ballot: ballot(6, "c")}, true},
-			{"the one before", 10_001, "a", protocol.Prepare{Ballot: ballot(7, "a")}, false},
-		}},
-		{"a release ends a lease at once", bootstrapped, []step{
-			{"by another", 10, "b", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
-			{"still held", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
-			{"a late one of an earlier grant", 11, "a", protocol.ReleaseLease{Epoch: 1}, true},
-			{"still held, too", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
-			{"by the primary", 12, "a", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
-			{"free", 13, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
-		}},
-		{"a lower epoch does not replace a higher", bootstrapped, []step{
-			{"higher", 1, "a", protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")}, true},
-			{"lower renewal", 2, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
-		}},
+// step is one request to an acceptor, or a release.
+type step struct {
+	about   string
+	nowMs   int64
+	from    string
+	request protocol.Message
+	granted bool
+}
+
+// bootstrapped is a witness of the first record, whose lease a holds until 1500.
+func bootstrapped(t *testing.T) *Acceptor {
+	t.Helper()
+	acceptor, err := New(witnesses[0], "", 0, leaseMs)
+	qt.Assert(t, err, qt.IsNil)
+	acceptor.Prepare(0, "a", protocol.Prepare{Ballot: ballot(1, "a"), Found: true})
+	acceptor.Accept(0, protocol.Accept{Ballot: ballot(1, "a"), Record: record(1, "a"), Found: true})
+	return acceptor
+}
+
+// blank is a witness on a new disk.
+func blank(t *testing.T) *Acceptor {
+	t.Helper()
+	acceptor, err := New(witnesses[0], "", 0, leaseMs)
+	qt.Assert(t, err, qt.IsNil)
+	return acceptor
+}
+
+// restarted is a bootstrapped witness that was restarted.
+func restarted(t *testing.T) *Acceptor {
+	t.Helper()
+	acceptor, err := New(witnesses[0], bootstrapped(t).Encode(), 10_000, leaseMs)
+	qt.Assert(t, err, qt.IsNil)
+	return acceptor
+}
+
+// again restarts a witness at 10 s.
+func again(t *testing.T, acceptor *Acceptor) *Acceptor {
+	t.Helper()
+	acceptor, err := New(witnesses[0], acceptor.Encode(), 10_000, leaseMs)
+	qt.Assert(t, err, qt.IsNil)
+	return acceptor
+}
+
+// promised is one that was restarted after it promised b a ballot.
+func promised(t *testing.T) *Acceptor {
+	t.Helper()
+	acceptor := bootstrapped(t)
+	acceptor.Prepare(5_000, "b", protocol.Prepare{Ballot: ballot(2, "b")})
+	return again(t, acceptor)
+}
+
+// lower is one that was restarted after it stored a lower record under a higher
+// ballot.
+func lower(t *testing.T) *Acceptor {
+	t.Helper()
+	acceptor := bootstrapped(t)
+	acceptor.Accept(1, protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")})
+	acceptor.Accept(5_000, protocol.Accept{Ballot: ballot(2, "b"), Record: record(1, "a")})
+	return again(t, acceptor)
+}
+
+// renewed is one that was restarted after it granted a renewal under another ballot.
+func renewed(t *testing.T) *Acceptor {
+	t.Helper()
+	acceptor := bootstrapped(t)
+	acceptor.Renew(5_000, protocol.RenewLease{Ballot: ballot(5, "c"), Record: record(1, "a")})
+	return again(t, acceptor)
+}
+
+// takenBy has an acceptor handle the request, and says whether it was granted.
+func (s step) takenBy(acceptor *Acceptor) bool {
+	switch request := s.request.(type) {
+	case protocol.Prepare:
+		reply, _ := acceptor.Prepare(s.nowMs, s.from, request)
+		return reply.Granted
+	case protocol.Accept:
+		reply, _ := acceptor.Accept(s.nowMs, request)
+		return reply.Granted
+	case protocol.RenewLease:
+		reply, _ := acceptor.Renew(s.nowMs, request)
+		return reply.Granted
+	case protocol.ReleaseLease:
+		acceptor.Release(s.from, request)
 	}
-	for _, test := range cases {
+	return true
+}
+
+var acceptorCases = []struct {
+	about string
+	make  func(*testing.T) *Acceptor
+	steps []step
+}{
+	{"a blank disk promises only for a bootstrap", blank, []step{
+		{"plain promise", 0, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
+		{"renewal", 0, "b", protocol.RenewLease{Ballot: ballot(1, "b"), Record: record(1, "b")}, false},
+		{"bootstrap", 0, "b", protocol.Prepare{Ballot: ballot(1, "b"), Found: true}, true},
+	}},
+	{"a blank disk is taken in only by a record that names it", blank, []step{
+		{"not named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: protocol.EpochRecord{Epoch: 3, Witnesses: witnesses[1:]}}, false},
+		{"named", 0, "b", protocol.Accept{Ballot: ballot(1, "b"), Record: record(3, "b")}, true},
+	}},
+	{"a lease keeps others out", bootstrapped, []step{
+		{"while it runs", 1499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+		{"the holder itself may", 1499, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
+		{"lower ballot", 1600, "b", protocol.Prepare{Ballot: ballot(1, "b")}, false},
+		{"once it has run out", 1600, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
+		{"the old one renews no more", 1601, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
+	}},
+	{"a renewal prolongs", bootstrapped, []step{
+		{"renew", 1000, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, true},
+		{"while it runs", 2400, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+		{"once it has run out", 2501, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
+	}},
+	{"a restarted witness waits a full lease", restarted, []step{
+		{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+		{"too early for a third", 11_499, "c", protocol.Prepare{Ballot: ballot(2, "c")}, false},
+		{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
+	}},
+	{"the one whose record was stored last need not wait for its own lease", restarted, []step{
+		{"too early for others", 10_001, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+		{"the holder", 10_001, "a", protocol.Prepare{Ballot: ballot(2, "a")}, true},
+		{"still too early for others", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
+	}},
+	{"one that promised after it stored a record does not know whose lease runs", promised, []step{
+		{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
+		{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
+		{"after", 11_500, "b", protocol.Prepare{Ballot: ballot(3, "b")}, true},
+	}},
+	{"nor does one that completed a lower record for another", lower, []step{
+		{"too early", 11_499, "b", protocol.Prepare{Ballot: ballot(3, "b")}, false},
+		{"too early for all", 11_499, "a", protocol.Prepare{Ballot: ballot(3, "a")}, false},
+	}},
+	{"a renewal under another ballot is stored", renewed, []step{
+		{"the holder by renewal", 10_001, "c", protocol.Prepare{Ballot: ballot(6, "c")}, true},
+		{"the one before", 10_001, "a", protocol.Prepare{Ballot: ballot(7, "a")}, false},
+	}},
+	{"a release ends a lease at once", bootstrapped, []step{
+		{"by another", 10, "b", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
+		{"still held", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+		{"a late one of an earlier grant", 11, "a", protocol.ReleaseLease{Epoch: 1}, true},
+		{"still held, too", 11, "b", protocol.Prepare{Ballot: ballot(2, "b")}, false},
+		{"by the primary", 12, "a", protocol.ReleaseLease{Epoch: 1, Ballot: ballot(1, "a")}, true},
+		{"free", 13, "b", protocol.Prepare{Ballot: ballot(2, "b")}, true},
+	}},
+	{"a lower epoch does not replace a higher", bootstrapped, []step{
+		{"higher", 1, "a", protocol.Accept{Ballot: ballot(1, "a"), Record: record(2, "a")}, true},
+		{"lower renewal", 2, "a", protocol.RenewLease{Ballot: ballot(1, "a"), Record: record(1, "a")}, false},
+	}},
+}
+
+func TestAcceptor(t *testing.T) {
+	for _, test := range acceptorCases {
 		t.Run(test.about, func(t *testing.T) {
 			acceptor := test.make(t)
-			for _, s := range test.steps {
-				granted := true
-				switch ask := s.ask.(type) {
-				case protocol.Prepare:
-					answer, _ := acceptor.Prepare(s.nowMs, s.from, ask)
-					granted = answer.Granted
-				case protocol.Accept:
-					answer, _ := acceptor.Accept(s.nowMs, ask)
-					granted = answer.Granted
-				case protocol.RenewLease:
-					answer, _ := acceptor.Renew(s.nowMs, ask)
-					granted = answer.Granted
-				case protocol.ReleaseLease:
-					acceptor.Release(s.from, ask)
-				}
-				qt.Assert(t, granted, qt.Equals, s.granted, qt.Commentf(s.about))
+			for _, step := range test.steps {
+				qt.Assert(t, step.takenBy(acceptor), qt.Equals, step.granted, qt.Commentf(step.about))
 			}
 		})
 	}
