--- a/internal/simulation/faultsim/campaign.go
+++ b/internal/simulation/faultsim/campaign.go
@@ -47,7 +47,7 @@
 // lets clients send.
 func (sim *Simulation) Begin() {
 	sim.beginWithoutClients()
-	sim.clients.start(sim)
+	sim.clients.start()
 	sim.Run(warmUpMs)
 	sim.checkServing("at the start")
 }
--- a/internal/simulation/faultsim/clients.go
+++ b/internal/simulation/faultsim/clients.go
@@ -52,6 +52,7 @@
 
 // clients send requests to the routers, some routers more than others.
 type clients struct {
+	sim        *Simulation
 	running    bool
 	lastID     int
 	requests   []*clientRequest
@@ -62,8 +63,8 @@
 	outcomes       map[clientOutcome]int
 }
 
-func newClients() clients {
-	return clients{intervalMs: usualIntervalMs, outcomes: map[clientOutcome]int{}}
+func newClients(sim *Simulation) clients {
+	return clients{sim: sim, intervalMs: usualIntervalMs, outcomes: map[clientOutcome]int{}}
 }
 
 // clientRequest is one request of a client.
@@ -86,34 +87,34 @@
 }
 
 // start lets clients send.
-func (c *clients) start(sim *Simulation) {
+func (c *clients) start() {
 	if !c.running {
 		c.running = true
-		c.scheduleNext(sim)
+		c.scheduleNext()
 	}
 }
 
 // scheduleNext sends a request now and schedules the one after it.
-func (c *clients) scheduleNext(sim *Simulation) {
+func (c *clients) scheduleNext() {
 	if !c.running {
 		return
 	}
-	sim.after(1+sim.random.Int63n(2*c.intervalMs), func() { c.scheduleNext(sim) })
-	available := slices.DeleteFunc(sim.nodeNames(protocol.RoleRouter), func(name string) bool {
-		n := sim.nodes[name]
+	c.sim.after(1+c.sim.random.Int63n(2*c.intervalMs), func() { c.scheduleNext() })
+	available := slices.DeleteFunc(c.sim.nodeNames(protocol.RoleRouter), func(name string) bool {
+		n := c.sim.nodes[name]
 		return !n.isUp || n.isStopping
 	})
 	if len(available) == 0 {
 		return
 	}
 	// The first router gets twice as much as any other.
-	router := available[max(0, sim.random.Intn(len(available)+1)-1)]
-	c.send(sim, router, drawPath(sim), 0)
+	router := available[max(0, c.sim.random.Intn(len(available)+1)-1)]
+	c.send(router, c.drawPath(), 0)
 }
 
 // drawPath draws what is asked for.
-func drawPath(sim *Simulation) string {
-	switch draw := sim.random.Intn(100); {
+func (c *clients) drawPath() string {
+	switch draw := c.sim.random.Intn(100); {
 	case draw < 25:
 		return safePath
 	case draw < 45:
@@ -125,59 +126,59 @@
 	case draw < 90:
 		return markPath
 	}
-	return onlyPath(sim.operators.acceptedVersion)
+	return onlyPath(c.sim.operators.acceptedVersion)
 }
 
 // onlyPath is a path that only one version of the configuration routes.
 func onlyPath(version uint64) string { return fmt.Sprintf("/only-%d/x", version) }
 
 // send sends one request to a router.
-func (c *clients) send(sim *Simulation, router, path string, retries int) {
-	n := sim.nodes[router]
+func (c *clients) send(router, path string, retries int) {
+	n := c.sim.nodes[router]
 	if !n.isUp || n.isStopping && retries == 0 {
 		return
 	}
 	c.lastID++
 	r := &clientRequest{
-		sim: sim, id: fmt.Sprintf("t%d", c.lastID), path: path, router: router, incarnation: n.incarnation,
-		sentMs: sim.NowMs(), timeoutMs: plainTimeoutMs, retries: retries,
+		sim: c.sim, id: fmt.Sprintf("t%d", c.lastID), path: path, router: router, incarnation: n.incarnation,
+		sentMs: c.sim.NowMs(), timeoutMs: plainTimeoutMs, retries: retries,
 	}
 	r.attributes = proxy.RequestParams{RequestID: r.id}
 	if r.isStream() {
 		r.timeoutMs = streamTimeoutMs
-		c.drawModelAttributes(sim, r)
+		c.drawModelAttributes(r)
 	}
 	r.attributes.TimeoutMs = r.timeoutMs
 	c.requests = append(c.requests, r)
-	sim.Checker.recordRequest(r)
+	c.sim.Checker.recordRequest(r)
 	incarnation := n.incarnation
 	disconnect := func() { r.complete(clientDisconnected) }
-	sim.transmit(clientsEndpoint, router, func() {
+	c.sim.transmit(clientsEndpoint, router, func() {
 		if !n.runs(incarnation) {
 			disconnect()
 			return
 		}
 		r.arriveAt(n)
 	}, disconnect)
-	sim.after(r.timeoutMs+giveUpSlackMs, r.timeOut)
+	c.sim.after(r.timeoutMs+giveUpSlackMs, r.timeOut)
 }
 
 // drawModelAttributes draws the model, the adapter and the size of a request.
-func (c *clients) drawModelAttributes(sim *Simulation, r *clientRequest) {
-	r.attributes.Model = modelName(c.chooseModel(sim))
-	if r.attributes.Model == modelName(modelWithAdapters) && sim.random.Intn(2) == 0 {
-		r.attributes.Adapter = fmt.Sprintf("a%d", 1+sim.random.Intn(adapterCount))
+func (c *clients) drawModelAttributes(r *clientRequest) {
+	r.attributes.Model = modelName(c.chooseModel())
+	if r.attributes.Model == modelName(modelWithAdapters) && c.sim.random.Intn(2) == 0 {
+		r.attributes.Adapter = fmt.Sprintf("a%d", 1+c.sim.random.Intn(adapterCount))
 	}
-	r.attributes.PromptTokens, r.attributes.MaxOutputTokens = 200+sim.random.Int63n(1500), 50
-	r.attributes.PromptParts = []proxy.PromptPart{{ID: fmt.Sprint("p", sim.random.Intn(5)), Tokens: 100}, {ID: r.id, Tokens: 100}}
+	r.attributes.PromptTokens, r.attributes.MaxOutputTokens = 200+c.sim.random.Int63n(1500), 50
+	r.attributes.PromptParts = []proxy.PromptPart{{ID: fmt.Sprint("p", c.sim.random.Intn(5)), Tokens: 100}, {ID: r.id, Tokens: 100}}
 }
 
 // chooseModel draws a model: mostly one of two popular ones.
-func (c *clients) chooseModel(sim *Simulation) int {
-	if c.wantRareModels || sim.random.Intn(10) == 0 {
-		return sim.random.Intn(modelCount)
+func (c *clients) chooseModel() int {
+	if c.wantRareModels || c.sim.random.Intn(10) == 0 {
+		return c.sim.random.Intn(modelCount)
 	}
-	return (c.popularModel + sim.random.Intn(2)) % modelCount
+	return (c.popularModel + c.sim.random.Intn(2)) % modelCount
 }
 
 // arriveAt is the request reaching its router.
@@ -258,7 +259,7 @@
 // retry sends the request again, to any router.
 func (r *clientRequest) retry() {
 	routers := r.sim.nodeNames(protocol.RoleRouter)
-	r.sim.clients.send(r.sim, routers[r.sim.random.Intn(len(routers))], r.path, r.retries+1)
+	r.sim.clients.send(routers[r.sim.random.Intn(len(routers))], r.path, r.retries+1)
 }
 
 // timeOut is the client giving up.
--- a/internal/simulation/faultsim/faults_controllers.go
+++ b/internal/simulation/faultsim/faults_controllers.go
@@ -155,13 +155,22 @@
 // killReplacementThenReplaceAnother replaces a controller, kills the new one
 // just as it becomes a witness, and replaces another one later.
 func (sim *Simulation) killReplacementThenReplaceAnother(removed *node) {
-	const waitSteps, downMs = 4000, 300
+	const downMs = 300
 	sim.replaceController(removed)
 	name := controllerName(sim.controllersMade)
-	sim.runUntil(waitSteps, 1, func() bool { return strings.Contains(sim.trace.Last(), name+witnessReplacedLog) })
+	sim.runUntilWitness(name)
 	sim.killAndRestart(sim.nodes[name], downMs)
 	sim.after(sim.Bounds.CatchUpMs+1500, func() { sim.ifLosable(sim.primaryOrRandom(), (*Simulation).replaceController) })
 	sim.after(sim.Bounds.CatchUpMs+7000, func() { sim.submitConfig(sim.randomController()) })
 }
 
+// runUntilWitness runs until a controller becomes a witness, and says whether it
+// did in time.
+func (sim *Simulation) runUntilWitness(name string) bool {
+	const waitSteps, waitStepMs = 4000, 1
+	return sim.runUntil(waitSteps, waitStepMs, func() bool {
+		return strings.Contains(sim.trace.Last(), name+witnessReplacedLog)
+	})
+}
+
 func controllerName(number int) string { return fmt.Sprintf("core-%d", number) }
--- a/internal/simulation/faultsim/faultsim_test.go
+++ b/internal/simulation/faultsim/faultsim_test.go
@@ -70,3 +70,12 @@
 	_, ok := Play(1, "nothing of the kind")
 	qt.Assert(t, ok, qt.IsFalse)
 }
+
+// The fault that kills a replacement as it becomes a witness sees that moment
+// in the controllers' log.
+func TestReplacementBecomesAWitness(t *testing.T) {
+	sim := New(2, InjectedBugs{})
+	sim.Begin()
+	sim.replaceController(sim.randomBackup())
+	qt.Assert(t, sim.runUntilWitness(controllerName(sim.controllersMade)), qt.IsTrue)
+}
--- a/internal/simulation/faultsim/fleet.go
+++ b/internal/simulation/faultsim/fleet.go
@@ -23,6 +23,7 @@
 
 // fleet is the platform's side: the runners and the list of them.
 type fleet struct {
+	sim *Simulation
 	// runners holds the incarnations that run, and those that have ended and are
 	// still listed.
 	runners []*runner
@@ -46,19 +47,19 @@
 }
 
 func newFleet(sim *Simulation) fleet {
-	f := fleet{onDisk: map[string]map[string]bool{}}
+	f := fleet{sim: sim, onDisk: map[string]map[string]bool{}}
 	for i := range modelRunnerCount {
-		r := f.startRunner(sim, modelService, f.newAddress())
+		r := f.startRunner(modelService, f.newAddress())
 		for _, model := range []int{2 * i, 2*i + 1} {
 			r.memory.Models[modelName(model%modelCount)] = map[string]bool{}
 			r.memory.OnDisk[modelName(model%modelCount)] = true
 		}
 	}
 	for range plainRunnerCount {
-		f.startRunner(sim, plainService, f.newAddress())
+		f.startRunner(plainService, f.newAddress())
 	}
 	for range otherRunnerCount {
-		f.startRunner(sim, otherService, f.newAddress())
+		f.startRunner(otherService, f.newAddress())
 	}
 	return f
 }
@@ -70,13 +71,13 @@
 
 // startRunner starts a new incarnation of a runner at an address. The models
 // that were loaded there before are on its disk.
-func (f *fleet) startRunner(sim *Simulation, service, address string) *runner {
+func (f *fleet) startRunner(service, address string) *runner {
 	f.lastRunner++
 	machine := service + " " + address
 	if f.onDisk[machine] == nil {
 		f.onDisk[machine] = map[string]bool{}
 	}
-	r := &runner{sim: sim, memory: modelmemory.New(f.onDisk[machine]), loading: map[string]bool{}}
+	r := &runner{sim: f.sim, memory: modelmemory.New(f.onDisk[machine]), loading: map[string]bool{}}
 	r.entry = protocol.RunnerEntry{
 		ID: fmt.Sprintf("i-%03d", f.lastRunner), Service: service, Address: address,
 		Zone: fmt.Sprintf("zone-%d", f.lastRunner%zoneCount), Slots: slots, LeftMs: -1,
@@ -115,8 +116,8 @@
 
 // recordListing records what the list will show later, and what runners will
 // report of themselves.
-func (f *fleet) recordListing(sim *Simulation) {
-	nowMs := sim.NowMs()
+func (f *fleet) recordListing() {
+	nowMs := f.sim.NowMs()
 	f.runners = slices.DeleteFunc(f.runners, func(r *runner) bool { return r.hasEnded && nowMs >= r.listedUntilMs })
 	var entries []protocol.RunnerEntry
 	for _, r := range f.runners {
@@ -138,11 +139,11 @@
 
 // list answers a call to the platform's list; isAnswered is false while the
 // list is down.
-func (f *fleet) list(sim *Simulation) (list protocol.RunnerList, isAnswered bool) {
-	if sim.isListDown {
+func (f *fleet) list() (list protocol.RunnerList, isAnswered bool) {
+	if f.sim.isListDown {
 		return protocol.RunnerList{}, false
 	}
-	nowMs := sim.NowMs()
+	nowMs := f.sim.NowMs()
 	f.listCallsMs = slices.DeleteFunc(f.listCallsMs, func(atMs int64) bool { return nowMs-atMs >= listWindowMs })
 	f.listCallsMs = append(f.listCallsMs, nowMs)
 	if float64(len(f.listCallsMs)) > listPerSec {
@@ -153,8 +154,8 @@
 		if !entries[i].Leaving {
 			continue
 		}
-		sim.Checker.recordListedDraining(entries[i].ID)
-		if sim.Bugs.HideDraining {
+		f.sim.Checker.recordListedDraining(entries[i].ID)
+		if f.sim.Bugs.HideDraining {
 			entries[i].Leaving, entries[i].LeftMs = false, -1
 		}
 	}
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -184,7 +184,7 @@
 		return
 	}
 	if n.isController() {
-		sim.operators.receiveAnswer(sim, n, answer)
+		sim.operators.receiveAnswer(n, answer)
 		return
 	}
 	request := n.requests[answer.ID]
--- a/internal/simulation/faultsim/operator_calls.go
+++ b/internal/simulation/faultsim/operator_calls.go
@@ -45,7 +45,7 @@
 		return
 	}
 	if sim.NowMs()-s.sentMs > submissionTimeoutMs {
-		o.complete(sim, s, noClearAnswer)
+		o.complete(s, noClearAnswer)
 		return
 	}
 	if at == nil || at.isRemoved {
@@ -59,13 +59,13 @@
 		call.record = o.history.recordSubmission(sim.NowMs(), submissionKey{s.baseVersion, s.isChange, s.text}, s.version)
 	}
 	if sim.Bugs.AcknowledgeEarly && !s.isRead {
-		o.recordAnswer(sim, call, controller.ConfigAccepted{Version: s.version})
-		o.accept(sim, s)
+		o.recordAnswer(call, controller.ConfigAccepted{Version: s.version})
+		o.accept(s)
 	}
 	sim.transmit(operatorEndpoint, at.name, func() {
-		sim.after(o.drawCallDelayMs(sim), func() { sim.arriveAtController(call, id) })
+		sim.after(o.drawCallDelayMs(), func() { sim.arriveAtController(call, id) })
 	}, nil)
-	sim.after(callTimeoutMs, func() { o.retry(sim, call, nil) })
+	sim.after(callTimeoutMs, func() { o.retry(call, nil) })
 }
 
 // arriveAtController is a call reaching its controller.
@@ -73,7 +73,7 @@
 	n, s := call.node, call.submission
 	switch {
 	case !n.isUp:
-		sim.after(connectFailedMs, func() { sim.operators.retry(sim, call, nil) })
+		sim.after(connectFailedMs, func() { sim.operators.retry(call, nil) })
 	case s.isRead:
 		sim.deliver(n, n.incarnation, controller.ReadConfig{ID: id})
 	default:
@@ -82,32 +82,32 @@
 }
 
 // drawCallDelayMs draws how long a call is delayed on its way.
-func (o *operators) drawCallDelayMs(sim *Simulation) int64 {
-	if o.delayedCallShare == 0 || sim.random.Float64() >= o.delayedCallShare {
+func (o *operators) drawCallDelayMs() int64 {
+	if o.delayedCallShare == 0 || o.sim.random.Float64() >= o.delayedCallShare {
 		return 0
 	}
-	return sim.random.Int63n(maxCallDelayMs)
+	return o.sim.random.Int63n(maxCallDelayMs)
 }
 
 // retry goes on at another controller: at once where a call was redirected, or
 // after a pause that grows.
-func (o *operators) retry(sim *Simulation, call *operatorCall, redirectedTo *node) {
+func (o *operators) retry(call *operatorCall, redirectedTo *node) {
 	s := call.submission
 	if call.isFinished || s.isDone {
 		return
 	}
 	call.isFinished = true
 	if s.noRetry {
-		o.complete(sim, s, noClearAnswer)
+		o.complete(s, noClearAnswer)
 		return
 	}
 	if redirectedTo != nil && call.redirects < maxRedirects {
-		sim.after(1, func() { sim.callAfterRedirects(redirectedTo, s, call.redirects+1) })
+		o.sim.after(1, func() { o.sim.callAfterRedirects(redirectedTo, s, call.redirects+1) })
 		return
 	}
 	pauseMs := s.pauseMs
 	s.pauseMs = min(maxPauseMs, 2*pauseMs)
-	sim.after(pauseMs, func() { sim.callController(nil, s) })
+	o.sim.after(pauseMs, func() { o.sim.callController(nil, s) })
 }
 
 // nodeCrashed forgets the calls at a controller that ended; they time out.
@@ -120,30 +120,30 @@
 }
 
 // receiveAnswer carries the answer of a controller to its operator.
-func (o *operators) receiveAnswer(sim *Simulation, n *node, answer protocol.Response) {
+func (o *operators) receiveAnswer(n *node, answer protocol.Response) {
 	call := o.calls[answer.ID]
 	if call == nil {
 		return
 	}
 	delete(o.calls, answer.ID)
-	if o.lostAnswerShare > 0 && sim.random.Float64() < o.lostAnswerShare {
+	if o.lostAnswerShare > 0 && o.sim.random.Float64() < o.lostAnswerShare {
 		return
 	}
-	sim.transmit(n.name, operatorEndpoint, func() {
+	o.sim.transmit(n.name, operatorEndpoint, func() {
 		// An answer that is too late for the operator must be right all the same.
-		o.recordAnswer(sim, call, answer.Body)
+		o.recordAnswer(call, answer.Body)
 		if !call.submission.isDone {
-			o.handleAnswer(sim, call, answer.Body)
+			o.handleAnswer(call, answer.Body)
 		}
 	}, nil)
 }
 
 // recordAnswer records a clear answer in the history.
-func (o *operators) recordAnswer(sim *Simulation, call *operatorCall, body any) {
-	record := answerRecord{sentMs: call.sentMs, atMs: sim.NowMs()}
+func (o *operators) recordAnswer(call *operatorCall, body any) {
+	record := answerRecord{sentMs: call.sentMs, atMs: o.sim.NowMs()}
 	switch answer := body.(type) {
 	case controller.ConfigText:
-		o.history.recordRead(call.sentMs, sim.NowMs(), answer.Version, answer.Text)
+		o.history.recordRead(call.sentMs, o.sim.NowMs(), answer.Version, answer.Text)
 		return
 	case controller.ConfigAccepted:
 		record.outcome = outcomeAccepted
@@ -163,30 +163,30 @@
 }
 
 // handleAnswer lets the operator act on an answer.
-func (o *operators) handleAnswer(sim *Simulation, call *operatorCall, body any) {
+func (o *operators) handleAnswer(call *operatorCall, body any) {
 	s := call.submission
 	switch answer := body.(type) {
 	case controller.ConfigAccepted:
 		if answer.Version != s.version {
-			sim.Checker.report(RuleConfig, sim.NowMs(), "version %d is acknowledged as %d", s.version, answer.Version)
+			o.sim.Checker.report(RuleConfig, o.sim.NowMs(), "version %d is acknowledged as %d", s.version, answer.Version)
 		}
-		o.accept(sim, s)
+		o.accept(s)
 	case controller.ConfigText:
 		s.isDone = true
 		s.readResult = &answer
 	case protocol.Rejection:
-		o.handleRejection(sim, call, answer)
+		o.handleRejection(call, answer)
 	}
 }
 
-func (o *operators) handleRejection(sim *Simulation, call *operatorCall, rejection protocol.Rejection) {
+func (o *operators) handleRejection(call *operatorCall, rejection protocol.Rejection) {
 	switch rejection.Kind {
 	case errkind.NotPrimary:
-		o.retry(sim, call, sim.redirectTarget(call, rejection.Primary))
+		o.retry(call, o.sim.redirectTarget(call, rejection.Primary))
 	case errkind.StaleBase, errkind.FaultyDescription:
-		o.handleRefusal(sim, call.submission, rejection)
+		o.handleRefusal(call.submission, rejection)
 	default:
-		o.retry(sim, call, nil)
+		o.retry(call, nil)
 	}
 }
 
@@ -204,16 +204,16 @@
 }
 
 // handleRefusal ends a submission that has no effect.
-func (o *operators) handleRefusal(sim *Simulation, s *submission, rejection protocol.Rejection) {
+func (o *operators) handleRefusal(s *submission, rejection protocol.Rejection) {
 	if s.mustBeAccepted && !o.isUncertain && s.baseVersion == o.acceptedVersion {
-		sim.Checker.report(RuleConfig, sim.NowMs(), "version %d must be accepted and is refused: %s %v",
+		o.sim.Checker.report(RuleConfig, o.sim.NowMs(), "version %d must be accepted and is refused: %s %v",
 			s.version, rejection.Kind, rejection.Faults)
 	}
 	if rejection.Kind == errkind.StaleBase {
 		o.baseVersion = max(o.baseVersion, rejection.Revision)
 	}
 	if !s.isRival {
-		sim.Checker.recordRefused(s.version, string(rejection.Kind))
+		o.sim.Checker.recordRefused(s.version, string(rejection.Kind))
 	}
-	o.complete(sim, s, string(rejection.Kind))
+	o.complete(s, string(rejection.Kind))
 }
--- a/internal/simulation/faultsim/operators.go
+++ b/internal/simulation/faultsim/operators.go
@@ -23,6 +23,7 @@
 // operators submit configurations and changes of them, and read the current
 // configuration back.
 type operators struct {
+	sim        *Simulation
 	lastCallID uint64
 	calls      map[uint64]*operatorCall
 	// lastVersion is the last version that was given out, acceptedVersion the
@@ -42,8 +43,8 @@
 	lostAnswerShare, delayedCallShare float64
 }
 
-func newOperators() operators {
-	return operators{calls: map[uint64]*operatorCall{}, texts: map[uint64]string{}, history: newHistory()}
+func newOperators(sim *Simulation) operators {
+	return operators{sim: sim, calls: map[uint64]*operatorCall{}, texts: map[uint64]string{}, history: newHistory()}
 }
 
 // submission is a configuration or a change that an operator submits, or a
@@ -71,15 +72,15 @@
 }
 
 // nextVersion gives out a version number; they rise by uneven steps.
-func (o *operators) nextVersion(sim *Simulation) uint64 {
-	o.lastVersion += 1 + uint64(sim.random.Intn(3))
+func (o *operators) nextVersion() uint64 {
+	o.lastVersion += 1 + uint64(o.sim.random.Intn(3))
 	return o.lastVersion
 }
 
 // submitConfig submits a complete configuration.
 func (sim *Simulation) submitConfig(to *node) *submission {
 	o := &sim.operators
-	version := o.nextVersion(sim)
+	version := o.nextVersion()
 	return sim.submit(to, &submission{
 		baseVersion: o.baseVersion, version: version, text: string(encode(sim.newConfig(version))),
 		mustBeAccepted: o.baseVersion == o.acceptedVersion,
@@ -92,7 +93,7 @@
 	if o.baseVersion == 0 {
 		return sim.submitConfig(to)
 	}
-	version := o.nextVersion(sim)
+	version := o.nextVersion()
 	return sim.submit(to, &submission{
 		baseVersion: o.baseVersion, version: version, text: string(encode(newChange(o.baseVersion, version))),
 		isChange: true, mustBeAccepted: o.baseVersion == o.acceptedVersion,
@@ -102,7 +103,7 @@
 // submitInvalidConfig submits a configuration that must not be accepted.
 func (sim *Simulation) submitInvalidConfig(to *node) {
 	o := &sim.operators
-	version := o.nextVersion(sim)
+	version := o.nextVersion()
 	text := string(encode(sim.newConfig(version)))
 	switch sim.random.Intn(3) {
 	case 0:
@@ -167,20 +168,20 @@
 }
 
 // accept notes that the operator was told that its submission is accepted.
-func (o *operators) accept(sim *Simulation, s *submission) {
+func (o *operators) accept(s *submission) {
 	if s.isDone {
 		return
 	}
 	if !s.isRival {
-		sim.Checker.recordAccepted(s.version, s.baseVersion)
+		o.sim.Checker.recordAccepted(s.version, s.baseVersion)
 	}
 	o.acceptedVersion = max(o.acceptedVersion, s.version)
 	o.baseVersion = max(o.baseVersion, s.version)
-	o.complete(sim, s, acceptedOutcome)
+	o.complete(s, acceptedOutcome)
 }
 
 // complete ends a submission or a read.
-func (o *operators) complete(sim *Simulation, s *submission, outcome string) {
+func (o *operators) complete(s *submission, outcome string) {
 	if s.isDone {
 		return
 	}
@@ -190,7 +191,7 @@
 	}
 	o.isUncertain = o.isUncertain || outcome == noClearAnswer
 	o.outcomes = append(o.outcomes, fmt.Sprintf("%d: %s", s.version, outcome))
-	sim.logf("operator: version %d: %s", s.version, outcome)
+	o.sim.logf("operator: version %d: %s", s.version, outcome)
 }
 
 // readBack reads the current configuration from a controller, or from any if it
--- a/internal/simulation/faultsim/outbound_calls.go
+++ b/internal/simulation/faultsim/outbound_calls.go
@@ -54,7 +54,7 @@
 	sim, caller := c.sim, c.caller.name
 	c.completeAfterTimeout(protocol.RunnerList{})
 	sim.transmit(caller, listAddress, func() {
-		if list, isAnswered := sim.fleet.list(sim); isAnswered {
+		if list, isAnswered := sim.fleet.list(); isAnswered {
 			sim.transmit(listAddress, caller, func() { c.complete(list) }, nil)
 		}
 	}, nil)
@@ -114,7 +114,7 @@
 	if r == nil || r.isSilent {
 		return
 	}
-	outcome := r.handleOrder(sim, c.caller.name, order)
+	outcome := r.handleOrder(c.caller.name, order)
 	// The answer may be lost; the order has taken effect all the same.
 	if sim.fleet.lostAnswerShare > 0 && sim.random.Float64() < sim.fleet.lostAnswerShare {
 		return
--- a/internal/simulation/faultsim/runner.go
+++ b/internal/simulation/faultsim/runner.go
@@ -79,20 +79,20 @@
 }
 
 // handleOrder decides on an order and begins to carry it out if it is accepted.
-func (r *runner) handleOrder(sim *Simulation, sender string, order protocol.RunnerOrder) protocol.OrderOutcome {
+func (r *runner) handleOrder(sender string, order protocol.RunnerOrder) protocol.OrderOutcome {
 	if r.entry.ID != order.Runner || r.entry.Service != modelService {
 		return protocol.OutcomeRejected
 	}
-	sim.Checker.recordOrder(sender, r.entry.ID, order.Holder, order.Fence)
-	if sim.Bounds.Fenced && order.Fence < r.fence {
+	r.sim.Checker.recordOrder(sender, r.entry.ID, order.Holder, order.Fence)
+	if r.sim.Bounds.Fenced && order.Fence < r.fence {
 		return protocol.OutcomeFenced
 	}
 	r.fence = max(r.fence, order.Fence)
-	outcome := r.memory.Accept(order, sim.Bugs.IgnoreExpectedCount)
+	outcome := r.memory.Accept(order, r.sim.Bugs.IgnoreExpectedCount)
 	if outcome != protocol.OutcomeAccepted {
 		return outcome
 	}
-	sim.logf("%s: order %d of %s (fence %d): load %v %s %s",
+	r.sim.logf("%s: order %d of %s (fence %d): load %v %s %s",
 		r.entry.ID, r.memory.AcceptedOrders, order.Holder, order.Fence, order.Load, order.Model, order.Adapter)
 	if order.Load {
 		r.load(order)
--- a/internal/simulation/faultsim/runner_lifecycle.go
+++ b/internal/simulation/faultsim/runner_lifecycle.go
@@ -64,7 +64,7 @@
 	sim.after(restartMinMs+sim.random.Int63n(restartSpreadMs), func() {
 		if sim.fleet.runnerAt(r.entry.Address) == nil {
 			sim.logf("%s starts another incarnation", r.entry.Address)
-			sim.fleet.startRunner(sim, r.entry.Service, r.entry.Address)
+			sim.fleet.startRunner(r.entry.Service, r.entry.Address)
 		}
 	})
 }
@@ -75,7 +75,7 @@
 	if r == nil || r.hasEnded || r.entry.Leaving {
 		return
 	}
-	sim.fleet.startRunner(sim, r.entry.Service, sim.fleet.newAddress())
+	sim.fleet.startRunner(r.entry.Service, sim.fleet.newAddress())
 	sim.drainRunner(r, isSpot)
 	if r.entry.Service == modelService {
 		return
@@ -91,6 +91,6 @@
 	isFree := sim.fleet.runnerAt(r.entry.Address) == nil
 	if isFree && len(sim.fleet.activeRunners(service)) < maxReusedRunners {
 		sim.logf("%s is given to a runner of %s", r.entry.Address, service)
-		sim.fleet.startRunner(sim, service, r.entry.Address)
+		sim.fleet.startRunner(service, r.entry.Address)
 	}
 }
--- a/internal/simulation/faultsim/simulation.go
+++ b/internal/simulation/faultsim/simulation.go
@@ -96,8 +96,8 @@
 	sim.connectivity = newConnectivity(sim)
 	sim.Checker = newChecker(sim)
 	sim.fleet = newFleet(sim)
-	sim.clients = newClients()
-	sim.operators = newOperators()
+	sim.clients = newClients(sim)
+	sim.operators = newOperators(sim)
 	sim.addControllers(controllers)
 	sim.addRouters()
 	for _, name := range sim.nodeNames() {
@@ -127,7 +127,7 @@
 
 func (sim *Simulation) observePeriodically() {
 	sim.connectivity.observe()
-	sim.fleet.recordListing(sim)
+	sim.fleet.recordListing()
 	sim.after(observeIntervalMs, sim.observePeriodically)
 }
 
@@ -138,13 +138,14 @@
 func (sim *Simulation) Run(ms int64) { sim.events.RunFor(ms) }
 
 // runUntil runs up to a number of steps of virtual time, and stops early once
-// a condition holds.
-func (sim *Simulation) runUntil(steps int, stepMs int64, isDone func() bool) {
+// a condition holds. It says whether the condition holds.
+func (sim *Simulation) runUntil(steps int, stepMs int64, condition func() bool) bool {
 	for range steps {
-		if sim.Run(stepMs); isDone() {
-			return
+		if sim.Run(stepMs); condition() {
+			return true
 		}
 	}
+	return false
 }
 
 // after schedules an event after a delay; a negative delay counts as none.
--- a/internal/simulation/faultsim/workload.go
+++ b/internal/simulation/faultsim/workload.go
@@ -134,7 +134,7 @@
 func (sim *Simulation) submitSeveral(count int) {
 	o := &sim.operators
 	for range min(count, o.freeSlots()) {
-		sim.submitUnique(o.baseVersion, o.nextVersion(sim), sim.random.Intn(2) == 0)
+		sim.submitUnique(o.baseVersion, o.nextVersion(), sim.random.Intn(2) == 0)
 	}
 }
 
@@ -143,20 +143,20 @@
 	if o.freeSlots() < 2 {
 		return
 	}
-	version, isChange := o.nextVersion(sim), sim.random.Intn(2) == 0
+	version, isChange := o.nextVersion(), sim.random.Intn(2) == 0
 	sim.submitUnique(o.baseVersion, version, isChange)
 	sim.submitUnique(o.baseVersion, version, isChange)
 }
 
 func (sim *Simulation) submitStale() {
 	base := sim.randomSubmission().baseVersion
-	sim.submitUnique(base, sim.operators.nextVersion(sim), false)
+	sim.submitUnique(base, sim.operators.nextVersion(), false)
 }
 
 func (sim *Simulation) submitAhead() {
 	o := &sim.operators
-	coming := o.nextVersion(sim)
-	sim.submitUnique(coming, o.nextVersion(sim), sim.random.Intn(2) == 0)
+	coming := o.nextVersion()
+	sim.submitUnique(coming, o.nextVersion(), sim.random.Intn(2) == 0)
 	sim.Run(sim.random.Int63n(20))
 	sim.submitUnique(o.baseVersion, coming, false)
 }
--- a/internal/simulation/faultsim/workload_test.go
+++ b/internal/simulation/faultsim/workload_test.go
@@ -165,7 +165,7 @@
 					sim := siteWithConfig(2 + afterMs%2)
 					old := sim.primary()
 					sim.slowOtherDisks(old, 40)
-					late := sim.newUniqueSubmission(sim.operators.baseVersion, sim.operators.nextVersion(sim), false)
+					late := sim.newUniqueSubmission(sim.operators.baseVersion, sim.operators.nextVersion(), false)
 					late.noRetry = true
 					sim.submit(old, late)
 					sent := sim.operators.history.submissions[1]
@@ -250,7 +250,7 @@
 		sim.resend(sent, nil)
 		sim.Run(2000)
 	case "another in force":
-		sim.submitUnique(sim.operators.baseVersion, sim.operators.nextVersion(sim), false)
+		sim.submitUnique(sim.operators.baseVersion, sim.operators.nextVersion(), false)
 		sim.Run(2000)
 	case "the next primary lost":
 		if next := sim.primary(); next != nil {
--- a/internal/simulation/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -24,7 +24,7 @@
 // member is one controller: a machine, its disk and its links.
 type member struct {
 	node        protocol.Node
-	machine     Stepper
+	machine     StateMachine
 	application *rowApplication
 	// disk holds what is durable.
 	disk map[string]string
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -18,7 +18,7 @@
 // interceptor stands between a cluster and a machine, and changes inputs and
 // effects.
 type interceptor struct {
-	machine Stepper
+	machine StateMachine
 	// input changes an input; the machine does not get one that becomes nil.
 	input func(input any) any
 	// send changes a message that the machine sends.
@@ -48,7 +48,7 @@
 }
 
 // losingWrites confirms writes of the state, and loses them.
-func losingWrites(member string, machine Stepper) Stepper {
+func losingWrites(member string, machine StateMachine) StateMachine {
 	return &interceptor{machine: machine, write: func(write storage.Write) storage.Write {
 		if write.Set[positionKey] != "" {
 			return storage.Write{}
@@ -58,8 +58,8 @@
 }
 
 // repeatingWrites repeats an early write of a key in place of later ones.
-func repeatingWrites(key string) func(string, Stepper) Stepper {
-	return func(member string, machine Stepper) Stepper {
+func repeatingWrites(key string) func(string, StateMachine) StateMachine {
+	return func(member string, machine StateMachine) StateMachine {
 		var early *storage.Write
 		written := 0
 		return &interceptor{machine: machine, write: func(write storage.Write) storage.Write {
@@ -78,7 +78,7 @@
 }
 
 // acknowledgingEarly acknowledges a write before any disk has it.
-func acknowledgingEarly(member string, machine Stepper) Stepper {
+func acknowledgingEarly(member string, machine StateMachine) StateMachine {
 	return &interceptor{machine: machine, input: func(input any) any {
 		if write, ok := input.(Write); ok {
 			write.Done(true)
@@ -91,7 +91,7 @@
 const longerLeaseMs = 3000
 
 // countingLongLeases counts the lease from a time after its renewal was sent.
-func countingLongLeases(member string, machine Stepper) Stepper {
+func countingLongLeases(member string, machine StateMachine) StateMachine {
 	return &interceptor{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
 			if reply, isReply := envelope.Body.(protocol.AcceptReply); isReply {
@@ -105,7 +105,7 @@
 }
 
 // hidingRecords hides from candidates what record a witness accepted.
-func hidingRecords(member string, machine Stepper) Stepper {
+func hidingRecords(member string, machine StateMachine) StateMachine {
 	return &interceptor{machine: machine, send: func(body protocol.Message) protocol.Message {
 		if reply, isReply := body.(protocol.PrepareReply); isReply {
 			reply.Record, reply.Kept = protocol.EpochRecord{}, protocol.Ballot{}
@@ -116,7 +116,7 @@
 }
 
 // ignoringPrepare never answers a candidate.
-func ignoringPrepare(member string, machine Stepper) Stepper {
+func ignoringPrepare(member string, machine StateMachine) StateMachine {
 	return &interceptor{machine: machine, input: func(input any) any {
 		if envelope, ok := input.(protocol.Envelope); ok {
 			if _, isPrepare := envelope.Body.(protocol.Prepare); isPrepare {
@@ -141,7 +141,7 @@
 	for _, test := range []struct {
 		name      string
 		invariant Invariant
-		wrap      func(string, Stepper) Stepper
+		wrap      func(string, StateMachine) StateMachine
 		scope     Scope
 	}{
 		{"a disk that loses writes", AcknowledgedStays, losingWrites, Scope{Scenario: crashes, Depth: 1}},
--- a/internal/simulation/modelcheck/scope.go
+++ b/internal/simulation/modelcheck/scope.go
@@ -16,8 +16,8 @@
 	DefaultLeaveMs = 4000
 )
 
-// Stepper is a state machine that takes one input at a time.
-type Stepper interface {
+// StateMachine is a state machine that takes one input at a time.
+type StateMachine interface {
 	Step(nowMs int64, input any) protocol.Effects
 }
 
@@ -53,7 +53,7 @@
 	// Scenario is what happens in every schedule.
 	Scenario Scenario
 	// Wrap may put something between the cluster and each machine; nil is nothing.
-	Wrap func(member string, machine Stepper) Stepper
+	Wrap func(member string, machine StateMachine) StateMachine
 }
 
 // withDefaults sets fields that are 0 to their defaults.
