--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,11 +1,10 @@
 // Package httpclient is the HTTP/1.1 client of this process, for calls to runners
 // and to the platform.
 //
-// What holds on each of its connections: one exchange is in flight at a time;
-// a request is written once and never sent again by itself; and a connection
-// is used again only after a response that was read to its told end, was
-// accepted by the caller, and left nothing behind it. On any doubt the
-// connection is closed.
+// Guarantees: each connection carries one exchange at a time; a request is
+// written once and never repeated by the client; and a connection is reused only
+// after a response that was read to its declared end, was accepted by the caller,
+// and left no bytes behind it. In any other case the connection is closed.
 package httpclient
 
 import (
@@ -19,52 +18,53 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of an exchange beside those of the network.
+// The errors of an exchange, besides those of the network.
 var (
-	// ErrNotAllowed says that the caller's check said no before the first byte.
+	// ErrNotAllowed says that the caller's check refused the first byte.
 	ErrNotAllowed = errors.New("too late to send")
-	// ErrMalformed says that what came is no final response of HTTP/1.1.
+	// ErrMalformed says that the response is no valid final one of HTTP/1.1.
 	ErrMalformed = errors.New("malformed response")
 	// ErrHeadTooLarge says that the head of a response is larger than allowed.
 	ErrHeadTooLarge = errors.New("the head of a response is too large")
 )
 
 const (
-	dialTimeout = time.Second
-	idleTimeout = 2 * time.Second
-	// Requests of clients have less time: another runner is soon reached, and
-	// a connection that has just been used is the one least likely to be
-	// closed.
+	callDialTimeout = time.Second
+	callIdleTimeout = 2 * time.Second
+	// Requests of clients have less time: another runner is soon reached, and a
+	// connection that was just used is the least likely to have been closed.
 	clientDialTimeout = 300 * time.Millisecond
 	clientIdleTimeout = time.Second
-	// silentMs is how long the other side may acknowledge nothing before a
-	// connection counts as broken; a machine without power says nothing itself.
-	silentMs = 2000
-	// headBytes bounds the head of a response, clientHeadBytes that of one for
-	// a client.
-	headBytes       = 16 << 10
+	// userTimeoutMs is how long the other side may acknowledge nothing before
+	// the connection counts as broken. A machine that lost power sends no reset.
+	userTimeoutMs = 2000
+	// callHeadBytes bounds the head of a response to a call of this process,
+	// clientHeadBytes that of a response to a client's request.
+	callHeadBytes   = 16 << 10
 	clientHeadBytes = 64 << 10
 )
 
-// Client sends each request once, over connections that it keeps.
+// Client sends requests, each once, over connections that it keeps. It is safe for
+// concurrent use.
 type Client struct {
-	// calls are the connections for this process's own calls, clients those
-	// for requests of clients.
+	// calls has the connections for this process's own calls, clients those for
+	// forwarded requests of clients.
 	calls, clients *pool
 }
 
-// New makes a transport.
+// New makes a client.
 func New() *Client {
 	return &Client{
-		calls:   newPool(dialTimeout, idleTimeout, headBytes),
+		calls:   newPool(callDialTimeout, callIdleTimeout, callHeadBytes),
 		clients: newPool(clientDialTimeout, clientIdleTimeout, clientHeadBytes),
 	}
 }
 
-// Do sends a request once. Wrote says whether any byte may have reached the
-// other side; without it the request certainly has not. The response counts as
-// accepted, since these calls bear no id of a client's request.
-func (t *Client) Do(ctx context.Context, method, url string, body []byte, mayWrite func() bool) (response *http.Response, wrote bool, err error) {
+// Do makes a call of this process. The request is written only if mayWrite allows
+// it right before its first byte; ErrNotAllowed says that it did not. Wrote
+// reports whether any byte may have reached the other side; without it the call
+// certainly had no effect there. The response counts as accepted.
+func (c *Client) Do(ctx context.Context, method, url string, body []byte, mayWrite func() bool) (response *http.Response, wrote bool, err error) {
 	request, err := http.NewRequest(method, url, nil)
 	if err != nil {
 		return nil, false, err
@@ -73,21 +73,22 @@
 		request.Body, request.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 		request.Header.Set("Content-Type", "application/json")
 	}
-	exchange, err := t.calls.send(ctx, request, body, mayWrite, false)
+	exchange, err := c.calls.send(ctx, request, body, mayWrite, false)
 	if err != nil {
-		return nil, exchange.Written, err
+		return nil, exchange.BytesWritten, err
 	}
 	exchange.Accept()
-	return exchange.Response, exchange.Written, nil
+	return exchange.Response, exchange.BytesWritten, nil
 }
 
 // Close closes the connections that are idle.
-func (t *Client) Close() {
-	t.calls.closeIdle()
-	t.clients.closeIdle()
+func (c *Client) Close() {
+	c.calls.closeIdle()
+	c.clients.closeIdle()
 }
 
-// newDialer notices a machine that has gone silent.
+// newDialer makes a dialer whose connections fail soon after the other machine
+// went silent.
 func newDialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: timeout, Control: setUserTimeout,
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -104,7 +104,7 @@
 }
 
 // Where nobody listens it is certain that nothing was written.
-func TestNobodyThere(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	c := qt.New(t)
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
--- a/internal/httpclient/conn.go
+++ b/internal/httpclient/conn.go
@@ -3,22 +3,24 @@
 import (
 	"bufio"
 	"net"
+	"net/http"
 	"syscall"
 	"time"
 )
 
-// conn is one connection. It belongs either to its pool or to one exchange.
+// conn is one connection. It belongs to its pool while it is idle, and otherwise
+// to one exchange.
 type conn struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// headBytes bounds each head, headLeft is what may still be read of this
-	// one; it is below nought while no head is read.
+	// headBytes bounds each head. headLeft is what may still be read of the
+	// current one; it is negative while no head is being read.
 	headBytes, headLeft int64
 	expiry              *time.Timer
 }
 
-// headLimiter reads from a connection, and no more of a head than allowed.
+// headLimiter reads from a connection, but no more of a head than is allowed.
 type headLimiter struct{ conn *conn }
 
 func (l headLimiter) Read(p []byte) (int, error) {
@@ -34,9 +36,9 @@
 	return n, err
 }
 
-// isQuiet says whether an idle connection is still open and nothing has come on
-// it: a response that nobody asked for, the end or a reset make it unfit.
-func (c *conn) isQuiet() bool {
+// isReusable reports whether an idle connection is open and nothing has arrived
+// on it. A response that nobody asked for, the end or a reset make it unusable.
+func (c *conn) isReusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -48,10 +50,18 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	reusable := false
 	err = raw.Read(func(fd uintptr) bool {
-		quiet = nothingToRead(fd)
+		reusable = hasNothingToRead(fd)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && reusable
+}
+
+// readResponse reads one head, of bounded size.
+func (c *conn) readResponse(request *http.Request) (*http.Response, error) {
+	c.headLeft = c.headBytes
+	response, err := http.ReadResponse(c.reader, request)
+	c.headLeft = -1
+	return response, err
 }
--- a/internal/httpclient/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -2,15 +2,12 @@
 
 import (
 	"bufio"
-	"bytes"
 	"context"
 	"io"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/cockroachdb/errors"
@@ -19,78 +16,87 @@
 )
 
 const (
-	// inlineBytes is how large a body may be to be written before the response
-	// is read; a larger one is written beside it, since a peer may answer
-	// without reading it.
-	inlineBytes = 16 << 10
-	// informationalMost bounds the 1xx responses before the final one.
-	informationalMost = 5
-	writeBufferBytes  = 4 << 10
+	// maxInlineBody is how large a body may be to be written before the response
+	// is read. A larger one is written at the same time, since the other side may
+	// respond without reading it.
+	maxInlineBody = 16 << 10
+	// maxInformational bounds the 1xx responses before the final one.
+	maxInformational = 5
+	// reuseNumerator and reuseDenominator are the part of a promised keep-alive
+	// time that is used; the
+	// rest is left for the way of the next request and for pauses.
+	reuseNumerator, reuseDenominator = 3, 4
 )
 
-// Exchange is one request on a connection of its own for that time, and its
-// response.
+// Exchange is one request and its response, on a connection that belongs to it
+// for that time.
 type Exchange struct {
+	// Response is the final response; nil after an error.
 	Response *http.Response
-	// Written says whether any byte of the request may have reached the other
-	// side, as of the moment when the response's head or an error was there.
-	Written bool
+	// BytesWritten says whether any byte of the request may have reached the
+	// other side, as of the time when the head of the response or an error
+	// arrived.
+	BytesWritten bool
 
 	conn   *conn
 	writer *requestWriter
-	// writeDone is closed once the request is written or has failed; nil where
-	// that was so before the response was read.
+	// writeDone is closed once the request is written or has failed. It is nil
+	// where that was so before the response was read.
 	writeDone chan struct{}
-	// keeper takes the connection back if no doubt is left; nil closes it.
-	keeper *pool
-	// stopCancel ends the watch over the context; false says that it was
-	// cancelled before.
-	stopCancel func() bool
-	// refused says that the caller's check said no.
-	refused bool
-	// whole says that the body was read to its told end, accepted that the
-	// caller took the response for its own, doubtful that something was odd.
-	whole, accepted, doubtful bool
-	end                       sync.Once
+	// returnTo is the pool that gets a reusable connection back; nil closes it.
+	returnTo *pool
+	// stopContextWatch stops closing the connection with the context. It returns
+	// false where the context was cancelled before.
+	stopContextWatch func() bool
+	// writeRefused says that the caller's check refused the first byte.
+	writeRefused bool
+	// bodyComplete says that the body was read to its declared end, accepted
+	// that the caller called Accept, and unusable that anything about the
+	// exchange forbids a reuse of the connection.
+	bodyComplete, accepted, unusable bool
+	finishOnce                       sync.Once
 }
 
-// Accept says that the response is the one to this request, so that the
-// connection may be used again once the body was read whole.
+// Accept says that the response belongs to this request, so that the connection
+// may be reused once the body was read to its end.
 func (x *Exchange) Accept() { x.accepted = true }
 
-// Reject makes sure that the connection is not used again. It closes it at
-// once.
+// Reject closes the connection at once, so that it is not reused.
 func (x *Exchange) Reject() {
-	x.doubtful = true
+	x.unusable = true
 	x.finish()
 }
 
-var writeBuffers = sync.Pool{New: func() any { return bufio.NewWriterSize(nil, writeBufferBytes) }}
-
 // exchange writes a request and reads the head of its response. It closes the
 // connection on any error.
-func (c *conn) exchange(ctx context.Context, request *http.Request, body []byte, mayWrite func() bool, keeper *pool) (*Exchange, error) {
-	x := &Exchange{conn: c, keeper: keeper, writer: &requestWriter{conn: c.Conn, mayWrite: mayWrite}}
-	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
+func (c *conn) exchange(ctx context.Context, request *http.Request, body []byte, mayWrite func() bool, returnTo *pool) (*Exchange, error) {
+	x := &Exchange{conn: c, returnTo: returnTo, writer: &requestWriter{conn: c.Conn, mayWrite: mayWrite}}
+	x.stopContextWatch = context.AfterFunc(ctx, func() { _ = c.Close() })
 	err := x.write(request, len(body))
 	if err == nil {
 		err = x.readHead(request)
 	}
 	if err != nil {
-		x.Reject()
-		x.waitWritten()
-		x.Written, x.refused = x.writer.wrote.Load(), x.writer.refused.Load()
-		if x.refused {
-			err = ErrNotAllowed
-		}
-		return x, err
+		return x, x.fail(err)
 	}
-	x.Written = true
+	x.BytesWritten = true
 	return x, nil
 }
 
+// fail ends the exchange after an error and notes what became of the request.
+func (x *Exchange) fail(err error) error {
+	x.Reject()
+	x.waitForWriter()
+	x.BytesWritten, x.writeRefused = x.writer.started.Load(), x.writer.refused.Load()
+	if x.writeRefused {
+		return ErrNotAllowed
+	}
+	return err
+}
+
+// write writes the request, one with a large body in a goroutine of its own.
 func (x *Exchange) write(request *http.Request, bodyBytes int) error {
-	if bodyBytes <= inlineBytes {
+	if bodyBytes <= maxInlineBody {
 		return x.writeAll(request)
 	}
 	x.writeDone = make(chan struct{})
@@ -112,20 +118,20 @@
 	writeBuffers.Put(buffer)
 	x.writer.failed.Store(err != nil)
 	if err != nil && x.writeDone != nil {
-		// Nobody waits for a response to a request that was not sent.
+		// The reader would wait for a response to a request that was not sent.
 		_ = x.conn.Close()
 	}
 	return err
 }
 
-func (x *Exchange) waitWritten() {
+func (x *Exchange) waitForWriter() {
 	if x.writeDone != nil {
 		<-x.writeDone
 	}
 }
 
-// isWritten says whether the whole request was written.
-func (x *Exchange) isWritten() bool {
+// requestSent reports whether the whole request has been written.
+func (x *Exchange) requestSent() bool {
 	if x.writeDone != nil {
 		select {
 		case <-x.writeDone:
@@ -138,59 +144,79 @@
 
 // readHead reads up to the head of the final response.
 func (x *Exchange) readHead(request *http.Request) error {
-	c := x.conn
-	for range informationalMost + 1 {
-		c.headLeft = c.headBytes
-		response, err := http.ReadResponse(c.reader, request)
-		c.headLeft = -1
-		switch {
-		case err != nil:
+	for range maxInformational + 1 {
+		response, err := x.conn.readResponse(request)
+		if err != nil {
+			return err
+		}
+		if err := x.checkHead(response); err != nil {
 			return err
-		case !x.writer.wrote.Load():
-			// It answers something else: ours has not begun.
-			return errors.Wrap(ErrMalformed, "a response before its request")
-		case response.StatusCode < 100 || response.StatusCode == http.StatusSwitchingProtocols:
-			return errors.Wrapf(ErrMalformed, "status %d", response.StatusCode)
-		case response.StatusCode < 200:
-			// Nobody asked for one.
-			x.doubtful = true
+		}
+		isInformational := response.StatusCode < http.StatusOK
+		if isInformational {
+			// This client asks for none, so what follows is not relied on.
+			x.unusable = true
 			continue
 		}
-		x.doubtful = x.doubtful || !x.isWritten() || response.Close || response.ProtoMajor != 1 || response.ProtoMinor < 1
-		x.whole = response.Body == http.NoBody
-		response.Body = &responseBody{response.Body, x}
-		x.Response = response
+		x.setResponse(response)
 		return nil
 	}
 	return errors.Wrap(ErrMalformed, "too many informational responses")
 }
 
-// finish gives the connection back, or closes it on any doubt.
+// checkHead reports why a response can't be one to this request.
+func (x *Exchange) checkHead(response *http.Response) error {
+	if !x.writer.started.Load() {
+		return errors.Wrap(ErrMalformed, "a response before its request")
+	}
+	if response.StatusCode < http.StatusContinue || response.StatusCode == http.StatusSwitchingProtocols {
+		return errors.Wrapf(ErrMalformed, "status %d", response.StatusCode)
+	}
+	return nil
+}
+
+// setResponse takes the final response.
+func (x *Exchange) setResponse(response *http.Response) {
+	isKeepAlive := !response.Close && response.ProtoMajor == 1 && response.ProtoMinor >= 1
+	if !x.requestSent() || !isKeepAlive {
+		x.unusable = true
+	}
+	x.bodyComplete = response.Body == http.NoBody
+	response.Body = &responseBody{response.Body, x}
+	x.Response = response
+}
+
+// finish ends the exchange: it returns the connection to its pool, or closes it.
 func (x *Exchange) finish() {
-	x.end.Do(func() {
+	x.finishOnce.Do(func() {
 		// A cancelled context has closed the connection, or is about to.
-		cancelled := !x.stopCancel()
-		idleTimeout, fit := x.idleTimeout()
-		if cancelled || !fit {
+		cancelled := !x.stopContextWatch()
+		timeout, reusable := x.reuseTimeout()
+		if cancelled || !reusable {
 			_ = x.conn.Close()
 			return
 		}
-		x.keeper.put(x.conn, idleTimeout)
+		x.returnTo.putIdle(x.conn, timeout)
 	})
 }
 
-// idleTimeout says how long the connection may be kept, or that it may not.
-func (x *Exchange) idleTimeout() (time.Duration, bool) {
-	if x.keeper == nil || x.doubtful || !x.whole || !x.accepted || x.conn.reader.Buffered() > 0 {
+// reuseTimeout returns for how long the connection may be kept idle; false means
+// that it may not be reused.
+func (x *Exchange) reuseTimeout() (time.Duration, bool) {
+	if x.returnTo == nil || x.unusable || !x.bodyComplete || !x.accepted {
+		return 0, false
+	}
+	hasExtraBytes := x.conn.reader.Buffered() > 0
+	if hasExtraBytes {
 		return 0, false
 	}
-	idle := min(x.keeper.idleTimeout, promisedIdle(x.Response.Header))
-	return idle, idle > 0
+	timeout := min(x.returnTo.idleTimeout, keepAliveTimeout(x.Response.Header))
+	return timeout, timeout > 0
 }
 
-// promisedIdle reads for how long the other side keeps an idle connection. A
-// quarter is left for the way there and for standing still.
-func promisedIdle(header http.Header) time.Duration {
+// keepAliveTimeout returns for how long the other side keeps an idle connection
+// by its Keep-Alive header, less a margin; an hour where it does not say.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, list := range header["Keep-Alive"] {
 		for parameter := range strings.SplitSeq(list, ",") {
 			name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
@@ -201,60 +227,30 @@
 			if err != nil {
 				return 0
 			}
-			return time.Duration(seconds) * time.Second * 3 / 4
+			return time.Duration(seconds) * time.Second * reuseNumerator / reuseDenominator
 		}
 	}
 	return time.Hour
 }
 
-// responseBody notes whether a body was read to its told end. Closing it ends
+// responseBody notes whether a body was read to its declared end. Closing it ends
 // the exchange.
 type responseBody struct {
 	io.ReadCloser
 	exchange *Exchange
 }
 
+// Read reads from the body.
 func (b *responseBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	if err == io.EOF {
-		b.exchange.whole = true
+		b.exchange.bodyComplete = true
 	}
 	return n, err
 }
 
-// Close does not read what is left, as the standard body would.
+// Close ends the exchange. Unlike the standard body it reads nothing more.
 func (b *responseBody) Close() error {
 	b.exchange.finish()
 	return nil
 }
-
-// requestWriter writes one request. The first byte waits for the caller's
-// check, which is the last thing before the write.
-type requestWriter struct {
-	conn                   net.Conn
-	mayWrite               func() bool
-	wrote, refused, failed atomic.Bool
-}
-
-func (w *requestWriter) Write(p []byte) (int, error) {
-	if w.wrote.Load() {
-		return w.conn.Write(p)
-	}
-	if !w.mayWrite() {
-		w.refused.Store(true)
-		return 0, ErrNotAllowed
-	}
-	w.wrote.Store(true)
-	n, err := w.conn.Write(p)
-	if n == 0 && err != nil {
-		w.wrote.Store(false)
-	}
-	return n, err
-}
-
-// rewind makes a request ready to be written, of which no byte was.
-func rewind(request *http.Request, body []byte) {
-	if len(body) > 0 {
-		request.Body = io.NopCloser(bytes.NewReader(body))
-	}
-}
--- a/internal/httpclient/exchange_test.go
+++ b/internal/httpclient/exchange_test.go
@@ -97,7 +97,7 @@
 	return string(text), err
 }
 
-func TestAConnectionIsUsedAgainOnlyWithoutDoubt(t *testing.T) {
+func TestConnectionReuse(t *testing.T) {
 	const empty = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
 	with := func(line string) string { return strings.Replace(answer, "\r\n", "\r\n"+line+"\r\n", 1) }
@@ -135,7 +135,7 @@
 		{about: "a status with a sign", script: "HTTP/1.1 +20 X\r\nContent-Length: 0\r\n\r\n", fails: true},
 		{about: "another protocol", script: "HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n", fails: true},
 		{about: "an informational one before", script: "HTTP/1.1 103 X\r\n\r\n" + answer, body: "ok"},
-		{about: "informational ones alone", script: strings.Repeat("HTTP/1.1 100 X\r\n\r\n", informationalMost+1) + answer, fails: true},
+		{about: "informational ones alone", script: strings.Repeat("HTTP/1.1 100 X\r\n\r\n", maxInformational+1) + answer, fails: true},
 		{about: "it says that it closes", script: with("Connection: close"), body: "ok"},
 		{about: "HTTP/1.0", script: strings.Replace(answer, "1.1", "1.0", 1), body: "ok"},
 		{about: "HTTP/1.0 that keeps it open", script: strings.Replace(with("Connection: keep-alive"), "1.1", "1.0", 1), body: "ok"},
@@ -166,7 +166,7 @@
 
 // An answer that nobody asked for may come while a connection is idle, and the
 // peer may end or reset it: such a connection carries no further request.
-func TestAnIdleConnectionThatIsNotQuietIsNotUsed(t *testing.T) {
+func TestIdleConnectionWithBytesOrEndIsNotReused(t *testing.T) {
 	cases := []struct {
 		about string
 		spoil func(peer net.Conn) error
@@ -184,14 +184,14 @@
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			client, peer := tcpPair(c)
-			p := newPool(time.Second, time.Hour, headBytes)
+			p := newPool(time.Second, time.Hour, callHeadBytes)
 			idle := p.newConn("a", client)
-			c.Assert(idle.isQuiet(), qt.IsTrue)
-			p.put(idle, time.Hour)
+			c.Assert(idle.isReusable(), qt.IsTrue)
+			p.putIdle(idle, time.Hour)
 			c.Assert(test.spoil(peer), qt.IsNil)
 			// The wait is for the bytes to have crossed, not for a time.
 			_, _ = idle.reader.Peek(1)
-			c.Assert(p.take("a"), qt.IsNil)
+			c.Assert(p.getIdle("a"), qt.IsNil)
 		})
 	}
 }
@@ -210,13 +210,13 @@
 }
 
 // The socket itself is asked too, not only what was read from it already.
-func TestTheSocketIsAskedBeforeItIsUsed(t *testing.T) {
+func TestIdleSocketIsCheckedBeforeReuse(t *testing.T) {
 	c := qt.New(t)
 	client, peer := tcpPair(c)
 	raw, err := client.(*net.TCPConn).SyscallConn()
 	c.Assert(err, qt.IsNil)
 	look := func() (quiet bool) {
-		c.Assert(raw.Control(func(fd uintptr) { quiet = nothingToRead(fd) }), qt.IsNil)
+		c.Assert(raw.Control(func(fd uintptr) { quiet = hasNothingToRead(fd) }), qt.IsNil)
 		return quiet
 	}
 	c.Assert(look(), qt.IsTrue)
@@ -233,7 +233,7 @@
 
 // A header may make the standard transport resend a request without a body;
 // each attempt here reaches the peer once, whatever its headers say.
-func TestNoHeaderMakesARequestBeSentAgain(t *testing.T) {
+func TestIdempotencyHeadersCauseNoRetry(t *testing.T) {
 	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		for _, value := range []string{"", "k"} {
 			t.Run(name+"="+value, func(t *testing.T) {
@@ -254,7 +254,7 @@
 
 // A peer may answer without reading a large body. The answer counts, and the
 // connection is closed.
-func TestAnAnswerBeforeTheRequestWasWritten(t *testing.T) {
+func TestResponseBeforeTheRequestIsMalformed(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -277,27 +277,27 @@
 		Method: http.MethodPost, Address: listener.Addr().String(), Path: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 64<<20),
 	}, yes)
 	c.Assert(err, qt.IsNil)
-	c.Assert(x.Written, qt.IsTrue)
+	c.Assert(x.BytesWritten, qt.IsTrue)
 	x.Accept()
 	text, err := io.ReadAll(x.Response.Body)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(text), qt.Equals, "ok")
 	c.Assert(x.Response.Body.Close(), qt.IsNil)
 	c.Assert(transport.clients.idle, qt.HasLen, 0)
-	x.waitWritten()
+	x.waitForWriter()
 	close(done)
 }
 
 // A request that broke before its first byte goes on over a new connection; no
 // byte of it was written before.
-func TestABrokenConnectionBeforeTheFirstByte(t *testing.T) {
+func TestBrokenIdleConnectionIsReplacedBeforeTheFirstByte(t *testing.T) {
 	c := qt.New(t)
 	peer := newScriptedPeer(c, answer, false)
 	transport := New()
 	defer transport.Close()
 	client, _ := tcpPair(c)
 	idle := transport.clients.newConn(peer.listener.Addr().String(), client)
-	transport.clients.put(idle, time.Hour)
+	transport.clients.putIdle(idle, time.Hour)
 	request := peer.request()
 	request.Method, request.Body = http.MethodPost, []byte("the body")
 	// The check runs right before the write, when the connection was found fit.
@@ -315,7 +315,7 @@
 }
 
 // A cancelled context closes the connection, also after a whole answer.
-func TestACancelledExchangeGivesNoConnectionBack(t *testing.T) {
+func TestCancelledExchangeReturnsNoConnection(t *testing.T) {
 	c := qt.New(t)
 	peer := newScriptedPeer(c, answer, false)
 	transport := New()
@@ -335,12 +335,12 @@
 func TestIdleConnectionsAreBoundedInTimeAndNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		p := newPool(time.Second, time.Second, headBytes)
+		p := newPool(time.Second, time.Second, callHeadBytes)
 		var peers []net.Conn
 		add := func(idleTimeout time.Duration) {
 			client, peer := net.Pipe()
 			peers = append(peers, peer)
-			p.put(p.newConn("a", client), idleTimeout)
+			p.putIdle(p.newConn("a", client), idleTimeout)
 		}
 		count := func() int {
 			p.mu.Lock()
@@ -356,10 +356,10 @@
 		time.Sleep(300 * time.Millisecond)
 		synctest.Wait()
 		c.Assert(count(), qt.Equals, 0)
-		for range idlePerAddress + 1 {
+		for range maxIdlePerAddress + 1 {
 			add(time.Second)
 		}
-		c.Assert(count(), qt.Equals, idlePerAddress)
+		c.Assert(count(), qt.Equals, maxIdlePerAddress)
 		p.closeIdle()
 		c.Assert(count(), qt.Equals, 0)
 		for _, peer := range peers {
@@ -369,7 +369,7 @@
 	})
 }
 
-func TestPromisedIdle(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	cases := []struct {
 		value string
 		want  time.Duration
@@ -384,7 +384,7 @@
 	}
 	for _, test := range cases {
 		t.Run(test.value, func(t *testing.T) {
-			qt.Assert(t, promisedIdle(http.Header{"Keep-Alive": {test.value}}), qt.Equals, test.want)
+			qt.Assert(t, keepAliveTimeout(http.Header{"Keep-Alive": {test.value}}), qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/httpclient/forward_test.go
+++ b/internal/httpclient/forward_test.go
@@ -49,7 +49,7 @@
 	return at.Addr().String(), heads
 }
 
-func TestSendKeepsTheClientsBytes(t *testing.T) {
+func TestForwardKeepsTheClientsBytes(t *testing.T) {
 	cases := []struct {
 		about string
 		e     Request
@@ -78,7 +78,7 @@
 
 // A kept connection that the other side closes after a second request was written
 // leaves it unknown whether that ran; it is not sent again.
-func TestSendNeverRepeatsOnAKeptConnection(t *testing.T) {
+func TestForwardNeverRetriesOnAReusedConnection(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodTrace} {
 		t.Run(method, func(t *testing.T) {
 			c := qt.New(t)
@@ -93,7 +93,7 @@
 			_ = sent.Response.Body.Close()
 			sent, err = transport.Forward(context.Background(), request, yes)
 			c.Assert(err, qt.IsNotNil)
-			c.Assert(sent.Written, qt.IsTrue)
+			c.Assert(sent.BytesWritten, qt.IsTrue)
 			c.Assert(heads, qt.HasLen, 2)
 		})
 	}
--- a/internal/httpclient/fuzz_test.go
+++ b/internal/httpclient/fuzz_test.go
@@ -42,7 +42,7 @@
 		if method != http.MethodGet && method != http.MethodHead {
 			return
 		}
-		p := newPool(time.Second, time.Hour, headBytes)
+		p := newPool(time.Second, time.Hour, callHeadBytes)
 		defer p.closeIdle()
 		socket := &pipeSocket{answer: strings.NewReader(text)}
 		request := &http.Request{Method: method, URL: (Request{Address: "a", Path: "/"}).url(), Host: "h", Header: http.Header{}, Body: http.NoBody}
@@ -81,7 +81,7 @@
 			return
 		}
 		read := func(socket net.Conn) (status int, body string, failed bool) {
-			p := newPool(time.Second, time.Hour, headBytes)
+			p := newPool(time.Second, time.Hour, callHeadBytes)
 			defer p.closeIdle()
 			request := &http.Request{Method: http.MethodGet, URL: (Request{Address: "a", Path: "/"}).url(), Host: "h", Header: http.Header{}, Body: http.NoBody}
 			x, err := p.newConn("a", socket).exchange(context.Background(), request, nil, yes, nil)
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// idlePerAddress bounds the idle connections to one address.
-	idlePerAddress = 16
+	// maxIdlePerAddress bounds the idle connections to one address.
+	maxIdlePerAddress = 16
 	// readBufferBytes is small: there may be thousands of connections.
 	readBufferBytes = 2 << 10
 )
 
-// pool keeps connections that are idle, by address.
+// pool keeps idle connections by address.
 type pool struct {
 	dialer      *net.Dialer
 	idleTimeout time.Duration
@@ -31,28 +31,30 @@
 	return &pool{dialer: newDialer(dialTimeout), idleTimeout: idleTimeout, headBytes: headBytes, idle: map[string][]*conn{}}
 }
 
-// send makes one exchange. With fresh it gets a connection of its own, which
-// is closed afterwards.
+// send makes one exchange, over an idle connection where there is one. With fresh
+// it gets a new connection, which is closed afterwards.
 func (p *pool) send(ctx context.Context, request *http.Request, body []byte, mayWrite func() bool, fresh bool) (*Exchange, error) {
 	if !fresh {
-		if c := p.take(request.URL.Host); c != nil {
+		if c := p.getIdle(request.URL.Host); c != nil {
 			exchange, err := c.exchange(ctx, request, body, mayWrite, p)
-			if err == nil || exchange.Written || exchange.refused || ctx.Err() != nil {
+			isFinal := err == nil || exchange.BytesWritten || exchange.writeRefused || ctx.Err() != nil
+			if isFinal {
 				return exchange, err
 			}
-			// It broke before a byte of the request was written.
-			rewind(request, body)
+			// The connection failed before a byte of the request was written, so the
+			// request may be sent over a new one.
+			resetBody(request, body)
 		}
 	}
 	dialed, err := p.dialer.DialContext(ctx, "tcp", request.URL.Host)
 	if err != nil {
 		return &Exchange{}, err
 	}
-	keeper := p
+	returnTo := p
 	if fresh {
-		request.Close, keeper = true, nil
+		request.Close, returnTo = true, nil
 	}
-	return p.newConn(request.URL.Host, dialed).exchange(ctx, request, body, mayWrite, keeper)
+	return p.newConn(request.URL.Host, dialed).exchange(ctx, request, body, mayWrite, returnTo)
 }
 
 func (p *pool) newConn(address string, dialed net.Conn) *conn {
@@ -61,35 +63,35 @@
 	return c
 }
 
-// take gives the connection that was used last and is certainly clean, or nil.
-func (p *pool) take(address string) *conn {
+// getIdle returns the reusable connection that was used last, or nil.
+func (p *pool) getIdle(address string) *conn {
 	for {
-		c := p.last(address)
-		if c == nil || c.isQuiet() {
+		c := p.popIdle(address)
+		if c == nil || c.isReusable() {
 			return c
 		}
 		_ = c.Close()
 	}
 }
 
-func (p *pool) last(address string) *conn {
+func (p *pool) popIdle(address string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	c := kept[len(kept)-1]
-	p.drop(c)
+	c := idle[len(idle)-1]
+	p.removeIdle(c)
 	c.expiry.Stop()
 	return c
 }
 
-// put keeps a connection until it has been idle for too long.
-func (p *pool) put(c *conn, idleTimeout time.Duration) {
+// putIdle keeps a connection for reuse until it has been idle for the time-out.
+func (p *pool) putIdle(c *conn, idleTimeout time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(p.idle[c.address]) >= idlePerAddress {
+	if len(p.idle[c.address]) >= maxIdlePerAddress {
 		_ = c.Close()
 		return
 	}
@@ -105,22 +107,24 @@
 func (p *pool) expire(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.drop(c) {
+	if p.removeIdle(c) {
 		_ = c.Close()
 	}
 }
 
-// drop takes a connection out; false says that it was not there.
-func (p *pool) drop(c *conn) bool {
-	kept := p.idle[c.address]
-	at := slices.Index(kept, c)
-	if at < 0 {
+// removeIdle removes an idle connection; false means that it was not there.
+// The caller holds the lock.
+func (p *pool) removeIdle(c *conn) bool {
+	idle := p.idle[c.address]
+	index := slices.Index(idle, c)
+	if index < 0 {
 		return false
 	}
-	if kept = slices.Delete(kept, at, at+1); len(kept) == 0 {
+	idle = slices.Delete(idle, index, index+1)
+	if len(idle) == 0 {
 		delete(p.idle, c.address)
 	} else {
-		p.idle[c.address] = kept
+		p.idle[c.address] = idle
 	}
 	return true
 }
@@ -128,8 +132,8 @@
 func (p *pool) closeIdle() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, kept := range p.idle {
-		for _, c := range kept {
+	for _, idle := range p.idle {
+		for _, c := range idle {
 			c.expiry.Stop()
 			_ = c.Close()
 		}
--- a/internal/httpclient/usertimeout_linux.go
+++ b/internal/httpclient/usertimeout_linux.go
@@ -6,11 +6,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout lets a connection break once the other side is silent for too
-// long.
+// setUserTimeout lets a connection fail once the other side has acknowledged
+// nothing for userTimeoutMs.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// A system that does not know the option only notices later.
-		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, silentMs)
+		// A kernel without the option only notices later.
+		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, userTimeoutMs)
 	})
 }
--- a/internal/httpclient/usertimeout_other.go
+++ b/internal/httpclient/usertimeout_other.go
@@ -4,4 +4,5 @@
 
 import "syscall"
 
+// setUserTimeout does nothing: only keep-alive probes notice a silent machine.
 func setUserTimeout(_, _ string, _ syscall.RawConn) error { return nil }
--- a/internal/membership/witnesses.go
+++ b/internal/membership/witnesses.go
@@ -26,7 +26,7 @@
 	return silent
 }
 
-// silentMs is how long the daemon of a member has not answered this primary, on
+// userTimeoutMs is how long the daemon of a member has not answered this primary, on
 // whatever disk.
 func (v *View) silentMs(id protocol.MemberID) int64 {
 	if id == v.self() {
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -145,7 +145,7 @@
 // sendFailure classifies an attempt that brought no response head.
 func (e *exchange) sendFailure(runner string, sent *httpclient.Exchange, err error) Outcome {
 	switch {
-	case sent.Written:
+	case sent.BytesWritten:
 		return e.unlessForwarded(ResponseLost)
 	case errors.Is(err, httpclient.ErrNotAllowed):
 		return Expired
--- a/internal/transport/sender.go
+++ b/internal/transport/sender.go
@@ -21,7 +21,7 @@
 	maxPeers = 1024
 	// maxQueued bounds the messages that wait for one peer.
 	maxQueued = 1024
-	// dialTimeout bounds a connection attempt, and redialDelay is the time
+	// callDialTimeout bounds a connection attempt, and redialDelay is the time
 	// after a failed one in which a peer is not tried again.
 	dialTimeout = callTimeoutMs * time.Millisecond / 3
 	redialDelay = 100 * time.Millisecond
