--- a/internal/controller/status.go
+++ b/internal/controller/status.go
@@ -1,6 +1,9 @@
 package controller
 
-import "myrtlewinch/internal/consensus"
+import (
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/placement"
+)
 
 // Status is the status page of a controller: what it believes, which may be
 // outdated where it is cut off.
@@ -17,7 +20,7 @@
 	// Controllers are the other controllers that are alive.
 	Controllers []string `json:"controllers"`
 	// Placement is the status of the runners and of the planner.
-	Placement any `json:"ledger"`
+	Placement placement.Status `json:"ledger"`
 }
 
 func (c *Controller) status(h consensus.Host) Status {
