--- a/cmd/controller/main.go
+++ b/cmd/controller/main.go
@@ -1,5 +1,5 @@
-// Program controller runs one controller: a witness and a copy of the control
-// state, on a core machine.
+// Program controller runs one controller of the own interface: a witness and a
+// replica of the control state, on a core machine.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	cli.Setup("controller", "Keeps the control state of a site, on a core machine.")
 	var flags settings.Flags
 	flags.Register(true)
-	cli.Run("controller", true, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
-		return controller.NewDaemon(set, peers, web, logger)
+	cli.Run("controller", true, &flags, func(s settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
+		return controller.NewDaemon(s, peers, web, logger)
 	})
 }
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -1,31 +1,27 @@
-// Program operator hands descriptions over, reads them, and shows the state
-// of a site.
+// Program operator submits descriptions to a site of the own interface, reads
+// them, and shows the state of the site.
 package main
 
 import (
-	"bytes"
-	"encoding/json"
 	"fmt"
-	"net"
 	"net/http"
 	"os"
 
-	"github.com/cockroachdb/errors"
 	"github.com/integrii/flaggy"
 
 	"myrtlewinch/internal/cli"
-	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/native/topology"
-	"myrtlewinch/internal/simulation/localcluster"
 )
 
+// command is one of the program's commands.
 type command struct {
-	sub  *flaggy.Subcommand
-	work func()
-	// alone says that it asks no controller.
-	alone bool
+	subcommand *flaggy.Subcommand
+	run        func()
+	// needsNoController says that the command works without a site.
+	needsNoController bool
 }
 
+// The values of flags.
 var (
 	controllers string
 	file        string
@@ -39,165 +35,103 @@
 func main() {
 	cli.Setup("operator", "Hands descriptions over, reads them, and shows the state of a site.")
 	flaggy.String(&controllers, "c", "controllers", "http addresses of controllers, with commas")
-	commands := []command{
-		add("found", "begin a new site on the first controller named; all witnesses must be blank", found, func(s *flaggy.Subcommand) {
-			s.String(&witnesses, "", "witnesses", "names of three controllers, with commas")
-			s.String(&backup, "", "backup", "name of the controller that is the first backup")
-		}),
-		add("recover", "go on from the copy of the first controller named, after both disks of the pair were lost; without change and revision it only shows what that would be", recovered, func(s *flaggy.Subcommand) {
-			s.String(&witnesses, "", "witnesses", "names of three live controllers, with commas")
-			s.String(&backup, "", "backup", "name of the live controller that is the next backup")
-			s.UInt64(&change, "", "change", "the change that the copy goes up to, as shown")
-			s.UInt64(&revision, "", "revision", "the revision that the copy has, as shown")
-		}),
-		add("put", "hand a whole description over", func() { hand(http.MethodPut) }, handing),
-		add("patch", "hand changes of named parts over", func() { hand(http.MethodPatch) }, handing),
-		add("get", "print the description in force and, on standard error, its revision", get, nil),
-		add("history", "list the latest revisions", func() { show("/history") }, nil),
-		add("status", "show what each controller believes", status, nil),
-		add("topology", "print the machines of a GeoJSON file as a change for patch; needs no controller", drawn, func(s *flaggy.Subcommand) {
-			s.String(&file, "f", "file", "the GeoJSON file")
-		}),
-	}
-	commands[len(commands)-1].alone = true
+	commands := registerCommands()
 	cli.Parse()
 	for _, c := range commands {
-		if c.sub.Used {
-			if len(cli.SplitList(controllers)) == 0 && !c.alone {
-				cli.UsageError("controllers: must be given")
-			}
-			c.work()
-			return
+		if !c.subcommand.Used {
+			continue
 		}
+		if len(cli.SplitList(controllers)) == 0 && !c.needsNoController {
+			cli.UsageError("controllers: must be given")
+		}
+		c.run()
+		return
 	}
 	cli.UsageError("a command must be given: found, recover, put, patch, get, history, topology or status")
 }
 
-func add(name, about string, work func(), flags func(*flaggy.Subcommand)) command {
-	sub := flaggy.NewSubcommand(name)
-	sub.Description = about
-	if flags != nil {
-		flags(sub)
+func registerCommands() []command {
+	commands := []command{
+		newCommand("found", "begin a new site on the first controller named; all witnesses must be blank", found, registerFound),
+		newCommand("recover", "go on from the copy of the first controller named, after both disks of the pair were lost; without change and revision it only shows what that would be", recoverSite, registerRecover),
+		newCommand("put", "hand a whole description over", func() { submit(http.MethodPut) }, registerSubmit),
+		newCommand("patch", "hand changes of named parts over", func() { submit(http.MethodPatch) }, registerSubmit),
+		newCommand("get", "print the description in force and, on standard error, its revision", get, nil),
+		newCommand("history", "list the latest revisions", func() { show("/history") }, nil),
+		newCommand("status", "show what each controller believes", status, nil),
 	}
-	flaggy.AttachSubcommand(sub, 1)
-	return command{sub: sub, work: work}
+	topologyCommand := newCommand("topology", "print the machines of a GeoJSON file as a change for patch; needs no controller", printTopology, registerTopology)
+	topologyCommand.needsNoController = true
+	return append(commands, topologyCommand)
 }
 
-func handing(s *flaggy.Subcommand) {
-	s.String(&file, "f", "file", "the file with the JSON")
-	s.String(&base, "b", "base", "the revision that this is based on; 0 where there is none yet")
+// newCommand registers a command; registerFlags may be nil.
+func newCommand(name, description string, run func(), registerFlags func(*flaggy.Subcommand)) command {
+	subcommand := flaggy.NewSubcommand(name)
+	subcommand.Description = description
+	if registerFlags != nil {
+		registerFlags(subcommand)
+	}
+	flaggy.AttachSubcommand(subcommand, 1)
+	return command{subcommand: subcommand, run: run}
 }
 
-// primary asks each controller until one does not say that it is another.
-func primary(method, path string, body []byte) {
-	var last string
-	for _, address := range cli.SplitList(controllers) {
-		code, text, err := localcluster.Call(method, address, path, base, body)
-		if err != nil {
-			// An answer that was lost on the way may still have taken effect;
-			// one that was never dialled has not.
-			var dial *net.OpError
-			if method != http.MethodGet && !(errors.As(err, &dial) && dial.Op == "dial") {
-				cli.Fatal("%s: no answer (%v); it may have taken effect: read the description to find out", address, err)
-			}
-			last = err.Error()
-			continue
-		}
-		var said errkind.ErrorBody
-		if code != http.StatusOK && json.Unmarshal(text, &said) == nil && said.Kind == errkind.NotPrimary {
-			last = fmt.Sprintf("%s is not the primary (it knows of %q)", address, said.Primary)
-			continue
-		}
-		if code != http.StatusOK {
-			fmt.Fprintf(os.Stderr, "%s: %s\n", said.Kind, said.Detail)
-			for _, fault := range said.Faults {
-				fmt.Fprintln(os.Stderr, "  "+fault)
-			}
-			if said.Revision > 0 {
-				fmt.Fprintf(os.Stderr, "  the revision in force is %d\n", said.Revision)
-			}
-			os.Exit(cli.ExitFailed)
-		}
-		_, _ = os.Stdout.Write(text)
-		return
-	}
-	cli.Fatal("no controller answered as the primary: %s", last)
+func registerFound(s *flaggy.Subcommand) {
+	s.String(&witnesses, "", "witnesses", "names of three controllers, with commas")
+	s.String(&backup, "", "backup", "name of the controller that is the first backup")
 }
 
-func found() {
-	body, _ := json.Marshal(map[string]any{"witnesses": cli.SplitList(witnesses), "backup": backup})
-	controllers = cli.SplitList(controllers)[0]
-	primary(http.MethodPost, "/found", body)
+func registerRecover(s *flaggy.Subcommand) {
+	s.String(&witnesses, "", "witnesses", "names of three live controllers, with commas")
+	s.String(&backup, "", "backup", "name of the live controller that is the next backup")
+	s.UInt64(&change, "", "change", "the change that the copy goes up to, as shown")
+	s.UInt64(&revision, "", "revision", "the revision that the copy has, as shown")
 }
 
-func recovered() {
-	body, _ := json.Marshal(map[string]any{"witnesses": cli.SplitList(witnesses), "backup": backup, "change": change, "revision": revision})
-	controllers = cli.SplitList(controllers)[0]
-	primary(http.MethodPost, "/recover", body)
+func registerSubmit(s *flaggy.Subcommand) {
+	s.String(&file, "f", "file", "the file with the JSON")
+	s.String(&base, "b", "base", "the revision that this is based on; 0 where there is none yet")
 }
 
-func hand(method string) {
-	text, err := os.ReadFile(file)
-	if err != nil {
-		cli.UsageError("file: %v", err)
-	}
-	if base == "" {
-		cli.UsageError("base: must be given")
-	}
-	primary(method, "/description", text)
+func registerTopology(s *flaggy.Subcommand) {
+	s.String(&file, "f", "file", "the GeoJSON file")
 }
 
-// drawn reads a map; a file that does not fit is refused whole.
-func drawn() {
-	text, err := os.ReadFile(file)
-	if err != nil {
-		cli.UsageError("file: %v", err)
-	}
-	parts, faults := topology.Read(text)
-	if len(faults) > 0 {
-		for _, fault := range faults {
-			fmt.Fprintln(os.Stderr, "  "+fault)
-		}
-		cli.UsageError("file: %s does not fit", file)
+// submit sends a description, or a change of one, to the primary.
+func submit(method string) {
+	text := readFile()
+	if base == "" {
+		cli.UsageError("base: must be given")
 	}
-	fmt.Println(string(parts.Text()))
+	callPrimary(method, "/description", text)
 }
 
 func get() {
-	primary(http.MethodGet, "/description", nil)
+	callPrimary(http.MethodGet, "/description", nil)
 	fmt.Println()
 }
 
-func show(path string) {
-	for _, address := range cli.SplitList(controllers) {
-		if code, text, err := localcluster.Call(http.MethodGet, address, path, "", nil); err == nil && code == http.StatusOK {
-			indent(text)
-			return
-		}
+// printTopology converts a map. One with faults is refused as a whole.
+func printTopology() {
+	parts, faults := topology.Read(readFile())
+	if len(faults) > 0 {
+		printFaults(faults)
+		cli.UsageError("file: %s does not fit", file)
 	}
-	cli.Fatal("no controller answered")
+	fmt.Println(string(parts.Text()))
 }
 
-func status() {
-	answered := false
-	for _, address := range cli.SplitList(controllers) {
-		code, text, err := localcluster.Call(http.MethodGet, address, "/status", "", nil)
-		if err != nil || code != http.StatusOK {
-			fmt.Fprintf(os.Stderr, "%s: no answer\n", address)
-			continue
-		}
-		answered = true
-		indent(text)
-	}
-	if !answered {
-		cli.Fatal("no controller answered")
+// readFile reads the file of the flag, or ends the program.
+func readFile() []byte {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		cli.UsageError("file: %v", err)
 	}
+	return text
 }
 
-func indent(text []byte) {
-	var out bytes.Buffer
-	if json.Indent(&out, text, "", "  ") != nil {
-		out.Write(text)
+func printFaults(faults []string) {
+	for _, fault := range faults {
+		fmt.Fprintln(os.Stderr, "  "+fault)
 	}
-	fmt.Println(out.String())
 }
--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,4 @@
-// Program router runs one router, on an edge machine.
+// Program router runs one router of the own interface, on an edge machine.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	cli.Setup("router", "Takes requests and sends them to runners, on an edge machine.")
 	var flags settings.Flags
 	flags.Register(false)
-	cli.Run("router", false, &flags, func(set settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
-		return router.NewServer(set, peers, web, logger)
+	cli.Run("router", false, &flags, func(s settings.Settings, peers, web net.Listener, logger *log.Logger) (cli.Daemon, error) {
+		return router.NewServer(s, peers, web, logger)
 	})
 }
--- /dev/null
+++ b/internal/cli/cli.go
@@ -0,0 +1,142 @@
+// Package cli is what the programs under cmd share: the command line, exit codes,
+// the log, and running a daemon.
+package cli
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"strings"
+	"time"
+
+	"github.com/charmbracelet/log"
+	"github.com/integrii/flaggy"
+
+	"myrtlewinch/internal/settings"
+	"myrtlewinch/internal/threads"
+)
+
+// The exit codes of all programs.
+const (
+	ExitOK     = 0
+	ExitFailed = 1
+	// ExitUsage says that flags or settings are wrong.
+	ExitUsage = 2
+)
+
+// headerTimeout bounds the time for the head of a request in Serve.
+const headerTimeout = 5 * time.Second
+
+// Setup prepares the command line. Flags are registered after it, and Parse
+// reads them.
+func Setup(name, description string) {
+	flaggy.ResetParser()
+	flaggy.SetName(name)
+	flaggy.SetDescription(description)
+	flaggy.SetVersion(settings.Version)
+	flaggy.DefaultParser.ShowHelpOnUnexpected = true
+}
+
+// Parse reads the command line. It ends the program on an unknown flag or
+// argument.
+func Parse() {
+	flaggy.Parse()
+	// Every value belongs to a flag, so an argument on its own is a mistake.
+	if extra := flaggy.TrailingArguments; len(extra) > 0 {
+		UsageError("unexpected argument %q", extra[0])
+	}
+}
+
+// UsageError ends the program because its flags or settings are wrong.
+func UsageError(format string, args ...any) { exit(ExitUsage, format, args...) }
+
+// Fatal ends the program because its task failed.
+func Fatal(format string, args ...any) { exit(ExitFailed, format, args...) }
+
+func exit(code int, format string, args ...any) {
+	fmt.Fprintf(os.Stderr, "%s: %s\n", flaggy.DefaultParser.Name, fmt.Sprintf(format, args...))
+	os.Exit(code)
+}
+
+// NewLogger makes a log on standard error whose lines have a prefix.
+func NewLogger(prefix string) *log.Logger {
+	return log.NewWithOptions(os.Stderr, log.Options{Prefix: prefix, ReportTimestamp: true, TimeFormat: time.RFC3339})
+}
+
+// Daemon is a controller or a router.
+type Daemon interface {
+	// AddTasks adds its goroutines to a group.
+	AddTasks(*threads.Group)
+	// Shutdown prepares a planned stop; the tasks end after it returns.
+	Shutdown()
+}
+
+// NewDaemon makes a daemon that serves peers and HTTP at these listeners.
+type NewDaemon func(s settings.Settings, peers, web net.Listener, logger *log.Logger) (Daemon, error)
+
+// Run reads the settings, and runs a daemon until a signal stops it. HasData says
+// that the daemon has a data folder.
+func Run(part string, hasData bool, flags *settings.Flags, newDaemon NewDaemon) {
+	Parse()
+	s, err := flags.Read(hasData)
+	if err != nil {
+		UsageError("%v", err)
+	}
+	logger := NewLogger(part + " " + s.Name)
+	peers, web := listenAt("address", s.Address), listenAt("http", s.HTTP)
+	daemon, err := newDaemon(s, peers, web, logger)
+	if err != nil {
+		Fatal("%v", err)
+	}
+	var group threads.Group
+	daemon.AddTasks(&group)
+	group.StopOnSignal(daemon.Shutdown)
+	logger.Info("running", "address", s.Address, "http", s.HTTP, "version", settings.Version)
+	if err := group.Run(); err != nil {
+		Fatal("%v", err)
+	}
+	logger.Info("stopped")
+}
+
+// Listen opens the address of a flag, or ends the program.
+func Listen(flag, address string) net.Listener {
+	if address == "" {
+		UsageError("%s: must be given", flag)
+	}
+	host, _, err := net.SplitHostPort(address)
+	if err != nil || net.ParseIP(host) == nil {
+		UsageError("%s: %q is not IP:port", flag, address)
+	}
+	return listenAt(flag, address)
+}
+
+func listenAt(flag, address string) net.Listener {
+	listener, err := net.Listen("tcp", address)
+	if err != nil {
+		Fatal("%s: %v", flag, err)
+	}
+	return listener
+}
+
+// Serve serves a handler until a signal stops the program.
+func Serve(listener net.Listener, handler http.Handler) {
+	server := &http.Server{Handler: handler, ReadHeaderTimeout: headerTimeout}
+	var group threads.Group
+	group.Add(func() error { return server.Serve(listener) }, func() { _ = server.Close() })
+	group.StopOnSignal(nil)
+	if err := group.Run(); err != nil && err != http.ErrServerClosed {
+		Fatal("%v", err)
+	}
+}
+
+// SplitList splits the value of a flag at its commas and drops empty items.
+func SplitList(value string) []string {
+	var items []string
+	for item := range strings.SplitSeq(value, ",") {
+		if item = strings.TrimSpace(item); item != "" {
+			items = append(items, item)
+		}
+	}
+	return items
+}
--- a/internal/errkind/answer_test.go
+++ b/internal/errkind/errorbody_test.go
@@ -8,8 +8,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// What a caller is told of when to come back, and whether it has run.
-func TestAnswer(t *testing.T) {
+// The response says when to come back, and whether the request has run.
+func TestErrorBodySaysWhenToRetryAndWhetherItRan(t *testing.T) {
 	cases := []struct {
 		about  string
 		answer ErrorBody
@@ -17,8 +17,8 @@
 		ran    string
 	}{
 		{"the kind's own time", ErrorBody{Kind: NoConfig}, "2", "no"},
-		{"one that was worked out, rounded up", ErrorBody{Kind: PlacementTimeout, RetryMs: 12_001}, "13", "no"},
-		{"none where coming back is no use", ErrorBody{Kind: UnknownModel}, "", "no"},
+		{"an estimated one, rounded up", ErrorBody{Kind: PlacementTimeout, RetryMs: 12_001}, "13", "no"},
+		{"none where a retry is no use", ErrorBody{Kind: UnknownModel}, "", "no"},
 		{"none where it may have run", ErrorBody{Kind: OutcomeUnknown}, "", "unknown"},
 	}
 	for _, test := range cases {
--- a/internal/errkind/kind.go
+++ b/internal/errkind/kind.go
@@ -1,117 +1,97 @@
-// Package errkind is the closed list of what can go wrong, and what each kind
-// is answered with. Nothing outside this list reaches a caller.
+// Package errkind has the closed list of kinds of errors that callers and
+// operators see, with the HTTP response of each.
 package errkind
 
-import "net/http"
-
-// Kind names one way to fail.
+// Kind is one kind of error. Its text is part of the interface: callers see it in
+// ErrorBody, operators in the counters.
 type Kind string
 
-// The kinds a caller of a service may meet.
+// The kinds that a caller of a service sees.
 const (
-	UnknownService   Kind = "unknown service"
-	UnknownModel     Kind = "unknown model"
-	UnknownAdapter   Kind = "unknown adapter"
-	ModelNotAllowed  Kind = "model not allowed"
-	BadRequest       Kind = "bad request"
-	TooLarge         Kind = "too large"
-	HeadTooLarge     Kind = "head too large"
-	WrongMethod      Kind = "wrong method"
-	UnknownPage      Kind = "unknown page"
-	NoConfig         Kind = "no word from control"
-	QueueFull        Kind = "holding full"
-	DeadlinePassed   Kind = "deadline passed"
-	NoRunner         Kind = "no runner"
+	// UnknownService: the request names no service of the configuration.
+	UnknownService Kind = "unknown service"
+	// UnknownModel: the service has no such model.
+	UnknownModel Kind = "unknown model"
+	// UnknownAdapter: the model has no such adapter.
+	UnknownAdapter Kind = "unknown adapter"
+	// ModelNotAllowed: the service does not allow the model or adapter.
+	ModelNotAllowed Kind = "model not allowed"
+	// BadRequest: the request can't be read.
+	BadRequest Kind = "bad request"
+	// TooLarge: the body is larger than allowed.
+	TooLarge Kind = "too large"
+	// HeadTooLarge: the head is larger than allowed.
+	HeadTooLarge Kind = "head too large"
+	// WrongMethod: the page has no such method.
+	WrongMethod Kind = "wrong method"
+	// UnknownPage: there is no such page.
+	UnknownPage Kind = "unknown page"
+	// NoConfig: the router has no configuration that it may use.
+	NoConfig Kind = "no word from control"
+	// QueueFull: too many requests wait already.
+	QueueFull Kind = "holding full"
+	// DeadlinePassed: the request waited until its deadline.
+	DeadlinePassed Kind = "deadline passed"
+	// NoRunner: no runner can serve it now.
+	NoRunner Kind = "no runner"
+	// PlacementTimeout: the model can't be loaded before the deadline.
 	PlacementTimeout Kind = "no turn in time"
-	RunnerRejected   Kind = "runner dropped it"
-	ShuttingDown     Kind = "stopping"
+	// RunnerRejected: the runner refused the request without running it.
+	RunnerRejected Kind = "runner dropped it"
+	// ShuttingDown: the process is stopping.
+	ShuttingDown Kind = "stopping"
+	// DuplicateRequest: the id of the request was used before.
 	DuplicateRequest Kind = "already taken"
-	OutcomeUnknown   Kind = "outcome unknown"
-	BrokenResponse   Kind = "broken answer"
-	ClientGone       Kind = "sender gone"
+	// OutcomeUnknown: the request may have run or not.
+	OutcomeUnknown Kind = "outcome unknown"
+	// BrokenResponse: the runner's response ended early.
+	BrokenResponse Kind = "broken answer"
+	// ClientGone: the caller closed the connection.
+	ClientGone Kind = "sender gone"
 )
 
-// The kinds an operator may meet.
+// The kinds that an operator sees.
 const (
-	StaleBase           Kind = "stale base"
-	MissingBase         Kind = "no base"
-	FaultyDescription   Kind = "faulty description"
-	NotAccepted         Kind = "not taken"
-	NotPrimary          Kind = "not the primary"
-	AcceptanceUnknown   Kind = "acceptance unknown"
-	NotBootstrapped     Kind = "not founded"
+	// StaleBase: the change is based on a revision that is not in force.
+	StaleBase Kind = "stale base"
+	// MissingBase: the change names no revision that it is based on.
+	MissingBase Kind = "no base"
+	// FaultyDescription: the configuration or description has faults.
+	FaultyDescription Kind = "faulty description"
+	// NotAccepted: the change was not accepted and had no effect.
+	NotAccepted Kind = "not taken"
+	// NotPrimary: this controller is not the primary.
+	NotPrimary Kind = "not the primary"
+	// AcceptanceUnknown: the change may have been accepted or not.
+	AcceptanceUnknown Kind = "acceptance unknown"
+	// NotBootstrapped: the site has not been founded yet.
+	NotBootstrapped Kind = "not founded"
+	// AlreadyBootstrapped: the site was founded before.
 	AlreadyBootstrapped Kind = "already founded"
 )
 
-// The kinds a daemon counts when it refuses another's message.
+// The kinds that a daemon counts when it refuses a message of another.
 const (
-	LowerEpoch       Kind = "lower epoch"
-	WrongSite        Kind = "other site"
-	Malformed        Kind = "malformed"
-	WrongDaemon      Kind = "other daemon"
-	NotHeld          Kind = "not held"
-	StaleRevision    Kind = "stale revision"
+	// LowerEpoch: the message is of an epoch that is over.
+	LowerEpoch Kind = "lower epoch"
+	// WrongSite: the message is of another site.
+	WrongSite Kind = "other site"
+	// Malformed: the message can't be decoded.
+	Malformed Kind = "malformed"
+	// WrongDaemon: the message is for another daemon.
+	WrongDaemon Kind = "other daemon"
+	// NotHeld: the model is not loaded.
+	NotHeld Kind = "not held"
+	// StaleRevision: the message is about a revision that is not in force.
+	StaleRevision Kind = "stale revision"
+	// WrongIncarnation: another incarnation of the runner answered.
 	WrongIncarnation Kind = "other incarnation"
-	Overtaken        Kind = "overtaken message"
-	NotInitialDisk   Kind = "not a disk of the first start"
-	NoContact        Kind = "no contact with a majority"
-	InputQueueFull   Kind = "ring full"
+	// Overtaken: a later message has overtaken this one.
+	Overtaken Kind = "overtaken message"
+	// NotInitialDisk: the disk was not there at the first start of the site.
+	NotInitialDisk Kind = "not a disk of the first start"
+	// NoContact: there is no contact with a majority of the site.
+	NoContact Kind = "no contact with a majority"
+	// InputQueueFull: the queue of inputs is full.
+	InputQueueFull Kind = "ring full"
 )
-
-// Response is what a kind is answered with.
-type Response struct {
-	Status        int
-	RetryAfterSec int
-	// NotExecuted says the request has not run and never will, so that the caller
-	// may send it again whatever it is.
-	NotExecuted bool
-}
-
-// Responses maps every kind to its answer. It is the only place that knows.
-var Responses = map[Kind]Response{
-	UnknownService:   {http.StatusNotFound, 0, true},
-	UnknownModel:     {http.StatusNotFound, 0, true},
-	UnknownAdapter:   {http.StatusNotFound, 0, true},
-	ModelNotAllowed:  {http.StatusUnprocessableEntity, 0, true},
-	BadRequest:       {http.StatusBadRequest, 0, true},
-	TooLarge:         {http.StatusRequestEntityTooLarge, 0, true},
-	HeadTooLarge:     {http.StatusRequestHeaderFieldsTooLarge, 0, true},
-	WrongMethod:      {http.StatusMethodNotAllowed, 0, true},
-	UnknownPage:      {http.StatusNotFound, 0, true},
-	NoConfig:         {http.StatusServiceUnavailable, 2, true},
-	QueueFull:        {http.StatusServiceUnavailable, 1, true},
-	DeadlinePassed:   {http.StatusServiceUnavailable, 1, true},
-	NoRunner:         {http.StatusServiceUnavailable, 2, true},
-	PlacementTimeout: {http.StatusServiceUnavailable, 5, true},
-	RunnerRejected:   {http.StatusServiceUnavailable, 1, true},
-	ShuttingDown:     {http.StatusServiceUnavailable, 1, true},
-	// The first sending of the id may have run, so this one is no drop.
-	DuplicateRequest: {http.StatusConflict, 0, false},
-	OutcomeUnknown:   {http.StatusBadGateway, 0, false},
-	BrokenResponse:   {http.StatusBadGateway, 0, false},
-	ClientGone:       {499, 0, false},
-
-	StaleBase:           {http.StatusPreconditionFailed, 0, true},
-	MissingBase:         {http.StatusPreconditionRequired, 0, true},
-	FaultyDescription:   {http.StatusUnprocessableEntity, 0, true},
-	NotAccepted:         {http.StatusServiceUnavailable, 2, true},
-	NotPrimary:          {http.StatusMisdirectedRequest, 0, true},
-	AcceptanceUnknown:   {http.StatusGatewayTimeout, 0, false},
-	NotBootstrapped:     {http.StatusServiceUnavailable, 2, true},
-	AlreadyBootstrapped: {http.StatusConflict, 0, true},
-
-	LowerEpoch:       {http.StatusConflict, 0, true},
-	WrongSite:        {http.StatusConflict, 0, true},
-	WrongDaemon:      {http.StatusConflict, 0, true},
-	Malformed:        {http.StatusBadRequest, 0, true},
-	NotHeld:          {http.StatusConflict, 0, true},
-	StaleRevision:    {http.StatusConflict, 0, true},
-	WrongIncarnation: {http.StatusConflict, 0, true},
-	Overtaken:        {http.StatusConflict, 0, true},
-	NotInitialDisk:   {http.StatusConflict, 0, true},
-	NoContact:        {http.StatusServiceUnavailable, 1, true},
-	InputQueueFull:   {http.StatusServiceUnavailable, 1, true},
-}
-
-// Response looks the kind up.
-func (k Kind) Response() Response { return Responses[k] }
--- a/internal/errkind/kind_test.go
+++ b/internal/errkind/kind_test.go
@@ -10,9 +10,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The list is closed: every kind that is declared has its answer, and the
+// The list is closed: every kind that is declared has its response, and the
 // operators' page says the same as the table.
-func TestEveryKindIsAnsweredAndDocumented(t *testing.T) {
+func TestEveryKindHasADocumentedResponse(t *testing.T) {
 	c := qt.New(t)
 	source, err := os.ReadFile("kind.go")
 	c.Assert(err, qt.IsNil)
@@ -21,16 +21,16 @@
 	declared := regexp.MustCompile(`Kind = "([^"]+)"`).FindAllStringSubmatch(string(source), -1)
 	c.Assert(len(declared), qt.Equals, len(Responses))
 	for _, match := range declared {
-		reply, ok := Responses[Kind(match[1])]
-		c.Assert(ok, qt.IsTrue, qt.Commentf("%s has no answer", match[1]))
+		response, ok := Responses[Kind(match[1])]
+		c.Assert(ok, qt.IsTrue, qt.Commentf("%s has no response", match[1]))
 		after, ran := "", "unknown"
-		if reply.RetryAfterSec > 0 {
-			after = fmt.Sprint(reply.RetryAfterSec)
+		if response.RetryAfterSec > 0 {
+			after = fmt.Sprint(response.RetryAfterSec)
 		}
-		if reply.NotExecuted {
+		if response.NotExecuted {
 			ran = "no"
 		}
-		line := strings.Join(strings.Fields(fmt.Sprintf("| %s | %d | %s | %s |", match[1], reply.Status, after, ran)), " ")
+		line := strings.Join(strings.Fields(fmt.Sprintf("| %s | %d | %s | %s |", match[1], response.Status, after, ran)), " ")
 		c.Assert(strings.Contains(string(page), line), qt.IsTrue, qt.Commentf("the page lacks %q", line))
 	}
 }
--- /dev/null
+++ b/internal/errkind/responses.go
@@ -0,0 +1,62 @@
+package errkind
+
+import "net/http"
+
+// Response is the HTTP response that a kind has.
+type Response struct {
+	Status int
+	// RetryAfterSec is when the caller may come back, 0 where that is no use.
+	RetryAfterSec int
+	// NotExecuted says that the request has not run and never will, so that the
+	// caller may repeat it even if it is not idempotent.
+	NotExecuted bool
+}
+
+// Responses has the response of every kind.
+var Responses = map[Kind]Response{
+	UnknownService:   {http.StatusNotFound, 0, true},
+	UnknownModel:     {http.StatusNotFound, 0, true},
+	UnknownAdapter:   {http.StatusNotFound, 0, true},
+	ModelNotAllowed:  {http.StatusUnprocessableEntity, 0, true},
+	BadRequest:       {http.StatusBadRequest, 0, true},
+	TooLarge:         {http.StatusRequestEntityTooLarge, 0, true},
+	HeadTooLarge:     {http.StatusRequestHeaderFieldsTooLarge, 0, true},
+	WrongMethod:      {http.StatusMethodNotAllowed, 0, true},
+	UnknownPage:      {http.StatusNotFound, 0, true},
+	NoConfig:         {http.StatusServiceUnavailable, 2, true},
+	QueueFull:        {http.StatusServiceUnavailable, 1, true},
+	DeadlinePassed:   {http.StatusServiceUnavailable, 1, true},
+	NoRunner:         {http.StatusServiceUnavailable, 2, true},
+	PlacementTimeout: {http.StatusServiceUnavailable, 5, true},
+	RunnerRejected:   {http.StatusServiceUnavailable, 1, true},
+	ShuttingDown:     {http.StatusServiceUnavailable, 1, true},
+	// The first sending of the id may have run, so this one is no drop.
+	DuplicateRequest: {http.StatusConflict, 0, false},
+	OutcomeUnknown:   {http.StatusBadGateway, 0, false},
+	BrokenResponse:   {http.StatusBadGateway, 0, false},
+	ClientGone:       {499, 0, false},
+
+	StaleBase:           {http.StatusPreconditionFailed, 0, true},
+	MissingBase:         {http.StatusPreconditionRequired, 0, true},
+	FaultyDescription:   {http.StatusUnprocessableEntity, 0, true},
+	NotAccepted:         {http.StatusServiceUnavailable, 2, true},
+	NotPrimary:          {http.StatusMisdirectedRequest, 0, true},
+	AcceptanceUnknown:   {http.StatusGatewayTimeout, 0, false},
+	NotBootstrapped:     {http.StatusServiceUnavailable, 2, true},
+	AlreadyBootstrapped: {http.StatusConflict, 0, true},
+
+	LowerEpoch:       {http.StatusConflict, 0, true},
+	WrongSite:        {http.StatusConflict, 0, true},
+	WrongDaemon:      {http.StatusConflict, 0, true},
+	Malformed:        {http.StatusBadRequest, 0, true},
+	NotHeld:          {http.StatusConflict, 0, true},
+	StaleRevision:    {http.StatusConflict, 0, true},
+	WrongIncarnation: {http.StatusConflict, 0, true},
+	Overtaken:        {http.StatusConflict, 0, true},
+	NotInitialDisk:   {http.StatusConflict, 0, true},
+	NoContact:        {http.StatusServiceUnavailable, 1, true},
+	InputQueueFull:   {http.StatusServiceUnavailable, 1, true},
+}
+
+// Response returns the response of the kind.
+func (k Kind) Response() Response { return Responses[k] }
--- a/internal/httpclient/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -23,8 +23,8 @@
 	// maxInformational bounds the 1xx responses before the final one.
 	maxInformational = 5
 	// reuseNumerator and reuseDenominator are the part of a promised keep-alive
-	// time that is used; the
-	// rest is left for the way of the next request and for pauses.
+	// time that is used. The rest is left for the way of the next request and for
+	// pauses.
 	reuseNumerator, reuseDenominator = 3, 4
 )
 
--- a/internal/ringbuffer/buffer.go
+++ b/internal/ringbuffer/buffer.go
@@ -1,85 +1,89 @@
-// Package ringbuffer holds the bounded rings that join the threads of a process.
+// Package ringbuffer has the bounded queues between the goroutines of a process.
 package ringbuffer
 
 import "sync"
 
-// firstSlots is the room a ring begins with: a process has a ring for each
-// peer, and most of them never hold more than a few.
-const firstSlots = 16
+// initialSlots is the capacity that a buffer starts with. A process has a buffer
+// for each peer, and most of them never hold more than a few items.
+const initialSlots = 16
 
-// Buffer is a bounded first-in first-out between threads. A full ring refuses
-// and never blocks who puts; its room grows with need, up to the bound.
+// Buffer is a bounded first-in first-out queue for any number of goroutines. A
+// full buffer refuses items, so that those who add never block. Its memory grows
+// with need, up to the bound.
 type Buffer[T any] struct {
-	mu      sync.Mutex
-	filled  sync.Cond
-	slots   []T
-	most    int
-	head    int
-	count   int
-	closed  bool
-	dropped uint64
+	mu sync.Mutex
+	// notEmpty is signalled when an item is added or the buffer is closed.
+	notEmpty sync.Cond
+	// slots holds count items from head on, past its end from the start again.
+	slots       []T
+	head, count int
+	maxItems    int
+	closed      bool
+	refused     uint64
 }
 
-// New makes a ring that holds so many at most.
-func New[T any](most int) *Buffer[T] {
-	r := &Buffer[T]{slots: make([]T, min(most, firstSlots)), most: most}
-	r.filled.L = &r.mu
-	return r
+// New makes a buffer for at most maxItems items.
+func New[T any](maxItems int) *Buffer[T] {
+	b := &Buffer[T]{slots: make([]T, min(maxItems, initialSlots)), maxItems: maxItems}
+	b.notEmpty.L = &b.mu
+	return b
 }
 
-// Push adds one, or says that there is no place.
-func (r *Buffer[T]) Push(item T) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.closed || r.count == r.most {
-		r.dropped++
+// Push adds an item. It returns false where the buffer is full or closed.
+func (b *Buffer[T]) Push(item T) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.closed || b.count == b.maxItems {
+		b.refused++
 		return false
 	}
-	if r.count == len(r.slots) {
-		r.grow()
+	if b.count == len(b.slots) {
+		b.grow()
 	}
-	r.slots[(r.head+r.count)%len(r.slots)] = item
-	r.count++
-	r.filled.Signal()
+	b.slots[(b.head+b.count)%len(b.slots)] = item
+	b.count++
+	b.notEmpty.Signal()
 	return true
 }
 
-func (r *Buffer[T]) grow() {
-	slots := make([]T, min(r.most, 2*len(r.slots)))
-	n := copy(slots, r.slots[r.head:])
-	copy(slots[n:], r.slots[:r.head])
-	r.slots, r.head = slots, 0
+// grow doubles the capacity, up to the bound.
+func (b *Buffer[T]) grow() {
+	slots := make([]T, min(b.maxItems, 2*len(b.slots)))
+	copied := copy(slots, b.slots[b.head:])
+	copy(slots[copied:], b.slots[:b.head])
+	b.slots, b.head = slots, 0
 }
 
-// Pop waits for the next one; false means closed and empty.
-func (r *Buffer[T]) Pop() (T, bool) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for r.count == 0 && !r.closed {
-		r.filled.Wait()
+// Pop removes the oldest item, and waits for one where the buffer is empty. It
+// returns false once the buffer is closed and empty.
+func (b *Buffer[T]) Pop() (T, bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for b.count == 0 && !b.closed {
+		b.notEmpty.Wait()
 	}
-	var none T
-	if r.count == 0 {
-		return none, false
+	var zero T
+	if b.count == 0 {
+		return zero, false
 	}
-	item := r.slots[r.head]
-	r.slots[r.head] = none
-	r.head = (r.head + 1) % len(r.slots)
-	r.count--
+	item := b.slots[b.head]
+	b.slots[b.head] = zero
+	b.head = (b.head + 1) % len(b.slots)
+	b.count--
 	return item, true
 }
 
-// Close lets takers drain the ring and then end.
-func (r *Buffer[T]) Close() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.closed = true
-	r.filled.Broadcast()
+// Close refuses further items. Those in the buffer can still be removed.
+func (b *Buffer[T]) Close() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.closed = true
+	b.notEmpty.Broadcast()
 }
 
-// Stats says how many wait and how many were refused so far.
-func (r *Buffer[T]) Stats() (count int, dropped uint64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.count, r.dropped
+// Stats returns how many items wait and how many were refused so far.
+func (b *Buffer[T]) Stats() (waiting int, refused uint64) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.count, b.refused
 }
--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -6,49 +6,49 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestRing(t *testing.T) {
+func TestBufferRefusesItemsWhenFullOrClosed(t *testing.T) {
 	c := qt.New(t)
-	r := New[int](2)
-	c.Assert(r.Push(1), qt.IsTrue)
-	c.Assert(r.Push(2), qt.IsTrue)
-	c.Assert(r.Push(3), qt.IsFalse, qt.Commentf("a full ring refuses"))
-	got, ok := r.Pop()
+	buffer := New[int](2)
+	c.Assert(buffer.Push(1), qt.IsTrue)
+	c.Assert(buffer.Push(2), qt.IsTrue)
+	c.Assert(buffer.Push(3), qt.IsFalse, qt.Commentf("a full buffer refuses"))
+	got, ok := buffer.Pop()
 	c.Assert(ok, qt.IsTrue)
 	c.Assert(got, qt.Equals, 1)
-	c.Assert(r.Push(4), qt.IsTrue)
-	r.Close()
-	c.Assert(r.Push(5), qt.IsFalse, qt.Commentf("a closed ring refuses"))
+	c.Assert(buffer.Push(4), qt.IsTrue)
+	buffer.Close()
+	c.Assert(buffer.Push(5), qt.IsFalse, qt.Commentf("a closed buffer refuses"))
 	for _, want := range []int{2, 4} {
-		got, ok = r.Pop()
+		got, ok = buffer.Pop()
 		c.Assert(ok, qt.IsTrue)
 		c.Assert(got, qt.Equals, want)
 	}
-	_, ok = r.Pop()
+	_, ok = buffer.Pop()
 	c.Assert(ok, qt.IsFalse)
-	_, dropped := r.Stats()
-	c.Assert(dropped, qt.Equals, uint64(2))
+	_, refused := buffer.Stats()
+	c.Assert(refused, qt.Equals, uint64(2))
 }
 
-// The room grows up to the bound, whatever the place of the first is, and the
-// order stays.
-func TestRingGrows(t *testing.T) {
-	for _, taken := range []int{0, 1, firstSlots - 1, firstSlots, 3 * firstSlots} {
+// The capacity grows up to the bound, wherever the first item lies, and the order
+// of the items stays.
+func TestBufferGrowsInOrderUpToItsBound(t *testing.T) {
+	for _, taken := range []int{0, 1, initialSlots - 1, initialSlots, 3 * initialSlots} {
 		c := qt.New(t)
-		const most = 5*firstSlots + 3
-		r := New[int](most)
+		const maxItems = 5*initialSlots + 3
+		buffer := New[int](maxItems)
 		next := 0
 		for range taken {
-			c.Assert(r.Push(-1), qt.IsTrue)
-			_, ok := r.Pop()
+			c.Assert(buffer.Push(-1), qt.IsTrue)
+			_, ok := buffer.Pop()
 			c.Assert(ok, qt.IsTrue)
 		}
-		c.Assert(len(r.slots), qt.Equals, firstSlots)
-		for r.Push(next) {
+		c.Assert(len(buffer.slots), qt.Equals, initialSlots)
+		for buffer.Push(next) {
 			next++
 		}
-		c.Assert(next, qt.Equals, most)
-		for want := range most {
-			got, ok := r.Pop()
+		c.Assert(next, qt.Equals, maxItems)
+		for want := range maxItems {
+			got, ok := buffer.Pop()
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(got, qt.Equals, want)
 		}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings is how a daemon learns its place: a file, or flags, which
-// go first. Every field is checked and a bad one is named; nothing is started.
+// Package settings reads the settings of a daemon of the own interface, from a
+// JSON file and from flags. A flag replaces the value of the file.
 package settings
 
 import (
@@ -17,27 +17,42 @@
 // Version is what --version prints.
 const Version = "0.1.0"
 
-// Settings is the place of one process.
+const (
+	// maxNameBytes bounds the names of sites, daemons and zones.
+	maxNameBytes = 64
+	// maxSeeds bounds the seeds; more are of no use.
+	maxSeeds = 3
+)
+
+// Settings are those of one process.
 type Settings struct {
-	Site     string   `json:"site"`
-	Name     string   `json:"name"`
-	Zone     string   `json:"zone"`
-	Address  string   `json:"address"`
-	HTTP     string   `json:"http"`
-	Seeds    []string `json:"seeds"`
-	Platform string   `json:"platform"`
-	Data     string   `json:"data,omitempty"`
+	// Site is the name of the site, Name that of this daemon, unique among those
+	// of its kind, and Zone the failure domain of its machine.
+	Site string `json:"site"`
+	Name string `json:"name"`
+	Zone string `json:"zone"`
+	// Address is the IP:port for messages of peers, HTTP that for callers and
+	// operators.
+	Address string `json:"address"`
+	HTTP    string `json:"http"`
+	// Seeds are addresses of other daemons, at which peers are looked for.
+	Seeds []string `json:"seeds"`
+	// Platform is the IP:port of the platform's list of runners.
+	Platform string `json:"platform"`
+	// Data is the data folder; only controllers have one.
+	Data string `json:"data,omitempty"`
 }
 
-// Flags is the command line of a daemon.
+// Flags are the command-line flags of a daemon.
 type Flags struct {
 	file  string
 	seeds string
 	given Settings
 }
 
-// Register puts the flags on the default parser.
-func (f *Flags) Register(data bool) {
+// Register registers the flags with the default parser. HasData says that the
+// daemon has a data folder.
+func (f *Flags) Register(hasData bool) {
 	flaggy.String(&f.file, "s", "settings", "settings file (JSON); flags go before it")
 	flaggy.String(&f.given.Site, "", "site", "name of the site")
 	flaggy.String(&f.given.Name, "", "name", "name of this daemon, alone of its kind at the site")
@@ -46,13 +61,13 @@
 	flaggy.String(&f.given.HTTP, "", "http", "IP:port for callers and operators")
 	flaggy.String(&f.seeds, "", "seeds", "up to three addresses of other daemons, with commas")
 	flaggy.String(&f.given.Platform, "", "platform", "IP:port of the platform's list of runners")
-	if data {
+	if hasData {
 		flaggy.String(&f.given.Data, "", "data", "the one folder for files")
 	}
 }
 
-// Read gives the checked settings.
-func (f *Flags) Read(data bool) (Settings, error) {
+// Read returns the settings of the file and the flags, validated.
+func (f *Flags) Read(hasData bool) (Settings, error) {
 	var s Settings
 	if f.file != "" {
 		text, err := os.ReadFile(f.file)
@@ -63,22 +78,31 @@
 			return s, errors.Wrapf(err, "settings %s", f.file)
 		}
 	}
-	given := f.given
-	for _, pair := range []struct{ to, from *string }{
-		{&s.Site, &given.Site}, {&s.Name, &given.Name}, {&s.Zone, &given.Zone}, {&s.Address, &given.Address},
-		{&s.HTTP, &given.HTTP}, {&s.Platform, &given.Platform}, {&s.Data, &given.Data},
+	f.applyTo(&s)
+	return s, s.Validate(hasData)
+}
+
+// applyTo replaces the values for which a flag was given.
+func (f *Flags) applyTo(s *Settings) {
+	for _, value := range []struct{ target, given *string }{
+		{&s.Site, &f.given.Site},
+		{&s.Name, &f.given.Name},
+		{&s.Zone, &f.given.Zone},
+		{&s.Address, &f.given.Address},
+		{&s.HTTP, &f.given.HTTP},
+		{&s.Platform, &f.given.Platform},
+		{&s.Data, &f.given.Data},
 	} {
-		if *pair.from != "" {
-			*pair.to = *pair.from
+		if *value.given != "" {
+			*value.target = *value.given
 		}
 	}
 	if f.seeds != "" {
 		s.Seeds = strings.Split(f.seeds, ",")
 	}
-	return s, s.Validate(data)
 }
 
-// Parse reads a settings file; an unknown field is named.
+// Parse reads a settings file. An unknown field is an error that names it.
 func Parse(text []byte) (Settings, error) {
 	var s Settings
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -89,49 +113,64 @@
 	return s, nil
 }
 
-// Validate names the first bad field.
-func (s Settings) Validate(data bool) error {
+// Validate reports the first field that is invalid. HasData says that the daemon
+// must have a data folder; without it there must be none.
+func (s Settings) Validate(hasData bool) error {
 	for _, field := range []struct{ name, value string }{{"site", s.Site}, {"name", s.Name}, {"zone", s.Zone}} {
-		if field.value == "" {
-			return errors.Newf("%s: must be given", field.name)
-		}
-		if strings.ContainsAny(field.value, "/ \t\n") || len(field.value) > 64 {
-			return errors.Newf("%s: %q is not a plain name", field.name, field.value)
+		if err := validateName(field.name, field.value); err != nil {
+			return err
 		}
 	}
 	for _, field := range []struct{ name, value string }{
 		{"address", s.Address}, {"http", s.HTTP}, {"platform", s.Platform},
 	} {
-		if err := checkAddress(field.name, field.value); err != nil {
+		if err := validateAddress(field.name, field.value); err != nil {
 			return err
 		}
 	}
-	if len(s.Seeds) == 0 || len(s.Seeds) > 3 {
+	if err := s.validateSeeds(); err != nil {
+		return err
+	}
+	if hasData && s.Data == "" {
+		return errors.New("data: must be given")
+	}
+	if !hasData && s.Data != "" {
+		return errors.New("data: this daemon keeps no files")
+	}
+	return nil
+}
+
+func (s Settings) validateSeeds() error {
+	if len(s.Seeds) == 0 || len(s.Seeds) > maxSeeds {
 		return errors.Newf("seeds: must be one to three addresses, got %d", len(s.Seeds))
 	}
 	for i, seed := range s.Seeds {
-		if err := checkAddress("seeds", seed); err != nil {
+		if err := validateAddress("seeds", seed); err != nil {
 			return err
 		}
 		if slices.Contains(s.Seeds[:i], seed) {
 			return errors.Newf("seeds: %s is given twice", seed)
 		}
 	}
-	if data && s.Data == "" {
-		return errors.New("data: must be given")
+	return nil
+}
+
+func validateName(field, value string) error {
+	if value == "" {
+		return errors.Newf("%s: must be given", field)
 	}
-	if !data && s.Data != "" {
-		return errors.New("data: this daemon keeps no files")
+	if strings.ContainsAny(value, "/ \t\n") || len(value) > maxNameBytes {
+		return errors.Newf("%s: %q is not a plain name", field, value)
 	}
 	return nil
 }
 
-func checkAddress(field, value string) error {
+func validateAddress(field, value string) error {
 	if value == "" {
 		return errors.Newf("%s: must be given", field)
 	}
-	at, err := netip.ParseAddrPort(value)
-	if err != nil || at.Port() == 0 {
+	address, err := netip.ParseAddrPort(value)
+	if err != nil || address.Port() == 0 {
 		return errors.Newf("%s: %q is not IP:port", field, value)
 	}
 	return nil
--- a/internal/threads/group.go
+++ b/internal/threads/group.go
@@ -1,5 +1,5 @@
-// Package threads is the one place that starts goroutines: a thread per duty,
-// gathered in an oklog/run group so that all end when one does.
+// Package threads is the only place that starts goroutines. The tasks of a process
+// are gathered in a group, so that all of them end when one does.
 package threads
 
 import (
@@ -12,62 +12,65 @@
 	"github.com/oklog/run"
 )
 
-// Group gathers the duties of one process.
+// Group holds the tasks of one process. When one task returns, the others are
+// stopped.
 type Group struct{ group run.Group }
 
-// Add adds a thread that works until stop is called.
-func (c *Group) Add(work func() error, stop func()) {
+// Add adds a task that runs until stop is called. Stop is called once at most.
+func (g *Group) Add(task func() error, stop func()) {
 	var once sync.Once
-	c.group.Add(work, func(error) { once.Do(stop) })
+	g.group.Add(task, func(error) { once.Do(stop) })
 }
 
-// Every adds a thread that calls beat at each interval.
-func (c *Group) Every(everyMs int64, beat func()) {
-	done := make(chan struct{})
-	c.Add(func() error {
-		ticker := time.NewTicker(time.Duration(everyMs) * time.Millisecond)
+// Every adds a task that calls tick at each interval.
+func (g *Group) Every(intervalMs int64, tick func()) {
+	stopped := make(chan struct{})
+	g.Add(func() error {
+		ticker := time.NewTicker(time.Duration(intervalMs) * time.Millisecond)
 		defer ticker.Stop()
 		for {
 			select {
-			case <-done:
+			case <-stopped:
 				return nil
 			case <-ticker.C:
-				beat()
+				tick()
 			}
 		}
-	}, func() { close(done) })
+	}, func() { close(stopped) })
 }
 
-// StopOnSignal adds the thread that ends the crew on SIGTERM or SIGINT. Leave is
-// called first, so that a planned stop can hand work back.
-func (c *Group) StopOnSignal(leave func()) {
+// StopOnSignal adds a task that ends the group on SIGTERM or SIGINT. Before it
+// ends, it calls shutdown, which may be nil, so that a planned stop can hand over.
+func (g *Group) StopOnSignal(shutdown func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c.Add(func() error {
-		noted, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
+	g.Add(func() error {
+		signalled, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 		defer stop()
-		<-noted.Done()
-		if ctx.Err() == nil && leave != nil {
-			leave()
+		<-signalled.Done()
+		isSignal := ctx.Err() == nil
+		if isSignal && shutdown != nil {
+			shutdown()
 		}
 		return nil
 	}, cancel)
 }
 
-// StopWhen adds a thread that ends the crew when done is closed.
-func (c *Group) StopWhen(done <-chan struct{}) {
-	stop := make(chan struct{})
-	c.Add(func() error {
+// StopWhen adds a task that ends the group when done is closed.
+func (g *Group) StopWhen(done <-chan struct{}) {
+	stopped := make(chan struct{})
+	g.Add(func() error {
 		select {
 		case <-done:
-		case <-stop:
+		case <-stopped:
 		}
 		return nil
-	}, func() { close(stop) })
+	}, func() { close(stopped) })
 }
 
-// Run starts all duties and waits until all have ended.
-func (c *Group) Run() error { return c.group.Run() }
+// Run starts all tasks and returns once all have ended, with the error of the
+// first that did.
+func (g *Group) Run() error { return g.group.Run() }
 
-// Go starts one short errand beside the duties, such as a call outward.
-// The caller bounds how many run at once.
-func Go(errand func()) { go errand() }
+// Go starts a goroutine outside any group, such as one for a connection. The
+// caller bounds how many run at once.
+func Go(task func()) { go task() }
