--- a/internal/simulation/faultsim/bugs_test.go
+++ b/internal/simulation/faultsim/bugs_test.go
@@ -1,52 +1,56 @@
 package faultsim
 
 import (
+	"slices"
 	"testing"
 
 	qt "github.com/frankban/quicktest"
 )
 
+// violates says whether a run violated a rule.
+func (r Result) violates(rule Rule) bool {
+	return slices.ContainsFunc(r.Violations, func(v Violation) bool { return v.Rule == rule })
+}
+
 // Each rule's check reports a system in which a bug was injected that breaks
 // the rule.
 func TestEachRuleFires(t *testing.T) {
 	for _, test := range []struct {
 		rule   Rule
-		breaks InjectedBugs
+		bugs   InjectedBugs
 		faults []string
 	}{
-		{"TWICE", InjectedBugs{ResendUnsafe: true}, []string{"runners reset"}},
-		{"REFUSED", InjectedBugs{RejectLost: true}, []string{"runners reset"}},
-		{"DRAIN", InjectedBugs{HideDraining: true}, []string{"release"}},
-		{"CONFIG", InjectedBugs{LoseSyncedWrites: true}, []string{"all killed"}},
-		{"CONFIG", InjectedBugs{AcknowledgeEarly: true}, []string{"map with faults"}},
-		{"CONFIG", InjectedBugs{RouteByFirstConfig: true}, []string{"map replaced"}},
-		{"CONFIG", InjectedBugs{WithholdConfig: true}, []string{"map replaced"}},
-		{"CONFIG", InjectedBugs{IgnoreDiskFailure: true}, []string{"disk full, then another loses its disk"}},
-		{"ACK", InjectedBugs{IgnoreDiskFailure: true}, []string{"disk full, then another lost"}},
-		{"BUDGET", InjectedBugs{RetryWithoutBudget: true}, []string{"runners reset", "runners reset"}},
-		{"ONE", InjectedBugs{ReuseFence: true}, []string{"primary cut off"}},
-		{"LIMIT", InjectedBugs{OverstateCapacity: true}, []string{"crowd for rare models"}},
-		{"LIMIT", InjectedBugs{IgnoreExpectedCount: true}, []string{"crowd for rare models", "demand moves"}},
-		{"CEILING", InjectedBugs{OverstateStoreRate: true}, []string{"crowd for rare models", "demand moves", "crowd for rare models"}},
-		{"LOOKUP", InjectedBugs{DuplicateLookUp: true}, nil},
-		{"RECOVER", InjectedBugs{NeverHeal: true}, []string{"all killed"}},
-		{"ORDER", InjectedBugs{SkipChunk: true}, []string{"runners reset"}},
-		{"ROUTE", InjectedBugs{WrongService: true}, nil},
-		{"DENIED", InjectedBugs{DenyKnown: true}, []string{"crowd for rare models", "release"}},
-		{"ANSWER", InjectedBugs{OmitRetryAfter: true}, []string{"crowd for rare models", "release"}},
-		{"ANSWER", InjectedBugs{AnswerTwice: true}, []string{"crowd for rare models", "release"}},
+		{RuleTwice, InjectedBugs{ResendUnsafe: true}, []string{"runners reset"}},
+		{RuleRefused, InjectedBugs{RejectLost: true}, []string{"runners reset"}},
+		{RuleDrain, InjectedBugs{HideDraining: true}, []string{"release"}},
+		{RuleConfig, InjectedBugs{LoseSyncedWrites: true}, []string{"all killed"}},
+		{RuleConfig, InjectedBugs{AcknowledgeEarly: true}, []string{"map with faults"}},
+		{RuleConfig, InjectedBugs{RouteByFirstConfig: true}, []string{"map replaced"}},
+		{RuleConfig, InjectedBugs{WithholdConfig: true}, []string{"map replaced"}},
+		{RuleConfig, InjectedBugs{IgnoreDiskFailure: true}, []string{"disk full, then another loses its disk"}},
+		{RuleAck, InjectedBugs{IgnoreDiskFailure: true}, []string{"disk full, then another lost"}},
+		{RuleBudget, InjectedBugs{RetryWithoutBudget: true}, []string{"runners reset", "runners reset"}},
+		{RuleOne, InjectedBugs{ReuseFence: true}, []string{"primary cut off"}},
+		{RuleLimit, InjectedBugs{OverstateCapacity: true}, []string{"crowd for rare models"}},
+		{RuleLimit, InjectedBugs{IgnoreExpectedCount: true}, []string{"crowd for rare models", "demand moves"}},
+		{RuleCeiling, InjectedBugs{OverstateStoreRate: true}, []string{"crowd for rare models", "demand moves", "crowd for rare models"}},
+		{RuleLookUp, InjectedBugs{DuplicateLookUp: true}, nil},
+		{RuleRecover, InjectedBugs{NeverHeal: true}, []string{"all killed"}},
+		{RuleOrder, InjectedBugs{SkipChunk: true}, []string{"runners reset"}},
+		{RuleRoute, InjectedBugs{WrongService: true}, nil},
+		{RuleDenied, InjectedBugs{DenyKnown: true}, []string{"crowd for rare models", "release"}},
+		{RuleAnswer, InjectedBugs{OmitRetryAfter: true}, []string{"crowd for rare models", "release"}},
+		{RuleAnswer, InjectedBugs{AnswerTwice: true}, []string{"crowd for rare models", "release"}},
 	} {
 		t.Run(string(test.rule), func(t *testing.T) {
 			t.Parallel()
 			fired := false
 			for seed := int64(1); seed <= 12 && !fired; seed++ {
-				r, ok := play(seed, test.breaks, test.faults...)
+				r, ok := play(seed, test.bugs, test.faults...)
 				qt.Assert(t, ok, qt.IsTrue)
-				for _, violation := range r.Violations {
-					fired = fired || violation.Rule == test.rule
-				}
+				fired = r.violates(test.rule)
 			}
-			qt.Check(t, fired, qt.IsTrue, qt.Commentf("%+v with %q", test.breaks, test.faults))
+			qt.Check(t, fired, qt.IsTrue, qt.Commentf("%+v with %q", test.bugs, test.faults))
 		})
 	}
 }
--- a/internal/simulation/faultsim/workload_test.go
+++ b/internal/simulation/faultsim/workload_test.go
@@ -60,25 +60,29 @@
 		return workloadStep{Kind: workloadFault, Fault: name, PauseMs: pauseMs}
 	}
 	for _, test := range []struct {
-		name   string
-		breaks InjectedBugs
-		steps  []workloadStep
+		name  string
+		bugs  InjectedBugs
+		steps []workloadStep
 	}{
 		{"accepted submissions are forgotten", InjectedBugs{ForgetAccepted: true}, []workloadStep{submissions}},
 		{"two submissions with the same base are accepted", InjectedBugs{IgnoreBase: true}, []workloadStep{submissions, submissions}},
 		{"acknowledged before any replica has it", InjectedBugs{AcknowledgeEarly: true}, []workloadStep{submissions, submissions}},
-		{"read back from any replica", InjectedBugs{StaleRead: true}, []workloadStep{fault("primary cut off", 0), submissions, slowRead, slowRead, submissions, slowRead, slowRead, submissions, slowRead, slowRead}},
+		{"read back from any replica", InjectedBugs{StaleRead: true}, []workloadStep{
+			fault("primary cut off", 0),
+			submissions, slowRead, slowRead,
+			submissions, slowRead, slowRead,
+			submissions, slowRead, slowRead,
+		}},
 		{"refused by any replica", InjectedBugs{StaleRejection: true}, []workloadStep{submissions, fault("primary killed", 0), submissions, submissions}},
-		{"disks defer writes", InjectedBugs{DeferDiskWrites: true}, []workloadStep{submissions, submissions, submissions, submissions, fault("core killed", 5000), submissions, read}},
+		{"disks defer writes", InjectedBugs{DeferDiskWrites: true}, []workloadStep{
+			submissions, submissions, submissions, submissions, fault("core killed", 5000), submissions, read,
+		}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			t.Parallel()
 			fired := false
 			for seed := int64(1); seed <= 60 && !fired; seed++ {
-				r := playWorkload(newWorkloadSite(seed, test.breaks), test.steps)
-				for _, violation := range r.Violations {
-					fired = fired || violation.Rule == RuleRegister
-				}
+				fired = playWorkload(newWorkloadSite(seed, test.bugs), test.steps).violates(RuleRegister)
 			}
 			qt.Check(t, fired, qt.IsTrue)
 		})
