--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -106,7 +106,9 @@
 	return w.cause.hash()
 }
 
-// push adds an event to the queue, behind those of the same time.
+// push adds an event to the queue, behind those of the same time. The queue is
+// not one of package eventqueue, since faults delay and remove queued events and
+// hashes cover them.
 func (c *cluster) push(e *event) {
 	c.sequence++
 	e.sequence = c.sequence
