--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -15,73 +15,73 @@
 	"myrtlewinch/internal/threads"
 )
 
-// door takes streams and does with each request what it is told to; it counts
-// the requests whose head it has read.
-func door(c *qt.C, do func(stream net.Conn, nth int64) bool) (address string, seen *atomic.Int64) {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+// testServer accepts connections and calls respond for each request; false ends
+// the connection. It counts the requests whose head it has read.
+func testServer(c *qt.C, do func(conn net.Conn, number int64) bool) (address string, seen *atomic.Int64) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	c.Cleanup(func() { _ = at.Close() })
+	c.Cleanup(func() { _ = listener.Close() })
 	seen = &atomic.Int64{}
 	threads.Go(func() {
 		for {
-			stream, err := at.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			threads.Go(func() {
-				defer stream.Close()
-				reader := bufio.NewReader(stream)
+				defer conn.Close()
+				reader := bufio.NewReader(conn)
 				for {
 					request, err := http.ReadRequest(reader)
 					if err != nil {
 						return
 					}
-					nth := seen.Add(1)
+					number := seen.Add(1)
 					_, _ = io.Copy(io.Discard, request.Body)
-					if !do(stream, nth) {
+					if !do(conn, number) {
 						return
 					}
 				}
 			})
 		}
 	})
-	return at.Addr().String(), seen
+	return listener.Addr().String(), seen
 }
 
-const answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const goodResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func yes() bool { return true }
+func allow() bool { return true }
 
 func TestEachRequestIsWrittenOnce(t *testing.T) {
 	cases := []struct {
 		about string
-		do    func(stream net.Conn, nth int64) bool
+		do    func(conn net.Conn, number int64) bool
 		may   func() bool
 		first bool
 		wrote bool
 		seen  int64
 		fails bool
 	}{
-		{"answered", func(s net.Conn, _ int64) bool { _, _ = io.WriteString(s, answer); return true }, yes, false, true, 1, false},
-		{"closed without an answer", func(net.Conn, int64) bool { return false }, yes, false, true, 1, true},
-		{"half an answer's head", func(s net.Conn, _ int64) bool { _, _ = io.WriteString(s, "HTTP/1.1 200"); return false }, yes, false, true, 1, true},
+		{"answered", func(s net.Conn, _ int64) bool { _, _ = io.WriteString(s, goodResponse); return true }, allow, false, true, 1, false},
+		{"closed without a response", func(net.Conn, int64) bool { return false }, allow, false, true, 1, true},
+		{"half of a response's head", func(s net.Conn, _ int64) bool { _, _ = io.WriteString(s, "HTTP/1.1 200"); return false }, allow, false, true, 1, true},
 		{"too late", nil, func() bool { return false }, false, false, 0, true},
-		// The standard transport would send again on a kept stream that breaks.
-		{"a kept stream that breaks", func(s net.Conn, nth int64) bool {
-			if nth == 1 {
-				_, _ = io.WriteString(s, answer)
+		// The standard transport would retry on a reused connection that breaks.
+		{"a reused connection that breaks", func(s net.Conn, number int64) bool {
+			if number == 1 {
+				_, _ = io.WriteString(s, goodResponse)
 			}
-			return nth == 1
-		}, yes, true, true, 2, true},
+			return number == 1
+		}, allow, true, true, 2, true},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			address, seen := door(c, test.do)
-			transport := New()
-			defer transport.Close()
+			address, seen := testServer(c, test.do)
+			client := New()
+			defer client.Close()
 			send := func(may func() bool) (bool, error) {
-				got, wrote, err := transport.Do(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), may)
+				got, wrote, err := client.Do(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), may)
 				if err == nil {
 					_, err = io.ReadAll(got.Body)
 					_ = got.Body.Close()
@@ -89,7 +89,7 @@
 				return wrote, err
 			}
 			if test.first {
-				_, err := send(yes)
+				_, err := send(allow)
 				c.Assert(err, qt.IsNil)
 			}
 			wrote, err := send(test.may)
@@ -103,14 +103,14 @@
 	}
 }
 
-// Where nobody listens it is certain that nothing was written.
+// Where nobody listens, nothing was written.
 func TestConnectionRefused(t *testing.T) {
 	c := qt.New(t)
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	address := at.Addr().String()
-	c.Assert(at.Close(), qt.IsNil)
-	_, wrote, err := New().Do(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), yes)
+	address := listener.Addr().String()
+	c.Assert(listener.Close(), qt.IsNil)
+	_, wrote, err := New().Do(context.Background(), http.MethodPost, "http://"+address+"/run", []byte("{}"), allow)
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(wrote, qt.IsFalse)
 }
--- a/internal/httpclient/exchange_test.go
+++ b/internal/httpclient/exchange_test.go
@@ -18,8 +18,8 @@
 	"myrtlewinch/internal/threads"
 )
 
-// scriptedPeer answers the first request with a script and each later one with
-// a good answer. It notes on which connection each request came.
+// scriptedPeer sends a script in response to the first request and a good response
+// to each later one. It records on which connection each request arrived.
 type scriptedPeer struct {
 	listener net.Listener
 	script   string
@@ -63,7 +63,7 @@
 		isFirst := len(p.connections) == 1
 		p.mu.Unlock()
 		if !isFirst {
-			_, _ = io.WriteString(connection, answer)
+			_, _ = io.WriteString(connection, goodResponse)
 			continue
 		}
 		_, _ = io.WriteString(connection, p.script)
@@ -83,9 +83,9 @@
 	return Request{Method: http.MethodGet, Address: p.listener.Addr().String(), Path: "/", Host: "h", Header: http.Header{}}
 }
 
-// use makes one exchange as a caller does.
-func use(t *Client, r Request, accepts bool) (body string, err error) {
-	x, err := t.Forward(context.Background(), r, yes)
+// exchangeOnce makes one exchange as a caller does.
+func exchangeOnce(client *Client, r Request, accepts bool) (body string, err error) {
+	x, err := client.Forward(context.Background(), r, allow)
 	if err != nil {
 		return "", err
 	}
@@ -97,62 +97,69 @@
 	return string(text), err
 }
 
-func TestConnectionReuse(t *testing.T) {
+// reuseCase is a peer's first response and what becomes of its connection.
+type reuseCase struct {
+	about, script string
+	closes        bool
+	refuses       bool
+	body          string
+	fails         bool
+	reused        bool
+}
+
+func reuseCases() []reuseCase {
 	const empty = "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n"
 	chunked := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
-	with := func(line string) string { return strings.Replace(answer, "\r\n", "\r\n"+line+"\r\n", 1) }
-	cases := []struct {
-		about, script string
-		closes        bool
-		refuses       bool
-		body          string
-		fails         bool
-		reused        bool
-	}{
-		{about: "a whole answer", script: answer, body: "ok", reused: true},
+	with := func(line string) string { return strings.Replace(goodResponse, "\r\n", "\r\n"+line+"\r\n", 1) }
+	return []reuseCase{
+		{about: "a complete response", script: goodResponse, body: "ok", reused: true},
 		{about: "in chunks", script: chunked, body: "ok", reused: true},
 		{about: "without a body", script: empty, reused: true},
-		{about: "not accepted", script: answer, refuses: true, body: "ok"},
+		{about: "not accepted", script: goodResponse, refuses: true, body: "ok"},
 		{about: "not accepted, without a body", script: empty, refuses: true},
-		{about: "surplus bytes", script: answer + "x", body: "ok"},
-		{about: "a doubled answer", script: answer + answer, body: "ok"},
-		{about: "a doubled answer without a body", script: empty + empty},
-		{about: "surplus after chunks", script: chunked + answer, body: "ok"},
+		{about: "surplus bytes", script: goodResponse + "x", body: "ok"},
+		{about: "a doubled response", script: goodResponse + goodResponse, body: "ok"},
+		{about: "a doubled response without a body", script: empty + empty},
+		{about: "surplus after chunks", script: chunked + goodResponse, body: "ok"},
 		{about: "chunks and a length", script: strings.Replace(chunked, "\r\n", "\r\nContent-Length: 3\r\n", 1), body: "ok", reused: true},
 		{about: "chunks and a length, surplus", script: strings.Replace(chunked, "\r\n", "\r\nContent-Length: 3\r\n", 1) + "x", body: "ok"},
 		{about: "two lengths", script: with("Content-Length: 3"), fails: true},
-		{about: "a length that is none", script: "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", fails: true},
+		{about: "an invalid length", script: "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n", fails: true},
 		{about: "no length", script: "HTTP/1.1 200 OK\r\n\r\nok", closes: true, body: "ok"},
 		{about: "it ends early", script: "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", closes: true, body: "ok", fails: true},
 		{about: "chunks end early", script: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", closes: true, body: "ok", fails: true},
-		{about: "a spoilt chunk", script: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", fails: true},
+		{about: "an invalid chunk", script: "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", fails: true},
 		{about: "the head ends early", script: "HTTP/1.1 200 OK\r\nContent-", closes: true, fails: true},
-		{about: "no answer", closes: true, fails: true},
-		{about: "bytes that form no answer", script: "garbage\r\n\r\n", fails: true},
-		{about: "a spoilt head", script: "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", fails: true},
+		{about: "no response", closes: true, fails: true},
+		{about: "bytes that form no response", script: "garbage\r\n\r\n", fails: true},
+		{about: "an invalid head", script: "HTTP/1.1 200 OK\r\nno colon\r\n\r\n", fails: true},
 		{about: "a head without end", script: "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", clientHeadBytes), fails: true},
 		{about: "a status below 100", script: "HTTP/1.1 099 X\r\nContent-Length: 0\r\n\r\n", fails: true},
 		{about: "a status with a sign", script: "HTTP/1.1 +20 X\r\nContent-Length: 0\r\n\r\n", fails: true},
 		{about: "another protocol", script: "HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n", fails: true},
-		{about: "an informational one before", script: "HTTP/1.1 103 X\r\n\r\n" + answer, body: "ok"},
-		{about: "informational ones alone", script: strings.Repeat("HTTP/1.1 100 X\r\n\r\n", maxInformational+1) + answer, fails: true},
+		{about: "an informational one before", script: "HTTP/1.1 103 X\r\n\r\n" + goodResponse, body: "ok"},
+		{about: "informational ones alone", script: strings.Repeat("HTTP/1.1 100 X\r\n\r\n", maxInformational+1) + goodResponse, fails: true},
 		{about: "it says that it closes", script: with("Connection: close"), body: "ok"},
-		{about: "HTTP/1.0", script: strings.Replace(answer, "1.1", "1.0", 1), body: "ok"},
+		{about: "HTTP/1.0", script: strings.Replace(goodResponse, "1.1", "1.0", 1), body: "ok"},
 		{about: "HTTP/1.0 that keeps it open", script: strings.Replace(with("Connection: keep-alive"), "1.1", "1.0", 1), body: "ok"},
 		{about: "kept for no time", script: with("Keep-Alive: timeout=0"), body: "ok"},
-		{about: "kept for a time that is none", script: with("Keep-Alive: max=3, timeout=soon"), body: "ok"},
+		{about: "kept for an invalid time", script: with("Keep-Alive: max=3, timeout=soon"), body: "ok"},
 		{about: "kept for long", script: with("Keep-Alive: timeout=60"), body: "ok", reused: true},
 	}
-	for _, test := range cases {
+}
+
+// A connection is reused only after a response that leaves no doubt about it.
+func TestConnectionReuse(t *testing.T) {
+	for _, test := range reuseCases() {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			peer := newScriptedPeer(c, test.script, test.closes)
-			transport := New()
-			defer transport.Close()
-			body, err := use(transport, peer.request(), !test.refuses)
+			client := New()
+			defer client.Close()
+			body, err := exchangeOnce(client, peer.request(), !test.refuses)
 			c.Assert(err != nil, qt.Equals, test.fails, qt.Commentf("%v", err))
 			c.Assert(body, qt.Equals, test.body)
-			body, err = use(transport, peer.request(), true)
+			body, err = exchangeOnce(client, peer.request(), true)
 			c.Assert(err, qt.IsNil)
 			c.Assert(body, qt.Equals, "ok")
 			want := []int{0, 1}
@@ -164,14 +171,14 @@
 	}
 }
 
-// An answer that nobody asked for may come while a connection is idle, and the
+// A response that nobody asked for may arrive while a connection is idle, and the
 // peer may end or reset it: such a connection carries no further request.
 func TestIdleConnectionWithBytesOrEndIsNotReused(t *testing.T) {
 	cases := []struct {
-		about string
-		spoil func(peer net.Conn) error
+		about   string
+		disturb func(peer net.Conn) error
 	}{
-		{"a late answer", func(peer net.Conn) error { _, err := io.WriteString(peer, answer); return err }},
+		{"a late response", func(peer net.Conn) error { _, err := io.WriteString(peer, goodResponse); return err }},
 		{"its end", func(peer net.Conn) error { return peer.(*net.TCPConn).CloseWrite() }},
 		{"a reset", func(peer net.Conn) error {
 			if err := peer.(*net.TCPConn).SetLinger(0); err != nil {
@@ -188,8 +195,8 @@
 			idle := p.newConn("a", client)
 			c.Assert(idle.isReusable(), qt.IsTrue)
 			p.putIdle(idle, time.Hour)
-			c.Assert(test.spoil(peer), qt.IsNil)
-			// The wait is for the bytes to have crossed, not for a time.
+			c.Assert(test.disturb(peer), qt.IsNil)
+			// Wait until the bytes have arrived.
 			_, _ = idle.reader.Peek(1)
 			c.Assert(p.getIdle("a"), qt.IsNil)
 		})
@@ -209,26 +216,26 @@
 	return client, peer
 }
 
-// The socket itself is asked too, not only what was read from it already.
+// The socket itself is checked too, not only the bytes that were read already.
 func TestIdleSocketIsCheckedBeforeReuse(t *testing.T) {
 	c := qt.New(t)
 	client, peer := tcpPair(c)
 	raw, err := client.(*net.TCPConn).SyscallConn()
 	c.Assert(err, qt.IsNil)
-	look := func() (quiet bool) {
+	hasNothing := func() (quiet bool) {
 		c.Assert(raw.Control(func(fd uintptr) { quiet = hasNothingToRead(fd) }), qt.IsNil)
 		return quiet
 	}
-	c.Assert(look(), qt.IsTrue)
+	c.Assert(hasNothing(), qt.IsTrue)
 	_, err = io.WriteString(peer, "xy")
 	c.Assert(err, qt.IsNil)
 	_, err = io.ReadFull(client, make([]byte, 1))
 	c.Assert(err, qt.IsNil)
-	c.Assert(look(), qt.IsFalse)
+	c.Assert(hasNothing(), qt.IsFalse)
 	c.Assert(peer.Close(), qt.IsNil)
 	_, err = client.Read(make([]byte, 1))
 	c.Assert(err, qt.Equals, io.EOF)
-	c.Assert(look(), qt.IsFalse)
+	c.Assert(hasNothing(), qt.IsFalse)
 }
 
 // A header may make the standard transport resend a request without a body;
@@ -238,13 +245,13 @@
 		for _, value := range []string{"", "k"} {
 			t.Run(name+"="+value, func(t *testing.T) {
 				c := qt.New(t)
-				address, heads := raw(c, answer, "", answer)
-				transport := New()
-				defer transport.Close()
+				address, heads := rawServer(c, goodResponse, "", goodResponse)
+				client := New()
+				defer client.Close()
 				request := Request{Method: http.MethodPost, Address: address, Path: "/", Host: "h", Header: http.Header{name: {value}}}
-				_, err := use(transport, request, true)
+				_, err := exchangeOnce(client, request, true)
 				c.Assert(err, qt.IsNil)
-				_, err = use(transport, request, true)
+				_, err = exchangeOnce(client, request, true)
 				c.Assert(err, qt.IsNotNil)
 				c.Assert(heads, qt.HasLen, 2)
 			})
@@ -252,9 +259,9 @@
 	}
 }
 
-// A peer may answer without reading a large body. The answer counts, and the
-// connection is closed.
-func TestResponseBeforeTheRequestIsMalformed(t *testing.T) {
+// A peer may respond without reading a large body. The response is accepted, and
+// the connection is closed.
+func TestResponseBeforeTheBodyIsWrittenIsAccepted(t *testing.T) {
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -266,16 +273,16 @@
 			return
 		}
 		defer connection.Close()
-		// Little room makes sure that the body does not fit in between.
+		// A small buffer makes sure that the body does not fit in it.
 		_ = connection.(*net.TCPConn).SetReadBuffer(4 << 10)
 		_, _ = bufio.NewReaderSize(connection, 16).ReadSlice('\n')
-		_, _ = io.WriteString(connection, answer)
+		_, _ = io.WriteString(connection, goodResponse)
 		<-done
 	})
-	transport := New()
-	x, err := transport.Forward(context.Background(), Request{
+	client := New()
+	x, err := client.Forward(context.Background(), Request{
 		Method: http.MethodPost, Address: listener.Addr().String(), Path: "/", Host: "h", Header: http.Header{}, Body: make([]byte, 64<<20),
-	}, yes)
+	}, allow)
 	c.Assert(err, qt.IsNil)
 	c.Assert(x.BytesWritten, qt.IsTrue)
 	x.Accept()
@@ -283,28 +290,27 @@
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(text), qt.Equals, "ok")
 	c.Assert(x.Response.Body.Close(), qt.IsNil)
-	c.Assert(transport.clients.idle, qt.HasLen, 0)
+	c.Assert(client.clients.idle, qt.HasLen, 0)
 	x.waitForWriter()
 	close(done)
 }
 
-// A request that broke before its first byte goes on over a new connection; no
-// byte of it was written before.
+// A request whose connection breaks before its first byte is sent over a new one.
 func TestBrokenIdleConnectionIsReplacedBeforeTheFirstByte(t *testing.T) {
 	c := qt.New(t)
-	peer := newScriptedPeer(c, answer, false)
-	transport := New()
-	defer transport.Close()
-	client, _ := tcpPair(c)
-	idle := transport.clients.newConn(peer.listener.Addr().String(), client)
-	transport.clients.putIdle(idle, time.Hour)
+	peer := newScriptedPeer(c, goodResponse, false)
+	client := New()
+	defer client.Close()
+	local, _ := tcpPair(c)
+	idle := client.clients.newConn(peer.listener.Addr().String(), local)
+	client.clients.putIdle(idle, time.Hour)
 	request := peer.request()
 	request.Method, request.Body = http.MethodPost, []byte("the body")
-	// The check runs right before the write, when the connection was found fit.
+	// The check runs right before the write, after the connection was found reusable.
 	checks := 0
-	x, err := transport.Forward(context.Background(), request, func() bool {
+	x, err := client.Forward(context.Background(), request, func() bool {
 		if checks++; checks == 1 {
-			_ = client.Close()
+			_ = local.Close()
 		}
 		return true
 	})
@@ -314,24 +320,24 @@
 	c.Assert(peer.seen(), qt.HasLen, 1)
 }
 
-// A cancelled context closes the connection, also after a whole answer.
+// A cancelled context closes the connection, also after a complete response.
 func TestCancelledExchangeReturnsNoConnection(t *testing.T) {
 	c := qt.New(t)
-	peer := newScriptedPeer(c, answer, false)
-	transport := New()
-	defer transport.Close()
+	peer := newScriptedPeer(c, goodResponse, false)
+	client := New()
+	defer client.Close()
 	ctx, cancel := context.WithCancel(context.Background())
-	x, err := transport.Forward(ctx, peer.request(), yes)
+	x, err := client.Forward(ctx, peer.request(), allow)
 	c.Assert(err, qt.IsNil)
 	x.Accept()
 	_, err = io.ReadAll(x.Response.Body)
 	c.Assert(err, qt.IsNil)
 	cancel()
 	c.Assert(x.Response.Body.Close(), qt.IsNil)
-	c.Assert(transport.clients.idle, qt.HasLen, 0)
+	c.Assert(client.clients.idle, qt.HasLen, 0)
 }
 
-// The time in here is virtual.
+// Time is virtual in this test.
 func TestIdleConnectionsAreBoundedInTimeAndNumber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
--- a/internal/httpclient/forward_test.go
+++ b/internal/httpclient/forward_test.go
@@ -13,21 +13,21 @@
 	"myrtlewinch/internal/threads"
 )
 
-// raw answers each request and tells the first line and the headers it saw.
-func raw(c *qt.C, answers ...string) (address string, heads chan string) {
-	at, err := net.Listen("tcp", "127.0.0.1:0")
+// rawServer sends one response to each request and records its head.
+func rawServer(c *qt.C, answers ...string) (address string, heads chan string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	c.Cleanup(func() { _ = at.Close() })
+	c.Cleanup(func() { _ = listener.Close() })
 	heads = make(chan string, 16)
 	threads.Go(func() {
-		nth := 0
+		number := 0
 		for {
-			stream, err := at.Accept()
+			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			reader := bufio.NewReader(stream)
-			for nth < len(answers) {
+			reader := bufio.NewReader(conn)
+			for number < len(answers) {
 				line, err := reader.ReadString('\n')
 				if err != nil {
 					break
@@ -38,15 +38,15 @@
 					head += line
 				}
 				heads <- head
-				_, _ = io.WriteString(stream, answers[nth])
-				if nth++; answers[nth-1] == "" {
+				_, _ = io.WriteString(conn, answers[number])
+				if number++; answers[number-1] == "" {
 					break
 				}
 			}
-			_ = stream.Close()
+			_ = conn.Close()
 		}
 	})
-	return at.Addr().String(), heads
+	return listener.Addr().String(), heads
 }
 
 func TestForwardKeepsTheClientsBytes(t *testing.T) {
@@ -64,11 +64,11 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			address, heads := raw(c, answer)
-			transport := New()
-			defer transport.Close()
+			address, heads := rawServer(c, goodResponse)
+			client := New()
+			defer client.Close()
 			test.e.Address, test.e.Header = address, http.Header{}
-			sent, err := transport.Forward(context.Background(), test.e, yes)
+			sent, err := client.Forward(context.Background(), test.e, allow)
 			c.Assert(err, qt.IsNil)
 			_, _ = io.ReadAll(sent.Response.Body)
 			c.Assert(<-heads, qt.Equals, test.want)
@@ -76,22 +76,22 @@
 	}
 }
 
-// A kept connection that the other side closes after a second request was written
-// leaves it unknown whether that ran; it is not sent again.
+// Where the other side closes a reused connection after a request was written, it
+// is unknown whether that ran; it is not repeated.
 func TestForwardNeverRetriesOnAReusedConnection(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodTrace} {
 		t.Run(method, func(t *testing.T) {
 			c := qt.New(t)
-			address, heads := raw(c, answer, "", answer)
-			transport := New()
-			defer transport.Close()
+			address, heads := rawServer(c, goodResponse, "", goodResponse)
+			client := New()
+			defer client.Close()
 			request := Request{Method: method, Address: address, Path: "/", Host: "h", Header: http.Header{}}
-			sent, err := transport.Forward(context.Background(), request, yes)
+			sent, err := client.Forward(context.Background(), request, allow)
 			c.Assert(err, qt.IsNil)
 			sent.Accept()
 			_, _ = io.ReadAll(sent.Response.Body)
 			_ = sent.Response.Body.Close()
-			sent, err = transport.Forward(context.Background(), request, yes)
+			sent, err = client.Forward(context.Background(), request, allow)
 			c.Assert(err, qt.IsNotNil)
 			c.Assert(sent.BytesWritten, qt.IsTrue)
 			c.Assert(heads, qt.HasLen, 2)
--- a/internal/httpclient/fuzz_test.go
+++ b/internal/httpclient/fuzz_test.go
@@ -12,24 +12,24 @@
 	"myrtlewinch/internal/threads"
 )
 
-// pipeSocket hands a request's bytes to nobody and gives a fixed answer.
+// pipeSocket drops what is written and has a fixed response.
 type pipeSocket struct {
 	net.Conn
-	answer *strings.Reader
-	closed bool
+	response *strings.Reader
+	closed   bool
 }
 
-func (s *pipeSocket) Read(p []byte) (int, error)  { return s.answer.Read(p) }
+func (s *pipeSocket) Read(p []byte) (int, error)  { return s.response.Read(p) }
 func (s *pipeSocket) Write(p []byte) (int, error) { return len(p), nil }
 func (s *pipeSocket) Close() error                { s.closed = true; return nil }
 
 func FuzzResponse(f *testing.F) {
 	for _, method := range []string{http.MethodGet, http.MethodHead} {
-		f.Add(method, answer)
-		f.Add(method, answer+answer)
+		f.Add(method, goodResponse)
+		f.Add(method, goodResponse+goodResponse)
 		f.Add(method, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n")
 		f.Add(method, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nContent-Length: 1\r\nTrailer: A\r\n\r\n2\r\nok\r\n0\r\nA: b\r\n\r\nx")
-		f.Add(method, "HTTP/1.1 103 X\r\n\r\n"+answer)
+		f.Add(method, "HTTP/1.1 103 X\r\n\r\n"+goodResponse)
 		f.Add(method, "HTTP/1.1 099 X\r\n\r\n")
 		f.Add(method, "HTTP/1.1 +20 X\r\n\r\n")
 		f.Add(method, "HTTP/1.1 101 X\r\n\r\n")
@@ -44,9 +44,9 @@
 		}
 		p := newPool(time.Second, time.Hour, callHeadBytes)
 		defer p.closeIdle()
-		socket := &pipeSocket{answer: strings.NewReader(text)}
+		socket := &pipeSocket{response: strings.NewReader(text)}
 		request := &http.Request{Method: method, URL: (Request{Address: "a", Path: "/"}).url(), Host: "h", Header: http.Header{}, Body: http.NoBody}
-		x, err := p.newConn("a", socket).exchange(context.Background(), request, nil, yes, p)
+		x, err := p.newConn("a", socket).exchange(context.Background(), request, nil, allow, p)
 		if err != nil {
 			if !socket.closed || len(p.idle) > 0 {
 				t.Fatalf("kept after %v", err)
@@ -63,17 +63,17 @@
 		if kept == socket.closed {
 			t.Fatalf("kept %v and closed %v", kept, socket.closed)
 		}
-		// What is kept has nothing left in its buffer; the socket is asked
-		// before it is used again.
+		// A connection that is kept has nothing left in its buffer; the socket is
+		// checked before it is reused.
 		if kept && (err != nil || x.conn.reader.Buffered() > 0 || strings.HasPrefix(text, "HTTP/1.1 1") || !strings.HasPrefix(x.Response.Proto, "HTTP/1.")) {
 			t.Fatalf("kept after %v of %q", err, text)
 		}
 	})
 }
 
-// What a peer sends in pieces is read as what it sends at once.
+// A response that arrives in pieces is read like one that arrives at once.
 func FuzzResponseInPieces(f *testing.F) {
-	f.Add(answer, 3)
+	f.Add(goodResponse, 3)
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", 1)
 	f.Add("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", 5)
 	f.Fuzz(func(t *testing.T, text string, size int) {
@@ -84,7 +84,7 @@
 			p := newPool(time.Second, time.Hour, callHeadBytes)
 			defer p.closeIdle()
 			request := &http.Request{Method: http.MethodGet, URL: (Request{Address: "a", Path: "/"}).url(), Host: "h", Header: http.Header{}, Body: http.NoBody}
-			x, err := p.newConn("a", socket).exchange(context.Background(), request, nil, yes, nil)
+			x, err := p.newConn("a", socket).exchange(context.Background(), request, nil, allow, nil)
 			if err != nil {
 				return 0, "", true
 			}
@@ -92,7 +92,7 @@
 			bytes, err := io.ReadAll(x.Response.Body)
 			return x.Response.StatusCode, string(bytes), err != nil
 		}
-		status, body, failed := read(&pipeSocket{answer: strings.NewReader(text)})
+		status, body, failed := read(&pipeSocket{response: strings.NewReader(text)})
 		client, peer := net.Pipe()
 		threads.Go(func() {
 			defer peer.Close()
@@ -111,7 +111,7 @@
 	})
 }
 
-// halfPipe takes a request's bytes without a reader.
+// halfPipe drops what is written.
 type halfPipe struct{ net.Conn }
 
 func (h *halfPipe) Write(p []byte) (int, error) { return len(p), nil }
