--- a/internal/simulation/invariants/checker_test.go
+++ b/internal/simulation/invariants/checker_test.go
@@ -6,6 +6,33 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// checkerCase is what a checker observes, and the rule that this breaks, or "".
+type checkerCase struct {
+	name    string
+	observe func(c *Checker)
+	rule    Rule
+}
+
+// runCheckerCases requires that each case's rule is reported, and no rule for a
+// case that breaks none. The checkers allow two loads within ten seconds and one
+// retry beyond the ratio.
+func runCheckerCases(t *testing.T, cases []checkerCase) {
+	t.Helper()
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			checker := New(2, 1)
+			test.observe(checker)
+			violations := checker.Violations()
+			if test.rule == "" {
+				qt.Assert(t, violations, qt.HasLen, 0)
+				return
+			}
+			qt.Assert(t, len(violations) > 0, qt.IsTrue)
+			qt.Assert(t, violations[0].Rule, qt.Equals, test.rule)
+		})
+	}
+}
+
 // ran is an execution of a request that may not be repeated, sent by router "e".
 func ran(service, id, runner string, revision uint64) Execution {
 	return Execution{Service: service, Request: id, Runner: runner, Router: "e", Revision: revision}
@@ -18,13 +45,9 @@
 	return e
 }
 
-// Each rule is reported for what just breaks it, and not for what just keeps it.
-func TestCheckerReportsEachRule(t *testing.T) {
-	cases := []struct {
-		about string
-		do    func(c *Checker)
-		rule  Rule
-	}{
+// Requests that run twice, or after a drop, and torn answers are reported.
+func TestRequestRules(t *testing.T) {
+	runCheckerCases(t, []checkerCase{
 		{"ran once", func(c *Checker) { c.RequestStarted(1, ran("s", "q", "r", 1)) }, ""},
 		{"ran twice", func(c *Checker) {
 			c.RequestStarted(1, ran("s", "q", "r", 1))
@@ -47,9 +70,33 @@
 			c.RequestEnded(2, "s", "q", "outcome unknown", false)
 		}, ""},
 		{"a torn answer", func(c *Checker) { c.InvalidAnswer(1, "s", "q", "half") }, "torn answer"},
-		{"reached a leaving runner in time", func(c *Checker) { c.LeavingLearned(0, "r", "i"); c.RequestArrived(3000, "s", "q", "r", "i") }, ""},
-		{"reached a leaving runner too late", func(c *Checker) { c.LeavingLearned(0, "r", "i"); c.RequestArrived(3001, "s", "q", "r", "i") }, "leaver"},
-		{"reached the next incarnation", func(c *Checker) { c.LeavingLearned(0, "r", "i"); c.RequestArrived(9000, "s", "q", "r", "j") }, ""},
+		{"dropped, submitted again, and ran", func(c *Checker) {
+			c.RequestSubmitted("s", "q")
+			c.RequestEnded(1, "s", "q", "no runner", true)
+			c.RequestSubmitted("s", "q")
+			c.RequestStarted(2, ran("s", "q", "r", 1))
+			c.RequestEnded(3, "s", "q", "answered", false)
+		}, ""},
+		{"submitted twice, one dropped and one ran", func(c *Checker) {
+			c.RequestSubmitted("s", "q")
+			c.RequestSubmitted("s", "q")
+			c.RequestEnded(1, "s", "q", "no runner", true)
+			c.RequestStarted(2, ran("s", "q", "r", 1))
+		}, ""},
+		{"submitted twice, both dropped, and ran", func(c *Checker) {
+			c.RequestSubmitted("s", "q")
+			c.RequestSubmitted("s", "q")
+			c.RequestEnded(1, "s", "q", "no runner", true)
+			c.RequestEnded(2, "s", "q", "no runner", true)
+			c.RequestStarted(3, ran("s", "q", "r", 1))
+		}, "drop ran"},
+		{"a service did not recover", func(c *Checker) { c.ServiceNotRecovered(1, "s") }, "not back"},
+	})
+}
+
+// Descriptions that are lost, late, or in effect though rejected are reported.
+func TestDescriptionRules(t *testing.T) {
+	runCheckerCases(t, []checkerCase{
 		{"old revision in time", func(c *Checker) { c.RevisionAccepted(0, 2); c.RequestStarted(2000, ran("s", "q", "r", 1)) }, ""},
 		{"old revision too late", func(c *Checker) { c.RevisionAccepted(0, 2); c.RequestStarted(2001, ran("s", "q", "r", 1)) }, "in force"},
 		{"sent under an older revision", func(c *Checker) {
@@ -79,33 +126,37 @@
 			c.DescriptionAccepted(1, "m", 2)
 			c.RequestStarted(2, ranRepeatable("n", "q", "r", 2))
 		}, "no effect"},
-		{"dropped, submitted again, and ran", func(c *Checker) {
-			c.RequestSubmitted("s", "q")
-			c.RequestEnded(1, "s", "q", "no runner", true)
-			c.RequestSubmitted("s", "q")
-			c.RequestStarted(2, ran("s", "q", "r", 1))
-			c.RequestEnded(3, "s", "q", "answered", false)
-		}, ""},
-		{"submitted twice, one dropped and one ran", func(c *Checker) {
-			c.RequestSubmitted("s", "q")
-			c.RequestSubmitted("s", "q")
-			c.RequestEnded(1, "s", "q", "no runner", true)
-			c.RequestStarted(2, ran("s", "q", "r", 1))
-		}, ""},
-		{"submitted twice, both dropped, and ran", func(c *Checker) {
-			c.RequestSubmitted("s", "q")
-			c.RequestSubmitted("s", "q")
-			c.RequestEnded(1, "s", "q", "no runner", true)
-			c.RequestEnded(2, "s", "q", "no runner", true)
-			c.RequestStarted(3, ran("s", "q", "r", 1))
-		}, "drop ran"},
+		{"an accepted description is lost", func(c *Checker) { c.DescriptionLost(1, "revision 2") }, "description lost"},
+	})
+}
+
+// Retries beyond the budget are reported, as sent and as arrived.
+func TestRetryRule(t *testing.T) {
+	runCheckerCases(t, []checkerCase{
 		{"retries sent beyond the budget", func(c *Checker) {
 			for range 4 {
 				c.RequestSent(1, "e", "s", "q", 1)
 			}
 		}, "second goes"},
-		{"an accepted description is lost", func(c *Checker) { c.DescriptionLost(1, "revision 2") }, "description lost"},
-		{"a service did not recover", func(c *Checker) { c.ServiceNotRecovered(1, "s") }, "not back"},
+		{"retries within the budget", func(c *Checker) {
+			for range 2 {
+				c.RequestArrived(1, "s", "q", "r", "i")
+			}
+		}, ""},
+		{"retries arrived beyond the budget", func(c *Checker) {
+			for range 4 {
+				c.RequestArrived(1, "s", "q", "r", "i")
+			}
+		}, "second goes"},
+	})
+}
+
+// Late requests, overlapping holders, and exceeded limits are reported.
+func TestRunnerRules(t *testing.T) {
+	runCheckerCases(t, []checkerCase{
+		{"reached a leaving runner in time", func(c *Checker) { c.LeavingLearned(0, "r", "i"); c.RequestArrived(3000, "s", "q", "r", "i") }, ""},
+		{"reached a leaving runner too late", func(c *Checker) { c.LeavingLearned(0, "r", "i"); c.RequestArrived(3001, "s", "q", "r", "i") }, "leaver"},
+		{"reached the next incarnation", func(c *Checker) { c.LeavingLearned(0, "r", "i"); c.RequestArrived(9000, "s", "q", "r", "j") }, ""},
 		{"orders of two holders with a gap", func(c *Checker) { c.OrderReceived(0, "r", "a"); c.OrderReceived(3000, "r", "b") }, ""},
 		{"orders of two holders without a gap", func(c *Checker) { c.OrderReceived(0, "r", "a"); c.OrderReceived(2999, "p", "b") }, "two holders"},
 		{"loads within the limit", func(c *Checker) {
@@ -134,28 +185,5 @@
 		}, "room"},
 		{"within the capacity", func(c *Checker) { c.CapacityAssigned(0, "r", 100, 100) }, ""},
 		{"beyond the capacity", func(c *Checker) { c.CapacityAssigned(0, "r", 101, 100) }, "room"},
-		{"retries within the budget", func(c *Checker) {
-			for range 2 {
-				c.RequestArrived(1, "s", "q", "r", "i")
-			}
-		}, ""},
-		{"retries arrived beyond the budget", func(c *Checker) {
-			for range 4 {
-				c.RequestArrived(1, "s", "q", "r", "i")
-			}
-		}, "second goes"},
-	}
-	for _, test := range cases {
-		t.Run(test.about, func(t *testing.T) {
-			checker := New(2, 1)
-			test.do(checker)
-			violations := checker.Violations()
-			if test.rule == "" {
-				qt.Assert(t, violations, qt.HasLen, 0)
-				return
-			}
-			qt.Assert(t, len(violations) > 0, qt.IsTrue)
-			qt.Assert(t, violations[0].Rule, qt.Equals, test.rule)
-		})
-	}
+	})
 }
--- a/internal/simulation/invariants/descriptions.go
+++ b/internal/simulation/invariants/descriptions.go
@@ -10,8 +10,8 @@
 	OutcomeRejected
 )
 
-// Marker is what became of a submitted description. The description is told
-// from all others by a service that only it has, its marker service.
+// Marker is what became of a submitted description. A service that no other
+// description has, its marker service, identifies it.
 type Marker struct {
 	Outcome SubmissionOutcome
 	// Revision is the number under which the marker service first ran, or 0.
--- a/internal/simulation/localcluster/daemon.go
+++ b/internal/simulation/localcluster/daemon.go
@@ -168,7 +168,7 @@
 	d.Kill()
 }
 
-// Pause makes a daemon stand still until it is released.
+// Pause stops a daemon where it is until it is released.
 func (d *Daemon) Pause() (release func()) { return d.shell.Pause() }
 
 // InjectDiskFault replaces what a controller's disk does for a sync, so that it
--- a/internal/simulation/localcluster/faults_test.go
+++ b/internal/simulation/localcluster/faults_test.go
@@ -50,7 +50,7 @@
 				return nil
 			}
 		}
-		return errors.New("no controller speaks for the site")
+		return errors.New("no controller is active")
 	})
 	return found
 }
@@ -84,7 +84,7 @@
 	s.submitted++
 	next := s.withRetryAllowance(1 + s.submitted%9)
 	s.retry(func() error {
-		err := errors.New("no controller takes it")
+		err := errors.New("no controller accepts it")
 		for _, daemon := range s.Controllers {
 			var status controller.Status
 			if readStatus(daemon, &status) != nil || !status.Active {
@@ -234,9 +234,9 @@
 		{"the primary's disk is full", trial.primaryDiskFull},
 		{"the backup's disk fails to sync", trial.backupSyncFails},
 		{"the primary's disk stalls and goes on", trial.primaryDiskStalls},
-		{"the primary stands still past its holds and goes on", trial.primaryPausesPastItsLeases},
-		{"a router stands still while a description is taken", trial.routerPausesDuringSubmission},
-		{"everything is lost while a description is handed over", trial.allKilledDuringSubmission},
+		{"the primary pauses past its leases and goes on", trial.primaryPausesPastItsLeases},
+		{"a router pauses while a description is submitted", trial.routerPausesDuringSubmission},
+		{"all daemons are killed while a description is submitted", trial.allKilledDuringSubmission},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
--- a/internal/simulation/nativesim/outbound.go
+++ b/internal/simulation/nativesim/outbound.go
@@ -19,7 +19,7 @@
 }
 
 // end gives the result to the daemon, unless the call has ended.
-func (c *outboundCall) end(result any) {
+func (c *outboundCall) end(result protocol.OutboundResult) {
 	if !c.ended {
 		c.ended = true
 		c.world.deliver(c.from, result)
@@ -27,7 +27,7 @@
 }
 
 // endLater ends the call with a result if there is none in time.
-func (c *outboundCall) endLater(result any) {
+func (c *outboundCall) endLater(result protocol.OutboundResult) {
 	c.world.events.After(outboundTimeoutMs, func() { c.end(result) })
 }
 
--- a/internal/simulation/testbackend/client.go
+++ b/internal/simulation/testbackend/client.go
@@ -39,7 +39,7 @@
 	// the connection broke, so that the client can't know what became of it.
 	OutcomeBrokeBeforeAnswer Outcome = "stream broke before an answer"
 	OutcomeBrokeInAnswer     Outcome = "stream broke in an answer"
-	OutcomeBrokeInStream     Outcome = "telling broke off"
+	OutcomeBrokeInStream     Outcome = "stream broke off"
 	// OutcomeMalformed and OutcomeWrong break a rule: an answer that can't be
 	// read, and one that is not the runner's whole answer to this request.
 	OutcomeMalformed Outcome = "nonsense"
--- a/internal/simulation/testbackend/client_request.go
+++ b/internal/simulation/testbackend/client_request.go
@@ -119,7 +119,7 @@
 		pieces++
 	}
 	if lines.Err() == nil {
-		c.invalid(workload, id, "a telling looked finished without its end mark")
+		c.invalid(workload, id, "a stream looked finished without its end mark")
 		return OutcomeWrong
 	}
 	return OutcomeBrokeInStream
