--- a/internal/simulation/invariants/descriptions.go
+++ b/internal/simulation/invariants/descriptions.go
@@ -1,19 +1,10 @@
 package invariants
 
-// SubmissionOutcome is what an operator was told of a submitted description.
-type SubmissionOutcome int
-
-// The outcomes; a submission without an answer stays OutcomeUnknown.
-const (
-	OutcomeUnknown SubmissionOutcome = iota
-	OutcomeAccepted
-	OutcomeRejected
-)
-
 // Marker is what became of a submitted description. A service that no other
 // description has, its marker service, identifies it.
 type Marker struct {
-	Outcome SubmissionOutcome
+	// Rejected says that its operator was last told that it has no effect.
+	Rejected bool
 	// Revision is the number under which the marker service first ran, or 0.
 	Revision uint64
 	// FirstServedMs is when the marker service first ran, or 0.
@@ -92,7 +83,7 @@
 	if marker == nil {
 		return
 	}
-	marker.Outcome = OutcomeRejected
+	marker.Rejected = true
 	if marker.FirstServedMs > 0 {
 		c.report(RuleNoEffect, atMs, "%s was refused and had been in effect at %d ms", markerService, marker.FirstServedMs)
 	}
@@ -103,7 +94,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if marker := c.descriptions.markers[markerService]; marker != nil {
-		marker.Outcome = OutcomeAccepted
+		marker.Rejected = false
 		c.bindRevision(atMs, revision, markerService)
 	}
 }
@@ -115,7 +106,7 @@
 	if marker == nil {
 		return
 	}
-	if marker.Outcome == OutcomeRejected {
+	if marker.Rejected {
 		c.report(RuleNoEffect, atMs, "%s serves %s, whose description was refused", router, service)
 	}
 	if marker.FirstServedMs == 0 {
--- a/internal/simulation/nativesim/campaign.go
+++ b/internal/simulation/nativesim/campaign.go
@@ -46,13 +46,9 @@
 func (w *World) injectRandomFault() {
 	f := faults[w.Random.Intn(len(faults))]
 	w.tracef("fault: %s", f.name)
-	w.injected = append(w.injected, f.name)
 	f.inject(w)
 }
 
-// Faults lists the faults that a campaign injected, in order.
-func (w *World) Faults() []string { return w.injected }
-
 // checkRecovery gives the site its time. By its end every service must have
 // answered, also those that need models, and the small one must go on to.
 func (w *World) checkRecovery() {
--- a/internal/simulation/nativesim/disk.go
+++ b/internal/simulation/nativesim/disk.go
@@ -18,7 +18,7 @@
 	}
 }
 
-func (w *World) writeToDisk(p process, write protocol.DiskWrite) {
+func (w *World) writeToDisk(p nodeProcess, write protocol.DiskWrite) {
 	if isOnly := p.node.disk.Enqueue(write); isOnly {
 		w.syncNextWrite(p)
 	}
@@ -26,7 +26,7 @@
 
 // syncNextWrite syncs the first pending write: one after the other, as on the
 // disk's own thread.
-func (w *World) syncNextWrite(p process) {
+func (w *World) syncNextWrite(p nodeProcess) {
 	d := p.node.disk
 	w.events.After(d.DrawSyncMs(w.Random), func() {
 		// What a power cut left was settled when it happened.
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -7,10 +7,9 @@
 	"myrtlewinch/internal/native/controller"
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/native/router"
+	"myrtlewinch/internal/process"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/simulation/disk"
-
-	daemonprocess "myrtlewinch/internal/process"
 )
 
 const (
@@ -40,7 +39,7 @@
 	incarnationName string
 
 	// What follows belongs to the present process.
-	machine       daemonprocess.Machine
+	machine       process.Machine
 	up, frozen    bool
 	frozenSinceMs int64
 	startedMs     int64
@@ -51,18 +50,18 @@
 	pending map[uint64]*clientRequest
 }
 
-// process is one process of a daemon. What was begun for it has no effect once
+// nodeProcess is one process of a daemon. What was begun for it has no effect once
 // it has ended.
-type process struct {
+type nodeProcess struct {
 	node        *node
 	incarnation int
 }
 
 // process gives the present process of a daemon.
-func (n *node) process() process { return process{node: n, incarnation: n.incarnation} }
+func (n *node) process() nodeProcess { return nodeProcess{node: n, incarnation: n.incarnation} }
 
 // running tells whether the process has not ended.
-func (p process) running() bool { return p.node.up && p.node.incarnation == p.incarnation }
+func (p nodeProcess) running() bool { return p.node.up && p.node.incarnation == p.incarnation }
 
 func (w *World) addNode(member description.Member, role string) *node {
 	n := &node{
@@ -82,7 +81,7 @@
 
 // deliver gives an input to a daemon's state machine; a frozen daemon gets it
 // when it wakes.
-func (w *World) deliver(p process, input any) {
+func (w *World) deliver(p nodeProcess, input any) {
 	if !p.running() {
 		return
 	}
@@ -113,7 +112,7 @@
 	w.events.After(w.Random.Int63n(tickMs), func() { w.tick(p) })
 }
 
-func (w *World) newMachine(n *node) daemonprocess.Machine {
+func (w *World) newMachine(n *node) process.Machine {
 	if n.role == protocol.RoleRouter {
 		settings := router.Settings{Site: w.Description.Site, Self: w.identity(n), Seeds: n.seeds, Platform: platformEndpoint}
 		return router.New(settings, w.clockNow(n))
@@ -128,7 +127,7 @@
 	return machine
 }
 
-func (w *World) tick(p process) {
+func (w *World) tick(p nodeProcess) {
 	if !p.running() {
 		return
 	}
--- a/internal/simulation/nativesim/operator.go
+++ b/internal/simulation/nativesim/operator.go
@@ -249,6 +249,3 @@
 	w.applyEffects(n, effects)
 	return status
 }
-
-// OperatorOutcomes counts the submissions that ended with an error kind.
-func (w *World) OperatorOutcomes(kind errkind.Kind) int { return w.operator.outcomes[string(kind)] }
--- a/internal/simulation/nativesim/outbound.go
+++ b/internal/simulation/nativesim/outbound.go
@@ -14,7 +14,7 @@
 // later answer is ignored.
 type outboundCall struct {
 	world *World
-	from  process
+	from  nodeProcess
 	ended bool
 }
 
@@ -32,7 +32,7 @@
 }
 
 // startCall carries a call of a daemon to the outside.
-func (w *World) startCall(from process, call protocol.OutboundCall) {
+func (w *World) startCall(from nodeProcess, call protocol.OutboundCall) {
 	c := &outboundCall{world: w, from: from}
 	switch body := call.Body.(type) {
 	case protocol.PlatformCall:
@@ -127,7 +127,7 @@
 // socketWrite is something that a process writes to a socket if it is still
 // permitted at that moment.
 type socketWrite struct {
-	from      process
+	from      nodeProcess
 	permitted func() bool
 	write     func()
 	// expired is called instead of write if it is not permitted any more.
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -26,7 +26,7 @@
 	duplicate bool
 
 	world  *World
-	router process
+	router nodeProcess
 	done   bool
 	// retryMs is when the router's drop said to send it again, or 0.
 	retryMs int64
--- a/internal/simulation/nativesim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -74,8 +74,6 @@
 	// recovering holds the controllers whose fault has not ended, or which have
 	// not had the time to catch up after it.
 	recovering map[string]bool
-	// injected lists the names of the faults so far.
-	injected []string
 	// submissions numbers the descriptions of submitNext, moves the addresses.
 	submissions, moves int
 	// acceptOldRevisions is what the runners are set to.
