--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -50,7 +50,7 @@
 // tickElection does what is due in the election, and at the primary in membership.
 func (m *Machine) tickElection() {
 	wasPrimary := m.isPrimary()
-	m.elect(func(e *election.Machine, env *election.Environment) { e.Tick(env) })
+	m.elect((*election.Machine).Tick)
 	if wasPrimary {
 		m.planRecord()
 	}
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -27,7 +27,7 @@
 		m.count(errkind.Overtaken)
 		return
 	}
-	m.elect(func(e *election.Machine, env *election.Environment) { e.PrimaryAlive(env) })
+	m.elect((*election.Machine).PrimaryAlive)
 }
 
 // handleAppend follows the primary.
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -139,7 +139,7 @@
 		return m.out
 	}
 	// A lease that ran out while nothing was done is noticed before anything else.
-	m.elect(func(e *election.Machine, env *election.Environment) { e.CheckLease(env) })
+	m.elect((*election.Machine).CheckLease)
 	m.handleInput(input)
 	for len(m.local) > 0 {
 		next := m.local[0]
@@ -177,7 +177,7 @@
 	m.tickElection()
 	m.tickLeave()
 	m.tickReplication()
-	m.elect(func(e *election.Machine, env *election.Environment) { e.TickBootstrap(env) })
+	m.elect((*election.Machine).TickBootstrap)
 	m.set.Application.Tick(host{m})
 	m.saveNodes()
 }
--- a/internal/election/ballot.go
+++ b/internal/election/ballot.go
@@ -13,26 +13,34 @@
 	m.Role, m.roleSinceMs, m.requestedMs = Preparing, env.NowMs, env.NowMs
 	m.round = max(m.round, m.RecordBallot.Round, env.Acceptor.Promised.Round) + 1
 	m.Ballot = protocol.Ballot{Round: m.round, Name: m.config.Self.Name}
-	m.asked, m.promised, m.refused = map[protocol.MemberID]bool{}, map[protocol.MemberID]bool{}, map[protocol.MemberID]bool{}
-	m.highest, m.highestBallot = m.Record, m.RecordBallot
-	// What only this daemon's own witness stores names whom to ask, too: of a
-	// bootstrap that was cut short there is nothing else.
-	if env.Acceptor.Record.Epoch > m.highest.Epoch {
-		m.highest, m.highestBallot = env.Acceptor.Record, env.Acceptor.Accepted
-	}
+	m.attempt.asked = map[protocol.MemberID]bool{}
+	m.attempt.promised = map[protocol.MemberID]bool{}
+	m.attempt.refused = map[protocol.MemberID]bool{}
+	m.attempt.highest, m.attempt.highestBallot = m.bestKnownRecord(env)
 	if bootstraps {
-		m.highest, m.highestBallot = m.first, protocol.Ballot{}
+		m.attempt.highest, m.attempt.highestBallot = m.first, protocol.Ballot{}
 	}
 	m.sendPrepares(env)
 }
 
+// bestKnownRecord is the newest record that this daemon knows, with its ballot. What
+// only its own witness stores names whom to ask, too: of a bootstrap that was cut
+// short there is nothing else.
+func (m *Machine) bestKnownRecord(env *Environment) (protocol.EpochRecord, protocol.Ballot) {
+	own := env.Acceptor.State
+	if own.Record.Epoch > m.Record.Epoch {
+		return own.Record, own.Accepted
+	}
+	return m.Record, m.RecordBallot
+}
+
 // prepareRequest is what a candidate asks of each witness.
 func (m *Machine) prepareRequest(env *Environment) protocol.Prepare {
 	request := protocol.Prepare{Ballot: m.Ballot}
 	if m.bootstrap == nil {
 		// Seeds that have not stored a half-recorded first record are blank still;
 		// they must be able to agree to its completion.
-		request.Found = m.config.BootstrapBySeeds && m.Record.Epoch == 0 && m.highest.Epoch == firstEpoch
+		request.Found = m.config.BootstrapBySeeds && m.Record.Epoch == 0 && m.attempt.highest.Epoch == firstEpoch
 		return request
 	}
 	request.Found, request.Recover = !m.bootstrap.Recover, m.bootstrap.Recover
@@ -42,9 +50,9 @@
 
 // sendPrepares asks the witnesses that have not been asked under this ballot.
 func (m *Machine) sendPrepares(env *Environment) {
-	for _, voter := range m.highest.Voters() {
-		if !m.asked[voter] {
-			m.asked[voter] = true
+	for _, voter := range m.attempt.highest.Voters() {
+		if !m.attempt.asked[voter] {
+			m.attempt.asked[voter] = true
 			m.sendTo(env, voter.Name, m.prepareRequest(env))
 		}
 	}
@@ -62,8 +70,8 @@
 		m.sendAccepts(env)
 		return
 	}
-	for _, voter := range m.highest.Voters() {
-		if m.asked[voter] && !m.promised[voter] {
+	for _, voter := range m.attempt.highest.Voters() {
+		if m.attempt.asked[voter] && !m.attempt.promised[voter] {
 			m.sendTo(env, voter.Name, m.prepareRequest(env))
 		}
 	}
@@ -87,32 +95,32 @@
 		m.handlePrepareRefusal(env, from, reply)
 		return
 	}
-	m.promised[memberID(from)] = true
+	m.attempt.promised[memberID(from)] = true
 	if m.bootstrap != nil {
 		m.acceptFirst(env)
 		return
 	}
-	if m.highest.Majority(m.hasPromised) && m.highest.Epoch > 0 {
-		m.propose(env, m.highest, true)
+	if m.attempt.highest.Majority(m.hasPromised) && m.attempt.highest.Epoch > 0 {
+		m.propose(env, m.attempt.highest, true)
 	}
 }
 
-func (m *Machine) hasPromised(voter protocol.MemberID) bool { return m.promised[voter] }
+func (m *Machine) hasPromised(voter protocol.MemberID) bool { return m.attempt.promised[voter] }
 
 // noteHighest notes a newer record that a witness stores. It may be half-recorded;
 // it is completed before any other is proposed.
 func (m *Machine) noteHighest(env *Environment, reply protocol.PrepareReply) {
 	stored := reply.Record
-	newer := stored.Epoch > m.highest.Epoch || stored.Epoch == m.highest.Epoch && m.highestBallot.Less(reply.Kept)
+	newer := stored.Epoch > m.attempt.highest.Epoch || stored.Epoch == m.attempt.highest.Epoch && m.attempt.highestBallot.Less(reply.Kept)
 	if newer && stored.Epoch > 0 {
-		m.highest, m.highestBallot = stored, reply.Kept
+		m.attempt.highest, m.attempt.highestBallot = stored, reply.Kept
 		m.sendPrepares(env)
 	}
 }
 
 func (m *Machine) handlePrepareRefusal(env *Environment, from protocol.Node, reply protocol.PrepareReply) {
 	if m.bootstrap == nil || !m.Ballot.Less(reply.Highest) {
-		m.yieldToRival(env, from, reply.Highest, m.highest, m.promised)
+		m.yieldToRival(env, from, reply.Highest, m.attempt.highest, m.attempt.promised)
 		return
 	}
 	// A witness that this bootstrap left half taken may be ahead in ballots; it is
@@ -130,12 +138,12 @@
 	if m.bootstrap != nil || !m.Ballot.Less(highest) {
 		return
 	}
-	m.refused[memberID(from)] = true
+	m.attempt.refused[memberID(from)] = true
 	// Right after its start this daemon has not heard of the others yet.
 	justStarted := env.NowMs-m.config.StartMs < m.config.Timing.TimeoutMs
 	mayAgree := func(voter protocol.MemberID) bool {
 		reachable := justStarted || voter == m.self() || env.Nodes.Live(env.NowMs, voter.Name)
-		return agreed[voter] || reachable && !m.refused[voter]
+		return agreed[voter] || reachable && !m.attempt.refused[voter]
 	}
 	if record.Majority(mayAgree) {
 		return
@@ -153,8 +161,8 @@
 	if m.Role != Primary {
 		m.Role, m.roleSinceMs = Accepting, env.NowMs
 	}
-	m.Proposal, m.completes = &record, completes
-	m.accepted = map[protocol.MemberID]bool{}
+	m.Proposal, m.attempt.completes = &record, completes
+	m.attempt.accepted = map[protocol.MemberID]bool{}
 	if m.Role != Primary {
 		m.grants = map[protocol.MemberID]int64{}
 	}
@@ -168,7 +176,7 @@
 
 func (m *Machine) sendAccepts(env *Environment) {
 	for _, voter := range m.Proposal.Voters() {
-		if !m.accepted[voter] {
+		if !m.attempt.accepted[voter] {
 			m.sendTo(env, voter.Name, protocol.Accept{Ballot: m.Ballot, Record: *m.Proposal, EchoMs: env.NowMs})
 		}
 	}
@@ -196,8 +204,8 @@
 	if m.Proposal == nil || reply.Epoch != m.Proposal.Epoch || !proposes {
 		return
 	}
-	m.accepted[voter] = true
-	if m.Proposal.Majority(func(voter protocol.MemberID) bool { return m.accepted[voter] }) {
+	m.attempt.accepted[voter] = true
+	if m.Proposal.Majority(func(voter protocol.MemberID) bool { return m.attempt.accepted[voter] }) {
 		m.recordStored(env)
 	}
 }
@@ -210,7 +218,7 @@
 		m.send(from, protocol.Accept{Ballot: m.Ballot, Record: m.Record, EchoMs: env.NowMs})
 	}
 	if m.Role == Accepting {
-		m.yieldToRival(env, from, reply.Highest, *m.Proposal, m.accepted)
+		m.yieldToRival(env, from, reply.Highest, *m.Proposal, m.attempt.accepted)
 	}
 }
 
@@ -223,7 +231,7 @@
 		m.AdoptRecord(env, record, m.Ballot)
 		m.countLease()
 		m.output(RecordChanged{})
-	case m.completes:
+	case m.attempt.completes:
 		m.AdoptRecord(env, record, m.Ballot)
 		if !m.mayLead(env, record) {
 			m.retreat(env, m.config.Timing.TimeoutMs)
--- a/internal/election/bootstrap.go
+++ b/internal/election/bootstrap.go
@@ -152,12 +152,12 @@
 	// What was stored under an earlier ballot than the attempt that this one
 	// completes was never chosen.
 	isFirst := reply.Record.Epoch == firstEpoch
-	if m.completesFirst && isFirst && !m.highestBallot.Less(reply.Kept) {
+	if m.completesFirst && isFirst && !m.attempt.highestBallot.Less(reply.Kept) {
 		return false
 	}
 	// A record by which this disk is a replica may have no other to complete it.
 	if reply.Granted && isFirst && reply.Record.HasReplica(m.self()) {
-		m.first, m.highest, m.highestBallot, m.completesFirst = reply.Record, reply.Record, reply.Kept, true
+		m.first, m.attempt.highest, m.attempt.highestBallot, m.completesFirst = reply.Record, reply.Record, reply.Kept, true
 		m.sendPrepares(env)
 		return false
 	}
--- a/internal/election/machine.go
+++ b/internal/election/machine.go
@@ -85,6 +85,21 @@
 	DiskFailed, Leaving bool
 }
 
+// attempt is what a ballot of this daemon has come to.
+type attempt struct {
+	// asked holds whom a promise was asked of, promised who gave it, and refused
+	// who refused for the sake of a higher ballot.
+	asked, promised, refused map[protocol.MemberID]bool
+	// highest is the newest record that any witness showed, stored under
+	// highestBallot; it may be half-recorded.
+	highest       protocol.EpochRecord
+	highestBallot protocol.Ballot
+	// accepted holds who stored the proposal; completes says that the proposal is
+	// another's record, to be completed.
+	accepted  map[protocol.MemberID]bool
+	completes bool
+}
+
 // Machine is one daemon's part in elections. Its exported fields may be read at
 // any time; only tests set them.
 type Machine struct {
@@ -92,7 +107,7 @@
 	outputs []Output
 	// Record is the record in force, as far as this daemon knows. It is complete:
 	// a majority of the witnesses stored it. RecordBallot is the ballot under which
-	// they did, where that is known.
+	// they did, where that is known. At epoch 0 it only names witnesses to be asked.
 	Record       protocol.EpochRecord
 	RecordBallot protocol.Ballot
 	Role         Role
@@ -109,18 +124,10 @@
 	// Ballot is that of the last attempt; round is the highest known to any.
 	Ballot protocol.Ballot
 	round  uint64
-	// asked holds whom a promise was asked of, promised who gave it, and refused
-	// who refused for the sake of a higher ballot.
-	asked, promised, refused map[protocol.MemberID]bool
-	// highest is the newest record that any witness showed, stored under
-	// highestBallot; it may be half-recorded.
-	highest       protocol.EpochRecord
-	highestBallot protocol.Ballot
-	// Proposal is the record being stored under Ballot, accepted who stored it.
-	// completes says that the proposal is another's record, to be completed.
-	Proposal  *protocol.EpochRecord
-	accepted  map[protocol.MemberID]bool
-	completes bool
+	// attempt is what the present ballot has come to.
+	attempt attempt
+	// Proposal is the record being stored under Ballot.
+	Proposal *protocol.EpochRecord
 	// grants holds when the last renewal that each witness granted had been sent.
 	grants map[protocol.MemberID]int64
 	// LeaseUntilMs is when the lease runs out, OrdersFromMs from when this primary
