--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -192,5 +192,5 @@
 		sim.Checker.report(RuleAnswer, sim.NowMs(), "%s answered a request that has ended: %T", n.name, answer.Body)
 		return
 	}
-	request.handleAnswer(answer.Body)
+	request.handleOutput(answer.Body.(proxy.Output))
 }
--- a/internal/simulation/faultsim/outbound_calls.go
+++ b/internal/simulation/faultsim/outbound_calls.go
@@ -39,14 +39,14 @@
 }
 
 // complete gives the caller the result, unless it has one.
-func (c *outboundCall) complete(result any) {
+func (c *outboundCall) complete(result protocol.OutboundResult) {
 	if !c.finished {
 		c.finished = true
 		c.sim.deliver(c.caller, c.incarnation, result)
 	}
 }
 
-func (c *outboundCall) completeAfterTimeout(result any) {
+func (c *outboundCall) completeAfterTimeout(result protocol.OutboundResult) {
 	c.sim.after(outboundTimeoutMs, func() { c.complete(result) })
 }
 
--- a/internal/simulation/faultsim/proxied_request.go
+++ b/internal/simulation/faultsim/proxied_request.go
@@ -70,13 +70,13 @@
 	}
 }
 
-// handleAnswer carries out what the router's machine decided.
-func (p *proxiedRequest) handleAnswer(body any) {
+// handleOutput carries out what the router's machine decided.
+func (p *proxiedRequest) handleOutput(output proxy.Output) {
 	if p.isFinished {
-		p.sim.Checker.report(RuleAnswer, p.sim.NowMs(), "%s got another answer after its last: %T", p.client.id, body)
+		p.sim.Checker.report(RuleAnswer, p.sim.NowMs(), "%s got another answer after its last: %T", p.client.id, output)
 		return
 	}
-	switch answer := body.(type) {
+	switch answer := output.(type) {
 	case proxy.Reject:
 		p.reject(answer)
 	case proxy.AbortStream:
