--- a/internal/storage/growth_test.go
+++ b/internal/storage/growth_test.go
@@ -44,7 +44,7 @@
 			c := qt.New(t)
 			folder := c.TempDir()
 			var most int64
-			d, err := openWith(folder, "zagreb", func(*os.File) error {
+			store, err := openWith(folder, "zagreb", func(*os.File) error {
 				most = max(most, folderBytes(c, folder))
 				return nil
 			})
@@ -54,16 +54,16 @@
 			for n := range test.orders {
 				orders[fmt.Sprintf("state/kept/taken/%016d", n)] = strings.Repeat("o", 64)
 			}
-			c.Assert(d.Save(Write{Set: orders}), qt.IsNil)
+			c.Assert(store.Save(Write{Set: orders}), qt.IsNil)
 			for n := range test.changes {
 				w := Write{Set: map[string]string{"state/map": row, "state/position": fmt.Sprint(n)}}
 				if test.snapshotsFollowing {
 					w.ClearPrefix = "state/"
 				}
-				c.Assert(d.Save(w), qt.IsNil)
-				c.Assert(d.log.bytes <= max(maxLogBytes, 2*d.log.snapshotBytes), qt.IsTrue)
+				c.Assert(store.Save(w), qt.IsNil)
+				c.Assert(store.log.bytes <= max(maxLogBytes, 2*store.log.snapshotBytes), qt.IsTrue)
 			}
-			d.Close()
+			store.Close()
 			t.Logf("at most %d bytes", most)
 			c.Assert(most <= test.most, qt.IsTrue, qt.Commentf("%d bytes", most))
 			rows := reopen(c, folder)
--- a/internal/storage/powerloss_test.go
+++ b/internal/storage/powerloss_test.go
@@ -15,30 +15,32 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// recording follows a data folder from sync to sync. What happened to names
-// and contents since each was last synced is what a loss of power may undo.
+// recording follows a data folder from sync to sync. A loss of power may undo what
+// happened to names and contents since each was last synced.
 type recording struct {
 	folder string
-	// names holds, for each name, the files that it stood for since the folder
-	// was last synced, the synced one first; nought stands for none.
+	// names holds, for each name, the inodes of the files that it stood for since
+	// the folder was last synced, the synced one first; 0 stands for none.
 	names map[string][]uint64
 	// contents holds, for each file, what it held since it was last synced.
 	contents map[uint64][][]byte
-	// pinned keeps the numbers of files from being given out again.
+	// pinned keeps files open, so that their inodes are not reused.
 	pinned map[uint64]*os.File
-	// acknowledged and begun are the last change that was answered and asked.
+	// acknowledged is the last change whose Save returned, begun the last one
+	// whose Save was called.
 	acknowledged, begun int
-	// incarnation is the disk's, once it was told to anyone.
+	// incarnation is that of the folder, once anyone may have learned it.
 	incarnation string
-	// skip names what a broken disk leaves out of its syncs.
+	// skip says which syncs a broken disk ignores; nil ignores none.
 	skip func(file *os.File) bool
-	// lost gets each state that may be found after a loss of power now.
+	// lost is called with each state that a loss of power may leave now.
 	lost func(state)
-	// coarse leaves most places of a tear out.
+	// coarse leaves out most of the bytes at which a write may be torn.
 	coarse bool
 }
 
-// state is what a folder holds after a loss of power, and what must be there.
+// state is what a folder holds after a loss of power. It has to open to a change
+// from least to top, and to the incarnation where that is not empty.
 type state struct {
 	files       map[string][]byte
 	least, top  int
@@ -48,7 +50,7 @@
 func newRecording(folder string, lost func(state)) *recording {
 	r := &recording{folder: folder, names: map[string][]uint64{}, contents: map[uint64][][]byte{}, pinned: map[uint64]*os.File{}, lost: lost}
 	r.observe()
-	// What lies there at the beginning has lain there for long.
+	// What is there at the beginning counts as synced.
 	for number, held := range r.contents {
 		r.contents[number] = held[len(held)-1:]
 	}
@@ -73,7 +75,7 @@
 
 func number(info os.FileInfo) uint64 { return info.Sys().(*syscall.Stat_t).Ino }
 
-// observe notes what changed since it last looked.
+// observe records what changed since it was last called.
 func (r *recording) observe() {
 	now := map[string]uint64{}
 	for _, entry := range must(os.ReadDir(r.folder)) {
@@ -102,10 +104,10 @@
 	}
 }
 
-// sync is the seam of the disk. Power may be lost before it and after it.
+// sync stands in for the sync of files. Power may be lost before it and after it.
 func (r *recording) sync(file *os.File) error {
 	r.observe()
-	r.lose()
+	r.tryLosses()
 	info := must(file.Stat())
 	if r.skip != nil && r.skip(file) {
 		return nil
@@ -119,20 +121,20 @@
 	} else if held := r.contents[number(info)]; held != nil {
 		r.contents[number(info)] = held[len(held)-1:]
 	}
-	r.lose()
+	r.tryLosses()
 	return nil
 }
 
-// lose brings about each state that a loss of power may leave now.
-func (r *recording) lose() {
+// tryLosses tries each state that a loss of power may leave now.
+func (r *recording) tryLosses() {
 	r.choose(slices.Sorted(maps.Keys(r.names)), map[string][]byte{})
 }
 
 func (r *recording) choose(names []string, files map[string][]byte) {
 	if len(names) == 0 {
-		// A rename leaves its file under one of the two names; on a disk that
-		// loses both nothing can be kept.
-		if files[fileName] == nil && files[nextName] == nil && (r.lay(fileName) || r.lay(nextName)) {
+		// A rename leaves its file under one of the two names. A disk that loses
+		// both is not considered.
+		if files[fileName] == nil && files[nextName] == nil && (r.wasSynced(fileName) || r.wasSynced(nextName)) {
 			return
 		}
 		r.lost(state{files: maps.Clone(files), least: r.acknowledged, top: r.begun, incarnation: r.incarnation})
@@ -140,8 +142,7 @@
 	}
 	name := names[0]
 	stood := r.names[name]
-	// A rename over a file removes that file: what is lost of the two may be
-	// the new name alone.
+	// A rename over a file removes that file, and only the new name may be lost.
 	if len(stood) > 1 && !slices.Contains(stood, 0) {
 		stood = append([]uint64{0}, stood...)
 	}
@@ -151,7 +152,7 @@
 			r.choose(names[1:], files)
 			continue
 		}
-		for _, content := range r.leftOf(r.contents[file]) {
+		for _, content := range r.possibleContents(r.contents[file]) {
 			files[name] = content
 			r.choose(names[1:], files)
 		}
@@ -159,12 +160,15 @@
 	}
 }
 
-// lay says whether the name stood for a file when the folder was last synced.
-func (r *recording) lay(name string) bool { return len(r.names[name]) > 0 && r.names[name][0] != 0 }
+// wasSynced reports whether the name stood for a file when the folder was last
+// synced.
+func (r *recording) wasSynced(name string) bool {
+	return len(r.names[name]) > 0 && r.names[name][0] != 0
+}
 
-// leftOf lists what may be left of a file: what was synced, each later content,
-// and each tear of a later write.
-func (r *recording) leftOf(held [][]byte) [][]byte {
+// possibleContents lists what a file may contain: what was synced, each later
+// content, and each tear of a later write.
+func (r *recording) possibleContents(held [][]byte) [][]byte {
 	left := slices.Clone(held)
 	for i := 1; i < len(held); i++ {
 		before, after := held[i-1], held[i]
@@ -196,13 +200,13 @@
 
 func noSync(*os.File) error { return nil }
 
-// numbered is the change of a number: all its keys say the number.
+// numbered is a write whose rows all show its number.
 func numbered(n int) Write {
 	return Write{Set: map[string]string{"state/a": fmt.Sprint(n), "state/b": fmt.Sprint(n), fmt.Sprintf("order/%d", n): "x"}}
 }
 
-// check opens what a loss of power left: it must open, hold one of the changes
-// whole, and none older than the last that was acknowledged.
+// check opens what a loss of power left: it must open to one complete change, and
+// to none older than the last that was acknowledged.
 func check(folder string, s state) (n int, err error) {
 	if err := os.RemoveAll(folder); err != nil {
 		return 0, err
@@ -215,12 +219,12 @@
 			return 0, err
 		}
 	}
-	d, err := openWith(folder, "zagreb", noSync)
+	store, err := openWith(folder, "zagreb", noSync)
 	if err != nil {
 		return 0, errors.Wrap(err, "does not open")
 	}
-	defer d.Close()
-	return holds(d.Rows(), s)
+	defer store.Close()
+	return holds(store.Rows(), s)
 }
 
 func holds(rows map[string]string, s state) (int, error) {
@@ -245,40 +249,40 @@
 	return n, nil
 }
 
-// play makes changes until the disk has been rewritten more than once, with a
+// play makes changes until the file has been replaced more than once, with a
 // process killed between two of them.
 func (r *recording) play(c *qt.C, changes int) {
-	d, err := openWith(r.folder, "zagreb", r.sync)
+	store, err := openWith(r.folder, "zagreb", r.sync)
 	c.Assert(err, qt.IsNil)
-	d.log.maxChanges = 3
-	// What it read and synced may be told to others from now on.
-	n, err := holds(d.Rows(), state{least: r.acknowledged, top: r.begun, incarnation: r.incarnation})
+	store.log.maxChanges = 3
+	// Others may learn from now on what was read and synced.
+	n, err := holds(store.Rows(), state{least: r.acknowledged, top: r.begun, incarnation: r.incarnation})
 	c.Assert(err, qt.IsNil)
-	r.incarnation = d.Rows()["incarnation"]
+	r.incarnation = store.Rows()["incarnation"]
 	r.acknowledged, r.begun = n, n
 	for range changes {
 		if r.begun%5 == 4 {
-			d.Close()
-			d, err = openWith(r.folder, "zagreb", r.sync)
+			store.Close()
+			store, err = openWith(r.folder, "zagreb", r.sync)
 			c.Assert(err, qt.IsNil)
-			d.log.maxChanges = 3
+			store.log.maxChanges = 3
 		}
 		writes := []Write{numbered(r.begun + 1)}
 		if r.begun%4 == 2 {
 			writes = append(writes, numbered(r.begun+2))
 		}
 		r.begun += len(writes)
-		c.Assert(d.Save(writes...), qt.IsNil)
+		c.Assert(store.Save(writes...), qt.IsNil)
 		r.acknowledged = r.begun
 		r.observe()
-		r.lose()
+		r.tryLosses()
 	}
-	d.Close()
+	store.Close()
 }
 
-// faults plays a disk, broken or not, and counts the states that a loss of
-// power may leave and those of them that break what the disk promises.
-func faults(c *qt.C, changes int, coarse bool, skip func(*os.File) bool) (states []state, broken []string) {
+// playAndCheck plays changes on a disk, broken or not. It lists the states that a loss of
+// power may leave, and what is wrong with those that break a promise.
+func playAndCheck(c *qt.C, changes int, coarse bool, skip func(*os.File) bool) (states []state, broken []string) {
 	seen := map[string]bool{}
 	scratch := c.TempDir()
 	r := newRecording(c.TempDir(), func(s state) {
@@ -298,21 +302,21 @@
 	return states, broken
 }
 
-// Whatever a loss of power leaves at any moment, of any operation on files or
-// names that was not synced: the folder opens, to one whole change, none older
-// than the last that was acknowledged.
+// Whatever a loss of power at any moment leaves of operations on files or names
+// that were not synced, the folder opens to one complete change, none older than
+// the last that was acknowledged.
 func TestPowerLossAtEachMoment(t *testing.T) {
 	c := qt.New(t)
-	states, broken := faults(c, 9, false, nil)
+	states, broken := playAndCheck(c, 9, false, nil)
 	t.Logf("%d states", len(states))
 	c.Assert(len(states) > 1000, qt.IsTrue, qt.Commentf("only %d states", len(states)))
 	c.Assert(broken, qt.HasLen, 0)
 }
 
-// Power may be lost again while what an earlier loss left is taken up.
+// Power may be lost again while the folder is opened after an earlier loss.
 func TestPowerLossTwice(t *testing.T) {
 	c := qt.New(t)
-	states, _ := faults(c, 5, true, nil)
+	states, _ := playAndCheck(c, 5, true, nil)
 	scratch, count := c.TempDir(), 0
 	for _, first := range states {
 		folder := c.TempDir()
@@ -331,21 +335,21 @@
 	t.Logf("%d states after a loss, %d after a second one", len(states), count)
 }
 
-// A folder that was not there lasts under its name.
+// The name of a new folder is durable.
 func TestNewFolderIsSyncedInItsParent(t *testing.T) {
 	c := qt.New(t)
 	parent := c.TempDir()
 	var synced []string
-	d, err := openWith(filepath.Join(parent, "data"), "zagreb", func(file *os.File) error {
+	store, err := openWith(filepath.Join(parent, "data"), "zagreb", func(file *os.File) error {
 		synced = append(synced, file.Name())
 		return nil
 	})
 	c.Assert(err, qt.IsNil)
-	d.Close()
+	store.Close()
 	c.Assert(synced[0], qt.Equals, parent)
 }
 
-// The check fires on a disk that breaks its promises.
+// The check finds the faults of a disk that ignores syncs.
 func TestPowerLossOnBrokenDisks(t *testing.T) {
 	isFolder := func(file *os.File) bool { return must(file.Stat()).IsDir() }
 	for _, test := range []struct {
@@ -354,12 +358,12 @@
 		fault string
 	}{
 		{"the folder is never synced", isFolder, "goes back"},
-		{"a change is answered before it is synced", func(f *os.File) bool { return filepath.Base(f.Name()) == fileName }, "goes back"},
-		{"a new file is put in place unsynced", func(f *os.File) bool { return filepath.Base(f.Name()) == nextName }, "does not open"},
+		{"a change is acknowledged before it is synced", func(f *os.File) bool { return filepath.Base(f.Name()) == fileName }, "goes back"},
+		{"a new file is renamed before it is synced", func(f *os.File) bool { return filepath.Base(f.Name()) == nextName }, "does not open"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			_, broken := faults(c, 4, true, test.skip)
+			_, broken := playAndCheck(c, 4, true, test.skip)
 			t.Logf("%d broken states", len(broken))
 			c.Assert(slices.ContainsFunc(broken, func(text string) bool { return strings.Contains(text, test.fault) }), qt.IsTrue, qt.Commentf("%d broken", len(broken)))
 		})
--- a/internal/storage/repair_test.go
+++ b/internal/storage/repair_test.go
@@ -12,13 +12,13 @@
 // complete, missing or torn at any byte in any manner; the folder still opens.
 func TestOpenRepairsATornLastRecord(t *testing.T) {
 	c := qt.New(t)
-	d, folder := openNew(c)
-	c.Assert(d.Save(set("state/a", "first")), qt.IsNil)
+	store, folder := openNew(c)
+	c.Assert(store.Save(set("state/a", "first")), qt.IsNil)
 	path := filepath.Join(folder, fileName)
 	before, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
-	c.Assert(d.Save(set("state/a", "second")), qt.IsNil)
-	d.Close()
+	c.Assert(store.Save(set("state/a", "second")), qt.IsNil)
+	store.Close()
 	after, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
 	for _, manner := range []struct {
@@ -33,11 +33,11 @@
 		for at := range len(after) - len(before) {
 			tail := manner.damage(append([]byte{}, after[len(before):]...), at)
 			c.Assert(os.WriteFile(path, append(append([]byte{}, before...), tail...), 0o644), qt.IsNil)
-			d, err := Open(folder, "zagreb")
+			store, err := Open(folder, "zagreb")
 			c.Assert(err, qt.IsNil, qt.Commentf("%s at %d", manner.about, at))
-			c.Assert(d.Rows()["state/a"] == "first" || d.Rows()["state/a"] == "second", qt.IsTrue)
-			c.Assert(d.Save(set("state/b", "third")), qt.IsNil)
-			d.Close()
+			c.Assert(store.Rows()["state/a"] == "first" || store.Rows()["state/a"] == "second", qt.IsTrue)
+			c.Assert(store.Save(set("state/b", "third")), qt.IsNil)
+			store.Close()
 			c.Assert(reopen(c, folder)["state/b"], qt.Equals, "third")
 		}
 	}
@@ -46,15 +46,15 @@
 // After a failure all rows are written to a new file before they are trusted.
 func TestReopenAfterAFailureWritesANewFile(t *testing.T) {
 	c := qt.New(t)
-	d, folder := openNew(c)
-	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
-	d.OverrideSync(func(*os.File) error { return os.ErrInvalid })
-	c.Assert(d.Save(set("state/a", "2")), qt.IsNotNil)
-	c.Assert(d.CheckWritable(), qt.IsNotNil)
-	d.OverrideSync((*os.File).Sync)
-	c.Assert(d.CheckWritable(), qt.IsNil)
-	c.Assert(d.Save(set("state/a", "3")), qt.IsNotNil)
-	d.Close()
+	store, folder := openNew(c)
+	c.Assert(store.Save(set("state/a", "1")), qt.IsNil)
+	store.OverrideSync(func(*os.File) error { return os.ErrInvalid })
+	c.Assert(store.Save(set("state/a", "2")), qt.IsNotNil)
+	c.Assert(store.CheckWritable(), qt.IsNotNil)
+	store.OverrideSync((*os.File).Sync)
+	c.Assert(store.CheckWritable(), qt.IsNil)
+	c.Assert(store.Save(set("state/a", "3")), qt.IsNotNil)
+	store.Close()
 	again, err := Reopen(folder, "zagreb")
 	c.Assert(err, qt.IsNil)
 	defer again.Close()
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -17,27 +17,27 @@
 // openNew opens the state of a new folder.
 func openNew(c *qt.C) (*Store, string) {
 	folder := c.TempDir()
-	d, err := Open(folder, "zagreb")
+	store, err := Open(folder, "zagreb")
 	c.Assert(err, qt.IsNil)
-	return d, folder
+	return store, folder
 }
 
 func reopen(c *qt.C, folder string) map[string]string {
-	d, err := Open(folder, "zagreb")
+	store, err := Open(folder, "zagreb")
 	c.Assert(err, qt.IsNil)
-	defer d.Close()
-	return d.Rows()
+	defer store.Close()
+	return store.Rows()
 }
 
 func TestStoreKeepsSavedRowsAcrossRestarts(t *testing.T) {
 	c := qt.New(t)
-	d, folder := openNew(c)
-	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
-	c.Assert(d.Save(set("witness", "w")), qt.IsNil)
-	c.Assert(d.Save(Write{ClearPrefix: "state/", Set: map[string]string{"state/b": "2"}}), qt.IsNil)
+	store, folder := openNew(c)
+	c.Assert(store.Save(set("state/a", "1")), qt.IsNil)
+	c.Assert(store.Save(set("witness", "w")), qt.IsNil)
+	c.Assert(store.Save(Write{ClearPrefix: "state/", Set: map[string]string{"state/b": "2"}}), qt.IsNil)
 	_, err := Open(folder, "zagreb")
 	c.Assert(err, qt.ErrorMatches, ".*in use.*")
-	d.Close()
+	store.Close()
 	rows := reopen(c, folder)
 	c.Assert(rows["state/a"], qt.Equals, "")
 	c.Assert(rows["state/b"], qt.Equals, "2")
@@ -50,15 +50,15 @@
 // file ends at, the folder opens to a complete prefix of the changes.
 func TestOpenAfterTruncationAtEachByte(t *testing.T) {
 	c := qt.New(t)
-	d, folder := openNew(c)
+	store, folder := openNew(c)
 	path := filepath.Join(folder, fileName)
 	sizes := []int64{fileSize(c, path)}
 	for n := range 2 {
 		w := Write{Set: map[string]string{"state/a": fmt.Sprint(n + 1), "state/b": fmt.Sprint(n + 1)}}
-		c.Assert(d.Save(w), qt.IsNil)
+		c.Assert(store.Save(w), qt.IsNil)
 		sizes = append(sizes, fileSize(c, path))
 	}
-	d.Close()
+	store.Close()
 	whole, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
 	for cut := sizes[0]; cut <= int64(len(whole)); cut++ {
@@ -88,23 +88,23 @@
 
 func TestStoreAcceptsNothingAfterAFailedSync(t *testing.T) {
 	c := qt.New(t)
-	d, err := Open(c.TempDir(), "zagreb")
+	store, err := Open(c.TempDir(), "zagreb")
 	c.Assert(err, qt.IsNil)
-	defer d.Close()
-	d.sync = func(*os.File) error { return errors.New("platter gone") }
-	c.Assert(d.Save(set("state/a", "1")), qt.ErrorMatches, ".*platter gone")
-	d.sync = (*os.File).Sync
+	defer store.Close()
+	store.sync = func(*os.File) error { return errors.New("disk gone") }
+	c.Assert(store.Save(set("state/a", "1")), qt.ErrorMatches, ".*disk gone")
+	store.sync = (*os.File).Sync
 	// After a failed sync the success of a later one proves nothing.
-	c.Assert(d.Save(set("state/a", "2")), qt.ErrorMatches, ".*platter gone")
-	c.Assert(d.Rows()["state/a"], qt.Equals, "")
+	c.Assert(store.Save(set("state/a", "2")), qt.ErrorMatches, ".*disk gone")
+	c.Assert(store.Rows()["state/a"], qt.Equals, "")
 }
 
 func TestStoreAcceptsNothingAfterAFullDisk(t *testing.T) {
 	c := qt.New(t)
-	d, folder := openNew(c)
-	defer d.Close()
-	// The kernel's always-full device stands in for a full disk: it is put
-	// under every descriptor that is open on the file.
+	store, folder := openNew(c)
+	defer store.Close()
+	// The kernel's always-full device stands in for a full disk: it replaces every
+	// descriptor that is open on the file.
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	c.Assert(err, qt.IsNil)
 	defer full.Close()
@@ -117,16 +117,16 @@
 			c.Assert(syscall.Dup3(int(full.Fd()), fd, syscall.O_CLOEXEC), qt.IsNil)
 		}
 	}
-	c.Assert(d.Save(set("state/a", "1")), qt.ErrorMatches, ".*no space left.*")
-	c.Assert(d.Save(set("state/a", "2")), qt.ErrorMatches, ".*no space left.*")
+	c.Assert(store.Save(set("state/a", "1")), qt.ErrorMatches, ".*no space left.*")
+	c.Assert(store.Save(set("state/a", "2")), qt.ErrorMatches, ".*no space left.*")
 }
 
 func TestOpenRefusesDamageBeforeALaterRecord(t *testing.T) {
 	c := qt.New(t)
-	d, folder := openNew(c)
-	c.Assert(d.Save(set("state/a", "first")), qt.IsNil)
-	c.Assert(d.Save(set("state/a", "second")), qt.IsNil)
-	d.Close()
+	store, folder := openNew(c)
+	c.Assert(store.Save(set("state/a", "first")), qt.IsNil)
+	c.Assert(store.Save(set("state/a", "second")), qt.IsNil)
+	store.Close()
 	path := filepath.Join(folder, fileName)
 	text, err := os.ReadFile(path)
 	c.Assert(err, qt.IsNil)
@@ -145,13 +145,13 @@
 
 func TestReplacedFileKeepsAllRows(t *testing.T) {
 	c := qt.New(t)
-	d, folder := openNew(c)
-	c.Assert(d.Save(set("state/a", "1")), qt.IsNil)
+	store, folder := openNew(c)
+	c.Assert(store.Save(set("state/a", "1")), qt.IsNil)
 	// The file is replaced directly, since reaching the bound takes thousands of syncs.
-	c.Assert(d.replaceFile(d.Rows()), qt.IsNil)
-	c.Assert(d.log.changes, qt.Equals, 0)
-	c.Assert(d.Save(set("state/b", "2")), qt.IsNil)
-	d.Close()
+	c.Assert(store.replaceFile(store.Rows()), qt.IsNil)
+	c.Assert(store.log.changes, qt.Equals, 0)
+	c.Assert(store.Save(set("state/b", "2")), qt.IsNil)
+	store.Close()
 	rows := reopen(c, folder)
 	c.Assert(rows["state/a"]+rows["state/b"], qt.Equals, "12")
 }
--- a/internal/storage/write_test.go
+++ b/internal/storage/write_test.go
@@ -63,11 +63,11 @@
 			c := qt.New(t)
 			folder := c.TempDir()
 			syncs := 0
-			d, err := openWith(folder, "zagreb", func(*os.File) error { syncs++; return nil })
+			store, err := openWith(folder, "zagreb", func(*os.File) error { syncs++; return nil })
 			c.Assert(err, qt.IsNil)
 			syncs = 0
-			c.Assert(d.Save(test.writes...), qt.IsNil)
-			d.Close()
+			c.Assert(store.Save(test.writes...), qt.IsNil)
+			store.Close()
 			c.Assert(syncs, qt.Equals, test.syncs)
 			rows := reopen(c, folder)
 			c.Assert(rows["state/a"]+rows["state/b"]+rows["witness"], qt.Equals, test.want)
