--- a/internal/consensus/application.go
+++ b/internal/consensus/application.go
@@ -3,8 +3,8 @@
 import (
 	"slices"
 
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 // Application is what runs on top of the replicated state, such as the platform's
@@ -93,10 +93,10 @@
 
 func (h host) Controllers() []protocol.Node { return h.live(protocol.RoleController) }
 func (h host) Routers() []protocol.Node     { return h.live(protocol.RoleRouter) }
-func (h host) Row(key string) string        { return h.m.state.Kept[key] }
+func (h host) Row(key string) string        { return h.m.state.Row(key) }
 
 func (h host) Submit(rows map[string]string, done func(ok bool)) {
-	h.m.submit(done, ledger.Put{Rows: rows})
+	h.m.submit(done, statetable.Put{Rows: rows})
 }
 
 func (h host) Send(to protocol.Node, body protocol.Message) { h.m.send(to, body) }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -4,15 +4,15 @@
 	"fmt"
 
 	"myrtlewinch/internal/election"
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 // elect has the election handle an input, and carries out its outputs.
 func (m *Machine) elect(handle func(e *election.Machine, env *election.Environment)) {
 	handle(&m.election, &election.Environment{
 		NowMs: m.nowMs, Nodes: m.detector, Acceptor: m.witness.acceptor, Seeds: m.set.Seeds,
-		Position: m.state.Position, Revision: m.state.Revision.Number, DiskFailed: m.disk.failed, Leaving: m.leaving.begun,
+		Position: m.state.Position, Revision: m.state.RevisionNumber(), DiskFailed: m.disk.failed, Leaving: m.leaving.begun,
 	})
 	for _, output := range m.election.TakeOutputs() {
 		m.carryOut(output)
@@ -65,9 +65,9 @@
 	m.beginReplication()
 	epoch := m.record().Epoch
 	m.logf("primary of epoch %d", epoch)
-	commands := []ledger.Command{ledger.Begin{}}
-	if recovered {
-		commands = append(commands, ledger.Restart{Epoch: epoch})
+	commands := []statetable.Command{statetable.Begin{}}
+	if ledger := m.state.Ledger(); recovered && ledger != nil {
+		commands = append(commands, ledger.SkipAhead(epoch))
 	}
 	m.submit(func(ok bool) {
 		if ok {
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -3,8 +3,8 @@
 import (
 	"myrtlewinch/internal/election"
 	"myrtlewinch/internal/errkind"
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 	"myrtlewinch/internal/storage"
 )
 
@@ -76,7 +76,7 @@
 		if !m.follower.GoesOn(change) || m.disk.failed {
 			continue
 		}
-		if err := m.state.Take(change.Rows); err != nil {
+		if err := m.state.Load(change.Rows); err != nil {
 			m.logf("a change can't be read: %v", err)
 			m.count(errkind.Malformed)
 			break
@@ -103,8 +103,8 @@
 	if !m.follower.Overtaken(snapshot.Record.Epoch, snapshot.Sequence) {
 		m.notePrimaryAlive(snapshot.Contact)
 	}
-	state := ledger.New()
-	if err := state.Take(snapshot.Rows); err != nil {
+	state := m.set.newState()
+	if err := state.Load(snapshot.Rows); err != nil {
 		m.logf("a snapshot can't be read: %v", err)
 		m.count(errkind.Malformed)
 		return
@@ -112,7 +112,7 @@
 	m.state = state
 	m.set.Application.StateChanged(host{m})
 	m.logf("took a snapshot at change %d", snapshot.At.Number)
-	write := storage.Write{ClearPrefix: ledger.Prefix, Set: snapshot.Rows}
+	write := storage.Write{ClearPrefix: statetable.Prefix, Set: snapshot.Rows}
 	m.writeRows(write, snapshot.At, func() { m.acknowledge(from) })
 }
 
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -1,8 +1,8 @@
 package consensus
 
 import (
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 // BootstrapMode says who makes the first record of a site.
@@ -52,14 +52,17 @@
 	// this one. They may be silent.
 	Peers() []protocol.Node
 	Known(part string) []protocol.Node
-	// State is the replicated state; at a primary it may be ahead of what is committed.
-	// A snapshot replaces it, so it must not be kept.
-	State() *ledger.State
-	// Settled says whether all replicas hold all that is in State.
+	// Position is that of the last change of the state; Ledger is what
+	// Settings.NewLedger made, with all changes up to there. At a primary they may
+	// be ahead of what is committed. A snapshot replaces the ledger, so it must not
+	// be kept.
+	Position() protocol.Position
+	Ledger() statetable.Ledger
+	// Settled says whether all replicas hold all changes up to Position.
 	Settled() bool
 	// SubmitCommands is Submit for commands. They are applied together with others
 	// that wait, once the write before has ended.
-	SubmitCommands(done func(ok bool), commands ...ledger.Command)
+	SubmitCommands(done func(ok bool), commands ...statetable.Command)
 	// MemberStatus is what this daemon believes of itself and of its peers.
 	MemberStatus() MemberStatus
 }
@@ -69,12 +72,13 @@
 func (h host) PrimaryHeardMs() int64             { return h.m.election.HeardMs }
 func (h host) Peers() []protocol.Node            { return h.m.detector.Nodes() }
 func (h host) Known(part string) []protocol.Node { return h.m.detector.NodesOf(part) }
-func (h host) State() *ledger.State              { return h.m.state }
+func (h host) Position() protocol.Position       { return h.m.state.Position }
+func (h host) Ledger() statetable.Ledger         { return h.m.state.Ledger() }
 
 func (h host) Settled() bool {
 	return h.m.primary.Committed >= h.m.state.Position.Number
 }
 
-func (h host) SubmitCommands(done func(ok bool), commands ...ledger.Command) {
+func (h host) SubmitCommands(done func(ok bool), commands ...statetable.Command) {
 	h.m.submit(done, commands...)
 }
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -16,9 +16,9 @@
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/failuredetector"
 	"myrtlewinch/internal/membership"
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/replication"
+	"myrtlewinch/internal/statetable"
 )
 
 // Machine is one controller. It reads no clock, no socket and no disk.
@@ -40,7 +40,7 @@
 	follower replication.Follower
 	planner  membership.Planner
 	// state is the replicated state; a primary's may be ahead of what is committed.
-	state *ledger.State
+	state *statetable.Table
 	// hints is what the primary knows that needs no disk, at a follower as it was
 	// last received.
 	hints protocol.Hints
@@ -57,14 +57,14 @@
 func New(set Settings, rows map[string]string, nowMs int64) (*Machine, error) {
 	m := &Machine{
 		set: set.withDefaults(), minReplicas: set.MaxLosses + 1, startMs: nowMs, nowMs: nowMs,
-		state: ledger.New(), disk: newDisk(), retired: rows[retiredKey] != "",
+		state: set.newState(), disk: newDisk(), retired: rows[retiredKey] != "",
 	}
 	acceptor, err := witness.New(m.self(), rows[witness.Key], nowMs, m.set.Timing.LeaseMs)
 	if err != nil {
 		return nil, errors.Wrap(err, "the witness record on the disk can't be read")
 	}
 	m.witness.acceptor = acceptor
-	if err := m.state.Take(rows); err != nil {
+	if err := m.state.Load(rows); err != nil {
 		return nil, errors.Wrap(err, "the control state on the disk can't be read")
 	}
 	saved, err := savedElection(rows, acceptor)
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -2,9 +2,9 @@
 
 import (
 	"myrtlewinch/internal/errkind"
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/replication"
+	"myrtlewinch/internal/statetable"
 	"myrtlewinch/internal/storage"
 )
 
@@ -20,7 +20,7 @@
 
 // submit hands commands over; done is called once all replicas have them, or with
 // false when that can't be known any more.
-func (m *Machine) submit(done func(ok bool), commands ...ledger.Command) {
+func (m *Machine) submit(done func(ok bool), commands ...statetable.Command) {
 	m.primary.Enqueue(commands, done)
 	m.writeNext()
 }
@@ -33,7 +33,7 @@
 	}
 	at := protocol.Position{Epoch: m.record().Epoch, Number: m.state.Position.Number + 1}
 	change := protocol.Change{Before: m.state.Position, At: at}
-	change.Rows = m.state.Do(at, m.primary.TakeQueue(at.Number))
+	change.Rows = m.state.Apply(at, m.primary.TakeQueue(at.Number))
 	m.set.Application.StateChanged(host{m})
 	m.primary.BeginWrite(m.nowMs, change)
 	m.writeRows(storage.Write{Set: change.Rows}, at, func() {
@@ -104,7 +104,7 @@
 func (m *Machine) sendAppend(to protocol.Node) {
 	follower := m.primary.Follower(to)
 	if m.primary.SnapshotDue(m.nowMs, follower) {
-		m.send(to, m.primary.Snapshot(m.nowMs, follower, m.record(), m.state.Position, m.state.Rowset()))
+		m.send(to, m.primary.Snapshot(m.nowMs, follower, m.record(), m.state.Position, m.state.Snapshot()))
 		return
 	}
 	id := protocol.MemberID{Name: to.Name, Incarnation: follower.Incarnation}
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -35,10 +35,10 @@
 		late func(m *Machine) protocol.Message
 	}{
 		{"a snapshot", func(m *Machine) protocol.Message {
-			return protocol.Snapshot{Sequence: m.primary.Sequence, Record: m.record(), At: m.state.Position, Rows: m.state.Rowset()}
+			return protocol.Snapshot{Sequence: m.primary.Sequence, Record: m.record(), At: m.state.Position, Rows: m.state.Snapshot()}
 		}},
 		{"a snapshot that no sequence tells from a later one", func(m *Machine) protocol.Message {
-			return protocol.Snapshot{Sequence: 1 << 40, Record: m.record(), At: m.state.Position, Rows: m.state.Rowset()}
+			return protocol.Snapshot{Sequence: 1 << 40, Record: m.record(), At: m.state.Position, Rows: m.state.Snapshot()}
 		}},
 		{"a change that was taken before", func(m *Machine) protocol.Message {
 			return protocol.Append{Sequence: m.primary.Sequence, Record: m.record(), Ballot: m.election.Ballot, Changes: m.primary.Log.Changes()}
--- a/internal/consensus/settings.go
+++ b/internal/consensus/settings.go
@@ -3,6 +3,7 @@
 import (
 	"myrtlewinch/internal/election"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 // Settings is what a controller knows before it knows anyone. A wait that is 0
@@ -21,6 +22,9 @@
 	Application Application
 	// Hooks, where set, tells the application of more than Application does.
 	Hooks Hooks
+	// NewLedger makes the empty ledger that the application keeps beside plain rows.
+	// It is nil where the application keeps none.
+	NewLedger func() statetable.Ledger
 	// Bootstrap says who makes the first record of a site. BootstrapByOperator
 	// needs Hooks.
 	Bootstrap BootstrapMode
@@ -94,3 +98,11 @@
 		},
 	}
 }
+
+// newState makes an empty replicated state.
+func (s Settings) newState() *statetable.Table {
+	if s.NewLedger == nil {
+		return statetable.New(nil)
+	}
+	return statetable.New(s.NewLedger())
+}
--- a/internal/native/choice/table.go
+++ b/internal/native/choice/table.go
@@ -35,9 +35,9 @@
 func (t *Table) Forget() { t.lines = nil }
 
 // Look gives the line for a key.
-func (t *Table) Look(key Key, d *description.Description, s *ledger.State, soft protocol.Hints) Line {
-	if t.lines == nil || t.at != s.Position {
-		t.lines, t.at = map[Key]Line{}, s.Position
+func (t *Table) Look(key Key, d *description.Description, at protocol.Position, s *ledger.State, soft protocol.Hints) Line {
+	if t.lines == nil || t.at != at {
+		t.lines, t.at = map[Key]Line{}, at
 	}
 	line, ok := t.lines[key]
 	if !ok {
--- a/internal/native/controller/application.go
+++ b/internal/native/controller/application.go
@@ -16,6 +16,7 @@
 	"myrtlewinch/internal/native/description"
 	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 // Settings is what a controller of the own interface knows at its start.
@@ -80,7 +81,7 @@
 	m, err := consensus.New(consensus.Settings{
 		Site: settings.Site, Self: settings.Self, Seeds: settings.Seeds, GapMs: a.settings.GapMs,
 		Application: a, Hooks: a, Bootstrap: consensus.BootstrapByOperator, StopWithoutHandover: true, PeersForRouters: true,
-		QuietAfterRecoveryMs: RouterHoldMs,
+		QuietAfterRecoveryMs: RouterHoldMs, NewLedger: func() statetable.Ledger { return ledger.New() },
 	}, keys, nowMs)
 	if err != nil {
 		return nil, nil, err
@@ -94,7 +95,7 @@
 // describe compiles the description in force.
 func (a *application) describe() error {
 	a.table.Forget()
-	a.compiled = a.host.State().Revision
+	a.compiled = a.state().Revision
 	if a.compiled.Number == 0 {
 		a.described = nil
 		return nil
@@ -113,7 +114,7 @@
 // StateChanged brings what is compiled from the state up to it.
 func (a *application) StateChanged(consensus.Host) {
 	a.table.Forget()
-	if a.host.State().Revision != a.compiled {
+	if a.state().Revision != a.compiled {
 		if err := a.describe(); err != nil {
 			a.host.Logf("%v", err)
 		}
@@ -129,7 +130,7 @@
 
 // BecamePrimary puts the revision of the state in force and tells the routers.
 func (a *application) BecamePrimary(consensus.Host) {
-	a.offer.current = a.host.State().Revision
+	a.offer.current = a.state().Revision
 	a.offer.token = fmt.Sprintf("%s-%d", protocol.Digest(a.offer.current.Text), a.host.Epoch())
 	a.nudge()
 }
@@ -203,3 +204,12 @@
 }
 
 func (a *application) count(kind errkind.Kind) { a.host.Count(string(kind)) }
+
+// state is the ledger in memory; a snapshot replaces it, so it must not be kept.
+func (a *application) state() *ledger.State { return a.host.Ledger().(*ledger.State) }
+
+// submit has commands applied at the primary; then runs with true once their
+// rows are safe on all copies, or with false when that can't be known any more.
+func (a *application) submit(then func(ok bool), commands ...ledger.Command) {
+	a.host.SubmitCommands(then, ledger.Batch(commands))
+}
--- a/internal/native/controller/duty.go
+++ b/internal/native/controller/duty.go
@@ -202,7 +202,7 @@
 			s.askedMs = a.host.NowMs()
 			d.calls++
 			s.asking = d.calls
-			row := a.host.State().Rows[name]
+			row := a.state().Rows[name]
 			s.quiet, s.askedOrders = row != nil && row.Intent == nil, s.orders
 			a.host.Call(listed.Address, protocol.ReportCall{Runner: name, Number: s.asking, Epoch: a.host.Epoch()})
 		}
@@ -264,9 +264,9 @@
 	for _, l := range in.Runners {
 		listing[l.Name] = l
 		mark := protocol.LeavingRunner{Runner: l.Name, Incarnation: l.Incarnation}
-		if l.Leaving && !a.host.State().Marks[mark] {
+		if l.Leaving && !a.state().Marks[mark] {
 			a.host.Logf("%s is leaving", l.Name)
-			a.host.SubmitCommands(func(bool) {}, ledger.MarkLeaving{Mark: mark})
+			a.submit(func(bool) {}, ledger.MarkLeaving{Mark: mark})
 		}
 	}
 	d.listing = listing
@@ -308,10 +308,10 @@
 		s.fencedMs = a.host.NowMs()
 	}
 	s.okMs, s.burden, s.report = a.host.NowMs(), in.Report.Burden, in.Report
-	row := a.host.State().Rows[in.Runner]
+	row := a.state().Rows[in.Runner]
 	if row == nil || row.Incarnation != in.Report.Incarnation || row.Address != in.Address || row.Room != in.Report.Room {
 		s.since = map[string]int64{}
-		a.host.SubmitCommands(func(bool) {}, ledger.Arrive{Report: in.Report, Address: in.Address})
+		a.submit(func(bool) {}, ledger.Arrive{Report: in.Report, Address: in.Address})
 		return
 	}
 	for item := range row.Held {
@@ -322,7 +322,7 @@
 	// Only a report that can't have crossed an order speaks of all it holds.
 	if s.quiet && s.orders == s.askedOrders && row.Intent == nil && in.Report.LastState != protocol.OrderUnderWay && !row.Agrees(in.Report) {
 		a.host.Logf("%s holds other things than the ledger says; the ledger is corrected", in.Runner)
-		a.host.SubmitCommands(func(bool) {}, ledger.Correct{Report: in.Report})
+		a.submit(func(bool) {}, ledger.Correct{Report: in.Report})
 		return
 	}
 	// An unknown order is settled only by a report that names it.
@@ -338,7 +338,7 @@
 		if row.Intent.Action == protocol.ActionUnload && done {
 			delete(s.since, ledger.Item{Model: row.Intent.Model, Adapter: row.Intent.Adapter}.String())
 		}
-		a.host.SubmitCommands(func(bool) {}, ledger.Settle{
+		a.submit(func(bool) {}, ledger.Settle{
 			Runner: in.Runner, Incarnation: in.Report.Incarnation, Number: row.Intent.Number, Done: done,
 		})
 	}
@@ -348,7 +348,7 @@
 // number makes the repeat harmless.
 func (a *application) repeatOrders() {
 	for _, name := range a.duty.names() {
-		row, s := a.host.State().Rows[name], a.duty.seen[name]
+		row, s := a.state().Rows[name], a.duty.seen[name]
 		if row == nil || s == nil || row.Intent == nil || a.host.NowMs()-s.orderMs < orderMs {
 			continue
 		}
@@ -370,7 +370,7 @@
 func (a *application) settled() bool { return a.host.Settled() }
 
 func (a *application) sendOrder(name string) {
-	row, s := a.host.State().Rows[name], a.duty.seen[name]
+	row, s := a.state().Rows[name], a.duty.seen[name]
 	if row == nil || s == nil || row.Intent == nil || !a.mayOrder() || !s.fenced(a.host.NowMs(), a.settings.GapMs) {
 		return
 	}
--- a/internal/native/controller/duty_test.go
+++ b/internal/native/controller/duty_test.go
@@ -55,7 +55,7 @@
 					p.step(101_510, said)
 				}
 			}
-			qt.Assert(t, p.host.State().Rows["r"] != nil, qt.Equals, test.row)
+			qt.Assert(t, p.state().Rows["r"] != nil, qt.Equals, test.row)
 		})
 	}
 }
--- a/internal/native/controller/helpers_test.go
+++ b/internal/native/controller/helpers_test.go
@@ -9,6 +9,7 @@
 	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 const testDescription = `{
@@ -49,9 +50,10 @@
 	t.Helper()
 	a, b, c := memberID("a", "1"), memberID("b", "1"), memberID("c", "1")
 	set := []protocol.MemberID{a, b, c}
-	state := ledger.New()
-	state.Do(protocol.Position{Epoch: 1, Number: 1}, []ledger.Command{ledger.Accept{Text: testDescription, Epoch: 1}})
-	disk := state.Rowset()
+	state := statetable.New(ledger.New())
+	accept := ledger.Batch{ledger.Accept{Text: testDescription, Epoch: 1}}
+	state.Apply(protocol.Position{Epoch: 1, Number: 1}, []statetable.Command{accept})
+	disk := state.Snapshot()
 	disk["record"] = encode(t, map[string]any{
 		"record": protocol.EpochRecord{Epoch: 1, Primary: "a", Replicas: set[:2], Witnesses: set, Before: set},
 		"ballot": protocol.Ballot{Round: 1, Name: "a"},
--- a/internal/native/controller/index.go
+++ b/internal/native/controller/index.go
@@ -33,11 +33,11 @@
 func (a *application) lookUp(e protocol.Envelope, ask protocol.LookUp) {
 	a.index.looked++
 	key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: a.host.State().Position, AgeMs: a.ageMs(), Behind: a.described == nil}
+	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: a.host.Position(), AgeMs: a.ageMs(), Behind: a.described == nil}
 	if a.described != nil {
 		if service, ok := a.described.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
 			a.index.counts[key.String()]++
-			line := a.table.Look(key, a.described, a.host.State(), a.softNow())
+			line := a.table.Look(key, a.described, a.host.Position(), a.state(), a.softNow())
 			answer.Holders, answer.Loading = line.Holders, line.Loading
 			answer.TurnMs = turnOf(a.softNow(), key, line)
 			if len(line.Holders) == 0 && len(a.index.waiting) < waitingMost {
@@ -86,12 +86,12 @@
 		}
 		line := choice.Line{}
 		if len(routers) > 0 {
-			line = a.table.Look(key, a.described, a.host.State(), a.softNow())
+			line = a.table.Look(key, a.described, a.host.Position(), a.state(), a.softNow())
 		}
 		if len(line.Holders) > 0 {
 			for _, place := range a.host.Known(protocol.RoleRouter) {
 				if _, asked := routers[place.Name]; asked {
-					a.host.Send(place, protocol.LookUpReply{Key: key.String(), At: a.host.State().Position, AgeMs: a.ageMs(), Holders: line.Holders})
+					a.host.Send(place, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), AgeMs: a.ageMs(), Holders: line.Holders})
 				}
 			}
 		}
@@ -108,13 +108,13 @@
 	}
 	for _, ask := range keys {
 		key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-		line := a.table.Look(key, a.described, a.host.State(), a.softNow())
+		line := a.table.Look(key, a.described, a.host.Position(), a.state(), a.softNow())
 		if len(line.Holders) > 0 {
-			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.State().Position, Holders: line.Holders})
+			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Holders: line.Holders})
 			continue
 		}
 		if turnMs := turnOf(a.softNow(), key, line); turnMs > 0 {
-			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.State().Position, Loading: line.Loading, TurnMs: turnMs})
+			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Loading: line.Loading, TurnMs: turnMs})
 		}
 		if service, ok := a.described.Service(ask.Service); ok && service.Allows(ask.Model) {
 			a.duty.waited(a.host.NowMs(), ask.Model, ask.Adapter)
--- a/internal/native/controller/index_test.go
+++ b/internal/native/controller/index_test.go
@@ -39,24 +39,24 @@
 		turnMs         int64
 		counted        bool
 	}{
-		{"held by one", func(p *testPrimary) { p.host.State().Rows["r"].Held["m"] = item }, "v", "m", 1, false, 0, true},
+		{"held by one", func(p *testPrimary) { p.state().Rows["r"].Held["m"] = item }, "v", "m", 1, false, 0, true},
 		{"held by two", func(p *testPrimary) {
-			p.host.State().Rows["r"].Held["m"], p.host.State().Rows["q"].Held["m"] = item, item
+			p.state().Rows["r"].Held["m"], p.state().Rows["q"].Held["m"] = item, item
 		}, "v", "m", 2, false, 0, true},
 		{"held by a leaver", func(p *testPrimary) {
-			p.host.State().Rows["r"].Held["m"] = item
-			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().Rows["r"].Held["m"] = item
+			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, "v", "m", 0, false, 0, true},
 		{"held by a dark one", func(p *testPrimary) {
-			p.host.State().Rows["r"].Held["m"] = item
+			p.state().Rows["r"].Held["m"] = item
 			p.duty.seen["r"].okMs = p.nowMs() - darkMs - 100
 		}, "v", "m", 0, false, 0, true},
 		{"being loaded", func(p *testPrimary) {
-			p.host.State().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionLoad, Model: "m", Size: 6}
+			p.state().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionLoad, Model: "m", Size: 6}
 		}, "v", "m", 0, true, 0, true},
 		{"being unloaded", func(p *testPrimary) {
-			p.host.State().Rows["r"].Held["m"] = item
-			p.host.State().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionUnload, Model: "m"}
+			p.state().Rows["r"].Held["m"] = item
+			p.state().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionUnload, Model: "m"}
 		}, "v", "m", 0, false, 0, true},
 		{"its turn is known", func(p *testPrimary) { p.duty.turns = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
 		{"no such service", func(*testPrimary) {}, "x", "m", 0, false, 0, false},
@@ -84,7 +84,7 @@
 	p := newPlacingPrimary(t)
 	nowMs := p.nowMs() + 1
 	qt.Assert(t, asks(p, nowMs, "v", "m")[0].Holders, qt.HasLen, 0)
-	p.host.State().Rows["r"].Held["m"] = ledger.Holding{Size: 6}
+	p.state().Rows["r"].Held["m"] = ledger.Holding{Size: 6}
 	p.table.Forget()
 	told := 0
 	for range 40 {
--- a/internal/native/controller/offer.go
+++ b/internal/native/controller/offer.go
@@ -159,7 +159,7 @@
 	}
 	o.pending.given = true
 	pending := o.pending
-	a.host.SubmitCommands(func(ok bool) {
+	a.submit(func(ok bool) {
 		if !ok {
 			a.drop(pending.from.ID, errkind.AcceptanceUnknown, "it may be in force; read the description to find out", nil)
 			return
@@ -286,7 +286,7 @@
 	word := protocol.RouterUpdate{
 		EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: a.host.Epoch(),
 		Revision: o.current.Number, Sum: o.token, Number: number,
-		Leaving: a.duty.marks(a.host.State()), Peers: a.host.Peers(),
+		Leaving: a.duty.marks(a.state()), Peers: a.host.Peers(),
 	}
 	if ask.Revision != o.current.Number && ask.Held != word.Sum {
 		word.Text = o.current.Text
--- a/internal/native/controller/place.go
+++ b/internal/native/controller/place.go
@@ -176,7 +176,7 @@
 
 // usable says whether a runner may be counted on to hold things.
 func (a *application) usable(runner *description.Runner) (*ledger.Row, bool) {
-	row, s := a.host.State().Rows[runner.Name], a.duty.seen[runner.Name]
+	row, s := a.state().Rows[runner.Name], a.duty.seen[runner.Name]
 	if row == nil || s == nil || a.host.NowMs()-s.okMs > darkMs || a.leaves(row) {
 		return nil, false
 	}
@@ -187,7 +187,7 @@
 // the item with it.
 func (a *application) leaverHolds(item ledger.Item) bool {
 	for i := range a.described.Runners {
-		row := a.host.State().Rows[a.described.Runners[i].Name]
+		row := a.state().Rows[a.described.Runners[i].Name]
 		if row != nil && row.Holds(item) && item.Model != "" {
 			if _, usable := a.usable(&a.described.Runners[i]); !usable && a.leaves(row) {
 				return true
@@ -200,7 +200,7 @@
 // leaves says whether the runner's present incarnation is marked.
 func (a *application) leaves(row *ledger.Row) bool {
 	listed := a.duty.listing[row.Runner]
-	return a.host.State().Leaving(row) || listed.Leaving && listed.Incarnation == row.Incarnation
+	return a.state().Leaving(row) || listed.Leaving && listed.Incarnation == row.Incarnation
 }
 
 func (a *application) copiesOf(item ledger.Item) int {
@@ -449,7 +449,7 @@
 	}
 	a.duty.seen[name].orders++
 	a.host.Logf("%s: %s %s", name, action, item)
-	a.host.SubmitCommands(func(ok bool) {
+	a.submit(func(ok bool) {
 		if ok {
 			a.sendOrder(name)
 		}
--- a/internal/native/controller/place_test.go
+++ b/internal/native/controller/place_test.go
@@ -21,7 +21,7 @@
 	qt.Assert(t, faults, qt.HasLen, 0)
 	p.described = d
 	for _, name := range []string{"r", "q"} {
-		p.host.State().Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
+		p.state().Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
 		p.duty.seen[name] = &seenRunner{okMs: p.nowMs(), fencedMs: 1, since: map[string]int64{}}
 	}
 	return p
@@ -40,32 +40,32 @@
 		{"one is asked for", func(p *testPrimary) { p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1) }, []string{"m"}},
 		{"it is held", func(p *testPrimary) {
 			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1)
-			p.host.State().Rows["r"].Held["m"] = held
+			p.state().Rows["r"].Held["m"] = held
 		}, nil},
 		{"its runner is dark", func(p *testPrimary) {
 			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1)
-			p.host.State().Rows["r"].Held["m"] = held
+			p.state().Rows["r"].Held["m"] = held
 			p.duty.seen["r"].okMs = p.nowMs() - darkMs - 1
 		}, []string{"m"}},
 		{"it was asked for a while ago", func(p *testPrimary) { p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1) }, nil},
 		{"and goes with its runner", func(p *testPrimary) {
 			p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
-			p.host.State().Rows["r"].Held["m"] = held
-			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().Rows["r"].Held["m"] = held
+			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, []string{"m"}},
 		{"goes with one runner and is held by another", func(p *testPrimary) {
 			p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
-			p.host.State().Rows["r"].Held["m"], p.host.State().Rows["q"].Held["m"] = held, held
-			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().Rows["r"].Held["m"], p.state().Rows["q"].Held["m"] = held, held
+			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"goes with its runner, and nobody has asked for long", func(p *testPrimary) {
 			p.duty.want(p.nowMs()-60_000, ledger.Item{Model: "m"}, 1)
-			p.host.State().Rows["r"].Held["m"] = held
-			p.host.State().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().Rows["r"].Held["m"] = held
+			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"a crowd earns a second copy, after first ones", func(p *testPrimary) {
 			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, busyScore)
-			p.host.State().Rows["r"].Held["m"] = held
+			p.state().Rows["r"].Held["m"] = held
 			p.duty.want(p.nowMs(), ledger.Item{Model: "n"}, 1)
 		}, []string{"n", "m"}},
 	}
@@ -92,7 +92,7 @@
 		runner string
 		action string
 	}{
-		{"where there is room", func(p *testPrimary) { p.host.State().Rows["r"].Held["n"] = held }, true, "q", protocol.ActionLoad},
+		{"where there is room", func(p *testPrimary) { p.state().Rows["r"].Held["n"] = held }, true, "q", protocol.ActionLoad},
 		{"not where the report says something else", func(p *testPrimary) {
 			p.duty.seen["r"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
 			p.duty.seen["q"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
@@ -106,14 +106,14 @@
 		}, false, "", ""},
 		{"nothing goes before its stay is over", func(p *testPrimary) {
 			for _, name := range []string{"r", "q"} {
-				p.host.State().Rows[name].Held["n"] = held
+				p.state().Rows[name].Held["n"] = held
 				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				p.duty.seen[name].since["n"] = p.nowMs() - stayMs + 1
 			}
 		}, false, "", ""},
 		{"the second copy goes once it is", func(p *testPrimary) {
 			for _, name := range []string{"r", "q"} {
-				p.host.State().Rows[name].Held["n"] = held
+				p.state().Rows[name].Held["n"] = held
 				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				p.duty.seen[name].since["n"] = p.nowMs() - stayMs
 			}
@@ -121,7 +121,7 @@
 		{"what operators want held stays", func(p *testPrimary) {
 			p.described.Models[1].Copies = 2
 			for _, name := range []string{"r", "q"} {
-				p.host.State().Rows[name].Held["n"] = held
+				p.state().Rows[name].Held["n"] = held
 				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				p.duty.seen[name].since["n"] = p.nowMs() - stayMs
 			}
@@ -131,7 +131,7 @@
 		t.Run(test.about, func(t *testing.T) {
 			p := newPlacingPrimary(t)
 			// Reports agree with the rows unless the case says otherwise.
-			p.host.State().Rows["r"].Held, p.host.State().Rows["q"].Held = map[string]ledger.Holding{}, map[string]ledger.Holding{}
+			p.state().Rows["r"].Held, p.state().Rows["q"].Held = map[string]ledger.Holding{}, map[string]ledger.Holding{}
 			test.do(p)
 			if test.about == "where there is room" {
 				p.duty.seen["r"].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
@@ -140,7 +140,7 @@
 			p.takeShares()
 			placed := p.placeOne(need{item: ledger.Item{Model: "m"}, size: 6, wanted: 1, score: 5})
 			qt.Assert(t, placed, qt.Equals, test.placed)
-			for name, row := range p.host.State().Rows {
+			for name, row := range p.state().Rows {
 				if name != test.runner {
 					qt.Assert(t, row.Intent, qt.IsNil)
 					continue
--- a/internal/native/controller/status.go
+++ b/internal/native/controller/status.go
@@ -57,31 +57,29 @@
 
 func (a *application) look(in Look) {
 	if in.Page != "status" {
-		revision := a.host.State().Revision
+		revision := a.state().Revision
 		if a.host.IsPrimary() {
 			revision = a.offer.current
 		}
-		a.host.Answer(in.ID, Described{Revision: revision, Sure: a.host.Active(), Primary: a.host.Record().Primary, Past: append([]ledger.Past{}, a.host.State().Past...)})
+		a.host.Answer(in.ID, Described{Revision: revision, Sure: a.host.Active(), Primary: a.host.Record().Primary, Past: append([]ledger.Past{}, a.state().Past...)})
 		return
 	}
 	member := a.host.MemberStatus()
 	s := Status{
 		Site: a.settings.Site, Name: a.host.Self().Name, Part: a.host.Self().Part, Incarnation: a.host.Self().Incarnation,
 		Role: member.Role, Active: a.host.Active(), Orders: a.mayOrder(), DiskBroken: member.DiskBroken, Retired: member.Retired,
-		WitnessBlank: member.WitnessBlank, Record: a.host.Record(), Away: member.Away, Peers: member.Peers, Position: a.host.State().Position, Revision: a.host.State().Revision.Number,
+		WitnessBlank: member.WitnessBlank, Record: a.host.Record(), Away: member.Away, Peers: member.Peers, Position: a.host.Position(), Revision: a.state().Revision.Number,
 		LookUps: a.index.looked, Platform: -1,
 	}
 	if a.offer.pending != nil {
 		s.Pending = a.offer.pending.number
 	}
 	// The page is read on another thread, so it gets rows of its own.
-	copied := ledger.New()
-	_ = copied.Take(a.host.State().Rowset())
-	for _, row := range copied.Rows {
+	for _, row := range a.state().Copy().Rows {
 		s.Rows = append(s.Rows, row)
 	}
 	sort.Slice(s.Rows, func(i, j int) bool { return s.Rows[i].Runner < s.Rows[j].Runner })
-	s.Leaving = a.duty.marks(a.host.State())
+	s.Leaving = a.duty.marks(a.state())
 	if a.host.IsPrimary() && a.duty.platformOkMs > 0 {
 		s.Platform = a.host.NowMs() - a.duty.platformOkMs
 	}
--- a/internal/native/controller/turn_test.go
+++ b/internal/native/controller/turn_test.go
@@ -16,7 +16,7 @@
 	p.duty.listing = nil
 	for i := range p.described.Runners {
 		name := p.described.Runners[i].Name
-		p.host.State().Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
+		p.state().Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
 		p.duty.seen[name] = &seenRunner{okMs: p.nowMs(), fencedMs: 1}
 	}
 	line := func(count int, size int64) []need {
--- a/internal/native/ledger/command.go
+++ b/internal/native/ledger/command.go
@@ -1,12 +1,27 @@
 package ledger
 
-import "myrtlewinch/internal/protocol"
-
-// Begin marks the start of an epoch, so that tails of two primaries differ.
-type Begin struct{}
-
-// Apply changes nothing but the position.
-func (Begin) Apply(*State) {}
+import (
+	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
+)
+
+// Command changes the ledger at the primary.
+type Command interface{ Apply(s *State) }
+
+// Batch is commands that are applied one after the other in one change.
+type Batch []Command
+
+// Apply runs the commands and says which rows they wrote.
+func (b Batch) Apply(t *statetable.Table) {
+	state := t.Ledger().(*State)
+	clear(state.dirty)
+	for _, command := range b {
+		command.Apply(state)
+	}
+	for key := range state.dirty {
+		t.MarkDirty(key)
+	}
+}
 
 // Restart goes on from a copy that may lack the last changes: what is numbered
 // from here on lies far above any number that may have been given after it.
@@ -143,22 +158,3 @@
 	row.Intent = nil
 	s.dirty["row/"+c.Runner] = true
 }
-
-// Put sets plain rows of the tenant; an empty value forgets one.
-type Put struct{ Rows map[string]string }
-
-// Apply sets them.
-func (p Put) Apply(s *State) {
-	for name, text := range p.Rows {
-		s.keep(name, text)
-		s.dirty[keptKey+name] = true
-	}
-}
-
-func (s *State) keep(name, text string) {
-	if text == "" {
-		delete(s.Kept, name)
-		return
-	}
-	s.Kept[name] = text
-}
--- a/internal/native/ledger/ledger.go
+++ b/internal/native/ledger/ledger.go
@@ -9,14 +9,10 @@
 	"strconv"
 	"strings"
 
-	"github.com/cockroachdb/errors"
-
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
-// Prefix is before every key of the control state on a disk.
-const Prefix = "state/"
-
 // Item names a model, or an adapter on its model.
 type Item struct{ Model, Adapter string }
 
@@ -110,48 +106,39 @@
 
 const pastMost = 100
 
-// State is the control state in memory.
+// State is the ledger in memory. It is the statetable.Ledger of a controller.
 type State struct {
-	Position protocol.Position
 	Revision Revision
 	Past     []Past
 	Orders   uint64
 	Rows     map[string]*Row
 	// Marks are the leaving incarnations; they only grow.
 	Marks map[protocol.LeavingRunner]bool
-	// Kept are plain rows that a controller's tenant keeps.
-	Kept  map[string]string
+	// dirty are the keys of the rows that the present batch has written.
 	dirty map[string]bool
 }
 
-// New makes an empty state.
+// New makes an empty ledger.
 func New() *State {
-	return &State{Rows: map[string]*Row{}, Marks: map[protocol.LeavingRunner]bool{}, Kept: map[string]string{}, dirty: map[string]bool{}}
+	return &State{Rows: map[string]*Row{}, Marks: map[protocol.LeavingRunner]bool{}, dirty: map[string]bool{}}
 }
 
-// Command changes the state at the primary.
-type Command interface{ Apply(s *State) }
-
-// Do applies commands and gives the rows that a disk and the followers take.
-func (s *State) Do(at protocol.Position, commands []Command) map[string]string {
-	clear(s.dirty)
-	for _, command := range commands {
-		command.Apply(s)
+// Keys lists the keys of all rows.
+func (s *State) Keys() []string {
+	keys := []string{"revision", "past", "orders"}
+	for name := range s.Rows {
+		keys = append(keys, "row/"+name)
 	}
-	s.Position = at
-	s.dirty["position"] = true
-	rows := map[string]string{}
-	for key := range s.dirty {
-		rows[Prefix+key] = s.text(key)
+	for mark := range s.Marks {
+		keys = append(keys, markKey(mark))
 	}
-	return rows
+	return keys
 }
 
-func (s *State) text(key string) string {
+// Encode gives the text of a row.
+func (s *State) Encode(key string) string {
 	var value any
 	switch {
-	case key == "position":
-		value = s.Position
 	case key == "revision":
 		value = s.Revision
 	case key == "past":
@@ -162,55 +149,18 @@
 		value = s.Rows[strings.TrimPrefix(key, "row/")]
 	case strings.HasPrefix(key, "mark/"):
 		return "leaving"
-	case strings.HasPrefix(key, keptKey):
-		return s.Kept[strings.TrimPrefix(key, keptKey)]
 	}
 	text, _ := json.Marshal(value)
 	return string(text)
 }
 
-// Rowset gives every row, for an image.
-func (s *State) Rowset() map[string]string {
-	rows := map[string]string{}
-	for _, key := range []string{"position", "revision", "past", "orders"} {
-		rows[Prefix+key] = s.text(key)
-	}
-	for name := range s.Rows {
-		rows[Prefix+"row/"+name] = s.text("row/" + name)
-	}
-	for mark := range s.Marks {
-		rows[Prefix+markKey(mark)] = "leaving"
-	}
-	for name, text := range s.Kept {
-		rows[Prefix+keptKey+name] = text
-	}
-	return rows
-}
-
-const keptKey = "kept/"
-
 func markKey(mark protocol.LeavingRunner) string {
 	return "mark/" + mark.Runner + "/" + mark.Incarnation
 }
 
-// Take brings rows into the state, as a follower or after a restart does.
-func (s *State) Take(rows map[string]string) error {
-	for key, text := range rows {
-		name, ours := strings.CutPrefix(key, Prefix)
-		if !ours {
-			continue
-		}
-		if err := s.take(name, text); err != nil {
-			return errors.Wrap(err, key)
-		}
-	}
-	return nil
-}
-
-func (s *State) take(key, text string) error {
+// Decode takes the text of a row, as a follower or a restart does.
+func (s *State) Decode(key, text string) error {
 	switch {
-	case key == "position":
-		return json.Unmarshal([]byte(text), &s.Position)
 	case key == "revision":
 		return json.Unmarshal([]byte(text), &s.Revision)
 	case key == "past":
@@ -227,14 +177,26 @@
 		runner, incarnation, _ := strings.Cut(strings.TrimPrefix(key, "mark/"), "/")
 		s.Marks[protocol.LeavingRunner{Runner: runner, Incarnation: incarnation}] = true
 		return nil
-	case strings.HasPrefix(key, keptKey):
-		s.keep(strings.TrimPrefix(key, keptKey), text)
-		return nil
 	}
-	return errors.Newf("unknown row")
+	return statetable.ErrUnknownRow
+}
+
+// Copy gives a ledger that shares nothing with this one.
+func (s *State) Copy() *State {
+	copied := New()
+	for _, key := range s.Keys() {
+		_ = copied.Decode(key, s.Encode(key))
+	}
+	return copied
 }
 
 // Leaving says whether the runner's present incarnation is marked.
 func (s *State) Leaving(row *Row) bool {
 	return row.Leaving || s.Marks[protocol.LeavingRunner{Runner: row.Runner, Incarnation: row.Incarnation}]
 }
+
+// SkipAhead is what a recovery begins with.
+func (s *State) SkipAhead(epoch uint64) statetable.Command { return Batch{Restart{Epoch: epoch}} }
+
+// RevisionNumber is that of the description in force.
+func (s *State) RevisionNumber() uint64 { return s.Revision.Number }
--- a/internal/native/ledger/ledger_test.go
+++ b/internal/native/ledger/ledger_test.go
@@ -6,6 +6,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 func arrive(incarnation string, held ...protocol.HeldItem) Arrive {
@@ -41,7 +42,7 @@
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
 			s := New()
-			s.Do(protocol.Position{Epoch: 1, Number: 1}, test.commands)
+			statetable.New(s).Apply(protocol.Position{Epoch: 1, Number: 1}, []statetable.Command{Batch(test.commands)})
 			row := s.Rows["r"]
 			c.Assert(row.Taken(), qt.Equals, test.taken)
 			c.Assert(row.Held, qt.HasLen, test.held)
@@ -52,18 +53,18 @@
 
 func TestFollowerEqualsPrimary(t *testing.T) {
 	c := qt.New(t)
-	primary, follower, imaged := New(), New(), New()
+	primary, follower, restored := statetable.New(New()), statetable.New(New()), statetable.New(New())
 	steps := [][]Command{
-		{Begin{}, arrive("1")},
+		{arrive("1")},
 		{intend(protocol.ActionLoad, "m", 60), MarkLeaving{protocol.LeavingRunner{Runner: "r", Incarnation: "0"}}},
 		{Settle{"r", "1", 1, true}, Accept{"{}", 1}},
 	}
 	for n, commands := range steps {
-		rows := primary.Do(protocol.Position{Epoch: 1, Number: uint64(n + 1)}, commands)
-		c.Assert(follower.Take(rows), qt.IsNil)
+		rows := primary.Apply(protocol.Position{Epoch: 1, Number: uint64(n + 1)}, []statetable.Command{statetable.Begin{}, Batch(commands)})
+		c.Assert(follower.Load(rows), qt.IsNil)
 	}
-	c.Assert(follower.Rowset(), qt.DeepEquals, primary.Rowset())
-	c.Assert(imaged.Take(primary.Rowset()), qt.IsNil)
-	c.Assert(imaged.Rowset(), qt.DeepEquals, primary.Rowset())
-	c.Assert(imaged.Take(map[string]string{Prefix + "odd": "1"}), qt.ErrorMatches, ".*unknown row")
+	c.Assert(follower.Snapshot(), qt.DeepEquals, primary.Snapshot())
+	c.Assert(restored.Load(primary.Snapshot()), qt.IsNil)
+	c.Assert(restored.Snapshot(), qt.DeepEquals, primary.Snapshot())
+	c.Assert(restored.Load(map[string]string{statetable.Prefix + "odd": "1"}), qt.ErrorMatches, ".*unknown row")
 }
--- a/internal/replication/primary.go
+++ b/internal/replication/primary.go
@@ -1,8 +1,8 @@
 package replication
 
 import (
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
+	"myrtlewinch/internal/statetable"
 )
 
 // Primary is the primary's part of replication. After a primacy it keeps
@@ -33,7 +33,7 @@
 }
 
 type queuedWrite struct {
-	commands []ledger.Command
+	commands []statetable.Command
 	done     func(ok bool)
 }
 
@@ -77,7 +77,7 @@
 
 // Enqueue adds a write. Its commands are applied with the next change; done is
 // called once that is committed, or with false when that can't be known any more.
-func (p *Primary) Enqueue(commands []ledger.Command, done func(ok bool)) {
+func (p *Primary) Enqueue(commands []statetable.Command, done func(ok bool)) {
 	p.queue = append(p.queue, queuedWrite{commands, done})
 }
 
@@ -86,8 +86,8 @@
 
 // TakeQueue returns the commands of all writes that wait, which become pending
 // as the change with the number.
-func (p *Primary) TakeQueue(number uint64) []ledger.Command {
-	var commands []ledger.Command
+func (p *Primary) TakeQueue(number uint64) []statetable.Command {
+	var commands []statetable.Command
 	for _, write := range p.queue {
 		commands = append(commands, write.commands...)
 		p.pending = append(p.pending, pendingWrite{number, write.done})
--- a/internal/simulation/endurance/cluster_test.go
+++ b/internal/simulation/endurance/cluster_test.go
@@ -11,9 +11,9 @@
 	"myrtlewinch/internal/bounds"
 	"myrtlewinch/internal/consensus"
 	"myrtlewinch/internal/controller"
-	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/simulation/eventqueue"
+	"myrtlewinch/internal/statetable"
 )
 
 const (
@@ -218,7 +218,7 @@
 	var stored struct {
 		Version uint64 `json:"version"`
 	}
-	_ = json.Unmarshal([]byte(n.keys[ledger.Prefix+"kept/map"]), &stored)
+	_ = json.Unmarshal([]byte(n.keys[statetable.Prefix+"kept/map"]), &stored)
 	return stored.Version
 }
 
--- a/internal/simulation/nativesim/clocks_test.go
+++ b/internal/simulation/nativesim/clocks_test.go
@@ -39,6 +39,7 @@
 	"internal/simulation/faultsim",
 	"internal/simulation/nativesim",
 	"internal/simulation/scalesim",
+	"internal/statetable",
 }
 
 // realTimeFiles are the files of virtualTimePackages that run a state machine
--- /dev/null
+++ b/internal/statetable/command.go
@@ -0,0 +1,19 @@
+package statetable
+
+// Begin marks the start of an epoch, so that the last changes of two primaries
+// differ. It writes nothing but the position.
+type Begin struct{}
+
+// Apply does nothing: each change writes the position.
+func (Begin) Apply(*Table) {}
+
+// Put writes plain rows; an empty text removes one.
+type Put struct{ Rows map[string]string }
+
+// Apply writes them.
+func (p Put) Apply(t *Table) {
+	for name, text := range p.Rows {
+		t.set(name, text)
+		t.MarkDirty(plainPrefix + name)
+	}
+}
