--- a/cmd/loadgen/main.go
+++ b/cmd/loadgen/main.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		cli.UsageError("%v", err)
 	}
-	checker := invariants.New(d.Store.LoadsPer10s, d.SecondGoes)
+	checker := invariants.New(d.Store.LoadsPer10s, d.RetryAllowance)
 	name := fmt.Sprintf("client-%d", os.Getpid())
 	workloads := testbackend.WorkloadsOf(d, o.small, o.other)
 	client := testbackend.NewClient(name, cli.SplitList(o.routers), workloads, checker, process.NewClock().NowMs, 1)
--- a/cmd/statediff/main.go
+++ b/cmd/statediff/main.go
@@ -69,7 +69,7 @@
 
 // readStatus reads what the daemon at an address believes, or ends the program.
 // Flag names the address in messages.
-func readStatus(flag, address string) statediff.Belief {
+func readStatus(flag, address string) statediff.View {
 	if address == "" {
 		cli.UsageError("%s: must be given", flag)
 	}
--- a/internal/native/choice/table.go
+++ b/internal/native/choice/table.go
@@ -18,8 +18,8 @@
 // Item is the model or adapter that the key needs loaded.
 func (k Key) Item() ledger.Item { return ledger.Item{Model: k.Model, Adapter: k.Adapter} }
 
-// Line is the answer for a key.
-type Line struct {
+// Entry is the answer for a key.
+type Entry struct {
 	Holders []protocol.Holder
 	Loading bool
 }
@@ -27,28 +27,28 @@
 // Table holds the lines that were asked for, compiled when first asked for
 // after a change.
 type Table struct {
-	at    protocol.Position
-	lines map[Key]Line
+	at      protocol.Position
+	entries map[Key]Entry
 }
 
-// Forget empties the table, since the ledger or the description changed.
-func (t *Table) Forget() { t.lines = nil }
+// Invalidate empties the table, since the ledger or the description changed.
+func (t *Table) Invalidate() { t.entries = nil }
 
-// Look gives the line for a key.
-func (t *Table) Look(key Key, d *description.Description, at protocol.Position, s *ledger.State, soft protocol.Hints) Line {
-	if t.lines == nil || t.at != at {
-		t.lines, t.at = map[Key]Line{}, at
+// LookUp gives the line for a key.
+func (t *Table) LookUp(key Key, d *description.Description, at protocol.Position, s *ledger.State, soft protocol.Hints) Entry {
+	if t.entries == nil || t.at != at {
+		t.entries, t.at = map[Key]Entry{}, at
 	}
-	line, ok := t.lines[key]
+	line, ok := t.entries[key]
 	if !ok {
 		line = compile(key, d, s, soft)
-		t.lines[key] = line
+		t.entries[key] = line
 	}
 	return line
 }
 
-func compile(key Key, d *description.Description, s *ledger.State, soft protocol.Hints) Line {
-	var line Line
+func compile(key Key, d *description.Description, s *ledger.State, soft protocol.Hints) Entry {
+	var line Entry
 	if d == nil {
 		return line
 	}
--- a/internal/native/controller/application.go
+++ b/internal/native/controller/application.go
@@ -30,13 +30,13 @@
 	GapMs int64
 }
 
-// HandOver is an input: a description to be taken, or, with Part, a change of
+// SubmitDescription is an input: a description to be taken, or, with Part, a change of
 // named parts of it. Base is the revision that it is based on.
-type HandOver struct {
-	ID   uint64
-	Base uint64
-	Text string
-	Part bool
+type SubmitDescription struct {
+	ID      uint64
+	Base    uint64
+	Text    string
+	Partial bool
 }
 
 // application is the own interface on top of the replicated state:
@@ -44,14 +44,14 @@
 type application struct {
 	settings Settings
 	host     consensus.ExtendedHost
-	// described is the description in force, compiled; nil while none is.
-	described *description.Description
-	// compiled is the revision that described was read from.
-	compiled ledger.Revision
-	offer    offer
-	index    index
-	duty     duty
-	table    choice.Table
+	// description is the description in force, compiled; nil while none is.
+	description *description.Description
+	// compiledRevision is the revision that described was read from.
+	compiledRevision ledger.Revision
+	proposals        proposals
+	index            index
+	primary          primaryState
+	table            choice.Table
 	// hints are, at a follower, what the primary last said beside rows.
 	hints protocol.Hints
 	// acceptFromMs is from when a new primary may accept descriptions: the leases
@@ -64,9 +64,9 @@
 		settings.GapMs = consensus.DefaultGapMs
 	}
 	a := &application{settings: settings}
-	a.offer.forget()
-	a.index = index{waiting: map[choice.Key]map[string]int64{}, counts: map[string]int64{}}
-	a.duty = newDuty()
+	a.proposals.resetRouters()
+	a.index = index{waiting: map[choice.Key]map[string]int64{}, pendingDemand: map[string]int64{}}
+	a.primary = newPrimaryState()
 	return a
 }
 
@@ -81,30 +81,30 @@
 	m, err := consensus.New(consensus.Settings{
 		Site: settings.Site, Self: settings.Self, Seeds: settings.Seeds, GapMs: a.settings.GapMs,
 		Application: a, Hooks: a, Bootstrap: consensus.BootstrapByOperator, StopWithoutHandover: true, PeersForRouters: true,
-		QuietAfterRecoveryMs: RouterHoldMs, NewLedger: func() statetable.Ledger { return ledger.New() },
+		QuietAfterRecoveryMs: routerLeaseMs, NewLedger: func() statetable.Ledger { return ledger.New() },
 	}, keys, nowMs)
 	if err != nil {
 		return nil, nil, err
 	}
-	if err := a.describe(); err != nil {
+	if err := a.compileDescription(); err != nil {
 		return nil, nil, err
 	}
 	return m, a, nil
 }
 
-// describe compiles the description in force.
-func (a *application) describe() error {
-	a.table.Forget()
-	a.compiled = a.state().Revision
-	if a.compiled.Number == 0 {
-		a.described = nil
+// compileDescription compiles the description in force.
+func (a *application) compileDescription() error {
+	a.table.Invalidate()
+	a.compiledRevision = a.state().Revision
+	if a.compiledRevision.Number == 0 {
+		a.description = nil
 		return nil
 	}
-	d, faults := description.Read([]byte(a.compiled.Text), a.settings.Site)
+	d, faults := description.Read([]byte(a.compiledRevision.Text), a.settings.Site)
 	if len(faults) > 0 {
 		return errors.Newf("the description in force can't be read: %s", strings.Join(faults, "; "))
 	}
-	a.described = d
+	a.description = d
 	return nil
 }
 
@@ -113,26 +113,26 @@
 
 // StateChanged brings what is compiled from the state up to it.
 func (a *application) StateChanged(consensus.Host) {
-	a.table.Forget()
-	if a.state().Revision != a.compiled {
-		if err := a.describe(); err != nil {
+	a.table.Invalidate()
+	if a.state().Revision != a.compiledRevision {
+		if err := a.compileDescription(); err != nil {
 			a.host.Logf("%v", err)
 		}
 	}
-	a.tellWaiting()
+	a.notifyWaiting()
 }
 
 // Elected forgets what an earlier primacy knew.
 func (a *application) Elected() {
-	a.acceptFromMs = a.host.NowMs() + RouterHoldMs
-	a.duty.begin(a.host.NowMs(), a.host.Epoch())
+	a.acceptFromMs = a.host.NowMs() + routerLeaseMs
+	a.primary.reset(a.host.NowMs(), a.host.Epoch())
 }
 
 // BecamePrimary puts the revision of the state in force and tells the routers.
 func (a *application) BecamePrimary(consensus.Host) {
-	a.offer.current = a.state().Revision
-	a.offer.token = fmt.Sprintf("%s-%d", protocol.Digest(a.offer.current.Text), a.host.Epoch())
-	a.nudge()
+	a.proposals.current = a.state().Revision
+	a.proposals.token = fmt.Sprintf("%s-%d", protocol.Digest(a.proposals.current.Text), a.host.Epoch())
+	a.requestPolls()
 }
 
 // Bootstrapped lets descriptions be accepted at once: no router has ever been
@@ -140,29 +140,29 @@
 func (a *application) Bootstrapped() { a.acceptFromMs = a.host.NowMs() }
 
 // LostPrimacy ends what only a primary may do.
-func (a *application) LostPrimacy(consensus.Host) { a.endOffer() }
+func (a *application) LostPrimacy(consensus.Host) { a.abandonProposals() }
 
 // Hints gives the runners' burdens and who of them is silent.
 func (a *application) Hints() protocol.Hints {
-	a.hints = a.duty.soft(a.host.NowMs())
+	a.hints = a.primary.hints(a.host.NowMs())
 	return a.hints
 }
 
 // HintsReceived takes the primary's hints at a follower.
 func (a *application) HintsReceived(hints protocol.Hints) {
 	a.hints = hints
-	a.table.Forget()
+	a.table.Invalidate()
 }
 
 // HandleMessage takes a message of a router or of another controller.
 func (a *application) HandleMessage(_ consensus.Host, e protocol.Envelope) bool {
 	switch body := e.Body.(type) {
 	case protocol.RouterPoll:
-		a.asked(e, body)
+		a.handlePoll(e, body)
 	case protocol.LookUp:
 		a.lookUp(e, body)
 	case protocol.DemandReport:
-		a.demanded(body)
+		a.handleDemandReport(body)
 	default:
 		return false
 	}
@@ -173,13 +173,13 @@
 func (a *application) HandleInput(_ consensus.Host, input any) bool {
 	switch in := input.(type) {
 	case protocol.RunnerReportResult:
-		a.reported(in)
+		a.handleRunnerReport(in)
 	case protocol.RunnerListResult:
-		a.listed(in)
-	case HandOver:
-		a.handOver(in)
+		a.handleRunnerList(in)
+	case SubmitDescription:
+		a.submitDescription(in)
 	case Look:
-		a.look(in)
+		a.handlePageRequest(in)
 	default:
 		return false
 	}
@@ -190,20 +190,20 @@
 func (a *application) InputWhileRetired(input any) {
 	switch in := input.(type) {
 	case Look:
-		a.look(in)
-	case HandOver:
-		a.drop(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
+		a.handlePageRequest(in)
+	case SubmitDescription:
+		a.reject(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
 	}
 }
 
 // Tick does what is due by time.
 func (a *application) Tick(consensus.Host) {
-	a.tickOffer()
-	a.tickIndex()
-	a.tickDuty()
+	a.advanceProposal()
+	a.runIndexTimers()
+	a.runPrimary()
 }
 
-func (a *application) count(kind errkind.Kind) { a.host.Count(string(kind)) }
+func (a *application) countKind(kind errkind.Kind) { a.host.Count(string(kind)) }
 
 // state is the ledger in memory; a snapshot replaces it, so it must not be kept.
 func (a *application) state() *ledger.State { return a.host.Ledger().(*ledger.State) }
--- a/internal/native/controller/daemon.go
+++ b/internal/native/controller/daemon.go
@@ -119,9 +119,9 @@
 }
 
 func (d *Daemon) put(w http.ResponseWriter, r *http.Request) {
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, description.Most))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, description.MaxBytes))
 	if err != nil {
-		errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.Most)}.Write(w)
+		errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.MaxBytes)}.Write(w)
 		return
 	}
 	given := strings.Trim(r.Header.Get("If-Match"), `"`)
@@ -135,14 +135,14 @@
 		return
 	}
 	answer, ok := d.ask(r, answerMs, func(id uint64) any {
-		return HandOver{ID: id, Base: base, Text: string(text), Part: r.Method == http.MethodPatch}
+		return SubmitDescription{ID: id, Base: base, Text: string(text), Partial: r.Method == http.MethodPatch}
 	})
 	if !ok {
 		errkind.ErrorBody{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; read the description to find out"}.Write(w)
 		return
 	}
 	switch said := answer.(type) {
-	case Accepted:
+	case DescriptionAccepted:
 		w.Header().Set("ETag", fmt.Sprintf("%q", strconv.FormatUint(said.Revision, 10)))
 		writeJSON(w, said)
 	case protocol.Rejection:
@@ -150,9 +150,9 @@
 	}
 }
 
-func (d *Daemon) described(w http.ResponseWriter, r *http.Request) (Described, bool) {
+func (d *Daemon) described(w http.ResponseWriter, r *http.Request) (DescriptionReply, bool) {
 	answer, ok := d.ask(r, lookUpMs, func(id uint64) any { return Look{ID: id, Page: "description"} })
-	said, right := answer.(Described)
+	said, right := answer.(DescriptionReply)
 	if !ok || !right {
 		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "no answer in time"}.Write(w)
 		return said, false
@@ -166,7 +166,7 @@
 		return
 	}
 	// Only the primary knows what is in force; a follower may be late.
-	if !said.Sure {
+	if !said.Authoritative {
 		errkind.ErrorBody{Kind: errkind.NotPrimary, Detail: "the primary knows the description in force", Primary: said.Primary}.Write(w)
 		return
 	}
@@ -181,7 +181,7 @@
 
 func (d *Daemon) history(w http.ResponseWriter, r *http.Request) {
 	if said, ok := d.described(w, r); ok {
-		writeJSON(w, map[string]any{"revisions": said.Past, "sure": said.Sure})
+		writeJSON(w, map[string]any{"revisions": said.History, "sure": said.Authoritative})
 	}
 }
 
--- a/internal/native/controller/helpers_test.go
+++ b/internal/native/controller/helpers_test.go
@@ -51,7 +51,7 @@
 	a, b, c := memberID("a", "1"), memberID("b", "1"), memberID("c", "1")
 	set := []protocol.MemberID{a, b, c}
 	state := statetable.New(ledger.New())
-	accept := ledger.Batch{ledger.Accept{Text: testDescription, Epoch: 1}}
+	accept := ledger.Batch{ledger.AcceptRevision{Text: testDescription, Epoch: 1}}
 	state.Apply(protocol.Position{Epoch: 1, Number: 1}, []statetable.Command{accept})
 	disk := state.Snapshot()
 	disk["record"] = encode(t, map[string]any{
--- a/internal/native/controller/index.go
+++ b/internal/native/controller/index.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// waitingMs is how long a router that asked is told of a change.
-	waitingMs   = 10_000
-	demandMs    = 500
-	waitingMost = 4096
+	// notifyWindowMs is how long a router that asked is told of a change.
+	notifyWindowMs   = 10_000
+	demandIntervalMs = 500
+	maxWaitingKeys   = 4096
 )
 
 // index is the placement index as it answers routers. Any controller that
 // follows answers; only the primary acts on the demand.
 type index struct {
-	looked  uint64
-	waiting map[choice.Key]map[string]int64
-	counts  map[string]int64
-	toldMs  int64
+	lookUps       uint64
+	waiting       map[choice.Key]map[string]int64
+	pendingDemand map[string]int64
+	demandSentMs  int64
 }
 
-func (a *application) ageMs() int64 {
+func (a *application) dataAgeMs() int64 {
 	if a.host.Active() {
 		return 0
 	}
@@ -31,16 +31,16 @@
 }
 
 func (a *application) lookUp(e protocol.Envelope, ask protocol.LookUp) {
-	a.index.looked++
+	a.index.lookUps++
 	key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: a.host.Position(), AgeMs: a.ageMs(), Behind: a.described == nil}
-	if a.described != nil {
-		if service, ok := a.described.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
-			a.index.counts[key.String()]++
-			line := a.table.Look(key, a.described, a.host.Position(), a.state(), a.softNow())
+	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: a.host.Position(), AgeMs: a.dataAgeMs(), Behind: a.description == nil}
+	if a.description != nil {
+		if service, ok := a.description.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
+			a.index.pendingDemand[key.String()]++
+			line := a.table.LookUp(key, a.description, a.host.Position(), a.state(), a.currentHints())
 			answer.Holders, answer.Loading = line.Holders, line.Loading
-			answer.TurnMs = turnOf(a.softNow(), key, line)
-			if len(line.Holders) == 0 && len(a.index.waiting) < waitingMost {
+			answer.TurnMs = waitEstimate(a.currentHints(), key, line)
+			if len(line.Holders) == 0 && len(a.index.waiting) < maxWaitingKeys {
 				if a.index.waiting[key] == nil {
 					a.index.waiting[key] = map[string]int64{}
 				}
@@ -51,24 +51,24 @@
 	a.host.Send(e.From, answer)
 }
 
-// turnOf is the turn of a key that no runner holds.
-func turnOf(soft protocol.Hints, key choice.Key, line choice.Line) int64 {
+// waitEstimate is the turn of a key that no runner holds.
+func waitEstimate(soft protocol.Hints, key choice.Key, line choice.Entry) int64 {
 	if len(line.Holders) > 0 {
 		return 0
 	}
 	return soft.Turns[key.Item().String()]
 }
 
-func (a *application) softNow() protocol.Hints {
+func (a *application) currentHints() protocol.Hints {
 	if a.host.IsPrimary() {
-		return a.duty.soft(a.host.NowMs())
+		return a.primary.hints(a.host.NowMs())
 	}
 	return a.hints
 }
 
-// tellWaiting tells routers that asked lately of what has become loaded.
-func (a *application) tellWaiting() {
-	if a.described == nil {
+// notifyWaiting tells routers that asked lately of what has become loaded.
+func (a *application) notifyWaiting() {
+	if a.description == nil {
 		return
 	}
 	keys := make([]choice.Key, 0, len(a.index.waiting))
@@ -80,18 +80,18 @@
 	for _, key := range keys {
 		routers := a.index.waiting[key]
 		for name, atMs := range routers {
-			if a.host.NowMs()-atMs > waitingMs {
+			if a.host.NowMs()-atMs > notifyWindowMs {
 				delete(routers, name)
 			}
 		}
-		line := choice.Line{}
+		line := choice.Entry{}
 		if len(routers) > 0 {
-			line = a.table.Look(key, a.described, a.host.Position(), a.state(), a.softNow())
+			line = a.table.LookUp(key, a.description, a.host.Position(), a.state(), a.currentHints())
 		}
 		if len(line.Holders) > 0 {
 			for _, place := range a.host.Known(protocol.RoleRouter) {
 				if _, asked := routers[place.Name]; asked {
-					a.host.Send(place, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), AgeMs: a.ageMs(), Holders: line.Holders})
+					a.host.Send(place, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), AgeMs: a.dataAgeMs(), Holders: line.Holders})
 				}
 			}
 		}
@@ -101,48 +101,48 @@
 	}
 }
 
-// tellWaited tells a router what is loaded of what its requests wait for.
-func (a *application) tellWaited(to protocol.Node, keys []protocol.LookUp) {
-	if a.described == nil {
+// answerWaiting tells a router what is loaded of what its requests wait for.
+func (a *application) answerWaiting(to protocol.Node, keys []protocol.LookUp) {
+	if a.description == nil {
 		return
 	}
 	for _, ask := range keys {
 		key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-		line := a.table.Look(key, a.described, a.host.Position(), a.state(), a.softNow())
+		line := a.table.LookUp(key, a.description, a.host.Position(), a.state(), a.currentHints())
 		if len(line.Holders) > 0 {
 			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Holders: line.Holders})
 			continue
 		}
-		if turnMs := turnOf(a.softNow(), key, line); turnMs > 0 {
+		if turnMs := waitEstimate(a.currentHints(), key, line); turnMs > 0 {
 			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Loading: line.Loading, TurnMs: turnMs})
 		}
-		if service, ok := a.described.Service(ask.Service); ok && service.Allows(ask.Model) {
-			a.duty.waited(a.host.NowMs(), ask.Model, ask.Adapter)
+		if service, ok := a.description.Service(ask.Service); ok && service.Allows(ask.Model) {
+			a.primary.noteWaiting(a.host.NowMs(), ask.Model, ask.Adapter)
 		}
 	}
 }
 
-// tickIndex brings the demand to the primary.
-func (a *application) tickIndex() {
-	if a.host.NowMs()-a.index.toldMs < demandMs {
+// runIndexTimers brings the demand to the primary.
+func (a *application) runIndexTimers() {
+	if a.host.NowMs()-a.index.demandSentMs < demandIntervalMs {
 		return
 	}
-	a.index.toldMs = a.host.NowMs()
+	a.index.demandSentMs = a.host.NowMs()
 	// Burdens and darkness are not rows, so the table is compiled anew at times.
-	a.table.Forget()
-	a.tellWaiting()
-	if len(a.index.counts) == 0 {
+	a.table.Invalidate()
+	a.notifyWaiting()
+	if len(a.index.pendingDemand) == 0 {
 		return
 	}
-	demand := protocol.DemandReport{Counts: a.index.counts}
-	a.index.counts = map[string]int64{}
+	demand := protocol.DemandReport{Counts: a.index.pendingDemand}
+	a.index.pendingDemand = map[string]int64{}
 	if primary := a.host.Primary(); primary.Name != "" {
 		a.host.Send(primary, demand)
 	}
 }
 
-func (a *application) demanded(said protocol.DemandReport) {
+func (a *application) handleDemandReport(said protocol.DemandReport) {
 	if a.host.IsPrimary() {
-		a.duty.demanded(a.host.NowMs(), said)
+		a.primary.addDemandReport(a.host.NowMs(), said)
 	}
 }
--- a/internal/native/controller/index_test.go
+++ b/internal/native/controller/index_test.go
@@ -45,20 +45,20 @@
 		}, "v", "m", 2, false, 0, true},
 		{"held by a leaver", func(p *testPrimary) {
 			p.state().Rows["r"].Held["m"] = item
-			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, "v", "m", 0, false, 0, true},
 		{"held by a dark one", func(p *testPrimary) {
 			p.state().Rows["r"].Held["m"] = item
-			p.duty.seen["r"].okMs = p.nowMs() - darkMs - 100
+			p.primary.runners["r"].reportedMs = p.nowMs() - runnerTimeoutMs - 100
 		}, "v", "m", 0, false, 0, true},
 		{"being loaded", func(p *testPrimary) {
-			p.state().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionLoad, Model: "m", Size: 6}
+			p.state().Rows["r"].Order = &ledger.OpenOrder{Action: protocol.ActionLoad, Model: "m", Size: 6}
 		}, "v", "m", 0, true, 0, true},
 		{"being unloaded", func(p *testPrimary) {
 			p.state().Rows["r"].Held["m"] = item
-			p.state().Rows["r"].Intent = &ledger.Intent{Action: protocol.ActionUnload, Model: "m"}
+			p.state().Rows["r"].Order = &ledger.OpenOrder{Action: protocol.ActionUnload, Model: "m"}
 		}, "v", "m", 0, false, 0, true},
-		{"its turn is known", func(p *testPrimary) { p.duty.turns = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
+		{"its turn is known", func(p *testPrimary) { p.primary.waitEstimatesMs = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
 		{"no such service", func(*testPrimary) {}, "x", "m", 0, false, 0, false},
 		{"not a model of the service", func(*testPrimary) {}, "v", "x", 0, false, 0, false},
 	}
@@ -66,7 +66,7 @@
 		t.Run(test.about, func(t *testing.T) {
 			p := newPlacingPrimary(t)
 			test.do(p)
-			p.table.Forget()
+			p.table.Invalidate()
 			answers := asks(p, p.nowMs()+1, test.service, test.model)
 			qt.Assert(t, answers, qt.HasLen, 1)
 			got := answers[0]
@@ -74,7 +74,7 @@
 			qt.Assert(t, got.Holders, qt.HasLen, test.holders)
 			qt.Assert(t, got.Loading, qt.Equals, test.loading)
 			qt.Assert(t, got.TurnMs, qt.Equals, test.turnMs)
-			qt.Assert(t, p.index.counts[test.service+"/"+test.model+"/"] == 1, qt.Equals, test.counted)
+			qt.Assert(t, p.index.pendingDemand[test.service+"/"+test.model+"/"] == 1, qt.Equals, test.counted)
 		})
 	}
 }
@@ -85,12 +85,12 @@
 	nowMs := p.nowMs() + 1
 	qt.Assert(t, asks(p, nowMs, "v", "m")[0].Holders, qt.HasLen, 0)
 	p.state().Rows["r"].Held["m"] = ledger.Holding{Size: 6}
-	p.table.Forget()
+	p.table.Invalidate()
 	told := 0
 	for range 40 {
 		nowMs += 50
-		for _, s := range p.duty.seen {
-			s.okMs = nowMs
+		for _, s := range p.primary.runners {
+			s.reportedMs = nowMs
 		}
 		for _, index := range indexed(p.step(nowMs, protocol.Tick{})) {
 			qt.Assert(t, index.Holders, qt.HasLen, 1)
--- a/internal/native/controller/pace_test.go
+++ b/internal/native/controller/limiter_test.go
@@ -21,15 +21,15 @@
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
-			p, taken, nowMs := pace{}, 0, int64(0)
+			p, taken, nowMs := loadLimiter{}, 0, int64(0)
 			for range test.tries {
 				nowMs += test.stepMs
-				if p.take(nowMs, test.perTenSec) {
+				if p.tryAcquire(nowMs, test.perTenSec) {
 					taken++
 				}
 			}
 			qt.Assert(t, taken, qt.Equals, test.taken)
-			qt.Assert(t, p.ready(nowMs, test.perTenSec), qt.IsFalse)
+			qt.Assert(t, p.canAcquire(nowMs, test.perTenSec), qt.IsFalse)
 		})
 	}
 }
--- a/internal/native/controller/place_test.go
+++ b/internal/native/controller/placement_test.go
@@ -19,10 +19,10 @@
 	text := strings.Replace(testDescription, `{"name": "m", "size": 6, "copies": 1}`, `{"name": "m", "size": 6}, {"name": "n", "size": 6}`, 1)
 	d, faults := description.Read([]byte(strings.Replace(text, `"models": ["m"]`, `"models": ["m", "n"]`, 1)), "s")
 	qt.Assert(t, faults, qt.HasLen, 0)
-	p.described = d
+	p.description = d
 	for _, name := range []string{"r", "q"} {
-		p.state().Rows[name] = &ledger.Row{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
-		p.duty.seen[name] = &seenRunner{okMs: p.nowMs(), fencedMs: 1, since: map[string]int64{}}
+		p.state().Rows[name] = &ledger.RunnerRow{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
+		p.primary.runners[name] = &runnerState{reportedMs: p.nowMs(), fencedMs: 1, heldSinceMs: map[string]int64{}}
 	}
 	return p
 }
@@ -37,36 +37,36 @@
 		items []string
 	}{
 		{"nobody asks", func(*testPrimary) {}, nil},
-		{"one is asked for", func(p *testPrimary) { p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1) }, []string{"m"}},
+		{"one is asked for", func(p *testPrimary) { p.primary.addDemand(p.nowMs(), ledger.Item{Model: "m"}, 1) }, []string{"m"}},
 		{"it is held", func(p *testPrimary) {
-			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1)
+			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
 		}, nil},
 		{"its runner is dark", func(p *testPrimary) {
-			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, 1)
+			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
-			p.duty.seen["r"].okMs = p.nowMs() - darkMs - 1
+			p.primary.runners["r"].reportedMs = p.nowMs() - runnerTimeoutMs - 1
 		}, []string{"m"}},
-		{"it was asked for a while ago", func(p *testPrimary) { p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1) }, nil},
+		{"it was asked for a while ago", func(p *testPrimary) { p.primary.addDemand(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1) }, nil},
 		{"and goes with its runner", func(p *testPrimary) {
-			p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
+			p.primary.addDemand(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
-			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, []string{"m"}},
 		{"goes with one runner and is held by another", func(p *testPrimary) {
-			p.duty.want(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
+			p.primary.addDemand(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"], p.state().Rows["q"].Held["m"] = held, held
-			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"goes with its runner, and nobody has asked for long", func(p *testPrimary) {
-			p.duty.want(p.nowMs()-60_000, ledger.Item{Model: "m"}, 1)
+			p.primary.addDemand(p.nowMs()-60_000, ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
-			p.state().Marks[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
+			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
 		{"a crowd earns a second copy, after first ones", func(p *testPrimary) {
-			p.duty.want(p.nowMs(), ledger.Item{Model: "m"}, busyScore)
+			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "m"}, secondReplicaScore)
 			p.state().Rows["r"].Held["m"] = held
-			p.duty.want(p.nowMs(), ledger.Item{Model: "n"}, 1)
+			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "n"}, 1)
 		}, []string{"n", "m"}},
 	}
 	for _, test := range cases {
@@ -94,36 +94,36 @@
 	}{
 		{"where there is room", func(p *testPrimary) { p.state().Rows["r"].Held["n"] = held }, true, "q", protocol.ActionLoad},
 		{"not where the report says something else", func(p *testPrimary) {
-			p.duty.seen["r"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
-			p.duty.seen["q"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
+			p.primary.runners["r"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
+			p.primary.runners["q"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
 		}, false, "", ""},
 		{"not where an order of someone else is under way", func(p *testPrimary) {
-			p.duty.seen["r"].report.LastState = protocol.OrderUnderWay
-			p.duty.seen["q"].report.LastState = protocol.OrderUnderWay
+			p.primary.runners["r"].report.LastState = protocol.OrderUnderWay
+			p.primary.runners["q"].report.LastState = protocol.OrderUnderWay
 		}, false, "", ""},
 		{"not where a late order may still come", func(p *testPrimary) {
-			p.duty.seen["r"].fencedMs, p.duty.seen["q"].fencedMs = p.nowMs(), 0
+			p.primary.runners["r"].fencedMs, p.primary.runners["q"].fencedMs = p.nowMs(), 0
 		}, false, "", ""},
 		{"nothing goes before its stay is over", func(p *testPrimary) {
 			for _, name := range []string{"r", "q"} {
 				p.state().Rows[name].Held["n"] = held
-				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
-				p.duty.seen[name].since["n"] = p.nowMs() - stayMs + 1
+				p.primary.runners[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+				p.primary.runners[name].heldSinceMs["n"] = p.nowMs() - minResidenceMs + 1
 			}
 		}, false, "", ""},
 		{"the second copy goes once it is", func(p *testPrimary) {
 			for _, name := range []string{"r", "q"} {
 				p.state().Rows[name].Held["n"] = held
-				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
-				p.duty.seen[name].since["n"] = p.nowMs() - stayMs
+				p.primary.runners[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+				p.primary.runners[name].heldSinceMs["n"] = p.nowMs() - minResidenceMs
 			}
 		}, true, "r", protocol.ActionUnload},
 		{"what operators want held stays", func(p *testPrimary) {
-			p.described.Models[1].Copies = 2
+			p.description.Models[1].Copies = 2
 			for _, name := range []string{"r", "q"} {
 				p.state().Rows[name].Held["n"] = held
-				p.duty.seen[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
-				p.duty.seen[name].since["n"] = p.nowMs() - stayMs
+				p.primary.runners[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+				p.primary.runners[name].heldSinceMs["n"] = p.nowMs() - minResidenceMs
 			}
 		}, false, "", ""},
 	}
@@ -134,18 +134,18 @@
 			p.state().Rows["r"].Held, p.state().Rows["q"].Held = map[string]ledger.Holding{}, map[string]ledger.Holding{}
 			test.do(p)
 			if test.about == "where there is room" {
-				p.duty.seen["r"].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
+				p.primary.runners["r"].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 			}
-			p.duty.pace.tokens = 1
-			p.takeShares()
-			placed := p.placeOne(need{item: ledger.Item{Model: "m"}, size: 6, wanted: 1, score: 5})
+			p.primary.loadLimiter.tokens = 1
+			p.measureShares()
+			placed := p.placeNeed(need{item: ledger.Item{Model: "m"}, size: 6, wantedReplicas: 1, score: 5})
 			qt.Assert(t, placed, qt.Equals, test.placed)
 			for name, row := range p.state().Rows {
 				if name != test.runner {
-					qt.Assert(t, row.Intent, qt.IsNil)
+					qt.Assert(t, row.Order, qt.IsNil)
 					continue
 				}
-				qt.Assert(t, row.Intent.Action, qt.Equals, test.action)
+				qt.Assert(t, row.Order.Action, qt.Equals, test.action)
 			}
 		})
 	}
--- a/internal/native/controller/offer_test.go
+++ b/internal/native/controller/proposals_test.go
@@ -13,8 +13,8 @@
 // and for a majority of the listed routers.
 func TestRoutersReady(t *testing.T) {
 	const nowMs = 10_000
-	holds := func(seats map[protocol.MemberID]routerHold) map[protocol.MemberID]*routerHold {
-		out := map[protocol.MemberID]*routerHold{}
+	holds := func(seats map[protocol.MemberID]routerLease) map[protocol.MemberID]*routerLease {
+		out := map[protocol.MemberID]*routerLease{}
 		for s, hold := range seats {
 			out[s] = &hold
 		}
@@ -22,28 +22,28 @@
 	}
 	cases := []struct {
 		about string
-		holds map[protocol.MemberID]routerHold
+		holds map[protocol.MemberID]routerLease
 		ready bool
 	}{
 		{"nobody was heard", nil, false},
-		{"all acknowledged", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "t"}, memberID("b", "1"): {acked: "t"}, memberID("c", "1"): {acked: "t"}}, true},
-		{"one may still use the old", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "t"}, memberID("b", "1"): {acked: "t"}, memberID("c", "1"): {untilMs: nowMs + 1}}, false},
-		{"its lease has run out", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "t"}, memberID("b", "1"): {acked: "t"}, memberID("c", "1"): {untilMs: nowMs}}, true},
-		{"no majority", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "t"}, memberID("b", "1"): {untilMs: nowMs}, memberID("c", "1"): {untilMs: nowMs}}, false},
-		{"what was given to peers may run", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "t", givenMs: nowMs + 1}, memberID("b", "1"): {acked: "t"}}, false},
-		{"that was waited out", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "t", givenMs: nowMs}, memberID("b", "1"): {acked: "t"}}, true},
-		{"acknowledged was another offer", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "u"}, memberID("b", "1"): {acked: "t"}}, false},
-		{"an old process of a name may still use the old", map[protocol.MemberID]routerHold{memberID("a", "1"): {untilMs: nowMs + 1}, memberID("a", "2"): {acked: "t"}, memberID("b", "1"): {acked: "t"}}, false},
-		{"one who is not listed is no part of the majority", map[protocol.MemberID]routerHold{memberID("a", "1"): {acked: "t"}, memberID("x", "1"): {acked: "t"}}, false},
+		{"all acknowledged", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("b", "1"): {acknowledged: "t"}, memberID("c", "1"): {acknowledged: "t"}}, true},
+		{"one may still use the old", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("b", "1"): {acknowledged: "t"}, memberID("c", "1"): {untilMs: nowMs + 1}}, false},
+		{"its lease has run out", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("b", "1"): {acknowledged: "t"}, memberID("c", "1"): {untilMs: nowMs}}, true},
+		{"no majority", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("b", "1"): {untilMs: nowMs}, memberID("c", "1"): {untilMs: nowMs}}, false},
+		{"what was given to peers may run", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t", extendedUntilMs: nowMs + 1}, memberID("b", "1"): {acknowledged: "t"}}, false},
+		{"that was waited out", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t", extendedUntilMs: nowMs}, memberID("b", "1"): {acknowledged: "t"}}, true},
+		{"acknowledged was another offer", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "u"}, memberID("b", "1"): {acknowledged: "t"}}, false},
+		{"an old process of a name may still use the old", map[protocol.MemberID]routerLease{memberID("a", "1"): {untilMs: nowMs + 1}, memberID("a", "2"): {acknowledged: "t"}, memberID("b", "1"): {acknowledged: "t"}}, false},
+		{"one who is not listed is no part of the majority", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("x", "1"): {acknowledged: "t"}}, false},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			_, a, err := newController(Settings{Site: "s", Self: controllerNode("a", "z")}, map[string]string{}, nowMs)
 			qt.Assert(t, err, qt.IsNil)
-			a.described = &description.Description{Routers: []description.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
-			a.offer.pending = &candidate{token: "t"}
-			a.offer.holds = holds(test.holds)
-			qt.Assert(t, a.routersReady(), qt.Equals, test.ready)
+			a.description = &description.Description{Routers: []description.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}}
+			a.proposals.pending = &proposal{token: "t"}
+			a.proposals.leases = holds(test.holds)
+			qt.Assert(t, a.proposalAcknowledged(), qt.Equals, test.ready)
 		})
 	}
 }
@@ -51,8 +51,8 @@
 // Of two processes of a name the one that registered last stays. A question
 // that shows no number proves nothing: its sender may be long gone.
 func TestRegister(t *testing.T) {
-	var o offer
-	o.forget()
+	var o proposals
+	o.resetRouters()
 	old, fresh := memberID("e", "old"), memberID("e", "fresh")
 	first, retired := o.register(7, old, 0)
 	qt.Assert(t, retired, qt.IsFalse)
@@ -66,10 +66,10 @@
 	_, retired = o.register(7, old, first)
 	qt.Assert(t, retired, qt.IsTrue)
 	// The next primacy gives other numbers, so an old one shows nothing there.
-	o.forget()
+	o.resetRouters()
 	number, _ := o.register(8, old, first)
 	qt.Assert(t, number, qt.Not(qt.Equals), first)
-	qt.Assert(t, o.latest["e"], qt.Equals, uint64(0))
+	qt.Assert(t, o.newestNumber["e"], qt.Equals, uint64(0))
 }
 
 // A description that comes right after the primary's lease has run out, before
@@ -77,10 +77,10 @@
 func TestNoDescriptionAfterTheLease(t *testing.T) {
 	p := newTestPrimary(t)
 	p.silent = true
-	base := p.offer.current.Number
+	base := p.proposals.current.Number
 	p.step(p.host.LeaseUntilMs()-1, protocol.Tick{})
 	qt.Assert(t, p.host.IsPrimary(), qt.IsTrue)
-	effects := p.step(p.host.LeaseUntilMs(), HandOver{ID: 3, Base: base, Text: testDescription})
+	effects := p.step(p.host.LeaseUntilMs(), SubmitDescription{ID: 3, Base: base, Text: testDescription})
 	qt.Assert(t, p.host.IsPrimary(), qt.IsFalse)
 	qt.Assert(t, effects.Responses, qt.HasLen, 1)
 	qt.Assert(t, effects.Responses[0].Body.(protocol.Rejection).Kind.Response().NotExecuted, qt.IsTrue)
--- a/internal/native/controller/status.go
+++ b/internal/native/controller/status.go
@@ -34,7 +34,7 @@
 	Pending  uint64                   `json:"pending"`
 	LookUps  uint64                   `json:"lookUps"`
 	Peers    []consensus.PeerStatus   `json:"fellows"`
-	Rows     []*ledger.Row            `json:"rows"`
+	Rows     []*ledger.RunnerRow      `json:"rows"`
 	Leaving  []protocol.LeavingRunner `json:"leaving"`
 	Platform int64                    `json:"platformAgeMs"`
 	Routers  []RouterStatus           `json:"routers"`
@@ -47,21 +47,21 @@
 	Acked  string `json:"acked,omitempty"`
 }
 
-// Described answers a look at the description.
-type Described struct {
-	Revision ledger.Revision
-	Sure     bool
-	Primary  string
-	Past     []ledger.Past
+// DescriptionReply answers a look at the description.
+type DescriptionReply struct {
+	Revision      ledger.Revision
+	Authoritative bool
+	Primary       string
+	History       []ledger.HistoryEntry
 }
 
-func (a *application) look(in Look) {
+func (a *application) handlePageRequest(in Look) {
 	if in.Page != "status" {
 		revision := a.state().Revision
 		if a.host.IsPrimary() {
-			revision = a.offer.current
+			revision = a.proposals.current
 		}
-		a.host.Answer(in.ID, Described{Revision: revision, Sure: a.host.Active(), Primary: a.host.Record().Primary, Past: append([]ledger.Past{}, a.state().Past...)})
+		a.host.Answer(in.ID, DescriptionReply{Revision: revision, Authoritative: a.host.Active(), Primary: a.host.Record().Primary, History: append([]ledger.HistoryEntry{}, a.state().History...)})
 		return
 	}
 	member := a.host.MemberStatus()
@@ -69,22 +69,22 @@
 		Site: a.settings.Site, Name: a.host.Self().Name, Part: a.host.Self().Part, Incarnation: a.host.Self().Incarnation,
 		Role: member.Role, Active: a.host.Active(), Orders: a.mayOrder(), DiskBroken: member.DiskBroken, Retired: member.Retired,
 		WitnessBlank: member.WitnessBlank, Record: a.host.Record(), Away: member.Away, Peers: member.Peers, Position: a.host.Position(), Revision: a.state().Revision.Number,
-		LookUps: a.index.looked, Platform: -1,
+		LookUps: a.index.lookUps, Platform: -1,
 	}
-	if a.offer.pending != nil {
-		s.Pending = a.offer.pending.number
+	if a.proposals.pending != nil {
+		s.Pending = a.proposals.pending.number
 	}
 	// The page is read on another thread, so it gets rows of its own.
 	for _, row := range a.state().Copy().Rows {
 		s.Rows = append(s.Rows, row)
 	}
 	sort.Slice(s.Rows, func(i, j int) bool { return s.Rows[i].Runner < s.Rows[j].Runner })
-	s.Leaving = a.duty.marks(a.state())
-	if a.host.IsPrimary() && a.duty.platformOkMs > 0 {
-		s.Platform = a.host.NowMs() - a.duty.platformOkMs
+	s.Leaving = a.primary.leavingRunners(a.state())
+	if a.host.IsPrimary() && a.primary.listReceivedMs > 0 {
+		s.Platform = a.host.NowMs() - a.primary.listReceivedMs
 	}
-	for seat, hold := range a.offer.holds {
-		s.Routers = append(s.Routers, RouterStatus{seat.Name, hold.untilMs - a.host.NowMs(), hold.acked})
+	for seat, hold := range a.proposals.leases {
+		s.Routers = append(s.Routers, RouterStatus{seat.Name, hold.untilMs - a.host.NowMs(), hold.acknowledged})
 	}
 	sort.Slice(s.Routers, func(i, j int) bool { return s.Routers[i].Name < s.Routers[j].Name })
 	a.host.Answer(in.ID, s)
--- /dev/null
+++ b/internal/native/controller/waits_test.go
@@ -0,0 +1,63 @@
+package controller
+
+import (
+	"testing"
+
+	qt "github.com/frankban/quicktest"
+
+	"myrtlewinch/internal/native/ledger"
+)
+
+// Turns are worked out by the pace, and by how long things stay once the room
+// is taken; they grow along the line and are bounded.
+func TestTakeTurns(t *testing.T) {
+	p := newTestPrimary(t)
+	p.description.Store.LoadsPer10s = 10
+	p.primary.listed = nil
+	for i := range p.description.Runners {
+		name := p.description.Runners[i].Name
+		p.state().Rows[name] = &ledger.RunnerRow{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
+		p.primary.runners[name] = &runnerState{reportedMs: p.nowMs(), fencedMs: 1}
+	}
+	line := func(count int, size int64) []need {
+		var needs []need
+		for i := range count {
+			needs = append(needs, need{item: ledger.Item{Model: string(rune('a' + i))}, size: size, wantedReplicas: 1})
+		}
+		return needs
+	}
+	cases := []struct {
+		about  string
+		needs  []need
+		lastMs int64
+	}{
+		{"one, with room", line(1, 5), initialLoadMs + 1111},
+		{"four, with room for all", line(4, 5), initialLoadMs + 4*1111},
+		{"six, two of them beyond the room", line(6, 5), initialLoadMs + 6*1111 + 2*((minResidenceMs+initialLoadMs)*5/20-1111)},
+		{"more than is worth telling", line(26, 20), maxWaitEstimateMs},
+	}
+	for _, test := range cases {
+		p.estimateWaits(test.needs)
+		qt.Assert(t, p.primary.waitEstimatesMs, qt.HasLen, len(test.needs), qt.Commentf(test.about))
+		beforeMs := int64(0)
+		for _, n := range test.needs {
+			turnMs := p.primary.waitEstimatesMs[n.item.String()]
+			qt.Assert(t, turnMs >= beforeMs, qt.IsTrue, qt.Commentf(test.about))
+			beforeMs = turnMs
+		}
+		qt.Assert(t, beforeMs, qt.Equals, test.lastMs, qt.Commentf(test.about))
+	}
+}
+
+// Who was told when to come back is still wanted then.
+func TestPlacesAreKept(t *testing.T) {
+	p := newTestPrimary(t)
+	item := ledger.Item{Model: "m"}
+	p.primary.addDemand(p.nowMs(), item, 1)
+	p.estimateWaits([]need{{item: item, size: 6, wantedReplicas: 1, score: 1}})
+	w := p.primary.demand[item]
+	turnMs := p.primary.waitEstimatesMs["m"]
+	qt.Assert(t, turnMs > 0, qt.IsTrue)
+	qt.Assert(t, w.wanted(p.nowMs()+turnMs+returnGraceMs-1), qt.IsTrue)
+	qt.Assert(t, w.wanted(p.nowMs()+turnMs+returnGraceMs+1), qt.IsFalse)
+}
--- a/internal/native/description/description.go
+++ b/internal/native/description/description.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Most bounds the size of a document in bytes.
-const Most = 1 << 20
+// MaxBytes bounds the size of a document in bytes.
+const MaxBytes = 1 << 20
 
 // Member is a daemon that counts at the site.
 type Member struct {
@@ -37,13 +37,13 @@
 // Service is a kind of request.
 type Service struct {
 	Name       string   `json:"name"`
-	Telling    bool     `json:"telling,omitempty"`
-	Repeatable bool     `json:"repeatable,omitempty"`
+	Streaming  bool     `json:"telling,omitempty"`
+	Idempotent bool     `json:"repeatable,omitempty"`
 	Pools      []string `json:"pools"`
 	Models     []string `json:"models,omitempty"`
 	DeadlineMs int64    `json:"deadlineMs"`
-	BytesMost  int64    `json:"bytesMost"`
-	Holding    int64    `json:"holding"`
+	MaxBytes   int64    `json:"bytesMost"`
+	MaxQueued  int64    `json:"holding"`
 }
 
 // Store is the weight store's pace.
@@ -61,8 +61,8 @@
 	Adapters    []Item    `json:"adapters,omitempty"`
 	Services    []Service `json:"services"`
 	Store       Store     `json:"store"`
-	// SecondGoes is the allowance of second goes per service over all routers.
-	SecondGoes int64 `json:"secondGoes"`
+	// RetryAllowance is the allowance of second goes per service over all routers.
+	RetryAllowance int64 `json:"secondGoes"`
 
 	services map[string]int
 	models   map[string]int
@@ -70,7 +70,7 @@
 	runners  map[string]int
 }
 
-var parts = []string{"site", "controllers", "routers", "runners", "models", "adapters", "services", "store", "secondGoes"}
+var topLevelFields = []string{"site", "controllers", "routers", "runners", "models", "adapters", "services", "store", "secondGoes"}
 
 // Read checks a whole document for a site. With any fault there is none.
 func Read(text []byte, site string) (*Description, []string) {
@@ -80,7 +80,7 @@
 		return nil, r.faults
 	}
 	d := &Description{}
-	top := r.object(root, parts...)
+	top := r.object(root, topLevelFields...)
 	d.Site = r.name(top.values["site"])
 	if d.Site != "" && d.Site != site {
 		r.fault("site", "is %q; this site is %q", d.Site, site)
@@ -92,8 +92,8 @@
 	d.Adapters = items(r, top.values["adapters"], true)
 	d.readServices(r, top.values["services"])
 	store := r.object(top.values["store"], "loadsPer10s")
-	d.Store.LoadsPer10s = r.whole(store.values["loadsPer10s"], 1, 100_000, 0)
-	d.SecondGoes = r.whole(top.values["secondGoes"], 0, 1000, 10)
+	d.Store.LoadsPer10s = r.integer(store.values["loadsPer10s"], 1, 100_000, 0)
+	d.RetryAllowance = r.integer(top.values["secondGoes"], 0, 1000, 10)
 	d.index()
 	d.check(r, top)
 	if len(r.faults) > 0 {
@@ -107,7 +107,7 @@
 	seen := names{}
 	for _, inner := range r.list(n) {
 		f := r.object(inner, "name", "zone")
-		out = append(out, Member{seen.once(r, f.values["name"]), r.name(f.values["zone"])})
+		out = append(out, Member{seen.unique(r, f.values["name"]), r.name(f.values["zone"])})
 	}
 	if len(out) == 0 {
 		r.fault(n.path, "must list at least one")
@@ -118,7 +118,7 @@
 // names finds doubled names in a list.
 type names map[string]bool
 
-func (s names) once(r *reader, n node) string {
+func (s names) unique(r *reader, n node) string {
 	name := r.name(n)
 	if name != "" && s[name] {
 		r.fault(n.path, "%q is listed twice", name)
@@ -132,10 +132,10 @@
 	for _, inner := range r.list(n) {
 		f := r.object(inner, "name", "pool", "zone", "room")
 		d.Runners = append(d.Runners, Runner{
-			Name: seen.once(r, f.values["name"]),
+			Name: seen.unique(r, f.values["name"]),
 			Pool: r.name(f.values["pool"]),
 			Zone: r.name(f.values["zone"]),
-			Room: r.whole(f.values["room"], 0, 1<<40, 0),
+			Room: r.integer(f.values["room"], 0, 1<<40, 0),
 		})
 	}
 	if len(d.Runners) == 0 {
@@ -153,9 +153,9 @@
 	for _, inner := range r.list(n) {
 		f := r.object(inner, known...)
 		item := Item{
-			Name:   seen.once(r, f.values["name"]),
-			Size:   r.whole(f.values["size"], 1, 1<<40, 0),
-			Copies: r.whole(f.values["copies"], 0, 1000, 0),
+			Name:   seen.unique(r, f.values["name"]),
+			Size:   r.integer(f.values["size"], 1, 1<<40, 0),
+			Copies: r.integer(f.values["copies"], 0, 1000, 0),
 		}
 		if adapter {
 			item.Model = r.name(f.values["model"])
@@ -170,23 +170,23 @@
 	for _, inner := range r.list(n) {
 		f := r.object(inner, "name", "telling", "repeatable", "pools", "models", "deadlineMs", "bytesMost", "holding")
 		s := Service{
-			Name:       seen.once(r, f.values["name"]),
-			Telling:    r.flag(f.values["telling"]),
-			Repeatable: r.flag(f.values["repeatable"]),
-			DeadlineMs: r.whole(f.values["deadlineMs"], 100, 3_600_000, 30_000),
-			BytesMost:  r.whole(f.values["bytesMost"], 16, 16<<20, 64<<10),
-			Holding:    r.whole(f.values["holding"], 1, 100_000, 64),
+			Name:       seen.unique(r, f.values["name"]),
+			Streaming:  r.boolean(f.values["telling"]),
+			Idempotent: r.boolean(f.values["repeatable"]),
+			DeadlineMs: r.integer(f.values["deadlineMs"], 100, 3_600_000, 30_000),
+			MaxBytes:   r.integer(f.values["bytesMost"], 16, 16<<20, 64<<10),
+			MaxQueued:  r.integer(f.values["holding"], 1, 100_000, 64),
 		}
 		pools := names{}
 		for _, pool := range r.list(f.values["pools"]) {
-			s.Pools = append(s.Pools, pools.once(r, pool))
+			s.Pools = append(s.Pools, pools.unique(r, pool))
 		}
 		if len(s.Pools) == 0 {
 			r.fault(f.values["pools"].path, "must list at least one")
 		}
 		models := names{}
 		for _, model := range r.list(f.values["models"]) {
-			s.Models = append(s.Models, models.once(r, model))
+			s.Models = append(s.Models, models.unique(r, model))
 		}
 		d.Services = append(d.Services, s)
 	}
@@ -309,7 +309,7 @@
 	if !ok {
 		return nil, r.faults
 	}
-	r.object(root, parts...)
+	r.object(root, topLevelFields...)
 	if len(r.faults) > 0 {
 		return nil, r.faults
 	}
@@ -326,7 +326,7 @@
 	// The parts keep one order, so that the same content is the same text.
 	var out bytes.Buffer
 	out.WriteString("{")
-	for _, name := range parts {
+	for _, name := range topLevelFields {
 		part, ok := whole[name]
 		if !ok {
 			continue
--- a/internal/native/description/node.go
+++ b/internal/native/description/json.go
@@ -130,7 +130,7 @@
 	return list
 }
 
-const nameMost = 64
+const maxNameBytes = 64
 
 // name reads a plain name: letters, digits, dash, dot, underscore.
 func (r *reader) name(n node) string {
@@ -139,8 +139,8 @@
 		r.fault(n.path, "must be a name")
 		return ""
 	}
-	if len(text) > nameMost {
-		r.fault(n.path, "is longer than %d characters", nameMost)
+	if len(text) > maxNameBytes {
+		r.fault(n.path, "is longer than %d characters", maxNameBytes)
 		return ""
 	}
 	for _, letter := range text {
@@ -154,9 +154,9 @@
 	return text
 }
 
-// whole reads a whole number within bounds; an absent one takes the default
+// integer reads a whole number within bounds; an absent one takes the default
 // where there is one (a default below least means that it must be given).
-func (r *reader) whole(n node, least, most, otherwise int64) int64 {
+func (r *reader) integer(n node, least, most, otherwise int64) int64 {
 	if n.value == nil {
 		if otherwise < least {
 			r.fault(n.path, "must be given")
@@ -176,7 +176,7 @@
 	return value
 }
 
-func (r *reader) flag(n node) bool {
+func (r *reader) boolean(n node) bool {
 	if n.value == nil {
 		return false
 	}
--- a/internal/native/ledger/ledger.go
+++ b/internal/native/ledger/ledger.go
@@ -28,9 +28,9 @@
 	Size int64 `json:"size"`
 }
 
-// Intent is an order whose end is not known yet. Its room is taken until a
+// OpenOrder is an order whose end is not known yet. Its room is taken until a
 // later report of the runner names it.
-type Intent struct {
+type OpenOrder struct {
 	Number  uint64 `json:"number"`
 	Action  string `json:"action"`
 	Model   string `json:"model"`
@@ -38,45 +38,45 @@
 	Size    int64  `json:"size"`
 }
 
-// Row is what the ledger knows of one runner.
-type Row struct {
+// RunnerRow is what the ledger knows of one runner.
+type RunnerRow struct {
 	Runner      string             `json:"runner"`
 	Incarnation string             `json:"incarnation"`
 	Address     string             `json:"address"`
 	Room        int64              `json:"room"`
 	Leaving     bool               `json:"leaving,omitempty"`
 	Held        map[string]Holding `json:"held"`
-	Intent      *Intent            `json:"intent,omitempty"`
+	Order       *OpenOrder         `json:"intent,omitempty"`
 }
 
-// Taken is the room that held, loading, unknown and not yet unloaded things
+// UsedRoom is the room that held, loading, unknown and not yet unloaded things
 // take together.
-func (r *Row) Taken() int64 {
+func (r *RunnerRow) UsedRoom() int64 {
 	var taken int64
 	for _, h := range r.Held {
 		taken += h.Size
 	}
-	if r.Intent != nil && r.Intent.Action == protocol.ActionLoad {
-		taken += r.Intent.Size
+	if r.Order != nil && r.Order.Action == protocol.ActionLoad {
+		taken += r.Order.Size
 	}
 	return taken
 }
 
 // Holds says whether the item is held for certain: an item that is being
 // unloaded is no longer counted on.
-func (r *Row) Holds(item Item) bool {
+func (r *RunnerRow) Holds(item Item) bool {
 	if item.Model == "" {
 		return true
 	}
 	if _, ok := r.Held[item.String()]; !ok {
 		return false
 	}
-	return r.Intent == nil || r.Intent.Action != protocol.ActionUnload ||
-		Item{r.Intent.Model, r.Intent.Adapter} != item
+	return r.Order == nil || r.Order.Action != protocol.ActionUnload ||
+		Item{r.Order.Model, r.Order.Adapter} != item
 }
 
-// Agrees says whether the row holds just what the report says.
-func (r *Row) Agrees(report protocol.RunnerReport) bool {
+// Matches says whether the row holds just what the report says.
+func (r *RunnerRow) Matches(report protocol.RunnerReport) bool {
 	for _, h := range report.Held {
 		if r.Held[Item{h.Model, h.Adapter}.String()].Size != h.Size {
 			return false
@@ -86,8 +86,8 @@
 }
 
 // Loading says whether an order to load the item is on its way.
-func (r *Row) Loading(item Item) bool {
-	return r.Intent != nil && r.Intent.Action == protocol.ActionLoad && Item{r.Intent.Model, r.Intent.Adapter} == item
+func (r *RunnerRow) Loading(item Item) bool {
+	return r.Order != nil && r.Order.Action == protocol.ActionLoad && Item{r.Order.Model, r.Order.Adapter} == item
 }
 
 // Revision is a description that was accepted.
@@ -96,31 +96,31 @@
 	Text   string `json:"text"`
 }
 
-// Past is a line of the history of revisions.
-type Past struct {
+// HistoryEntry is a line of the history of revisions.
+type HistoryEntry struct {
 	Number uint64 `json:"number"`
 	Bytes  int    `json:"bytes"`
 	Sum    string `json:"sum"`
 	Epoch  uint64 `json:"epoch"`
 }
 
-const pastMost = 100
+const maxHistory = 100
 
 // State is the ledger in memory. It is the statetable.Ledger of a controller.
 type State struct {
 	Revision Revision
-	Past     []Past
+	History  []HistoryEntry
 	Orders   uint64
-	Rows     map[string]*Row
-	// Marks are the leaving incarnations; they only grow.
-	Marks map[protocol.LeavingRunner]bool
+	Rows     map[string]*RunnerRow
+	// LeavingRunners are the leaving incarnations; they only grow.
+	LeavingRunners map[protocol.LeavingRunner]bool
 	// dirty are the keys of the rows that the present batch has written.
 	dirty map[string]bool
 }
 
 // New makes an empty ledger.
 func New() *State {
-	return &State{Rows: map[string]*Row{}, Marks: map[protocol.LeavingRunner]bool{}, dirty: map[string]bool{}}
+	return &State{Rows: map[string]*RunnerRow{}, LeavingRunners: map[protocol.LeavingRunner]bool{}, dirty: map[string]bool{}}
 }
 
 // Keys lists the keys of all rows.
@@ -129,8 +129,8 @@
 	for name := range s.Rows {
 		keys = append(keys, "row/"+name)
 	}
-	for mark := range s.Marks {
-		keys = append(keys, markKey(mark))
+	for mark := range s.LeavingRunners {
+		keys = append(keys, leavingKey(mark))
 	}
 	return keys
 }
@@ -142,7 +142,7 @@
 	case key == "revision":
 		value = s.Revision
 	case key == "past":
-		value = s.Past
+		value = s.History
 	case key == "orders":
 		return strconv.FormatUint(s.Orders, 10)
 	case strings.HasPrefix(key, "row/"):
@@ -154,7 +154,7 @@
 	return string(text)
 }
 
-func markKey(mark protocol.LeavingRunner) string {
+func leavingKey(mark protocol.LeavingRunner) string {
 	return "mark/" + mark.Runner + "/" + mark.Incarnation
 }
 
@@ -164,18 +164,18 @@
 	case key == "revision":
 		return json.Unmarshal([]byte(text), &s.Revision)
 	case key == "past":
-		return json.Unmarshal([]byte(text), &s.Past)
+		return json.Unmarshal([]byte(text), &s.History)
 	case key == "orders":
 		number, err := strconv.ParseUint(text, 10, 64)
 		s.Orders = number
 		return err
 	case strings.HasPrefix(key, "row/"):
-		row := &Row{}
+		row := &RunnerRow{}
 		s.Rows[strings.TrimPrefix(key, "row/")] = row
 		return json.Unmarshal([]byte(text), row)
 	case strings.HasPrefix(key, "mark/"):
 		runner, incarnation, _ := strings.Cut(strings.TrimPrefix(key, "mark/"), "/")
-		s.Marks[protocol.LeavingRunner{Runner: runner, Incarnation: incarnation}] = true
+		s.LeavingRunners[protocol.LeavingRunner{Runner: runner, Incarnation: incarnation}] = true
 		return nil
 	}
 	return statetable.ErrUnknownRow
@@ -191,12 +191,12 @@
 }
 
 // Leaving says whether the runner's present incarnation is marked.
-func (s *State) Leaving(row *Row) bool {
-	return row.Leaving || s.Marks[protocol.LeavingRunner{Runner: row.Runner, Incarnation: row.Incarnation}]
+func (s *State) Leaving(row *RunnerRow) bool {
+	return row.Leaving || s.LeavingRunners[protocol.LeavingRunner{Runner: row.Runner, Incarnation: row.Incarnation}]
 }
 
 // SkipAhead is what a recovery begins with.
-func (s *State) SkipAhead(epoch uint64) statetable.Command { return Batch{Restart{Epoch: epoch}} }
+func (s *State) SkipAhead(epoch uint64) statetable.Command { return Batch{SkipAhead{Epoch: epoch}} }
 
 // RevisionNumber is that of the description in force.
 func (s *State) RevisionNumber() uint64 { return s.Revision.Number }
--- a/internal/native/ledger/ledger_test.go
+++ b/internal/native/ledger/ledger_test.go
@@ -9,12 +9,12 @@
 	"myrtlewinch/internal/statetable"
 )
 
-func arrive(incarnation string, held ...protocol.HeldItem) Arrive {
-	return Arrive{protocol.RunnerReport{Runner: "r", Incarnation: incarnation, Room: 100, Held: held}, "addr"}
+func arrive(incarnation string, held ...protocol.HeldItem) RegisterRunner {
+	return RegisterRunner{protocol.RunnerReport{Runner: "r", Incarnation: incarnation, Room: 100, Held: held}, "addr"}
 }
 
-func intend(action, model string, size int64) Intend {
-	return Intend{"r", "1", action, Item{Model: model}, size}
+func intend(action, model string, size int64) RecordOrder {
+	return RecordOrder{"r", "1", action, Item{Model: model}, size}
 }
 
 func TestLedgerRoomAndIntents(t *testing.T) {
@@ -28,14 +28,14 @@
 		{"intent takes room", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60)}, 60, 0, true},
 		{"no second order while one is open", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), intend(protocol.ActionLoad, "n", 10)}, 60, 0, true},
 		{"no room, no order", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionLoad, "m", 41)}, 60, 1, false},
-		{"done", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), Settle{"r", "1", 1, true}}, 60, 1, false},
-		{"failed", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), Settle{"r", "1", 1, false}}, 0, 0, false},
-		{"settled by another number", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), Settle{"r", "1", 2, true}}, 60, 0, true},
+		{"done", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), CompleteOrder{"r", "1", 1, true}}, 60, 1, false},
+		{"failed", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), CompleteOrder{"r", "1", 1, false}}, 0, 0, false},
+		{"settled by another number", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), CompleteOrder{"r", "1", 2, true}}, 60, 0, true},
 		{"unloading still takes room", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60)}, 60, 1, true},
-		{"unloaded", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60), Settle{"r", "1", 1, true}}, 0, 0, false},
+		{"unloaded", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60), CompleteOrder{"r", "1", 1, true}}, 0, 0, false},
 		{"a new incarnation begins empty", []Command{arrive("1"), intend(protocol.ActionLoad, "m", 60), arrive("2")}, 0, 0, false},
-		{"a runner that dropped something by itself", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), Correct{protocol.RunnerReport{Runner: "r", Incarnation: "1"}}}, 0, 0, false},
-		{"no correction while an order is open", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60), Correct{protocol.RunnerReport{Runner: "r", Incarnation: "1"}}}, 60, 1, true},
+		{"a runner that dropped something by itself", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), CorrectHoldings{protocol.RunnerReport{Runner: "r", Incarnation: "1"}}}, 0, 0, false},
+		{"no correction while an order is open", []Command{arrive("1", protocol.HeldItem{Model: "a", Size: 60}), intend(protocol.ActionUnload, "a", 60), CorrectHoldings{protocol.RunnerReport{Runner: "r", Incarnation: "1"}}}, 60, 1, true},
 		{"an order for the one before has no effect", []Command{arrive("2"), intend(protocol.ActionLoad, "m", 60)}, 0, 0, false},
 	}
 	for _, test := range cases {
@@ -44,9 +44,9 @@
 			s := New()
 			statetable.New(s).Apply(protocol.Position{Epoch: 1, Number: 1}, []statetable.Command{Batch(test.commands)})
 			row := s.Rows["r"]
-			c.Assert(row.Taken(), qt.Equals, test.taken)
+			c.Assert(row.UsedRoom(), qt.Equals, test.taken)
 			c.Assert(row.Held, qt.HasLen, test.held)
-			c.Assert(row.Intent != nil, qt.Equals, test.open)
+			c.Assert(row.Order != nil, qt.Equals, test.open)
 		})
 	}
 }
@@ -57,7 +57,7 @@
 	steps := [][]Command{
 		{arrive("1")},
 		{intend(protocol.ActionLoad, "m", 60), MarkLeaving{protocol.LeavingRunner{Runner: "r", Incarnation: "0"}}},
-		{Settle{"r", "1", 1, true}, Accept{"{}", 1}},
+		{CompleteOrder{"r", "1", 1, true}, AcceptRevision{"{}", 1}},
 	}
 	for n, commands := range steps {
 		rows := primary.Apply(protocol.Position{Epoch: 1, Number: uint64(n + 1)}, []statetable.Command{statetable.Begin{}, Batch(commands)})
--- a/internal/native/router/request.go
+++ b/internal/native/router/request.go
@@ -118,7 +118,7 @@
 	if r.isQueued || r.service == nil {
 		return
 	}
-	if m.queued[r.Service] >= int(r.service.Holding) {
+	if m.queued[r.Service] >= int(r.service.MaxQueued) {
 		m.reject(r, errkind.QueueFull, "too many requests of this service wait here")
 		return
 	}
@@ -234,7 +234,7 @@
 	if outcome == InvalidResponse {
 		kind, detail = errkind.BrokenResponse, "what came from the runner is no answer to this request; it may have run"
 	}
-	if !r.service.Repeatable {
+	if !r.service.Idempotent {
 		m.reject(r, kind, detail)
 		return
 	}
--- a/internal/native/router/retrybudget.go
+++ b/internal/native/router/retrybudget.go
@@ -10,7 +10,7 @@
 // retryAllowance is this router's share of the description's allowance of
 // retries, which each service has.
 func (m *Machine) retryAllowance() float64 {
-	return float64(m.description.SecondGoes) / float64(max(1, len(m.description.Routers)))
+	return float64(m.description.RetryAllowance) / float64(max(1, len(m.description.Routers)))
 }
 
 // retryBudget returns the budget of a service, and creates it on first use.
--- a/internal/native/router/stages.go
+++ b/internal/native/router/stages.go
@@ -68,8 +68,8 @@
 	}
 	r.service = service
 	r.deadlineMs = m.nowMs + service.DeadlineMs
-	if r.BodyBytes > service.BytesMost {
-		return rejectWith(errkind.TooLarge, fmt.Sprintf("this service takes %d bytes at most", service.BytesMost))
+	if r.BodyBytes > service.MaxBytes {
+		return rejectWith(errkind.TooLarge, fmt.Sprintf("this service takes %d bytes at most", service.MaxBytes))
 	}
 	return checkModel(m, r, service)
 }
@@ -104,7 +104,7 @@
 // checkDuplicate rejects an id that came before if the first request may have
 // run and the service's requests must not run twice.
 func checkDuplicate(m *Machine, r *request) decision {
-	if !r.ClientChoseID || r.service.Repeatable {
+	if !r.ClientChoseID || r.service.Idempotent {
 		return proceed
 	}
 	if m.recentIDs.has(r.idKey()) {
@@ -118,7 +118,7 @@
 
 // checkQueueLimit rejects a request that would have to wait in a full queue.
 func checkQueueLimit(m *Machine, r *request) decision {
-	queueFull := m.queued[r.Service] >= int(r.service.Holding)
+	queueFull := m.queued[r.Service] >= int(r.service.MaxQueued)
 	if queueFull && (m.cachedEntry(r.key) == nil || !m.maySendNow()) {
 		return rejectWith(errkind.QueueFull, "too many requests of this service wait here")
 	}
@@ -268,7 +268,7 @@
 	m.respond(r.ID, StartAttempt{
 		RequestID: r.RequestID, Service: r.Service, Model: r.Model, Adapter: r.Adapter,
 		Runner: holder.Runner, Address: holder.Address, Incarnation: holder.Incarnation, Revision: m.revision,
-		Streaming: r.service.Telling, Repeatable: r.service.Repeatable,
+		Streaming: r.service.Streaming, Repeatable: r.service.Idempotent,
 		WriteByMs: min(m.maySendUntil(), r.deadlineMs), DeadlineMs: r.deadlineMs, ChunkTimeoutMs: r.service.DeadlineMs,
 	})
 }
--- a/internal/native/statediff/comparison.go
+++ b/internal/native/statediff/comparison.go
@@ -14,9 +14,9 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Belief is what one daemon believes: fields by name, with the age of what it
+// View is what one daemon believes: fields by name, with the age of what it
 // was learnt from where the daemon tells one (-1 where not).
-type Belief struct {
+type View struct {
 	Name   string
 	Fields map[string]string
 	AgesMs map[string]int64
@@ -34,14 +34,14 @@
 const absent = "(none)"
 
 // Read makes a belief of a daemon's status page.
-func Read(text []byte) (Belief, error) {
+func Read(text []byte) (View, error) {
 	var part struct {
 		Part string `json:"part"`
 	}
 	if err := json.Unmarshal(text, &part); err != nil {
-		return Belief{}, err
+		return View{}, err
 	}
-	b := Belief{Fields: map[string]string{}, AgesMs: map[string]int64{}}
+	b := View{Fields: map[string]string{}, AgesMs: map[string]int64{}}
 	switch part.Part {
 	case protocol.RoleController:
 		var s controller.Status
@@ -61,12 +61,12 @@
 	return b, nil
 }
 
-func (b *Belief) put(field, value string, ageMs int64) {
+func (b *View) set(field, value string, ageMs int64) {
 	b.Fields[field] = value
 	b.AgesMs[field] = ageMs
 }
 
-func seats(list []protocol.MemberID) string {
+func memberList(list []protocol.MemberID) string {
 	var names []string
 	for _, seat := range list {
 		names = append(names, seat.Name+"/"+seat.Incarnation)
@@ -75,48 +75,48 @@
 	return strings.Join(names, " ")
 }
 
-func (b *Belief) leaving(marks []protocol.LeavingRunner) {
+func (b *View) leaving(marks []protocol.LeavingRunner) {
 	for _, mark := range marks {
-		b.put("leaving "+mark.Runner+"/"+mark.Incarnation, "yes", -1)
+		b.set("leaving "+mark.Runner+"/"+mark.Incarnation, "yes", -1)
 	}
 }
 
-func (b *Belief) controller(s controller.Status) {
+func (b *View) controller(s controller.Status) {
 	b.Name = s.Name
 	ageMs := int64(-1)
 	for _, peer := range s.Peers {
-		b.put("roster "+peer.Name, peer.Address+" "+peer.Incarnation, peer.AgoMs)
+		b.set("roster "+peer.Name, peer.Address+" "+peer.Incarnation, peer.AgoMs)
 		if peer.Name == s.Record.Primary {
 			ageMs = peer.AgoMs
 		}
 	}
-	b.put("epoch", fmt.Sprint(s.Record.Epoch), ageMs)
-	b.put("primary", s.Record.Primary, ageMs)
-	b.put("pair", seats(s.Record.Replicas), ageMs)
-	b.put("witnesses", seats(s.Record.Witnesses), ageMs)
-	b.put("revision", fmt.Sprint(s.Revision), ageMs)
+	b.set("epoch", fmt.Sprint(s.Record.Epoch), ageMs)
+	b.set("primary", s.Record.Primary, ageMs)
+	b.set("pair", memberList(s.Record.Replicas), ageMs)
+	b.set("witnesses", memberList(s.Record.Witnesses), ageMs)
+	b.set("revision", fmt.Sprint(s.Revision), ageMs)
 	for _, row := range s.Rows {
 		var held []string
 		for item, h := range row.Held {
 			held = append(held, fmt.Sprintf("%s=%d", item, h.Size))
 		}
 		sort.Strings(held)
-		b.put("row "+row.Runner+" incarnation", row.Incarnation, ageMs)
-		b.put("row "+row.Runner+" held", strings.Join(held, " "), ageMs)
-		if row.Intent != nil {
-			b.put("row "+row.Runner+" order", fmt.Sprintf("%d %s %s %s", row.Intent.Number, row.Intent.Action, row.Intent.Model, row.Intent.Adapter), ageMs)
+		b.set("row "+row.Runner+" incarnation", row.Incarnation, ageMs)
+		b.set("row "+row.Runner+" held", strings.Join(held, " "), ageMs)
+		if row.Order != nil {
+			b.set("row "+row.Runner+" order", fmt.Sprintf("%d %s %s %s", row.Order.Number, row.Order.Action, row.Order.Model, row.Order.Adapter), ageMs)
 		}
 	}
 	b.leaving(s.Leaving)
 }
 
-func (b *Belief) router(s router.Status) {
+func (b *View) router(s router.Status) {
 	b.Name = s.Name
-	b.put("epoch", fmt.Sprint(s.Epoch), s.WordMs)
-	b.put("primary", s.Primary, s.WordMs)
-	b.put("revision", fmt.Sprint(s.Revision), s.WordMs)
+	b.set("epoch", fmt.Sprint(s.Epoch), s.WordMs)
+	b.set("primary", s.Primary, s.WordMs)
+	b.set("revision", fmt.Sprint(s.Revision), s.WordMs)
 	for _, entry := range s.Cache {
-		b.put("entry "+entry.Key, strings.Join(entry.Runners, " "), entry.AgeMs)
+		b.set("entry "+entry.Key, strings.Join(entry.Runners, " "), entry.AgeMs)
 	}
 	b.leaving(s.Leaving)
 }
@@ -124,7 +124,7 @@
 // Compare lists the differences in order of field. A field that only daemons
 // of one part have is no difference to one of another part; the roster's own
 // line and what a router was never asked for are not either.
-func Compare(left, right Belief) []Difference {
+func Compare(left, right View) []Difference {
 	var out []Difference
 	names := map[string]bool{}
 	for name := range left.Fields {
@@ -140,7 +140,7 @@
 			continue
 		}
 		if !inLeft || !inRight {
-			if !left.speaks(name) || !right.speaks(name) {
+			if !left.wouldReport(name) || !right.wouldReport(name) {
 				continue
 			}
 		}
@@ -161,9 +161,9 @@
 	return out
 }
 
-// speaks says whether a daemon that lacks the field would have it if it
+// wouldReport says whether a daemon that lacks the field would have it if it
 // believed it.
-func (b Belief) speaks(field string) bool {
+func (b View) wouldReport(field string) bool {
 	kind, rest, _ := strings.Cut(field, " ")
 	if _, controller := b.Fields["pair"]; !controller {
 		return kind == "epoch" || kind == "primary" || kind == "revision" || kind == "leaving"
--- a/internal/native/topology/topology.go
+++ b/internal/native/topology/topology.go
@@ -59,7 +59,7 @@
 	r.faults = append(r.faults, path+": "+fmt.Sprintf(format, args...))
 }
 
-func (r *reader) word(path string, f *geojson.Feature, name string, must bool) string {
+func (r *reader) plainName(path string, f *geojson.Feature, name string, must bool) string {
 	value, given := f.Properties[name]
 	if !given && !must {
 		return ""
@@ -76,7 +76,7 @@
 	if f.Properties["kind"] != "zone" {
 		return
 	}
-	name := r.word(path, f, "name", true)
+	name := r.plainName(path, f, "name", true)
 	shape, ok := f.Geometry.(orb.Polygon)
 	if !ok || len(shape) == 0 {
 		r.fault(path+".geometry", "a zone must be a polygon")
@@ -99,12 +99,12 @@
 		r.fault(path+".properties.kind", "is %q; it must be zone, controller, router or runner", kind)
 		return
 	}
-	name := r.word(path, f, "name", true)
+	name := r.plainName(path, f, "name", true)
 	if name != "" && r.names[kind+name] {
 		r.fault(path+".properties.name", "%s %q is drawn twice", kind, name)
 	}
 	r.names[kind+name] = true
-	in := r.within(path, f)
+	in := r.zoneOf(path, f)
 	switch kind {
 	case "controller":
 		parts.Controllers = append(parts.Controllers, description.Member{Name: name, Zone: in})
@@ -116,14 +116,14 @@
 			r.fault(path+".properties.room", "must be a whole number, not negative")
 		}
 		parts.Runners = append(parts.Runners, description.Runner{
-			Name: name, Zone: in, Pool: r.word(path, f, "pool", true), Room: int64(room),
+			Name: name, Zone: in, Pool: r.plainName(path, f, "pool", true), Room: int64(room),
 		})
 	}
 }
 
-// within gives the zone that a machine names, or the one that it lies in.
-func (r *reader) within(path string, f *geojson.Feature) string {
-	if named := r.word(path, f, "zone", false); named != "" {
+// zoneOf gives the zone that a machine names, or the one that it lies in.
+func (r *reader) zoneOf(path string, f *geojson.Feature) string {
+	if named := r.plainName(path, f, "zone", false); named != "" {
 		return named
 	}
 	point, ok := f.Geometry.(orb.Point)
--- a/internal/simulation/localcluster/cluster.go
+++ b/internal/simulation/localcluster/cluster.go
@@ -90,7 +90,7 @@
 	c := &Cluster{
 		Description: d,
 		Clock:       process.NewClock(),
-		Checker:     invariants.New(d.Store.LoadsPer10s, d.SecondGoes),
+		Checker:     invariants.New(d.Store.LoadsPer10s, d.RetryAllowance),
 		Platform:    testbackend.NewPlatform(),
 		options:     options,
 	}
--- a/internal/simulation/localcluster/measure.go
+++ b/internal/simulation/localcluster/measure.go
@@ -82,7 +82,7 @@
 func (c *Cluster) smallService() (*description.Service, *Runner, error) {
 	for i := range c.Description.Services {
 		service := &c.Description.Services[i]
-		if !service.Repeatable || len(service.Models) > 0 {
+		if !service.Idempotent || len(service.Models) > 0 {
 			continue
 		}
 		for _, runner := range c.Runners {
--- a/internal/simulation/nativesim/clients.go
+++ b/internal/simulation/nativesim/clients.go
@@ -81,7 +81,7 @@
 	}
 	for _, service := range d.Services {
 		c.requestsPerSec[service.Name] = otherPerSec
-		if service.Repeatable {
+		if service.Idempotent {
 			c.requestsPerSec[service.Name] = smallPerSec
 		}
 	}
@@ -131,7 +131,7 @@
 	}
 	request := clientRequest{name: fmt.Sprintf("q-%d", w.clients.requests), service: name, model: model, adapter: adapter}
 	router, odd := w.randomNode(protocol.RoleRouter), w.Random.Intn(oddShare)
-	isImpatient, isSpread := odd == 0, odd == 1 && service.Repeatable
+	isImpatient, isSpread := odd == 0, odd == 1 && service.Idempotent
 	if isImpatient {
 		// The client sends the same twice at once through one router. Neither is
 		// sent again after a drop, since the other may still be waiting.
--- a/internal/simulation/nativesim/description_checks.go
+++ b/internal/simulation/nativesim/description_checks.go
@@ -22,7 +22,7 @@
 	n := w.nodes[name]
 	effects := n.machine.Step(w.clockNow(n), controller.Look{ID: 1, Page: "description"})
 	for _, response := range effects.Responses {
-		if described, ok := response.Body.(controller.Described); ok {
+		if described, ok := response.Body.(controller.DescriptionReply); ok {
 			w.checkHistory(described)
 		}
 	}
@@ -30,9 +30,9 @@
 
 // checkHistory checks that each accepted description, and each that was in
 // effect, is in the history, and that the newest one is in force.
-func (w *World) checkHistory(described controller.Described) {
+func (w *World) checkHistory(described controller.DescriptionReply) {
 	digests := map[uint64]string{}
-	for _, past := range described.Past {
+	for _, past := range described.History {
 		digests[past.Number] = past.Sum
 	}
 	w.checkMarkers(described, digests)
@@ -47,10 +47,10 @@
 }
 
 // checkMarkers checks the descriptions whose marker service ran.
-func (w *World) checkMarkers(described controller.Described, digests map[uint64]string) {
+func (w *World) checkMarkers(described controller.DescriptionReply, digests map[uint64]string) {
 	for marker, seen := range w.Checker.Markers() {
 		revision := seen.Revision
-		if revision == 0 || len(described.Past) == 0 || revision < described.Past[0].Number {
+		if revision == 0 || len(described.History) == 0 || revision < described.History[0].Number {
 			continue
 		}
 		text, isWhole := w.operator.texts[marker]
--- a/internal/simulation/nativesim/operator.go
+++ b/internal/simulation/nativesim/operator.go
@@ -113,15 +113,15 @@
 // base, to a controller.
 func (w *World) SubmitDescription(name string, base uint64, text string) {
 	w.operator.texts[markerOf(text)] = text
-	w.submit(name, controller.HandOver{Base: base, Text: text})
+	w.submit(name, controller.SubmitDescription{Base: base, Text: text})
 }
 
 // SubmitPart submits a change of named parts of the description.
 func (w *World) SubmitPart(name string, base uint64, text string) {
-	w.submit(name, controller.HandOver{Base: base, Text: text, Part: true})
+	w.submit(name, controller.SubmitDescription{Base: base, Text: text, Partial: true})
 }
 
-func (w *World) submit(name string, submission controller.HandOver) {
+func (w *World) submit(name string, submission controller.SubmitDescription) {
 	if marker := markerOf(submission.Text); marker != "" {
 		w.Checker.DescriptionSubmitted(marker)
 		w.clients.markers = append(w.clients.markers, marker)
@@ -135,7 +135,7 @@
 			body = inverted(body)
 		}
 		switch answer := body.(type) {
-		case controller.Accepted:
+		case controller.DescriptionAccepted:
 			w.submissionAccepted(submission, answer.Revision)
 		case protocol.Rejection:
 			w.submissionRejected(submission, answer.Kind)
@@ -143,20 +143,20 @@
 	})
 }
 
-func (w *World) submissionAccepted(submission controller.HandOver, revision uint64) {
+func (w *World) submissionAccepted(submission controller.SubmitDescription, revision uint64) {
 	nowMs, marker := w.events.NowMs(), markerOf(submission.Text)
 	w.tracef("operator: revision %d accepted, %s", revision, marker)
 	w.operator.outcomes[submissionAccepted]++
 	w.Checker.RevisionAccepted(nowMs, revision)
 	w.Checker.DescriptionAccepted(nowMs, marker, revision)
-	if !submission.Part {
+	if !submission.Partial {
 		w.recordLimits(submission.Text)
 		w.operator.accepted[revision] = submission.Text
 	}
 	w.operator.newestAccepted = max(w.operator.newestAccepted, revision)
 }
 
-func (w *World) submissionRejected(submission controller.HandOver, kind errkind.Kind) {
+func (w *World) submissionRejected(submission controller.SubmitDescription, kind errkind.Kind) {
 	marker := markerOf(submission.Text)
 	w.tracef("operator: %s, %s", kind, marker)
 	w.operator.outcomes[string(kind)]++
@@ -182,10 +182,10 @@
 // inverted is the opposite of a controller's answer to a submission.
 func inverted(body any) any {
 	switch body.(type) {
-	case controller.Accepted:
+	case controller.DescriptionAccepted:
 		return protocol.Rejection{Kind: errkind.NotAccepted}
 	case protocol.Rejection:
-		return controller.Accepted{Revision: 2}
+		return controller.DescriptionAccepted{Revision: 2}
 	}
 	return body
 }
--- a/internal/simulation/nativesim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -90,7 +90,7 @@
 	d := readDescription(text)
 	w := &World{
 		Seed:            seed,
-		Checker:         invariants.New(d.Store.LoadsPer10s, d.SecondGoes),
+		Checker:         invariants.New(d.Store.LoadsPer10s, d.RetryAllowance),
 		DescriptionText: text,
 		Description:     d,
 		Random:          rand.New(rand.NewSource(seed)),
@@ -175,7 +175,7 @@
 // smallService names the first repeatable service, which is asked most.
 func (w *World) smallService() string {
 	for _, service := range w.Description.Services {
-		if service.Repeatable {
+		if service.Idempotent {
 			return service.Name
 		}
 	}
--- a/internal/simulation/testbackend/workload.go
+++ b/internal/simulation/testbackend/workload.go
@@ -34,11 +34,11 @@
 	var workloads []Workload
 	for _, service := range d.Services {
 		perSec := otherPerSec
-		if service.Repeatable {
+		if service.Idempotent {
 			perSec = smallPerSec
 		}
 		workloads = append(workloads, Workload{
-			Service: service.Name, RequestsPerSec: perSec, Streaming: service.Telling,
+			Service: service.Name, RequestsPerSec: perSec, Streaming: service.Streaming,
 			Models: service.Models, Adapters: adapters,
 		})
 	}
