--- a/internal/process/diskwriter_test.go
+++ b/internal/process/diskwriter_test.go
@@ -40,92 +40,99 @@
 	return protocol.Effects{}
 }
 
+// startRuntime runs a machine on a store until stop is called.
+func startRuntime(c *qt.C, options Options, machine Machine, store *storage.Store) (runtime *Runtime, stop func()) {
+	c.Helper()
+	listen := func() net.Listener {
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
+		c.Assert(err, qt.IsNil)
+		return listener
+	}
+	options.Site, options.Clock, options.Log, options.TickMs = "s", NewClock(), log.New(io.Discard), 1000
+	runtime = New(options, machine, store, listen(), listen(), http.NotFoundHandler())
+	done, ended := make(chan struct{}), make(chan struct{})
+	var group threads.Group
+	runtime.AddTasks(&group)
+	group.StopWhen(done)
+	threads.Go(func() { _ = group.Run(); close(ended) })
+	return runtime, func() {
+		close(done)
+		<-ended
+	}
+}
+
+// openStore opens the store of a new folder.
+func openStore(c *qt.C) (store *storage.Store, folder string) {
+	c.Helper()
+	folder = c.TempDir()
+	store, err := storage.Open(folder, "s")
+	c.Assert(err, qt.IsNil)
+	return store, folder
+}
+
+// checkStored asserts the value that a closed folder holds.
+func checkStored(c *qt.C, folder, want string) {
+	c.Helper()
+	store, err := storage.Open(folder, "s")
+	c.Assert(err, qt.IsNil)
+	defer store.Close()
+	c.Assert(store.Rows()["key"], qt.Equals, want)
+}
+
 // A process whose disk failed restarts its machine from the disk once that
 // accepts writes again; otherwise it would be one loss more for good.
 func TestMachineIsReopenedAfterItsDiskFailed(t *testing.T) {
 	c := qt.New(t)
-	folder := c.TempDir()
-	d, err := storage.Open(folder, "s")
-	c.Assert(err, qt.IsNil)
-	ended := make(chan string, 4)
-	listen := func() net.Listener {
-		at, err := net.Listen("tcp", "127.0.0.1:0")
-		c.Assert(err, qt.IsNil)
-		return at
-	}
-	made := make(chan struct{})
-	s := New(Options{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000, Reopen: func() (Machine, *storage.Store, error) {
-		defer close(made)
+	store, folder := openStore(c)
+	ended, reopened := make(chan string, 4), make(chan struct{})
+	reopen := func() (Machine, *storage.Store, error) {
+		defer close(reopened)
 		again, err := storage.Reopen(folder, "s")
 		return &writer{"second", ended}, again, err
-	}}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
-	done, over := make(chan struct{}), make(chan struct{})
-	var group threads.Group
-	s.AddTasks(&group)
-	group.StopWhen(done)
-	threads.Go(func() { _ = group.Run(); close(over) })
-	d.OverrideSync(func(*os.File) error { return os.ErrInvalid })
-	c.Assert(s.Submit("one"), qt.IsTrue)
+	}
+	runtime, stop := startRuntime(c, Options{Reopen: reopen}, &writer{"first", ended}, store)
+	store.OverrideSync(func(*os.File) error { return os.ErrInvalid })
+	c.Assert(runtime.Submit("one"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first failed")
-	d.OverrideSync((*os.File).Sync)
-	<-made
-	for said := ""; said != "second"; said = <-ended {
-		c.Assert(s.Submit("who"), qt.IsTrue)
+	store.OverrideSync((*os.File).Sync)
+	<-reopened
+	for name := ""; name != "second"; name = <-ended {
+		c.Assert(runtime.Submit("who"), qt.IsTrue)
 	}
-	c.Assert(s.Submit("two"), qt.IsTrue)
+	c.Assert(runtime.Submit("two"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "second wrote")
-	close(done)
-	<-over
-	again, err := storage.Open(folder, "s")
-	c.Assert(err, qt.IsNil)
-	defer again.Close()
-	c.Assert(again.Rows()["key"], qt.Equals, "two")
+	stop()
+	checkStored(c, folder, "two")
 }
 
 // Writes that wait while the disk is busy share one sync, and each of them is
 // acknowledged.
 func TestWaitingWritesShareOneSync(t *testing.T) {
 	c := qt.New(t)
-	folder := c.TempDir()
-	d, err := storage.Open(folder, "s")
-	c.Assert(err, qt.IsNil)
-	listen := func() net.Listener {
-		at, err := net.Listen("tcp", "127.0.0.1:0")
-		c.Assert(err, qt.IsNil)
-		return at
-	}
+	store, folder := openStore(c)
 	ended := make(chan string, 16)
-	s := New(Options{Site: "s", Clock: NewClock(), Log: log.New(io.Discard), TickMs: 1000}, &writer{"first", ended}, d, listen(), listen(), http.NotFoundHandler())
-	done, over := make(chan struct{}), make(chan struct{})
-	var group threads.Group
-	s.AddTasks(&group)
-	group.StopWhen(done)
-	threads.Go(func() { _ = group.Run(); close(over) })
-	begun, gate := make(chan struct{}, 16), make(chan struct{})
-	d.OverrideSync(func(file *os.File) error {
-		begun <- struct{}{}
-		<-gate
+	runtime, stop := startRuntime(c, Options{}, &writer{"first", ended}, store)
+	syncs, mayEnd := make(chan struct{}, 16), make(chan struct{})
+	store.OverrideSync(func(file *os.File) error {
+		syncs <- struct{}{}
+		<-mayEnd
 		return file.Sync()
 	})
-	c.Assert(s.Submit("one"), qt.IsTrue)
-	<-begun
+	c.Assert(runtime.Submit("one"), qt.IsTrue)
+	<-syncs
 	for _, text := range []string{"two", "three", "four", "five", "six"} {
-		c.Assert(s.Submit(text), qt.IsTrue)
+		c.Assert(runtime.Submit(text), qt.IsTrue)
 	}
 	// The machine has queued all of them once it answers this.
-	c.Assert(s.Submit("who"), qt.IsTrue)
+	c.Assert(runtime.Submit("who"), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first")
-	close(gate)
+	close(mayEnd)
 	for range 6 {
 		c.Assert(<-ended, qt.Equals, "first wrote")
 	}
-	c.Assert(begun, qt.HasLen, 1, qt.Commentf("one further sync for five writes"))
-	close(done)
-	<-over
-	again, err := storage.Open(folder, "s")
-	c.Assert(err, qt.IsNil)
-	defer again.Close()
-	c.Assert(again.Rows()["key"], qt.Equals, "six")
+	c.Assert(syncs, qt.HasLen, 1, qt.Commentf("one further sync for five writes"))
+	stop()
+	checkStored(c, folder, "six")
 }
 
 // Writes are saved together for one store alone, up to a bound and in order.
