--- a/internal/protocol/outbound.go
+++ b/internal/protocol/outbound.go
@@ -11,8 +11,8 @@
 func (ReportCall) outboundRequest()     {}
 func (PlatformCall) outboundRequest()   {}
 
-// OutboundResult is what an OutboundCall brought. The process puts it before
-// the machine as an input, exactly once for each call.
+// OutboundResult is the result of an OutboundCall, also of one that failed. It
+// reaches the machine as an input, exactly once for each call.
 type OutboundResult interface{ outboundResult() }
 
 func (RunnerList) outboundResult()         {}
