--- a/cmd/operator/calls.go
+++ b/cmd/operator/calls.go
@@ -12,7 +12,7 @@
 
 	"myrtlewinch/internal/cli"
 	"myrtlewinch/internal/errkind"
-	"myrtlewinch/internal/simulation/localcluster"
+	"myrtlewinch/internal/native/operatorclient"
 )
 
 // callPrimary asks each controller until one answers as the primary, and prints
@@ -20,7 +20,7 @@
 func callPrimary(method, path string, body []byte) {
 	var lastFailure string
 	for _, address := range cli.SplitList(controllers) {
-		status, text, err := localcluster.Call(method, address, path, base, body)
+		status, text, err := operatorclient.Call(method, address, path, base, body)
 		if err != nil {
 			failIfSent(method, address, err)
 			lastFailure = err.Error()
@@ -98,7 +98,7 @@
 // show prints a page of the first controller that answers.
 func show(path string) {
 	for _, address := range cli.SplitList(controllers) {
-		status, text, err := localcluster.Call(http.MethodGet, address, path, "", nil)
+		status, text, err := operatorclient.Call(http.MethodGet, address, path, "", nil)
 		if err == nil && status == http.StatusOK {
 			printIndented(text)
 			return
@@ -111,7 +111,7 @@
 func status() {
 	answered := false
 	for _, address := range cli.SplitList(controllers) {
-		status, text, err := localcluster.Call(http.MethodGet, address, "/status", "", nil)
+		status, text, err := operatorclient.Call(http.MethodGet, address, "/status", "", nil)
 		if err != nil || status != http.StatusOK {
 			fmt.Fprintf(os.Stderr, "%s: no answer\n", address)
 			continue
--- a/cmd/statediff/main.go
+++ b/cmd/statediff/main.go
@@ -11,8 +11,8 @@
 	"github.com/integrii/flaggy"
 
 	"myrtlewinch/internal/cli"
+	"myrtlewinch/internal/native/operatorclient"
 	"myrtlewinch/internal/native/statediff"
-	"myrtlewinch/internal/simulation/localcluster"
 )
 
 // report is what --json prints.
@@ -73,7 +73,7 @@
 	if address == "" {
 		cli.UsageError("%s: must be given", flag)
 	}
-	code, text, err := localcluster.Call(http.MethodGet, address, "/status", "", nil)
+	code, text, err := operatorclient.Call(http.MethodGet, address, "/status", "", nil)
 	if err != nil {
 		cli.UsageError("%s: %v", flag, err)
 	}
--- a/internal/simulation/localcluster/bad_input_test.go
+++ b/internal/simulation/localcluster/bad_input_test.go
@@ -12,6 +12,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/operatorclient"
 )
 
 // Bad input to the real servers of routers and controllers is rejected with its
@@ -51,7 +52,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			status, text, err := Call(test.method, test.address, test.path, test.base, []byte(test.body))
+			status, text, err := operatorclient.Call(test.method, test.address, test.path, test.base, []byte(test.body))
 			c.Assert(err, qt.IsNil)
 			c.Assert(status, qt.Equals, test.status, qt.Commentf("%s", text))
 			var answer errkind.ErrorBody
@@ -61,7 +62,7 @@
 			c.Assert(answer.Ran, qt.Equals, "no")
 		})
 	}
-	status, text, err := Call(http.MethodGet, controller, "/description", "", nil)
+	status, text, err := operatorclient.Call(http.MethodGet, controller, "/description", "", nil)
 	c.Assert(err, qt.IsNil)
 	c.Assert(status, qt.Equals, 200)
 	c.Assert(string(text), qt.Equals, whole, qt.Commentf("nothing that was refused took effect"))
@@ -90,7 +91,7 @@
 	}
 	c.Assert(retryFor(patience, func() error {
 		var counts map[string]uint64
-		_, text, err := Call(http.MethodGet, cluster.Controllers[0].Settings.HTTP, "/counters", "", nil)
+		_, text, err := operatorclient.Call(http.MethodGet, cluster.Controllers[0].Settings.HTTP, "/counters", "", nil)
 		if err == nil && json.Unmarshal(text, &counts) == nil && counts["malformed"] < 3 {
 			err = errors.Newf("malformed: %d", counts["malformed"])
 		}
--- a/internal/simulation/localcluster/faults_test.go
+++ b/internal/simulation/localcluster/faults_test.go
@@ -14,6 +14,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/native/controller"
+	"myrtlewinch/internal/native/operatorclient"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/simulation/testbackend"
 	"myrtlewinch/internal/threads"
@@ -90,12 +91,12 @@
 			if readStatus(daemon, &status) != nil || !status.Active {
 				continue
 			}
-			code, text, callErr := Call(http.MethodGet, daemon.Settings.HTTP, "/description", "", nil)
+			code, text, callErr := operatorclient.Call(http.MethodGet, daemon.Settings.HTTP, "/description", "", nil)
 			if callErr == nil && code == http.StatusOK && string(text) == next {
 				s.revision = status.Revision
 				return nil
 			}
-			code, text, callErr = Call(http.MethodPut, daemon.Settings.HTTP, "/description", fmt.Sprint(status.Revision), []byte(next))
+			code, text, callErr = operatorclient.Call(http.MethodPut, daemon.Settings.HTTP, "/description", fmt.Sprint(status.Revision), []byte(next))
 			err = errors.Newf("%d %s %v", code, text, callErr)
 		}
 		return err
@@ -187,7 +188,7 @@
 	primary, told := s.primary(), make(chan int, 1)
 	base, next := fmt.Sprint(s.revision), s.withRetryAllowance(1)
 	threads.Go(func() {
-		status, _, err := Call(http.MethodPut, primary.Settings.HTTP, "/description", base, []byte(next))
+		status, _, err := operatorclient.Call(http.MethodPut, primary.Settings.HTTP, "/description", base, []byte(next))
 		if err != nil {
 			status = 0
 		}
@@ -210,7 +211,7 @@
 // newestRevision reads the newest revision of the history.
 func (s *faultTrial) newestRevision() uint64 {
 	s.c.Helper()
-	_, text, err := Call(http.MethodGet, s.primary().Settings.HTTP, "/history", "", nil)
+	_, text, err := operatorclient.Call(http.MethodGet, s.primary().Settings.HTTP, "/history", "", nil)
 	s.c.Assert(err, qt.IsNil)
 	var history struct {
 		Revisions []struct{ Number uint64 }
--- a/internal/simulation/localcluster/loss_test.go
+++ b/internal/simulation/localcluster/loss_test.go
@@ -11,6 +11,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/native/controller"
+	"myrtlewinch/internal/native/operatorclient"
 	"myrtlewinch/internal/simulation/testbackend"
 )
 
@@ -65,7 +66,7 @@
 	var inForce string
 	c.Assert(retryFor(patience, func() error {
 		for _, daemon := range cluster.Controllers {
-			status, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/description", "", nil)
+			status, text, err := operatorclient.Call(http.MethodGet, daemon.Settings.HTTP, "/description", "", nil)
 			if err == nil && status == http.StatusOK {
 				inForce = string(text)
 				return nil
@@ -79,7 +80,7 @@
 // historyLength counts the revisions that a controller lists.
 func historyLength(c *qt.C, daemon *Daemon) int {
 	c.Helper()
-	_, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/history", "", nil)
+	_, text, err := operatorclient.Call(http.MethodGet, daemon.Settings.HTTP, "/history", "", nil)
 	c.Assert(err, qt.IsNil)
 	var history struct {
 		Revisions []struct {
--- a/internal/simulation/localcluster/measure.go
+++ b/internal/simulation/localcluster/measure.go
@@ -10,6 +10,7 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/operatorclient"
 )
 
 const (
@@ -97,7 +98,7 @@
 // timedPost makes a call that must succeed and gives how long it took, in ms.
 func timedPost(address, path, body string) (float64, error) {
 	from := time.Now()
-	status, text, err := Call(http.MethodPost, address, path, "", []byte(body))
+	status, text, err := operatorclient.Call(http.MethodPost, address, path, "", []byte(body))
 	if err != nil {
 		return 0, err
 	}
--- a/internal/simulation/localcluster/misbehaving_runner_test.go
+++ b/internal/simulation/localcluster/misbehaving_runner_test.go
@@ -11,6 +11,7 @@
 	qt "github.com/frankban/quicktest"
 
 	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/operatorclient"
 	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/simulation/testbackend"
 	"myrtlewinch/internal/threads"
@@ -67,7 +68,7 @@
 
 // askPage sends a request to service "page".
 func askPage(cluster *Cluster) (status int, text string, err error) {
-	status, body, err := Call(http.MethodPost, cluster.Routers[0].Settings.HTTP, "/services/page", "", []byte(`{}`))
+	status, body, err := operatorclient.Call(http.MethodPost, cluster.Routers[0].Settings.HTTP, "/services/page", "", []byte(`{}`))
 	return status, string(body), err
 }
 
--- a/internal/simulation/localcluster/operate.go
+++ b/internal/simulation/localcluster/operate.go
@@ -1,21 +1,18 @@
 package localcluster
 
 import (
-	"bytes"
 	"encoding/json"
-	"fmt"
-	"io"
 	"net/http"
 	"time"
 
 	"github.com/cockroachdb/errors"
+
+	"myrtlewinch/internal/native/operatorclient"
 )
 
 const (
 	// witnessCount is how many controllers a site is bootstrapped with.
 	witnessCount = 3
-	// callTimeout bounds one HTTP call to a daemon.
-	callTimeout = 20 * time.Second
 	// retryPause is the pause between two tries of retryFor.
 	retryPause = 100 * time.Millisecond
 )
@@ -39,7 +36,7 @@
 		return errors.Wrap(err, "bootstrap")
 	}
 	return retryFor(within, func() error {
-		status, text, err := Call(http.MethodPost, c.Controllers[0].Settings.HTTP, "/found", "", body)
+		status, text, err := operatorclient.Call(http.MethodPost, c.Controllers[0].Settings.HTTP, "/found", "", body)
 		if err == nil && status != http.StatusOK {
 			err = errors.Newf("founding: %s", text)
 		}
@@ -55,7 +52,7 @@
 		for _, daemon := range c.Controllers {
 			var status int
 			var answer []byte
-			status, answer, err = Call(http.MethodPut, daemon.Settings.HTTP, "/description", base, text)
+			status, answer, err = operatorclient.Call(http.MethodPut, daemon.Settings.HTTP, "/description", base, text)
 			if err == nil && status == http.StatusOK {
 				return nil
 			}
@@ -71,7 +68,7 @@
 func (c *Cluster) WaitReady(within time.Duration) error {
 	return retryFor(within, func() error {
 		for _, daemon := range c.Routers {
-			status, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/soundness", "", nil)
+			status, text, err := operatorclient.Call(http.MethodGet, daemon.Settings.HTTP, "/soundness", "", nil)
 			if err != nil {
 				return err
 			}
@@ -96,30 +93,9 @@
 	}
 }
 
-var httpClient = http.Client{Timeout: callTimeout}
-
-// Call makes an HTTP call to a daemon. A base other than "" is the revision
-// that a change is based on.
-func Call(method, address, path, base string, body []byte) (status int, text []byte, err error) {
-	request, err := http.NewRequest(method, "http://"+address+path, bytes.NewReader(body))
-	if err != nil {
-		return 0, nil, err
-	}
-	if base != "" {
-		request.Header.Set("If-Match", fmt.Sprintf("%q", base))
-	}
-	response, err := httpClient.Do(request)
-	if err != nil {
-		return 0, nil, err
-	}
-	defer response.Body.Close()
-	text, err = io.ReadAll(response.Body)
-	return response.StatusCode, text, err
-}
-
 // readStatus reads the status page of a daemon.
 func readStatus(daemon *Daemon, into any) error {
-	_, text, err := Call(http.MethodGet, daemon.Settings.HTTP, "/status", "", nil)
+	_, text, err := operatorclient.Call(http.MethodGet, daemon.Settings.HTTP, "/status", "", nil)
 	if err != nil {
 		return err
 	}
