--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -130,7 +130,8 @@
 	SetSeeds struct{ Seeds []string }
 )
 
-// Step takes one input and returns what to do.
+// Step takes one input and returns what to do: an Envelope, DiskWriteDone or Tick of
+// package protocol, a Bootstrap, Leave or SetSeeds, or any input of the application.
 func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
 	m.nowMs = nowMs
 	m.out = protocol.Effects{}
