--- a/internal/controller/configuration.go
+++ b/internal/controller/configuration.go
@@ -85,6 +85,6 @@
 	case active.version == 0:
 		reject(h, request.ID, protocol.Rejection{Kind: errkind.NotAccepted, Detail: "no map is in force yet"})
 	default:
-		c.reply(h, request.ID, ConfigText{Version: active.version, Text: active.text})
+		reply(h, request.ID, ConfigText{Version: active.version, Text: active.text})
 	}
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -132,7 +132,7 @@
 	case ReadConfig:
 		c.handleReadConfig(h, request)
 	case ReadStatus:
-		c.reply(h, request.ID, c.status(h))
+		reply(h, request.ID, c.status(h))
 	}
 }
 
@@ -234,7 +234,7 @@
 }
 
 // reply answers an operator's request.
-func (c *Controller) reply(h consensus.Host, id uint64, reply OperatorReply) { h.Answer(id, reply) }
+func reply(h consensus.Host, id uint64, reply OperatorReply) { h.Answer(id, reply) }
 
 // reject answers an operator's request with the reason why it has no outcome.
 func reject(h consensus.Host, id uint64, rejection protocol.Rejection) { h.Answer(id, rejection) }
--- a/internal/controller/routers.go
+++ b/internal/controller/routers.go
@@ -47,9 +47,12 @@
 
 // siteSummary is what routers are told about the processes of the site.
 type siteSummary struct {
-	isComputed     bool
-	computedMs     int64
-	routers        int
+	isComputed bool
+	computedMs int64
+	// routers is how many share the retry budget; at least 1.
+	routers int
+	// controllers are those that are alive, with this one, and controllersSum
+	// is the hash of the list.
 	controllers    []protocol.Node
 	controllersSum uint64
 }
@@ -99,17 +102,18 @@
 	if r.summary.isComputed && h.NowMs()-r.summary.computedMs < summaryMaxAgeMs {
 		return
 	}
+	r.refreshLastSeen(h)
 	// Messages that were sent share the list, so it is never changed in place.
 	controllers := append(h.Controllers(), h.Self())
 	r.summary = siteSummary{
-		isComputed: true, computedMs: h.NowMs(), routers: r.count(h),
+		isComputed: true, computedMs: h.NowMs(), routers: max(1, len(r.lastSeenMs)),
 		controllers: controllers, controllersSum: protocol.DigestNodes(controllers),
 	}
 }
 
-// count returns how many routers share the retry budget: those that are alive
-// or were seen lately. It is at least 1.
-func (r *routerRegistry) count(h consensus.Host) int {
+// refreshLastSeen counts the routers that are alive as seen now, and forgets those
+// that have not been seen for too long.
+func (r *routerRegistry) refreshLastSeen(h consensus.Host) {
 	for _, router := range h.Routers() {
 		r.lastSeenMs[router.Name] = max(r.lastSeenMs[router.Name], h.NowMs())
 	}
@@ -118,7 +122,6 @@
 			delete(r.lastSeenMs, name)
 		}
 	}
-	return max(1, len(r.lastSeenMs))
 }
 
 // handlePoll answers a router's poll. What the router has already is left out,
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -91,7 +91,7 @@
 		c.acceptSubmission(h, request, sum)
 	case submissionWasAccepted:
 		h.Count(countRepeated)
-		c.reply(h, request.ID, ConfigAccepted{Version: acceptedVersion})
+		reply(h, request.ID, ConfigAccepted{Version: acceptedVersion})
 	case submissionIsStale:
 		c.rejectStale(h, request)
 	case submissionIsAhead:
@@ -119,7 +119,7 @@
 		// Routers come before the operator: the sooner they have it, the sooner
 		// it applies.
 		c.updateRouters(h)
-		c.reply(h, request.ID, ConfigAccepted{Version: next.version})
+		reply(h, request.ID, ConfigAccepted{Version: next.version})
 	})
 }
 
