--- a/cmd/journalcheck/entry.go
+++ b/cmd/journalcheck/entry.go
@@ -3,7 +3,6 @@
 import (
 	"encoding/json"
 	"fmt"
-	"io"
 	"slices"
 	"strings"
 
@@ -89,7 +88,7 @@
 
 // Report writes a line for each day of the entries, with the first violation if
 // there is one, and returns the tally of each deployment.
-func Report(out io.Writer, entries []Entry) map[string]Tally {
+func Report(out *strings.Builder, entries []Entry) map[string]Tally {
 	tallies := map[string]Tally{}
 	for _, entry := range entries {
 		tally := tallies[entry.Site]
--- a/cmd/journalcheck/main.go
+++ b/cmd/journalcheck/main.go
@@ -8,6 +8,7 @@
 	"maps"
 	"os"
 	"slices"
+	"strings"
 
 	"github.com/integrii/flaggy"
 
@@ -25,7 +26,10 @@
 	for _, file := range files {
 		entries = append(entries, readFile(file))
 	}
-	if hasFailed := printTallies(Report(os.Stdout, entries)); hasFailed {
+	var report strings.Builder
+	tallies := Report(&report, entries)
+	fmt.Print(report.String())
+	if hasFailed := printTallies(tallies); hasFailed {
 		os.Exit(cli.ExitFailed)
 	}
 }
--- a/cmd/scalesim/main.go
+++ b/cmd/scalesim/main.go
@@ -39,7 +39,9 @@
 		_ = json.NewEncoder(os.Stdout).Encode(results)
 		return
 	}
-	scalesim.WriteTable(os.Stdout, results, messages)
+	if err := scalesim.WriteTable(os.Stdout, results, messages); err != nil {
+		cli.Fatal("the table can't be written: %v", err)
+	}
 }
 
 // runAll measures one site after the other, on one thread because the clock is
--- a/internal/compatibility/data_test.go
+++ b/internal/compatibility/data_test.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return 0, "", err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	return response.StatusCode, string(body), err
 }
@@ -121,7 +121,7 @@
 	threads.Go(func() { ended <- group.Run() })
 	c.Cleanup(func() {
 		close(done)
-		<-ended
+		c.Check(<-ended, qt.IsNil)
 	})
 }
 
@@ -236,7 +236,7 @@
 	if err != nil {
 		return false
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	return response.StatusCode == http.StatusOK
 }
 
--- a/internal/controller/daemon_test.go
+++ b/internal/controller/daemon_test.go
@@ -19,7 +19,7 @@
 	listen := func() net.Listener {
 		at, err := net.Listen("tcp", "127.0.0.1:0")
 		c.Assert(err, qt.IsNil)
-		c.Cleanup(func() { at.Close() })
+		c.Cleanup(func() { _ = at.Close() })
 		return at
 	}
 	settings := DaemonSettings{Settings: Settings{Self: testSelf}, Site: "s", Seeds: []string{"a:7"}, FirstStart: true, DataFolder: c.TempDir()}
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -29,7 +29,7 @@
 				return
 			}
 			threads.Go(func() {
-				defer conn.Close()
+				defer func() { _ = conn.Close() }()
 				reader := bufio.NewReader(conn)
 				for {
 					request, err := http.ReadRequest(reader)
--- a/internal/httpclient/exchange_test.go
+++ b/internal/httpclient/exchange_test.go
@@ -50,7 +50,7 @@
 }
 
 func (p *scriptedPeer) serve(connection net.Conn, number int) {
-	defer connection.Close()
+	defer func() { _ = connection.Close() }()
 	reader := bufio.NewReader(connection)
 	for {
 		request, err := http.ReadRequest(reader)
@@ -89,7 +89,7 @@
 	if err != nil {
 		return "", err
 	}
-	defer x.Response.Body.Close()
+	defer func() { _ = x.Response.Body.Close() }()
 	if accepts {
 		x.Accept()
 	}
@@ -207,7 +207,7 @@
 func tcpPair(c *qt.C) (client, peer net.Conn) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	client, err = net.Dial("tcp", listener.Addr().String())
 	c.Assert(err, qt.IsNil)
 	peer, err = listener.Accept()
@@ -265,14 +265,14 @@
 	c := qt.New(t)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
-	defer listener.Close()
+	defer func() { _ = listener.Close() }()
 	done := make(chan struct{})
 	threads.Go(func() {
 		connection, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		defer connection.Close()
+		defer func() { _ = connection.Close() }()
 		// A small buffer makes sure that the body does not fit in it.
 		_ = connection.(*net.TCPConn).SetReadBuffer(4 << 10)
 		_, _ = bufio.NewReaderSize(connection, 16).ReadSlice('\n')
--- a/internal/httpclient/fuzz_test.go
+++ b/internal/httpclient/fuzz_test.go
@@ -88,14 +88,14 @@
 			if err != nil {
 				return 0, "", true
 			}
-			defer x.Response.Body.Close()
+			defer func() { _ = x.Response.Body.Close() }()
 			bytes, err := io.ReadAll(x.Response.Body)
 			return x.Response.StatusCode, string(bytes), err != nil
 		}
 		status, body, failed := read(&pipeSocket{response: strings.NewReader(text)})
 		client, peer := net.Pipe()
 		threads.Go(func() {
-			defer peer.Close()
+			defer func() { _ = peer.Close() }()
 			for rest := text; rest != ""; {
 				n := min(size, len(rest))
 				if _, err := io.WriteString(peer, rest[:n]); err != nil {
--- a/internal/native/operatorclient/call.go
+++ b/internal/native/operatorclient/call.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		return 0, nil, err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	text, err = io.ReadAll(response.Body)
 	return response.StatusCode, text, err
 }
--- a/internal/native/router/exchange.go
+++ b/internal/native/router/exchange.go
@@ -106,7 +106,7 @@
 		ended.Outcome = sendFailure(written, err)
 		return ended, false
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	switch {
 	case response.StatusCode != http.StatusOK:
 		ended.Outcome, ended.Revision = readRejection(response, order.RequestID)
--- a/internal/process/outbound.go
+++ b/internal/process/outbound.go
@@ -138,7 +138,7 @@
 	if err != nil {
 		return err
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return err
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -126,7 +126,7 @@
 		return e.attemptEnded(e.sendFailure(order.Params.Runner, sent, err))
 	}
 	e.server.tracker.received(e.server.runtime.Clock().NowMs(), order.Params.Runner)
-	defer sent.Response.Body.Close()
+	defer func() { _ = sent.Response.Body.Close() }()
 	return e.handleResponse(order, sent, leftMs, cancel)
 }
 
--- a/internal/proxy/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -146,7 +146,7 @@
 }
 
 func (m *modelConn) serve() {
-	defer m.connection.Close()
+	defer func() { _ = m.connection.Close() }()
 	for {
 		request, err := http.ReadRequest(m.reader)
 		if err != nil {
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -29,7 +29,7 @@
 }
 
 func (r *fixedRunner) serve(connection net.Conn) {
-	defer connection.Close()
+	defer func() { _ = connection.Close() }()
 	request, err := http.ReadRequest(bufio.NewReader(connection))
 	if err != nil {
 		return
@@ -176,7 +176,7 @@
 	arrived, sent := map[sentRequest]int{}, map[sentRequest]int{}
 	threads.Go(func() {
 		acceptAll(listener, func(connection net.Conn) {
-			defer connection.Close()
+			defer func() { _ = connection.Close() }()
 			reader := bufio.NewReader(connection)
 			for {
 				request, err := readSent(reader)
@@ -214,7 +214,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer connection.Close()
+		defer func() { _ = connection.Close() }()
 		_, _ = connection.Write(text)
 		_ = connection.(*net.TCPConn).CloseWrite()
 		answers, _ := io.ReadAll(connection)
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -111,7 +111,7 @@
 }
 
 func (p *scriptedRunner) serve(stream net.Conn, number int) {
-	defer stream.Close()
+	defer func() { _ = stream.Close() }()
 	reader := bufio.NewReader(stream)
 	for {
 		r, err := http.ReadRequest(reader)
@@ -235,7 +235,7 @@
 	if err != nil {
 		return 0, nil, "", true
 	}
-	defer answer.Body.Close()
+	defer func() { _ = answer.Body.Close() }()
 	text, err := io.ReadAll(answer.Body)
 	return answer.StatusCode, answer.Header, string(text), err != nil
 }
@@ -365,7 +365,7 @@
 	_, server := newServerBench(c, newScriptedRunner(c))
 	answer, err := http.Post(server.URL+"/safe/x", "", bytes.NewReader(make([]byte, defaultMaxBodyBytes+1)))
 	if err == nil {
-		defer answer.Body.Close()
+		defer func() { _ = answer.Body.Close() }()
 		c.Assert(answer.StatusCode, qt.Equals, http.StatusRequestEntityTooLarge)
 	}
 }
--- a/internal/simulation/localcluster/daemon.go
+++ b/internal/simulation/localcluster/daemon.go
@@ -30,9 +30,9 @@
 	Settings settings.Settings
 
 	shell daemonShell
-	// stop is closed to end the daemon; ended then gets how it ended.
+	// stop is closed to end the daemon; ended is closed once it has ended.
 	stop  chan struct{}
-	ended chan error
+	ended chan struct{}
 }
 
 // listeners are those of one daemon: for its peers and for HTTP.
@@ -117,11 +117,15 @@
 	if err != nil {
 		return nil, err
 	}
-	daemon := &Daemon{Settings: set, shell: shell, stop: make(chan struct{}), ended: make(chan error, 1)}
+	daemon := &Daemon{Settings: set, shell: shell, stop: make(chan struct{}), ended: make(chan struct{})}
 	var group threads.Group
 	shell.AddTasks(&group)
 	group.StopWhen(daemon.stop)
-	threads.Go(func() { daemon.ended <- group.Run() })
+	threads.Go(func() {
+		defer close(daemon.ended)
+		// A daemon that is killed ends like a lost process, whatever it returns.
+		_ = group.Run()
+	})
 	return daemon, nil
 }
 
--- a/internal/simulation/localcluster/measure.go
+++ b/internal/simulation/localcluster/measure.go
@@ -55,9 +55,11 @@
 	sort.Float64s(direct)
 	sort.Float64s(routed)
 	const median, percentile95 = callPairs / 2, callPairs * 95 / 100
-	fmt.Fprintf(out, "routed to direct call, middle of %d pairs: %.2f\n", callPairs, routed[median]/direct[median])
-	fmt.Fprintf(out, "routed to direct call, 95 in 100: %.2f\n", routed[percentile95]/direct[percentile95])
-	return nil
+	if _, err := fmt.Fprintf(out, "routed to direct call, middle of %d pairs: %.2f\n", callPairs, routed[median]/direct[median]); err != nil {
+		return err
+	}
+	_, err := fmt.Fprintf(out, "routed to direct call, 95 in 100: %.2f\n", routed[percentile95]/direct[percentile95])
+	return err
 }
 
 // measureRestart kills and starts all daemons and waits for the first answer.
@@ -74,8 +76,8 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "first answer after every daemon was killed and started, seen once: %.1f s\n", time.Since(from).Seconds())
-	return nil
+	_, err = fmt.Fprintf(out, "first answer after every daemon was killed and started, seen once: %.1f s\n", time.Since(from).Seconds())
+	return err
 }
 
 // smallService finds a repeatable service without models, and a runner of its
--- a/internal/simulation/localcluster/misbehaving_runner_test.go
+++ b/internal/simulation/localcluster/misbehaving_runner_test.go
@@ -38,7 +38,7 @@
 
 // answerOfAnotherRequest answers a request as if it were another one.
 func answerOfAnotherRequest(w http.ResponseWriter, _ string) {
-	fmt.Fprintf(w, `{"request":"another","incarnation":"first-scan-1","answer":"secret"}`)
+	_, _ = fmt.Fprintf(w, `{"request":"another","incarnation":"first-scan-1","answer":"secret"}`)
 }
 
 // startMisbehavingRunner puts a misbehaving runner in the place of the only
@@ -51,7 +51,10 @@
 	server := &http.Server{Handler: runner}
 	served := make(chan error, 1)
 	threads.Go(func() { served <- server.Serve(listener) })
-	c.Cleanup(func() { _ = server.Close(); <-served })
+	c.Cleanup(func() {
+		_ = server.Close()
+		c.Check(<-served, qt.Equals, http.ErrServerClosed)
+	})
 	for _, name := range []string{"scan-2", "scan-3"} {
 		cluster.Platform.Remove(name)
 	}
@@ -84,16 +87,16 @@
 		kind   errkind.Kind
 	}{
 		{"answers another request", answerOfAnotherRequest, errkind.BrokenResponse},
-		{"answers no JSON", func(w http.ResponseWriter, _ string) { fmt.Fprint(w, "<html>secret</html>") }, errkind.BrokenResponse},
+		{"answers no JSON", func(w http.ResponseWriter, _ string) { _, _ = fmt.Fprint(w, "<html>secret</html>") }, errkind.BrokenResponse},
 		{"answers as another incarnation", func(w http.ResponseWriter, request string) {
-			fmt.Fprintf(w, `{"request":%q,"incarnation":"x","answer":"secret"}`, request)
+			_, _ = fmt.Fprintf(w, `{"request":%q,"incarnation":"x","answer":"secret"}`, request)
 		}, errkind.BrokenResponse},
 		{"answers too much", func(w http.ResponseWriter, request string) {
-			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret%s"}`, request, strings.Repeat("x", 9<<20))
+			_, _ = fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret%s"}`, request, strings.Repeat("x", 9<<20))
 		}, errkind.BrokenResponse},
 		{"answers less than it announced", func(w http.ResponseWriter, request string) {
 			w.Header().Set("Content-Length", "5000")
-			fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret`, request)
+			_, _ = fmt.Fprintf(w, `{"request":%q,"incarnation":"first-scan-1","answer":"secret`, request)
 		}, errkind.OutcomeUnknown},
 		{"answers an unexpected status", func(w http.ResponseWriter, _ string) { w.WriteHeader(http.StatusInternalServerError) }, errkind.BrokenResponse},
 		{"redirects", func(w http.ResponseWriter, _ string) {
--- a/internal/simulation/localcluster/report.go
+++ b/internal/simulation/localcluster/report.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"io"
+	"strings"
 
 	"github.com/cockroachdb/errors"
 
@@ -14,9 +15,10 @@
 // Report prints what a run showed: answers by kind, look-ups, and violations of
 // the rules, whose number it gives.
 func (c *Cluster) Report(out io.Writer, client *testbackend.Client) (violations int, err error) {
-	fmt.Fprintln(out, "answers by service and kind:")
+	var text strings.Builder
+	fmt.Fprintln(&text, "answers by service and kind:")
 	for _, line := range client.OutcomeLines() {
-		fmt.Fprintln(out, "  "+line)
+		fmt.Fprintln(&text, "  "+line)
 	}
 	sum, err := c.routerCounters()
 	if err != nil {
@@ -26,18 +28,19 @@
 	if err != nil {
 		return 0, err
 	}
-	fmt.Fprintf(out, "requests %d, look-ups sent %d, look-ups at the index %d", sum.Requests, sum.LookUps, lookUps)
+	fmt.Fprintf(&text, "requests %d, look-ups sent %d, look-ups at the index %d", sum.Requests, sum.LookUps, lookUps)
 	if sum.Requests > 0 {
-		fmt.Fprintf(out, " (%.3f a request)", float64(lookUps)/float64(sum.Requests))
+		fmt.Fprintf(&text, " (%.3f a request)", float64(lookUps)/float64(sum.Requests))
 	}
-	fmt.Fprintf(out, "\nhits %d, misses %d, held beyond the miss wait %d\n", sum.Hits, sum.Misses, sum.MissesDelayed)
-	fmt.Fprintf(out, "goes %d, second goes %d, orders %d, runs %d\n", sum.Attempts, sum.Retries, c.Checker.OrderCount(), c.Checker.Executions)
+	fmt.Fprintf(&text, "\nhits %d, misses %d, held beyond the miss wait %d\n", sum.Hits, sum.Misses, sum.MissesDelayed)
+	fmt.Fprintf(&text, "goes %d, second goes %d, orders %d, runs %d\n", sum.Attempts, sum.Retries, c.Checker.OrderCount(), c.Checker.Executions)
 	found := c.Checker.Violations()
-	fmt.Fprintf(out, "rules broken: %d\n", len(found))
+	fmt.Fprintf(&text, "rules broken: %d\n", len(found))
 	for _, violation := range found {
-		fmt.Fprintln(out, "  "+violation.String())
+		fmt.Fprintln(&text, "  "+violation.String())
 	}
-	return len(found), nil
+	_, err = io.WriteString(out, text.String())
+	return len(found), err
 }
 
 // routerCounters sums up the counters of all routers.
--- a/internal/simulation/scalesim/scalesim_test.go
+++ b/internal/simulation/scalesim/scalesim_test.go
@@ -36,7 +36,7 @@
 	qt.Assert(t, r.Primary.Polls > 5, qt.IsTrue)
 	qt.Assert(t, r.Router.SentBytes > 0 && r.Router.HeapKb > 0, qt.IsTrue)
 	var text strings.Builder
-	WriteTable(&text, []Result{r}, true)
+	qt.Assert(t, WriteTable(&text, []Result{r}, true), qt.IsNil)
 	qt.Assert(t, strings.Contains(text.String(), "protocol.IndexLookUp"), qt.IsTrue)
 }
 
--- a/internal/simulation/scalesim/table.go
+++ b/internal/simulation/scalesim/table.go
@@ -5,34 +5,54 @@
 	"io"
 	"maps"
 	"slices"
+	"strings"
 	"text/tabwriter"
 )
 
 // WriteTable prints results, one line for each role, and with messages the
 // counts of each type of message.
-func WriteTable(to io.Writer, results []Result, messages bool) {
+func WriteTable(to io.Writer, results []Result, messages bool) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "routers\trunners\tmodels\treq/s\trole\tcontrol us/s\twire us/s\tserving us/s\tsent/s\tgot/s\tout B/s\tin B/s\tstates/s\torders/s\tlines\theap KB\t")
+	if _, err := io.WriteString(w, costRows(results)); err != nil {
+		return err
+	}
+	if err := w.Flush(); err != nil {
+		return err
+	}
+	_, err := io.WriteString(to, summaries(results, messages))
+	return err
+}
+
+// costRows gives the heading and a row for each role, with cells ended by tabs.
+func costRows(results []Result) string {
+	var rows strings.Builder
+	rows.WriteString("routers\trunners\tmodels\treq/s\trole\tcontrol us/s\twire us/s\tserving us/s\tsent/s\tgot/s\tout B/s\tin B/s\tstates/s\torders/s\tlines\theap KB\t\n")
 	for _, r := range results {
 		for _, role := range []struct {
 			name string
 			RoleCost
 		}{{"router", r.Router}, {"primary", r.Primary}, {"follower", r.Follower}} {
-			fmt.Fprintf(w, "%d\t%d\t%d+%d\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t\n",
+			fmt.Fprintf(&rows, "%d\t%d\t%d+%d\t%d\t%s\t%.0f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t%.1f\t%.1f\t%.0f\t%.0f\t\n",
 				r.Size.Routers, r.Size.Runners, r.Size.Models, r.Size.Adapters, r.Size.RequestsPerSec, role.name, role.ControlUs, role.WireUs, role.ServingUs,
 				role.Sent, role.Received, role.SentBytes, role.ReceivedBytes, role.Polls, role.Orders, role.Peers, role.HeapKb)
 		}
 	}
-	_ = w.Flush()
+	return rows.String()
+}
+
+// summaries gives a line for each result, and with messages one for each type.
+func summaries(results []Result, messages bool) string {
+	var lines strings.Builder
 	for _, r := range results {
-		fmt.Fprintf(to, "%d routers, %d runners, %d requests/s: %d requests, %d look-ups, %d misses, %d dropped, %d loads; longest step of the primary %.1f ms; map %.0f KB, in use everywhere after %d ms; states %d ms old, the oldest %d ms; %d runners offered\n",
+		fmt.Fprintf(&lines, "%d routers, %d runners, %d requests/s: %d requests, %d look-ups, %d misses, %d dropped, %d loads; longest step of the primary %.1f ms; map %.0f KB, in use everywhere after %d ms; states %d ms old, the oldest %d ms; %d runners offered\n",
 			r.Size.Routers, r.Size.Runners, r.Size.RequestsPerSec, r.Requests, r.LookUps, r.Misses, r.Rejected, r.StoreLoads, r.LongestStepMs, r.ConfigKb, r.ConfigLagMs, r.StateAgeMs, r.OldestMs, r.ListedRunners)
 		if !messages {
 			continue
 		}
 		for _, name := range slices.Sorted(maps.Keys(r.Messages)) {
 			k := r.Messages[name]
-			fmt.Fprintf(to, "  %-20s %9d messages %12d bytes, %.0f each\n", name, k.Messages, k.Bytes, float64(k.Bytes)/float64(k.Messages))
+			fmt.Fprintf(&lines, "  %-20s %9d messages %12d bytes, %.0f each\n", name, k.Messages, k.Bytes, float64(k.Bytes)/float64(k.Messages))
 		}
 	}
+	return lines.String()
 }
--- a/internal/simulation/testbackend/client_request.go
+++ b/internal/simulation/testbackend/client_request.go
@@ -41,7 +41,7 @@
 		c.ended(workload, request.ID, OutcomeBrokeBeforeAnswer, false)
 		return OutcomeBrokeBeforeAnswer
 	}
-	defer response.Body.Close()
+	defer func() { _ = response.Body.Close() }()
 	switch {
 	case response.StatusCode != http.StatusOK:
 		return c.readError(response.Body, workload, request.ID)
--- a/internal/storage/file.go
+++ b/internal/storage/file.go
@@ -97,6 +97,6 @@
 	if err != nil {
 		return s.wrap(err)
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	return s.wrapSync(s.sync(file))
 }
--- a/internal/storage/repair.go
+++ b/internal/storage/repair.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
+	defer func() { _ = file.Close() }()
 	if err := file.Truncate(int64(size)); err != nil {
 		return errors.Wrap(err, "repair of a torn tail")
 	}
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	defer parent.Close()
+	defer func() { _ = parent.Close() }()
 	return sync(parent)
 }
 
--- a/internal/storage/store_test.go
+++ b/internal/storage/store_test.go
@@ -107,7 +107,7 @@
 	// descriptor that is open on the file.
 	full, err := os.OpenFile("/dev/full", os.O_WRONLY, 0)
 	c.Assert(err, qt.IsNil)
-	defer full.Close()
+	defer func() { _ = full.Close() }()
 	entries, err := os.ReadDir("/proc/self/fd")
 	c.Assert(err, qt.IsNil)
 	for _, entry := range entries {
--- a/internal/transport/sender_test.go
+++ b/internal/transport/sender_test.go
@@ -78,7 +78,7 @@
 func TestCallToAPeerThatReadsNothingTimesOut(t *testing.T) {
 	c := qt.New(t)
 	here, there := net.Pipe()
-	defer there.Close()
+	defer func() { _ = there.Close() }()
 	client := newRPCClient(here)
 	defer client.close()
 	c.Assert(client.call([]protocol.Envelope{snapshotOf(1 << 20)}, time.Millisecond), qt.IsNotNil)
