--- a/internal/transport/server_test.go
+++ b/internal/transport/server_test.go
@@ -86,7 +86,7 @@
 			address, _, counted := testServer(c)
 			conn, err := net.Dial("tcp", address)
 			c.Assert(err, qt.IsNil)
-			defer conn.Close()
+			defer func() { _ = conn.Close() }()
 			_, err = conn.Write(test.bytes)
 			c.Assert(err, qt.IsNil)
 			c.Assert(<-counted, qt.Equals, "malformed")
