--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -33,7 +33,7 @@
 	router := flaggy.NewSubcommand("router")
 	router.Description = "take requests and send them to runners"
 	controller := flaggy.NewSubcommand("controller")
-	controller.Description = "take service maps, list runners and order loads"
+	controller.Description = "take configurations, list runners and order loads"
 	for _, command := range []*flaggy.Subcommand{router, controller} {
 		command.String(&file, "s", "settings", "settings file (YAML); the platform's own where it is left out")
 		flaggy.AttachSubcommand(command, 1)
--- a/cmd/operator/main.go
+++ b/cmd/operator/main.go
@@ -33,7 +33,7 @@
 )
 
 func main() {
-	cli.Setup("operator", "Hands descriptions over, reads them, and shows the state of a site.")
+	cli.Setup("operator", "Submits descriptions, reads them, and shows the state of a site.")
 	flaggy.String(&controllers, "c", "controllers", "http addresses of controllers, with commas")
 	commands := registerCommands()
 	cli.Parse()
@@ -52,10 +52,10 @@
 
 func registerCommands() []command {
 	commands := []command{
-		newCommand("found", "begin a new site on the first controller named; all witnesses must be blank", found, registerFound),
-		newCommand("recover", "go on from the copy of the first controller named, after both disks of the pair were lost; without change and revision it only shows what that would be", recoverSite, registerRecover),
-		newCommand("put", "hand a whole description over", func() { submit(http.MethodPut) }, registerSubmit),
-		newCommand("patch", "hand changes of named parts over", func() { submit(http.MethodPatch) }, registerSubmit),
+		newCommand("found", "bootstrap a new site on the first controller named; all witnesses must be blank", found, registerFound),
+		newCommand("recover", "go on from the replica of the first controller named, after both replicas of the record were lost; without change and revision it only shows what that would be", recoverSite, registerRecover),
+		newCommand("put", "submit a whole description", func() { submit(http.MethodPut) }, registerSubmit),
+		newCommand("patch", "submit changes of named parts", func() { submit(http.MethodPatch) }, registerSubmit),
 		newCommand("get", "print the description in force and, on standard error, its revision", get, nil),
 		newCommand("history", "list the latest revisions", func() { show("/history") }, nil),
 		newCommand("status", "show what each controller believes", status, nil),
--- a/cmd/scalesim/main.go
+++ b/cmd/scalesim/main.go
@@ -84,9 +84,9 @@
 	add("runners", "runners", func(s *scalesim.Size) *int { return &s.Runners })
 	add("models", "models", func(s *scalesim.Size) *int { return &s.Models })
 	add("adapters", "adapters of all models together", func(s *scalesim.Size) *int { return &s.Adapters })
-	add("routes", "routes of the service map", func(s *scalesim.Size) *int { return &s.Routes })
+	add("routes", "routes of the configuration", func(s *scalesim.Size) *int { return &s.Routes })
 	add("perSec", "requests a second to all routers together", func(s *scalesim.Size) *int { return &s.RequestsPerSec })
-	add("changes", "service maps that come into force while it is measured", func(s *scalesim.Size) *int { return &s.Changes })
+	add("changes", "configurations that come into force while it is measured", func(s *scalesim.Size) *int { return &s.Changes })
 	add("shiftMs", "how often another model becomes a busy one; 0 is never", func(s *scalesim.Size) *int { return &s.ShiftMs })
 	add("lastsMs", "how long an answer takes", func(s *scalesim.Size) *int { return &s.ResponseMs })
 	return flags
