--- a/internal/native/controller/index.go
+++ b/internal/native/controller/index.go
@@ -8,21 +8,28 @@
 )
 
 const (
-	// notifyWindowMs is how long a router that asked is told of a change.
-	notifyWindowMs   = 10_000
+	// notifyWindowMs is for how long a router that asked in vain is notified.
+	notifyWindowMs = 10_000
+	// demandIntervalMs passes between two reports of the demand to the primary.
 	demandIntervalMs = 500
-	maxWaitingKeys   = 4096
+	// maxWaitingKeys bounds the keys for which routers are remembered.
+	maxWaitingKeys = 4096
 )
 
-// index is the placement index as it answers routers. Any controller that
-// follows answers; only the primary acts on the demand.
+// index is the part of any controller in answering the routers' look-ups. Only the
+// primary acts on the demand.
 type index struct {
-	lookUps       uint64
-	waiting       map[choice.Key]map[string]int64
+	// lookUps counts all look-ups so far.
+	lookUps uint64
+	// waiting are the routers that asked for a key that nobody holds, with the time of
+	// their last look-up.
+	waiting map[choice.Key]map[string]int64
+	// pendingDemand counts the look-ups by key since the last report to the primary.
 	pendingDemand map[string]int64
 	demandSentMs  int64
 }
 
+// dataAgeMs is how old what this controller knows may be.
 func (a *application) dataAgeMs() int64 {
 	if a.host.Active() {
 		return 0
@@ -30,35 +37,63 @@
 	return a.host.NowMs() - a.host.PrimaryHeardMs()
 }
 
-func (a *application) lookUp(e protocol.Envelope, ask protocol.LookUp) {
+// lookUp answers a router's look-up.
+func (a *application) lookUp(e protocol.Envelope, request protocol.LookUp) {
 	a.index.lookUps++
-	key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-	answer := protocol.LookUpReply{ID: ask.ID, Key: key.String(), At: a.host.Position(), AgeMs: a.dataAgeMs(), Behind: a.description == nil}
-	if a.description != nil {
-		if service, ok := a.description.Service(ask.Service); ok && (ask.Model == "" || service.Allows(ask.Model)) {
-			a.index.pendingDemand[key.String()]++
-			line := a.table.LookUp(key, a.description, a.host.Position(), a.state(), a.currentHints())
-			answer.Holders, answer.Loading = line.Holders, line.Loading
-			answer.TurnMs = waitEstimate(a.currentHints(), key, line)
-			if len(line.Holders) == 0 && len(a.index.waiting) < maxWaitingKeys {
-				if a.index.waiting[key] == nil {
-					a.index.waiting[key] = map[string]int64{}
-				}
-				a.index.waiting[key][e.From.Name] = a.host.NowMs()
-			}
+	key := keyOf(request)
+	reply := protocol.LookUpReply{
+		ID: request.ID, Key: key.String(), At: a.host.Position(), AgeMs: a.dataAgeMs(), Behind: a.description == nil,
+	}
+	if a.mayAsk(request) {
+		a.index.pendingDemand[key.String()]++
+		entry := a.entry(key)
+		reply.Holders, reply.Loading = entry.Holders, entry.Loading
+		reply.TurnMs = a.waitEstimateMs(key, entry)
+		if len(entry.Holders) == 0 {
+			a.index.noteWaiting(key, e.From.Name, a.host.NowMs())
 		}
 	}
-	a.host.Send(e.From, answer)
+	a.host.Send(e.From, reply)
+}
+
+func keyOf(request protocol.LookUp) choice.Key {
+	return choice.Key{Service: request.Service, Model: request.Model, Adapter: request.Adapter}
+}
+
+// mayAsk says whether the description has the service, and the service the model.
+func (a *application) mayAsk(request protocol.LookUp) bool {
+	if a.description == nil {
+		return false
+	}
+	service, ok := a.description.Service(request.Service)
+	return ok && (request.Model == "" || service.Allows(request.Model))
 }
 
-// waitEstimate is the turn of a key that no runner holds.
-func waitEstimate(soft protocol.Hints, key choice.Key, line choice.Entry) int64 {
-	if len(line.Holders) > 0 {
+// noteWaiting remembers that a router asked for a key that nobody holds.
+func (x *index) noteWaiting(key choice.Key, router string, nowMs int64) {
+	if len(x.waiting) >= maxWaitingKeys {
+		return
+	}
+	if x.waiting[key] == nil {
+		x.waiting[key] = map[string]int64{}
+	}
+	x.waiting[key][router] = nowMs
+}
+
+// entry looks a key up in the choice table.
+func (a *application) entry(key choice.Key) choice.Entry {
+	return a.table.LookUp(key, a.description, a.host.Position(), a.state(), a.currentHints())
+}
+
+// waitEstimateMs is in how many ms a key that nobody holds may be held; 0 is unknown.
+func (a *application) waitEstimateMs(key choice.Key, entry choice.Entry) int64 {
+	if len(entry.Holders) > 0 {
 		return 0
 	}
-	return soft.Turns[key.Item().String()]
+	return a.currentHints().Turns[key.Item().String()]
 }
 
+// currentHints are the primary's own, or what it last told this follower.
 func (a *application) currentHints() protocol.Hints {
 	if a.host.IsPrimary() {
 		return a.primary.hints(a.host.NowMs())
@@ -66,7 +101,7 @@
 	return a.hints
 }
 
-// notifyWaiting tells routers that asked lately of what has become loaded.
+// notifyWaiting notifies routers that asked lately of what is held by now.
 func (a *application) notifyWaiting() {
 	if a.description == nil {
 		return
@@ -84,65 +119,64 @@
 				delete(routers, name)
 			}
 		}
-		line := choice.Entry{}
-		if len(routers) > 0 {
-			line = a.table.LookUp(key, a.description, a.host.Position(), a.state(), a.currentHints())
-		}
-		if len(line.Holders) > 0 {
-			for _, place := range a.host.Known(protocol.RoleRouter) {
-				if _, asked := routers[place.Name]; asked {
-					a.host.Send(place, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), AgeMs: a.dataAgeMs(), Holders: line.Holders})
-				}
-			}
-		}
-		if len(routers) == 0 || len(line.Holders) > 0 {
+		if len(routers) == 0 || a.notifyOfHolders(key, routers) {
 			delete(a.index.waiting, key)
 		}
 	}
 }
 
-// answerWaiting tells a router what is loaded of what its requests wait for.
-func (a *application) answerWaiting(to protocol.Node, keys []protocol.LookUp) {
+// notifyOfHolders notifies routers of who holds a key; false says that nobody does.
+func (a *application) notifyOfHolders(key choice.Key, routers map[string]int64) bool {
+	entry := a.entry(key)
+	if len(entry.Holders) == 0 {
+		return false
+	}
+	for _, router := range a.host.Known(protocol.RoleRouter) {
+		if _, asked := routers[router.Name]; asked {
+			a.host.Send(router, protocol.LookUpReply{
+				Key: key.String(), At: a.host.Position(), AgeMs: a.dataAgeMs(), Holders: entry.Holders,
+			})
+		}
+	}
+	return true
+}
+
+// answerWaiting tells a router about the keys for which requests wait there.
+func (a *application) answerWaiting(to protocol.Node, requests []protocol.LookUp) {
 	if a.description == nil {
 		return
 	}
-	for _, ask := range keys {
-		key := choice.Key{Service: ask.Service, Model: ask.Model, Adapter: ask.Adapter}
-		line := a.table.LookUp(key, a.description, a.host.Position(), a.state(), a.currentHints())
-		if len(line.Holders) > 0 {
-			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Holders: line.Holders})
+	for _, request := range requests {
+		key := keyOf(request)
+		entry := a.entry(key)
+		if len(entry.Holders) > 0 {
+			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Holders: entry.Holders})
 			continue
 		}
-		if turnMs := waitEstimate(a.currentHints(), key, line); turnMs > 0 {
-			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Loading: line.Loading, TurnMs: turnMs})
+		if waitMs := a.waitEstimateMs(key, entry); waitMs > 0 {
+			a.host.Send(to, protocol.LookUpReply{Key: key.String(), At: a.host.Position(), Loading: entry.Loading, TurnMs: waitMs})
 		}
-		if service, ok := a.description.Service(ask.Service); ok && service.Allows(ask.Model) {
-			a.primary.noteWaiting(a.host.NowMs(), ask.Model, ask.Adapter)
+		if service, ok := a.description.Service(request.Service); ok && service.Allows(request.Model) {
+			a.primary.noteWaiting(a.host.NowMs(), request.Model, request.Adapter)
 		}
 	}
 }
 
-// runIndexTimers brings the demand to the primary.
+// runIndexTimers reports the demand to the primary when that is due.
 func (a *application) runIndexTimers() {
 	if a.host.NowMs()-a.index.demandSentMs < demandIntervalMs {
 		return
 	}
 	a.index.demandSentMs = a.host.NowMs()
-	// Burdens and darkness are not rows, so the table is compiled anew at times.
+	// Burdens and silence are not rows, so the table is compiled anew at times.
 	a.table.Invalidate()
 	a.notifyWaiting()
 	if len(a.index.pendingDemand) == 0 {
 		return
 	}
-	demand := protocol.DemandReport{Counts: a.index.pendingDemand}
+	report := protocol.DemandReport{Counts: a.index.pendingDemand}
 	a.index.pendingDemand = map[string]int64{}
 	if primary := a.host.Primary(); primary.Name != "" {
-		a.host.Send(primary, demand)
-	}
-}
-
-func (a *application) handleDemandReport(said protocol.DemandReport) {
-	if a.host.IsPrimary() {
-		a.primary.addDemandReport(a.host.NowMs(), said)
+		a.host.Send(primary, report)
 	}
 }
--- /dev/null
+++ b/internal/native/controller/orders.go
@@ -0,0 +1,111 @@
+package controller
+
+import (
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+)
+
+// orderResendMs passes until an order that no report names is sent again.
+const orderResendMs = 600
+
+// mayOrder says whether an order that is given now can't cross one of an earlier
+// primary.
+func (a *application) mayOrder() bool {
+	waited := a.host.NowMs() >= a.host.OrdersFromMs()
+	return a.host.Active() && waited && a.description != nil && a.allRunnersFenced()
+}
+
+// allRunnersFenced says whether every listed runner that answers is fenced. One that
+// answers later, or is listed later, delays only its own orders.
+func (a *application) allRunnersFenced() bool {
+	p := &a.primary
+	if p.allFenced {
+		return true
+	}
+	if p.listReceivedMs == 0 {
+		return false
+	}
+	for name := range p.listed {
+		if !a.fencedOrUnreachable(p.runners[name]) {
+			return false
+		}
+	}
+	p.allFenced = true
+	return true
+}
+
+func (a *application) fencedOrUnreachable(runner *runnerState) bool {
+	if runner == nil {
+		return false
+	}
+	if runner.fencedMs == 0 {
+		return runner.unreachable
+	}
+	return a.fenced(runner)
+}
+
+// fenced says whether no order of an earlier primary can still reach the runner.
+func (a *application) fenced(runner *runnerState) bool {
+	return runner.fenced(a.host.NowMs(), a.settings.GapMs)
+}
+
+// giveOrder records an order in the ledger, and sends it once that is committed.
+func (a *application) giveOrder(row *ledger.RunnerRow, action string, item ledger.Item, size int64) {
+	name := row.Runner
+	if action == protocol.ActionLoad {
+		a.primary.lastLoadMs[a.serviceOf(item.Model)] = a.host.NowMs()
+	}
+	a.primary.runners[name].ordersGiven++
+	a.host.Logf("%s: %s %s", name, action, item)
+	a.submit(func(ok bool) {
+		if ok {
+			a.sendOrder(name)
+		}
+	}, ledger.RecordOrder{Runner: name, Incarnation: row.Incarnation, Action: action, Item: item, Size: size})
+}
+
+// resendOrders sends open orders again that no report names. Their numbers make the
+// repetition harmless.
+func (a *application) resendOrders() {
+	for _, name := range a.primary.runnerNames() {
+		row, runner := a.state().Rows[name], a.primary.runners[name]
+		if row == nil || runner == nil || row.Order == nil || a.host.NowMs()-runner.orderResentMs < orderResendMs {
+			continue
+		}
+		reported := runner.report.Incarnation == row.Incarnation && runner.report.LastOrder >= row.Order.Number
+		// Nothing that is not committed may reach a runner.
+		if reported || !a.host.Settled() || !a.fenced(runner) {
+			continue
+		}
+		// A load that is sent again may begin only now, and after a take-over many may
+		// be open at once.
+		if row.Order.Action == protocol.ActionLoad && !a.acquireLoad() {
+			continue
+		}
+		a.sendOrder(name)
+	}
+}
+
+// acquireLoad takes the token for a load, if there is one.
+func (a *application) acquireLoad() bool {
+	return a.primary.loadLimiter.tryAcquire(a.host.NowMs(), a.description.Store.LoadsPer10s)
+}
+
+// sendOrder sends a runner its open order, if it may be given one now.
+func (a *application) sendOrder(name string) {
+	row, runner := a.state().Rows[name], a.primary.runners[name]
+	if row == nil || runner == nil || row.Order == nil || !a.mayOrder() || !a.fenced(runner) {
+		return
+	}
+	if runner.sentOrder != row.Order.Number {
+		runner.sentOrder, runner.orderSentMs = row.Order.Number, a.host.NowMs()
+	}
+	runner.orderResentMs = a.host.NowMs()
+	a.host.Call(row.Address, protocol.OrderCall{
+		Runner: name, UntilMs: a.host.LeaseUntilMs(),
+		Order: protocol.Order{
+			Holder: a.host.Self().Name, Epoch: a.host.Epoch(), Number: row.Order.Number, Incarnation: row.Incarnation,
+			Action: row.Order.Action, Model: row.Order.Model, Adapter: row.Order.Adapter, Size: row.Order.Size,
+		},
+	})
+}
--- a/internal/native/controller/proposals.go
+++ b/internal/native/controller/proposals.go
@@ -10,60 +10,57 @@
 )
 
 const (
-	// routerLeaseMs is how long a router may go on with its revision after
-	// the question that the primary's word answered.
-	routerLeaseMs      = 6000
+	// maxQueuedProposals bounds the descriptions that wait for the one before.
 	maxQueuedProposals = 16
-	// proposalTimeoutMs is when a description that routers do not acknowledge is given
-	// up, so that its operator gets a final answer.
+	// proposalTimeoutMs is how long routers have to acknowledge a description before it
+	// is rejected, so that its operator gets a final answer.
 	proposalTimeoutMs = 12_000
 )
 
-// proposals is the taking of descriptions and the routers' holds on revisions.
+// proposals is the primary's part in the acceptance of descriptions, and what it
+// granted to routers meanwhile.
 type proposals struct {
-	// current is the revision that both disks of the pair hold; the state's
-	// own may be ahead of it by one that is not answered yet.
+	// current is the revision that all replicas hold. The state's own may be ahead of
+	// it by one that is not committed yet.
 	current ledger.Revision
-	// token names the offer that became current, as routers held it.
-	token    string
+	// token names the proposal that became current, as routers acknowledged it.
+	token string
+	// sequence counts the proposals of this process.
 	sequence int
-	pending  *proposal
-	queue    []SubmitDescription
-	// leases are by process, not by name: two of one name may live for a while.
+	// pending is the proposal that waits for the routers or for its commit, or nil.
+	pending *proposal
+	queue   []SubmitDescription
+	// leases are by process, not by name: two processes of one name may live for a
+	// while.
 	leases map[protocol.MemberID]*routerLease
-	// registrations registers the routers' processes in the order in which they first
-	// asked; latest is the one that holds each name.
+	// registrations are the numbers of the routers' processes, in the order in which
+	// they first polled; newestNumber is that of the process that holds a name.
 	registrations map[protocol.MemberID]uint64
 	newestNumber  map[string]uint64
 }
 
-// proposal is a description that the routers are asked to hold.
+// proposal is a description that the routers are asked to acknowledge.
 type proposal struct {
 	submission SubmitDescription
 	number     uint64
 	text       string
-	// token names this very offer: a text that is offered again is another
-	// offer, and an acknowledgement of the first says nothing of it.
-	token     string
-	sinceMs   int64
+	// token names this very proposal. A text that is proposed again is another
+	// proposal, and an acknowledgement of the first says nothing of it.
+	token   string
+	sinceMs int64
+	// submitted says that the routers have acknowledged it and it is being committed.
 	submitted bool
 }
 
-// routerLease is what a router was given and what it acknowledged.
-type routerLease struct {
-	untilMs      int64
-	acknowledged string
-	// extendedUntilMs is until when renewals that the router gave to peers may run.
-	extendedUntilMs int64
-}
-
 // DescriptionAccepted answers a description that is in force.
 type DescriptionAccepted struct {
 	Revision uint64 `json:"revision"`
 }
 
 func (a *application) reject(id uint64, kind errkind.Kind, detail string, faults []string) {
-	a.host.Answer(id, protocol.Rejection{Kind: kind, Detail: detail, Faults: faults, Revision: a.proposals.current.Number, Primary: a.host.Record().Primary})
+	a.host.Answer(id, protocol.Rejection{
+		Kind: kind, Detail: detail, Faults: faults, Revision: a.proposals.current.Number, Primary: a.host.Record().Primary,
+	})
 }
 
 func (a *application) submitDescription(in SubmitDescription) {
@@ -84,238 +81,146 @@
 	}
 }
 
-// startNextProposal takes the first of the line that has no fault. One at a time, so
-// that of two with one base the second loses.
+// startNextProposal proposes the first queued description that has no fault. One at
+// a time, so that of two with the same base the second is rejected.
 func (a *application) startNextProposal() {
-	o := &a.proposals
-	for o.pending == nil && len(o.queue) > 0 && a.host.Active() {
-		in := o.queue[0]
-		// Faults are told at once; only a sound one waits for the holds that
-		// the primary before may have given.
-		if in.Base != o.current.Number {
-			o.queue = o.queue[1:]
-			a.reject(in.ID, errkind.StaleBase, "the description in force is another by now", nil)
-			continue
-		}
-		text := []byte(in.Text)
-		var faults []string
-		if in.Partial {
-			text, faults = description.Patch([]byte(o.current.Text), text)
-		}
-		if len(faults) == 0 {
-			_, faults = description.Read(text, a.settings.Site)
-		}
-		if len(faults) > 0 || len(text) > description.MaxBytes {
-			o.queue = o.queue[1:]
-			kind := errkind.FaultyDescription
-			if len(faults) == 0 {
-				kind = errkind.TooLarge
-			}
-			a.reject(in.ID, kind, "the description has no effect", faults)
-			continue
-		}
-		if a.host.NowMs() < a.acceptFromMs {
+	p := &a.proposals
+	for p.pending == nil && len(p.queue) > 0 && a.host.Active() {
+		in := p.queue[0]
+		// Faults are reported at once. Only a faultless description waits for the
+		// leases that the primary before may have granted.
+		text, faulty := a.checkSubmission(in)
+		if !faulty && a.host.NowMs() < a.acceptFromMs {
 			return
 		}
-		o.queue = o.queue[1:]
-		o.pending = &proposal{submission: in, number: o.current.Number + 1, text: string(text), sinceMs: a.host.NowMs()}
-		o.sequence++
-		o.pending.token = fmt.Sprintf("%s-%d-%d", protocol.Digest(string(text)), a.host.Epoch(), o.sequence)
-		a.host.Logf("revision %d is offered to the routers", o.pending.number)
-		a.requestPolls()
-		a.advanceProposal()
+		p.queue = p.queue[1:]
+		if !faulty {
+			a.propose(in, text)
+		}
 	}
 }
 
-// requestPolls makes the routers ask at once rather than at their next turn.
-func (a *application) requestPolls() {
-	for _, place := range a.host.Known(protocol.RoleRouter) {
-		a.host.Send(place, protocol.PollRequest{Epoch: a.host.Epoch()})
+// checkSubmission gives the whole text of a submitted description. One with a fault is
+// rejected.
+func (a *application) checkSubmission(in SubmitDescription) (text string, faulty bool) {
+	current := a.proposals.current
+	if in.Base != current.Number {
+		a.reject(in.ID, errkind.StaleBase, "the description in force is another by now", nil)
+		return "", true
 	}
+	whole := []byte(in.Text)
+	var faults []string
+	if in.Partial {
+		whole, faults = description.Patch([]byte(current.Text), whole)
+	}
+	if len(faults) == 0 {
+		_, faults = description.Read(whole, a.settings.Site)
+	}
+	if len(faults) > 0 {
+		a.reject(in.ID, errkind.FaultyDescription, "the description has no effect", faults)
+		return "", true
+	}
+	if len(whole) > description.MaxBytes {
+		a.reject(in.ID, errkind.TooLarge, "the description has no effect", nil)
+		return "", true
+	}
+	return string(whole), false
 }
 
-func (a *application) advanceProposal() {
-	o := &a.proposals
-	if !a.host.Active() {
-		return
+// propose asks the routers to acknowledge a description.
+func (a *application) propose(in SubmitDescription, text string) {
+	p := &a.proposals
+	p.sequence++
+	p.pending = &proposal{
+		submission: in, number: p.current.Number + 1, text: text, sinceMs: a.host.NowMs(),
+		token: fmt.Sprintf("%s-%d-%d", protocol.Digest(text), a.host.Epoch(), p.sequence),
 	}
-	if o.pending == nil {
+	a.host.Logf("revision %d is offered to the routers", p.pending.number)
+	a.requestPolls()
+	a.advanceProposal()
+}
+
+// advanceProposal commits the pending proposal once the routers have acknowledged it,
+// and rejects it if they don't in time.
+func (a *application) advanceProposal() {
+	pending := a.proposals.pending
+	switch {
+	case !a.host.Active():
+	case pending == nil:
 		a.startNextProposal()
-		return
-	}
-	if o.pending.submitted {
-		return
-	}
-	if !a.proposalAcknowledged() {
+	case pending.submitted:
+	case a.proposalAcknowledged():
+		a.commitProposal(pending)
+	case a.host.NowMs()-pending.sinceMs >= proposalTimeoutMs:
 		// Nothing was written, so it can't come into force any more.
-		if a.host.NowMs()-o.pending.sinceMs >= proposalTimeoutMs {
-			id := o.pending.submission.ID
-			o.pending = nil
-			a.reject(id, errkind.NotAccepted, "too few routers acknowledged it", nil)
-			a.requestPolls()
-			a.startNextProposal()
-		}
-		return
+		a.proposals.pending = nil
+		a.reject(pending.submission.ID, errkind.NotAccepted, "too few routers acknowledged it", nil)
+		a.requestPolls()
+		a.startNextProposal()
 	}
-	o.pending.submitted = true
-	pending := o.pending
+}
+
+func (a *application) commitProposal(pending *proposal) {
+	pending.submitted = true
+	id := pending.submission.ID
 	a.submit(func(ok bool) {
 		if !ok {
-			a.reject(pending.submission.ID, errkind.AcceptanceUnknown, "it may be in force; read the description to find out", nil)
+			a.reject(id, errkind.AcceptanceUnknown, "it may be in force; read the description to find out", nil)
 			return
 		}
 		a.proposals.current = ledger.Revision{Number: pending.number, Text: pending.text}
 		a.proposals.token = pending.token
 		a.proposals.pending = nil
 		a.host.Logf("revision %d is in force", pending.number)
-		a.host.Answer(pending.submission.ID, DescriptionAccepted{Revision: pending.number})
+		a.host.Answer(id, DescriptionAccepted{Revision: pending.number})
 		a.requestPolls()
 		a.startNextProposal()
 	}, ledger.AcceptRevision{Text: pending.text, Epoch: a.host.Epoch()})
 }
 
-// proposalAcknowledged says whether every router that counts has acknowledged the
-// pending revision or can't use the present one any more. Routers may renew
-// each other's holds by majority, so a majority must have acknowledged, which
-// ends that; and what those gave before must have run out.
+// proposalAcknowledged says whether every router that is listed has acknowledged the
+// pending proposal or can't use the current revision any more. Routers may extend
+// each other's leases by majority, so a majority must have acknowledged, which ends
+// that, and the extensions that those granted before must have run out.
 func (a *application) proposalAcknowledged() bool {
-	o := &a.proposals
-	acked, givenMs := 0, int64(0)
-	for _, hold := range o.leases {
-		if hold.acknowledged != o.pending.token {
-			if a.host.NowMs() < hold.untilMs {
-				return false
-			}
-			continue
+	p := &a.proposals
+	extendedUntilMs := int64(0)
+	for _, lease := range p.leases {
+		acknowledged := lease.acknowledged == p.pending.token
+		if !acknowledged && a.host.NowMs() < lease.untilMs {
+			return false
+		}
+		if acknowledged {
+			extendedUntilMs = max(extendedUntilMs, lease.extendedUntilMs)
 		}
-		givenMs = max(givenMs, hold.extendedUntilMs)
 	}
 	if a.description == nil {
 		return true
 	}
-	for _, member := range a.description.Routers {
-		if o.acknowledgedBy(a.host.NowMs(), member.Name) {
-			acked++
+	acknowledged, listed := 0, len(a.description.Routers)
+	for _, router := range a.description.Routers {
+		if p.acknowledgedBy(a.host.NowMs(), router.Name) {
+			acknowledged++
 		}
 	}
-	if acked == len(a.description.Routers) {
+	if acknowledged == listed {
 		return true
 	}
-	return 2*acked > len(a.description.Routers) && a.host.NowMs() >= givenMs
+	return 2*acknowledged > listed && a.host.NowMs() >= extendedUntilMs
 }
 
-// abandonProposals ends what an ended primacy can't settle.
+// abandonProposals rejects what an ended primacy can't accept any more.
 func (a *application) abandonProposals() {
-	o := &a.proposals
-	line, pending := o.queue, o.pending
-	o.queue, o.pending = nil, nil
-	o.resetRouters()
-	for _, in := range line {
-		a.reject(in.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
+	const detail = "this controller is not the primary any more"
+	queue, pending := a.proposals.queue, a.proposals.pending
+	a.proposals.queue, a.proposals.pending = nil, nil
+	a.proposals.resetRouters()
+	for _, in := range queue {
+		a.reject(in.ID, errkind.NotAccepted, detail, nil)
 	}
 	// One that was never written can't come into force; one that was has been
-	// answered by its write's end.
+	// answered by the end of its write.
 	if pending != nil && !pending.submitted {
-		a.reject(pending.submission.ID, errkind.NotAccepted, "this controller is not the primary any more", nil)
-	}
-}
-
-// resetRouters begins the holds and the registration of routers anew.
-func (o *proposals) resetRouters() {
-	o.leases, o.registrations, o.newestNumber = map[protocol.MemberID]*routerLease{}, map[protocol.MemberID]uint64{}, map[string]uint64{}
-}
-
-// register gives a router's process its number. One that shows that it got it
-// lives, and has the name unless a later one does. The rest are retired.
-// No two primacies give the same number.
-func (o *proposals) register(epoch uint64, seat protocol.MemberID, shown uint64) (number uint64, retired bool) {
-	number = o.registrations[seat]
-	if number == 0 {
-		number = epoch<<24 + uint64(len(o.registrations)+1)
-		o.registrations[seat] = number
-	}
-	if shown == number {
-		o.newestNumber[seat.Name] = max(o.newestNumber[seat.Name], number)
-	}
-	return number, number < o.newestNumber[seat.Name]
-}
-
-// acknowledgedBy says whether a router's process has acknowledged the offer and no
-// other of its name may still go on without.
-func (o *proposals) acknowledgedBy(nowMs int64, name string) bool {
-	found := false
-	for seat, hold := range o.leases {
-		if seat.Name != name {
-			continue
-		}
-		if hold.acknowledged == o.pending.token {
-			found = true
-		} else if nowMs < hold.untilMs {
-			return false
-		}
-	}
-	return found
-}
-
-// isListedRouter says whether a router is listed in the description in force, or in
-// none as long as there is none.
-func (a *application) isListedRouter(name string) bool {
-	if a.description == nil {
-		return false
-	}
-	for _, member := range a.description.Routers {
-		if member.Name == name {
-			return true
-		}
-	}
-	return false
-}
-
-// handlePoll answers a router. Only a router that counts is given a hold.
-func (a *application) handlePoll(e protocol.Envelope, ask protocol.RouterPoll) {
-	if !a.host.Active() {
-		return
-	}
-	o := &a.proposals
-	seat := protocol.MemberID{Name: e.From.Name, Incarnation: e.From.Incarnation}
-	number, retired := o.register(a.host.Epoch(), seat, ask.Number)
-	if retired {
-		a.host.Send(e.From, protocol.RouterUpdate{EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: a.host.Epoch(), Number: number, Retired: true})
-		return
-	}
-	word := protocol.RouterUpdate{
-		EchoMs: ask.EchoMs, For: e.From.Incarnation, Epoch: a.host.Epoch(),
-		Revision: o.current.Number, Sum: o.token, Number: number,
-		Leaving: a.primary.leavingRunners(a.state()), Peers: a.host.Peers(),
-	}
-	if ask.Revision != o.current.Number && ask.Held != word.Sum {
-		word.Text = o.current.Text
-	}
-	hold := o.leases[seat]
-	if a.isListedRouter(e.From.Name) && o.current.Number > 0 {
-		if hold == nil {
-			hold = &routerLease{}
-			o.leases[seat] = hold
-		}
-		hold.acknowledged = ask.Held
-		hold.extendedUntilMs = a.host.NowMs() + ask.GivenMs
-		// A router that has not acknowledged is given no more time on the
-		// present revision while a next one is pending.
-		if o.pending == nil || ask.Held == o.pending.token {
-			word.Renew = true
-			hold.untilMs = a.host.NowMs() + routerLeaseMs
-		}
-	}
-	if o.pending != nil {
-		word.Pending = o.pending.token
-		if ask.Held != o.pending.token {
-			word.PendingText = o.pending.text
-		}
-	}
-	a.host.Send(e.From, word)
-	a.answerWaiting(e.From, ask.Waiting)
-	// An acknowledgement may be the last that was waited for.
-	if o.pending != nil {
-		a.advanceProposal()
+		a.reject(pending.submission.ID, errkind.NotAccepted, detail, nil)
 	}
 }
--- /dev/null
+++ b/internal/native/controller/routers.go
@@ -0,0 +1,144 @@
+package controller
+
+import (
+	"slices"
+
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/protocol"
+)
+
+// routerLeaseMs is how long a router may use its revision, from the poll that the
+// primary answered.
+const routerLeaseMs = 6000
+
+// routerNumberBits are the low bits of a registration number; the epoch is above.
+const routerNumberBits = 24
+
+// routerLease is what a router's process was granted and what it acknowledged.
+type routerLease struct {
+	// untilMs is until when it may use the current revision.
+	untilMs int64
+	// acknowledged is the token of the proposal that it last acknowledged.
+	acknowledged string
+	// extendedUntilMs is until when the extensions run that it granted to its peers.
+	extendedUntilMs int64
+}
+
+// requestPolls has the routers poll at once rather than at their next regular time.
+func (a *application) requestPolls() {
+	for _, router := range a.host.Known(protocol.RoleRouter) {
+		a.host.Send(router, protocol.PollRequest{Epoch: a.host.Epoch()})
+	}
+}
+
+// resetRouters forgets all leases and registrations.
+func (p *proposals) resetRouters() {
+	p.leases = map[protocol.MemberID]*routerLease{}
+	p.registrations = map[protocol.MemberID]uint64{}
+	p.newestNumber = map[string]uint64{}
+}
+
+// register gives a router's process its number, which no other primacy gives. A
+// process that shows its number lives, and holds its name unless a later one does.
+// The others of the name are retired.
+func (p *proposals) register(epoch uint64, router protocol.MemberID, shown uint64) (number uint64, retired bool) {
+	number = p.registrations[router]
+	if number == 0 {
+		number = epoch<<routerNumberBits + uint64(len(p.registrations)+1)
+		p.registrations[router] = number
+	}
+	if shown == number {
+		p.newestNumber[router.Name] = max(p.newestNumber[router.Name], number)
+	}
+	return number, number < p.newestNumber[router.Name]
+}
+
+// acknowledgedBy says whether a router's process has acknowledged the pending proposal
+// and no other process of its name may still use the current revision.
+func (p *proposals) acknowledgedBy(nowMs int64, name string) bool {
+	found := false
+	for router, lease := range p.leases {
+		if router.Name != name {
+			continue
+		}
+		if lease.acknowledged == p.pending.token {
+			found = true
+		} else if nowMs < lease.untilMs {
+			return false
+		}
+	}
+	return found
+}
+
+// isListedRouter says whether the description in force lists a router.
+func (a *application) isListedRouter(name string) bool {
+	if a.description == nil {
+		return false
+	}
+	return slices.ContainsFunc(a.description.Routers, func(router description.Member) bool { return router.Name == name })
+}
+
+// handlePoll answers a router with the revision in force, the pending proposal and,
+// where it is listed, a lease.
+func (a *application) handlePoll(e protocol.Envelope, poll protocol.RouterPoll) {
+	if !a.host.Active() {
+		return
+	}
+	router := protocol.MemberID{Name: e.From.Name, Incarnation: e.From.Incarnation}
+	number, retired := a.proposals.register(a.host.Epoch(), router, poll.Number)
+	update := protocol.RouterUpdate{
+		EchoMs: poll.EchoMs, For: router.Incarnation, Epoch: a.host.Epoch(), Number: number, Retired: retired,
+	}
+	if retired {
+		a.host.Send(e.From, update)
+		return
+	}
+	a.describeRevision(&update, poll)
+	update.Renew = a.renewLease(router, poll)
+	a.host.Send(e.From, update)
+	a.answerWaiting(e.From, poll.Waiting)
+	// An acknowledgement may be the last that was waited for.
+	if a.proposals.pending != nil {
+		a.advanceProposal()
+	}
+}
+
+// describeRevision adds the revision in force, the pending proposal and the site's
+// daemons. Texts that the router holds are left out.
+func (a *application) describeRevision(update *protocol.RouterUpdate, poll protocol.RouterPoll) {
+	p := &a.proposals
+	update.Revision, update.Sum = p.current.Number, p.token
+	update.Leaving, update.Peers = a.primary.leavingRunners(a.state()), a.host.Peers()
+	if poll.Revision != p.current.Number && poll.Held != p.token {
+		update.Text = p.current.Text
+	}
+	if p.pending == nil {
+		return
+	}
+	update.Pending = p.pending.token
+	if poll.Held != p.pending.token {
+		update.PendingText = p.pending.text
+	}
+}
+
+// renewLease notes what a listed router has acknowledged, and says whether its lease on
+// the current revision is renewed: not while a proposal is pending that it has not
+// acknowledged.
+func (a *application) renewLease(router protocol.MemberID, poll protocol.RouterPoll) bool {
+	p := &a.proposals
+	if !a.isListedRouter(router.Name) || p.current.Number == 0 {
+		return false
+	}
+	lease := p.leases[router]
+	if lease == nil {
+		lease = &routerLease{}
+		p.leases[router] = lease
+	}
+	lease.acknowledged = poll.Held
+	lease.extendedUntilMs = a.host.NowMs() + poll.GivenMs
+	if p.pending != nil && poll.Held != p.pending.token {
+		return false
+	}
+	lease.untilMs = a.host.NowMs() + routerLeaseMs
+	return true
+}
--- a/internal/native/ledger/ledger.go
+++ b/internal/native/ledger/ledger.go
@@ -23,6 +23,12 @@
 	return i.Model + "+" + i.Adapter
 }
 
+// ParseItem reads what String wrote.
+func ParseItem(name string) Item {
+	model, adapter, _ := strings.Cut(name, "+")
+	return Item{Model: model, Adapter: adapter}
+}
+
 // Holding is one thing that a runner holds.
 type Holding struct {
 	Size int64 `json:"size"`
@@ -38,6 +44,9 @@
 	Size    int64  `json:"size"`
 }
 
+// Item is what the order loads or unloads.
+func (o *OpenOrder) Item() Item { return Item{Model: o.Model, Adapter: o.Adapter} }
+
 // RunnerRow is what the ledger knows of one runner.
 type RunnerRow struct {
 	Runner      string             `json:"runner"`
