--- /dev/null
+++ b/internal/native/controller/api.go
@@ -0,0 +1,243 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"myrtlewinch/internal/consensus"
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/native/description"
+	"myrtlewinch/internal/native/ledger"
+	"myrtlewinch/internal/protocol"
+)
+
+const (
+	// changeTimeout bounds requests that change something, readTimeout those that read.
+	changeTimeout = 15 * time.Second
+	readTimeout   = 2 * time.Second
+	// maxBootstrapBytes bounds the body of a bootstrap or recovery.
+	maxBootstrapBytes = 4096
+)
+
+// bootstrapPath and recoverPath are the operator's explicit acts on a site.
+const (
+	bootstrapPath = "/found"
+	recoverPath   = "/recover"
+)
+
+// bootstrapRequest is the body of a bootstrap or a recovery. Change and Revision are of a
+// recovery only.
+type bootstrapRequest struct {
+	Witnesses []string `json:"witnesses"`
+	Backup    string   `json:"backup"`
+	Change    uint64   `json:"change"`
+	Revision  uint64   `json:"revision"`
+}
+
+// historyPage is the answer of /history.
+type historyPage struct {
+	Revisions     []ledger.HistoryEntry `json:"revisions"`
+	Authoritative bool                  `json:"sure"`
+}
+
+// healthPage is the answer of /soundness.
+type healthPage struct {
+	Epoch   uint64 `json:"epoch"`
+	Role    string `json:"role"`
+	Healthy bool   `json:"sound"`
+}
+
+// ServeHTTP answers operators.
+func (d *Daemon) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	pages := map[string]map[string]http.HandlerFunc{
+		"/description": {http.MethodGet: d.getDescription, http.MethodPut: d.putDescription, http.MethodPatch: d.putDescription},
+		"/history":     {http.MethodGet: d.getHistory},
+		"/status":      {http.MethodGet: d.getStatus},
+		"/soundness":   {http.MethodGet: d.getHealth},
+		"/counters":    {http.MethodGet: d.getCounters},
+		bootstrapPath:  {http.MethodPost: d.bootstrap},
+		recoverPath:    {http.MethodPost: d.bootstrap},
+	}
+	page, ok := pages[r.URL.Path]
+	if !ok {
+		errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: r.URL.Path}.Write(w)
+		return
+	}
+	handler, ok := page[r.Method]
+	if !ok {
+		for method := range page {
+			w.Header().Add("Allow", method)
+		}
+		errkind.ErrorBody{Kind: errkind.WrongMethod, Detail: r.Method + " " + r.URL.Path}.Write(w)
+		return
+	}
+	handler(w, r)
+}
+
+// call gives the machine an input and waits for its answer; false says that none came.
+func (d *Daemon) call(r *http.Request, timeout time.Duration, input func(id uint64) any) (any, bool) {
+	ctx, cancel := context.WithTimeout(r.Context(), timeout)
+	defer cancel()
+	return d.runtime.Call(ctx, input)
+}
+
+func writeJSON(w http.ResponseWriter, value any) {
+	w.Header().Set("Content-Type", "application/json")
+	_ = json.NewEncoder(w).Encode(value)
+}
+
+func writeRejection(w http.ResponseWriter, rejection protocol.Rejection) {
+	errkind.ErrorBody{
+		Kind: rejection.Kind, Detail: rejection.Detail, Faults: rejection.Faults,
+		Revision: rejection.Revision, Primary: rejection.Primary,
+	}.Write(w)
+}
+
+// writeNoAnswer says that the machine did not answer a read in time.
+func writeNoAnswer(w http.ResponseWriter) {
+	errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "no answer in time"}.Write(w)
+}
+
+// revisionTag is the ETag of a revision.
+func revisionTag(revision uint64) string { return fmt.Sprintf("%q", strconv.FormatUint(revision, 10)) }
+
+// baseRevision reads the revision on which a submitted description is based.
+func baseRevision(r *http.Request) (uint64, *errkind.ErrorBody) {
+	given := strings.Trim(r.Header.Get("If-Match"), `"`)
+	if given == "" {
+		return 0, &errkind.ErrorBody{Kind: errkind.MissingBase, Detail: `If-Match: "REVISION" must say which revision this is based on; 0 is none`}
+	}
+	base, err := strconv.ParseUint(given, 10, 64)
+	if err != nil {
+		return 0, &errkind.ErrorBody{Kind: errkind.BadRequest, Detail: "If-Match: " + given + " is not a revision"}
+	}
+	return base, nil
+}
+
+// putDescription submits a description, or with PATCH a change of named parts.
+func (d *Daemon) putDescription(w http.ResponseWriter, r *http.Request) {
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, description.MaxBytes))
+	if err != nil {
+		errkind.ErrorBody{Kind: errkind.TooLarge, Detail: fmt.Sprintf("a description may have at most %d bytes", description.MaxBytes)}.Write(w)
+		return
+	}
+	base, fault := baseRevision(r)
+	if fault != nil {
+		fault.Write(w)
+		return
+	}
+	answer, ok := d.call(r, changeTimeout, func(id uint64) any {
+		return SubmitDescription{ID: id, Base: base, Text: string(text), Partial: r.Method == http.MethodPatch}
+	})
+	if !ok {
+		errkind.ErrorBody{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; read the description to find out"}.Write(w)
+		return
+	}
+	switch reply := answer.(type) {
+	case DescriptionAccepted:
+		w.Header().Set("ETag", revisionTag(reply.Revision))
+		writeJSON(w, reply)
+	case protocol.Rejection:
+		writeRejection(w, reply)
+	}
+}
+
+// readDescription reads what the machine knows of the description. Without an answer it
+// writes the error.
+func (d *Daemon) readDescription(w http.ResponseWriter, r *http.Request) (DescriptionReply, bool) {
+	answer, _ := d.call(r, readTimeout, func(id uint64) any { return DescriptionRequest{ID: id} })
+	reply, ok := answer.(DescriptionReply)
+	if !ok {
+		writeNoAnswer(w)
+	}
+	return reply, ok
+}
+
+func (d *Daemon) getDescription(w http.ResponseWriter, r *http.Request) {
+	reply, ok := d.readDescription(w, r)
+	if !ok {
+		return
+	}
+	// Only the primary knows what is in force; a follower may be behind.
+	if !reply.Authoritative {
+		errkind.ErrorBody{Kind: errkind.NotPrimary, Detail: "the primary knows the description in force", Primary: reply.Primary}.Write(w)
+		return
+	}
+	if reply.Revision.Number == 0 {
+		errkind.ErrorBody{Kind: errkind.UnknownPage, Detail: "no description is in force yet"}.Write(w)
+		return
+	}
+	w.Header().Set("ETag", revisionTag(reply.Revision.Number))
+	w.Header().Set("Content-Type", "application/json")
+	_, _ = io.WriteString(w, reply.Revision.Text)
+}
+
+func (d *Daemon) getHistory(w http.ResponseWriter, r *http.Request) {
+	if reply, ok := d.readDescription(w, r); ok {
+		writeJSON(w, historyPage{Revisions: reply.History, Authoritative: reply.Authoritative})
+	}
+}
+
+// readStatus reads the machine's status; false says that it did not answer in time.
+func (d *Daemon) readStatus(r *http.Request) (Status, bool) {
+	answer, _ := d.call(r, readTimeout, func(id uint64) any { return StatusRequest{ID: id} })
+	status, ok := answer.(Status)
+	return status, ok
+}
+
+func (d *Daemon) getStatus(w http.ResponseWriter, r *http.Request) {
+	status, ok := d.readStatus(r)
+	if !ok {
+		writeNoAnswer(w)
+		return
+	}
+	writeJSON(w, status)
+}
+
+// getHealth answers 200 as long as the machine answers and its disk takes writes. It says
+// nothing of the site.
+func (d *Daemon) getHealth(w http.ResponseWriter, r *http.Request) {
+	status, ok := d.readStatus(r)
+	if !ok || status.DiskBroken || status.Retired {
+		errkind.ErrorBody{Kind: errkind.NotAccepted, Detail: "unsound"}.Write(w)
+		return
+	}
+	writeJSON(w, healthPage{Healthy: true, Role: status.Role, Epoch: status.Record.Epoch})
+}
+
+func (d *Daemon) getCounters(w http.ResponseWriter, _ *http.Request) {
+	writeJSON(w, d.runtime.Counts())
+}
+
+// bootstrap begins the site, or goes on from this daemon's replica.
+func (d *Daemon) bootstrap(w http.ResponseWriter, r *http.Request) {
+	var request bootstrapRequest
+	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBootstrapBytes))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&request); err != nil {
+		errkind.ErrorBody{Kind: errkind.BadRequest, Detail: err.Error()}.Write(w)
+		return
+	}
+	answer, ok := d.call(r, changeTimeout, func(id uint64) any {
+		return consensus.Bootstrap{
+			ID: id, Witnesses: request.Witnesses, Backup: request.Backup,
+			Recover: r.URL.Path == recoverPath, Change: request.Change, Revision: request.Revision,
+		}
+	})
+	if !ok {
+		errkind.ErrorBody{Kind: errkind.AcceptanceUnknown, Detail: "no outcome in time; ask for the status"}.Write(w)
+		return
+	}
+	switch reply := answer.(type) {
+	case consensus.BootstrapResult:
+		writeJSON(w, reply)
+	case protocol.Rejection:
+		writeRejection(w, reply)
+	}
+}
--- a/internal/native/controller/application.go
+++ b/internal/native/controller/application.go
@@ -30,8 +30,9 @@
 	GapMs int64
 }
 
-// SubmitDescription is an input: a description to be taken, or, with Part, a change of
-// named parts of it. Base is the revision that it is based on.
+// SubmitDescription is an input: a description to be put in force or, with Partial, a
+// change of named parts of it. Base is the revision on which it is based. It is answered
+// with DescriptionAccepted or protocol.Rejection.
 type SubmitDescription struct {
 	ID      uint64
 	Base    uint64
@@ -46,13 +47,13 @@
 	host     consensus.ExtendedHost
 	// description is the description in force, compiled; nil while none is.
 	description *description.Description
-	// compiledRevision is the revision that described was read from.
+	// compiledRevision is the revision that description was read from.
 	compiledRevision ledger.Revision
 	proposals        proposals
 	index            index
 	primary          primaryState
 	table            choice.Table
-	// hints are, at a follower, what the primary last said beside rows.
+	// hints are what the primary last told its followers beside rows.
 	hints protocol.Hints
 	// acceptFromMs is from when a new primary may accept descriptions: the leases
 	// that the one before gave to routers have run out by then.
@@ -178,19 +179,23 @@
 		a.handleRunnerList(in)
 	case SubmitDescription:
 		a.submitDescription(in)
-	case Look:
-		a.handlePageRequest(in)
+	case StatusRequest:
+		a.replyStatus(in)
+	case DescriptionRequest:
+		a.replyDescription(in)
 	default:
 		return false
 	}
 	return true
 }
 
-// InputWhileRetired shows the pages still, and takes no description.
+// InputWhileRetired still answers reads, and rejects descriptions.
 func (a *application) InputWhileRetired(input any) {
 	switch in := input.(type) {
-	case Look:
-		a.handlePageRequest(in)
+	case StatusRequest:
+		a.replyStatus(in)
+	case DescriptionRequest:
+		a.replyDescription(in)
 	case SubmitDescription:
 		a.reject(in.ID, errkind.NotPrimary, "this daemon is retired", nil)
 	}
--- a/internal/native/controller/status.go
+++ b/internal/native/controller/status.go
@@ -8,46 +8,52 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Look asks for a page: "status", "description", "history" or "soundness".
-type Look struct {
-	ID   uint64
-	Page string
-}
+// StatusRequest is an input. It is answered with Status.
+type StatusRequest struct{ ID uint64 }
+
+// DescriptionRequest is an input. It is answered with DescriptionReply.
+type DescriptionRequest struct{ ID uint64 }
 
 // Status is what a controller believes.
 type Status struct {
-	Site         string               `json:"site"`
-	Name         string               `json:"name"`
-	Part         string               `json:"part"`
-	Incarnation  string               `json:"incarnation"`
-	Role         string               `json:"role"`
+	Site        string `json:"site"`
+	Name        string `json:"name"`
+	Part        string `json:"part"`
+	Incarnation string `json:"incarnation"`
+	Role        string `json:"role"`
+	// Active says that this controller may speak for the site; Orders that it may give
+	// orders to runners.
 	Active       bool                 `json:"active"`
 	Orders       bool                 `json:"orders"`
 	DiskBroken   bool                 `json:"diskBroken"`
 	Retired      bool                 `json:"retired"`
 	WitnessBlank bool                 `json:"witnessBlank"`
 	Record       protocol.EpochRecord `json:"record"`
-	// Away lists the witnesses that the primary misses for long.
-	Away     []string                 `json:"witnessesAway"`
-	Position protocol.Position        `json:"position"`
-	Revision uint64                   `json:"revision"`
-	Pending  uint64                   `json:"pending"`
-	LookUps  uint64                   `json:"lookUps"`
-	Peers    []consensus.PeerStatus   `json:"fellows"`
-	Rows     []*ledger.RunnerRow      `json:"rows"`
-	Leaving  []protocol.LeavingRunner `json:"leaving"`
-	Platform int64                    `json:"platformAgeMs"`
-	Routers  []RouterStatus           `json:"routers"`
+	// Away lists the witnesses that have been silent to the primary for long.
+	Away     []string          `json:"witnessesAway"`
+	Position protocol.Position `json:"position"`
+	Revision uint64            `json:"revision"`
+	// Pending is the number of the proposal that waits for the routers, or 0.
+	Pending uint64                   `json:"pending"`
+	LookUps uint64                   `json:"lookUps"`
+	Peers   []consensus.PeerStatus   `json:"fellows"`
+	Rows    []*ledger.RunnerRow      `json:"rows"`
+	Leaving []protocol.LeavingRunner `json:"leaving"`
+	// Platform is the age in ms of the platform's list at the primary, or -1.
+	Platform int64          `json:"platformAgeMs"`
+	Routers  []RouterStatus `json:"routers"`
 }
 
-// RouterStatus is a router's hold as the primary counts it.
+// RouterStatus is a router's lease as the primary counts it.
 type RouterStatus struct {
-	Name   string `json:"name"`
+	Name string `json:"name"`
+	// HeldMs is for how long the lease still runs; negative where it has run out.
 	HeldMs int64  `json:"heldMs"`
 	Acked  string `json:"acked,omitempty"`
 }
 
-// DescriptionReply answers a look at the description.
+// DescriptionReply is the revision in force, as far as this controller knows, and the
+// history. It is authoritative at an active primary only.
 type DescriptionReply struct {
 	Revision      ledger.Revision
 	Authoritative bool
@@ -55,37 +61,54 @@
 	History       []ledger.HistoryEntry
 }
 
-func (a *application) handlePageRequest(in Look) {
-	if in.Page != "status" {
-		revision := a.state().Revision
-		if a.host.IsPrimary() {
-			revision = a.proposals.current
-		}
-		a.host.Answer(in.ID, DescriptionReply{Revision: revision, Authoritative: a.host.Active(), Primary: a.host.Record().Primary, History: append([]ledger.HistoryEntry{}, a.state().History...)})
-		return
-	}
-	member := a.host.MemberStatus()
-	s := Status{
-		Site: a.settings.Site, Name: a.host.Self().Name, Part: a.host.Self().Part, Incarnation: a.host.Self().Incarnation,
-		Role: member.Role, Active: a.host.Active(), Orders: a.mayOrder(), DiskBroken: member.DiskBroken, Retired: member.Retired,
-		WitnessBlank: member.WitnessBlank, Record: a.host.Record(), Away: member.Away, Peers: member.Peers, Position: a.host.Position(), Revision: a.state().Revision.Number,
-		LookUps: a.index.lookUps, Platform: -1,
+// replyDescription answers with the description in force. The state of a primary may be
+// ahead of what is committed.
+func (a *application) replyDescription(request DescriptionRequest) {
+	revision := a.state().Revision
+	if a.host.IsPrimary() {
+		revision = a.proposals.current
 	}
-	if a.proposals.pending != nil {
-		s.Pending = a.proposals.pending.number
+	a.host.Answer(request.ID, DescriptionReply{
+		Revision: revision, Authoritative: a.host.Active(), Primary: a.host.Record().Primary,
+		History: append([]ledger.HistoryEntry{}, a.state().History...),
+	})
+}
+
+// replyStatus answers with the status.
+func (a *application) replyStatus(request StatusRequest) {
+	self, member := a.host.Self(), a.host.MemberStatus()
+	status := Status{
+		Site: a.settings.Site, Name: self.Name, Part: self.Part, Incarnation: self.Incarnation,
+		Role: member.Role, Active: a.host.Active(), Orders: a.mayOrder(), DiskBroken: member.DiskBroken,
+		Retired: member.Retired, WitnessBlank: member.WitnessBlank, Record: a.host.Record(), Away: member.Away,
+		Position: a.host.Position(), Revision: a.state().Revision.Number, LookUps: a.index.lookUps,
+		Peers: member.Peers, Rows: a.runnerRows(), Leaving: a.primary.leavingRunners(a.state()),
+		Platform: -1, Routers: a.routerStatus(),
 	}
-	// The page is read on another thread, so it gets rows of its own.
-	for _, row := range a.state().Copy().Rows {
-		s.Rows = append(s.Rows, row)
+	if pending := a.proposals.pending; pending != nil {
+		status.Pending = pending.number
 	}
-	sort.Slice(s.Rows, func(i, j int) bool { return s.Rows[i].Runner < s.Rows[j].Runner })
-	s.Leaving = a.primary.leavingRunners(a.state())
 	if a.host.IsPrimary() && a.primary.listReceivedMs > 0 {
-		s.Platform = a.host.NowMs() - a.primary.listReceivedMs
+		status.Platform = a.host.NowMs() - a.primary.listReceivedMs
 	}
-	for seat, hold := range a.proposals.leases {
-		s.Routers = append(s.Routers, RouterStatus{seat.Name, hold.untilMs - a.host.NowMs(), hold.acknowledged})
+	a.host.Answer(request.ID, status)
+}
+
+// runnerRows copies the ledger's rows, since the answer is read by another goroutine.
+func (a *application) runnerRows() []*ledger.RunnerRow {
+	var rows []*ledger.RunnerRow
+	for _, row := range a.state().Copy().Rows {
+		rows = append(rows, row)
+	}
+	sort.Slice(rows, func(i, j int) bool { return rows[i].Runner < rows[j].Runner })
+	return rows
+}
+
+func (a *application) routerStatus() []RouterStatus {
+	var routers []RouterStatus
+	for router, lease := range a.proposals.leases {
+		routers = append(routers, RouterStatus{router.Name, lease.untilMs - a.host.NowMs(), lease.acknowledged})
 	}
-	sort.Slice(s.Routers, func(i, j int) bool { return s.Routers[i].Name < s.Routers[j].Name })
-	a.host.Answer(in.ID, s)
+	sort.Slice(routers, func(i, j int) bool { return routers[i].Name < routers[j].Name })
+	return routers
 }
--- a/internal/simulation/nativesim/clocks_test.go
+++ b/internal/simulation/nativesim/clocks_test.go
@@ -56,6 +56,7 @@
 // on real sockets and timers.
 var realTimeFiles = []string{
 	"internal/controller/daemon.go",
+	"internal/native/controller/api.go",
 	"internal/native/controller/daemon.go",
 	"internal/native/router/server.go",
 	"internal/proxy/clientconn.go",
--- a/internal/simulation/nativesim/description_checks.go
+++ b/internal/simulation/nativesim/description_checks.go
@@ -20,7 +20,7 @@
 		return
 	}
 	n := w.nodes[name]
-	effects := n.machine.Step(w.clockNow(n), controller.Look{ID: 1, Page: "description"})
+	effects := n.machine.Step(w.clockNow(n), controller.DescriptionRequest{ID: 1})
 	for _, response := range effects.Responses {
 		if described, ok := response.Body.(controller.DescriptionReply); ok {
 			w.checkHistory(described)
--- a/internal/simulation/nativesim/operator.go
+++ b/internal/simulation/nativesim/operator.go
@@ -235,7 +235,7 @@
 // status reads a controller's status. What else its state machine decides in
 // the same step is carried out.
 func (w *World) status(n *node) controller.Status {
-	effects := n.machine.Step(w.clockNow(n), controller.Look{ID: 1, Page: "status"})
+	effects := n.machine.Step(w.clockNow(n), controller.StatusRequest{ID: 1})
 	var status controller.Status
 	rest := effects.Responses[:0]
 	for _, response := range effects.Responses {
