--- a/internal/native/choice/table.go
+++ b/internal/native/choice/table.go
@@ -1,8 +1,9 @@
-// Package choice compiles the service map and the holding ledger into choice
-// tables: for each thing a request may name, the runners that may get it.
+// Package choice compiles the description and the ledger into tables: for each key that a
+// request may name, the runners to which it may be sent.
 package choice
 
 import (
+	"slices"
 	"sort"
 
 	"myrtlewinch/internal/native/description"
@@ -10,72 +11,74 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Key is what a request names.
+// Key is what a request names. Model and adapter may be empty.
 type Key struct{ Service, Model, Adapter string }
 
+// String is the key in messages between daemons.
 func (k Key) String() string { return k.Service + "/" + k.Model + "/" + k.Adapter }
 
-// Item is the model or adapter that the key needs loaded.
+// Item is the model or adapter that a runner must hold for the key.
 func (k Key) Item() ledger.Item { return ledger.Item{Model: k.Model, Adapter: k.Adapter} }
 
-// Entry is the answer for a key.
+// Entry is what the table has for a key.
 type Entry struct {
+	// Holders are the runners that hold what the key needs, by name.
 	Holders []protocol.Holder
+	// Loading says that a runner is loading the item or its model.
 	Loading bool
 }
 
-// Table holds the lines that were asked for, compiled when first asked for
-// after a change.
+// Table holds the entries that were looked up since the last change. The zero value is
+// empty.
 type Table struct {
+	// at is the position of the state that the entries were compiled from.
 	at      protocol.Position
 	entries map[Key]Entry
 }
 
-// Invalidate empties the table, since the ledger or the description changed.
+// Invalidate empties the table. It must be called when anything but the state's position
+// tells of a change, such as new hints.
 func (t *Table) Invalidate() { t.entries = nil }
 
-// LookUp gives the line for a key.
-func (t *Table) LookUp(key Key, d *description.Description, at protocol.Position, s *ledger.State, soft protocol.Hints) Entry {
+// LookUp gives the entry for a key, compiled when it is first asked for. The ledger is as
+// of the position.
+func (t *Table) LookUp(key Key, described *description.Description, at protocol.Position, state *ledger.State, hints protocol.Hints) Entry {
 	if t.entries == nil || t.at != at {
 		t.entries, t.at = map[Key]Entry{}, at
 	}
-	line, ok := t.entries[key]
+	entry, ok := t.entries[key]
 	if !ok {
-		line = compile(key, d, s, soft)
-		t.entries[key] = line
+		entry = compile(key, described, state, hints)
+		t.entries[key] = entry
 	}
-	return line
+	return entry
 }
 
-func compile(key Key, d *description.Description, s *ledger.State, soft protocol.Hints) Entry {
-	var line Entry
-	if d == nil {
-		return line
+// compile works out an entry. Runners that leave or are silent are left out.
+func compile(key Key, described *description.Description, state *ledger.State, hints protocol.Hints) Entry {
+	var entry Entry
+	if described == nil {
+		return entry
 	}
-	service, ok := d.Service(key.Service)
+	service, ok := described.Service(key.Service)
 	if !ok {
-		return line
+		return entry
 	}
-	dark := map[string]bool{}
-	for _, name := range soft.Dark {
-		dark[name] = true
-	}
-	for _, runner := range d.Runners {
-		row := s.Rows[runner.Name]
-		if row == nil || !service.Uses(runner.Pool) || s.Leaving(row) || dark[runner.Name] {
+	model := ledger.Item{Model: key.Model}
+	for _, runner := range described.Runners {
+		row := state.Rows[runner.Name]
+		if row == nil || !service.Uses(runner.Pool) || state.Leaving(row) || slices.Contains(hints.Dark, runner.Name) {
 			continue
 		}
-		model := ledger.Item{Model: key.Model}
-		line.Loading = line.Loading || row.Loading(model) || row.Loading(key.Item())
+		entry.Loading = entry.Loading || row.Loading(model) || row.Loading(key.Item())
 		// An adapter is of use only where its model is held too.
-		if !row.Holds(model) || key.Adapter != "" && !row.Holds(key.Item()) {
-			continue
+		if row.Holds(model) && (key.Adapter == "" || row.Holds(key.Item())) {
+			entry.Holders = append(entry.Holders, protocol.Holder{
+				Runner: runner.Name, Incarnation: row.Incarnation, Address: row.Address,
+				Zone: runner.Zone, Burden: hints.Burdens[runner.Name],
+			})
 		}
-		line.Holders = append(line.Holders, protocol.Holder{
-			Runner: runner.Name, Incarnation: row.Incarnation, Address: row.Address,
-			Zone: runner.Zone, Burden: soft.Burdens[runner.Name],
-		})
 	}
-	sort.Slice(line.Holders, func(i, j int) bool { return line.Holders[i].Runner < line.Holders[j].Runner })
-	return line
+	sort.Slice(entry.Holders, func(i, j int) bool { return entry.Holders[i].Runner < entry.Holders[j].Runner })
+	return entry
 }
--- a/internal/native/description/description.go
+++ b/internal/native/description/description.go
@@ -1,6 +1,5 @@
-// Package description reads and checks, by hand, the one document that
-// operators hand over. Every fault is reported with its path; a document with
-// any fault has no effect at all.
+// Package description reads and checks the document with which operators describe a site.
+// Every fault is reported with its path; a document with any fault has no effect at all.
 package description
 
 import (
@@ -9,10 +8,10 @@
 	"slices"
 )
 
-// MaxBytes bounds the size of a document in bytes.
+// MaxBytes is the most bytes that a document may have.
 const MaxBytes = 1 << 20
 
-// Member is a daemon that counts at the site.
+// Member is a controller or router of the site.
 type Member struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
@@ -23,35 +22,44 @@
 	Name string `json:"name"`
 	Pool string `json:"pool"`
 	Zone string `json:"zone"`
-	Room int64  `json:"room"`
+	// Room is how much it can hold, in the unit of Item.Size.
+	Room int64 `json:"room"`
 }
 
-// Item is a model, or an adapter when it names its model.
+// Item is a model, or an adapter if it names its model.
 type Item struct {
-	Name   string `json:"name"`
-	Model  string `json:"model,omitempty"`
-	Size   int64  `json:"size"`
-	Copies int64  `json:"copies,omitempty"`
+	Name  string `json:"name"`
+	Model string `json:"model,omitempty"`
+	Size  int64  `json:"size"`
+	// Copies is how many runners should hold it also when nobody asks; 0 by default.
+	Copies int64 `json:"copies,omitempty"`
 }
 
-// Service is a kind of request.
+// Service is a kind of request that clients may make.
 type Service struct {
-	Name       string   `json:"name"`
-	Streaming  bool     `json:"telling,omitempty"`
-	Idempotent bool     `json:"repeatable,omitempty"`
-	Pools      []string `json:"pools"`
-	Models     []string `json:"models,omitempty"`
-	DeadlineMs int64    `json:"deadlineMs"`
-	MaxBytes   int64    `json:"bytesMost"`
-	MaxQueued  int64    `json:"holding"`
+	Name string `json:"name"`
+	// Streaming says that answers are streams of events.
+	Streaming bool `json:"telling,omitempty"`
+	// Idempotent says that a request may be executed more than once.
+	Idempotent bool `json:"repeatable,omitempty"`
+	// Pools are those whose runners serve it, Models those that requests may name.
+	Pools  []string `json:"pools"`
+	Models []string `json:"models,omitempty"`
+	// DeadlineMs bounds a request with all its attempts; 30,000 by default.
+	DeadlineMs int64 `json:"deadlineMs"`
+	// MaxBytes bounds a request's body; 64 KiB by default.
+	MaxBytes int64 `json:"bytesMost"`
+	// MaxQueued bounds the requests that wait at a router; 64 by default.
+	MaxQueued int64 `json:"holding"`
 }
 
-// Store is the weight store's pace.
+// Store is the weight store, from which runners load.
 type Store struct {
+	// LoadsPer10s is how many loads it allows in ten seconds.
 	LoadsPer10s int64 `json:"loadsPer10s"`
 }
 
-// Description is one whole, checked document.
+// Description is one complete, checked document.
 type Description struct {
 	Site        string    `json:"site"`
 	Controllers []Member  `json:"controllers"`
@@ -61,7 +69,8 @@
 	Adapters    []Item    `json:"adapters,omitempty"`
 	Services    []Service `json:"services"`
 	Store       Store     `json:"store"`
-	// RetryAllowance is the allowance of second goes per service over all routers.
+	// RetryAllowance is how many retries each service may have in any ten seconds over all
+	// routers, beyond a fifth of its requests; 10 by default.
 	RetryAllowance int64 `json:"secondGoes"`
 
 	services map[string]int
@@ -115,7 +124,7 @@
 	return out
 }
 
-// names finds doubled names in a list.
+// names finds duplicate names in a list.
 type names map[string]bool
 
 func (s names) unique(r *reader, n node) string {
@@ -211,7 +220,7 @@
 	}
 }
 
-// check finds references to nothing and sizes that no runner has room for.
+// check finds references to undefined names, and sizes for which no runner has room.
 func (d *Description) check(r *reader, top fields) {
 	roomMost := map[string]int64{}
 	for _, runner := range d.Runners {
@@ -301,8 +310,8 @@
 // Allows says whether the service may name the model.
 func (s *Service) Allows(model string) bool { return slices.Contains(s.Models, model) }
 
-// Patch replaces named parts of a document and gives the whole new text. It
-// is checked like any other afterwards.
+// Patch replaces named parts of a document and gives the complete new text, which is to be
+// checked like any other.
 func Patch(text, change []byte) ([]byte, []string) {
 	r := &reader{}
 	root, ok := r.read(change)
@@ -323,7 +332,7 @@
 	for name, part := range named {
 		whole[name] = part
 	}
-	// The parts keep one order, so that the same content is the same text.
+	// The parts are written in one order, so that the same content gives the same text.
 	var out bytes.Buffer
 	out.WriteString("{")
 	for _, name := range topLevelFields {
--- a/internal/native/ledger/command.go
+++ b/internal/native/ledger/command.go
@@ -23,24 +23,26 @@
 	}
 }
 
-// SkipAhead goes on from a copy that may lack the last changes: what is numbered
-// from here on lies far above any number that may have been given after it.
+// SkipAhead goes on from a copy that may lack the last changes. All numbers from here on
+// are far above any that may have been given after the copy was made.
 type SkipAhead struct{ Epoch uint64 }
 
-// restartStep is more than any site gives between two copies of its state.
-const restartStep = 1_000
+const (
+	// skippedRevisions is more than a site accepts between two copies of its state.
+	skippedRevisions = 1_000
+	// skippedOrders is more than it gives.
+	skippedOrders = 1000 * skippedRevisions
+)
 
-// Apply names the text in force anew and leaves the order numbers behind.
+// Apply gives the text in force a new number and leaves the order numbers behind.
 func (c SkipAhead) Apply(s *State) {
-	s.Orders += 1000 * restartStep
-	s.dirty["orders"] = true
+	s.Orders += skippedOrders
+	s.dirty[ordersKey] = true
 	if s.Revision.Number == 0 {
 		return
 	}
-	s.Revision.Number += restartStep
-	s.History = append(s.History, HistoryEntry{s.Revision.Number, len(s.Revision.Text), protocol.Digest(s.Revision.Text), c.Epoch})
-	s.History = s.History[max(0, len(s.History)-maxHistory):]
-	s.dirty["revision"], s.dirty["past"] = true, true
+	s.Revision.Number += skippedRevisions
+	s.addHistory(c.Epoch)
 }
 
 // AcceptRevision puts a description in force.
@@ -52,16 +54,11 @@
 // Apply takes the next revision number.
 func (c AcceptRevision) Apply(s *State) {
 	s.Revision = Revision{Number: s.Revision.Number + 1, Text: c.Text}
-	s.History = append(s.History, HistoryEntry{s.Revision.Number, len(c.Text), protocol.Digest(c.Text), c.Epoch})
-	if len(s.History) > maxHistory {
-		s.History = s.History[len(s.History)-maxHistory:]
-	}
-	s.dirty["revision"] = true
-	s.dirty["past"] = true
+	s.addHistory(c.Epoch)
 }
 
-// RegisterRunner notes a runner's incarnation. A new one begins with only what it
-// says itself that it holds; nothing known of the one before counts.
+// RegisterRunner notes a runner's incarnation. A new one begins with what it reports; what
+// is known of the one before does not count.
 type RegisterRunner struct {
 	Report  protocol.RunnerReport
 	Address string
@@ -71,19 +68,16 @@
 func (c RegisterRunner) Apply(s *State) {
 	row := s.Rows[c.Report.Runner]
 	if row == nil || row.Incarnation != c.Report.Incarnation {
-		row = &RunnerRow{Runner: c.Report.Runner, Incarnation: c.Report.Incarnation, Held: map[string]Holding{}}
-		for _, h := range c.Report.Held {
-			row.Held[Item{h.Model, h.Adapter}.String()] = Holding{Size: h.Size}
-		}
+		row = &RunnerRow{Runner: c.Report.Runner, Incarnation: c.Report.Incarnation, Held: holdingsOf(c.Report)}
 		s.Rows[c.Report.Runner] = row
 	}
 	row.Address = c.Address
 	row.Room = c.Report.Room
-	s.dirty["row/"+row.Runner] = true
+	s.dirty[rowKey(row.Runner)] = true
 }
 
-// CorrectHoldings takes what a runner says that it holds, while no order is open, as
-// what it holds: it may have dropped something by itself.
+// CorrectHoldings replaces what a runner holds by what it reports while no order is open:
+// it may have dropped an item by itself.
 type CorrectHoldings struct{ Report protocol.RunnerReport }
 
 // Apply replaces what the row holds.
@@ -92,17 +86,14 @@
 	if row == nil || row.Incarnation != c.Report.Incarnation || row.Order != nil {
 		return
 	}
-	row.Held = map[string]Holding{}
-	for _, h := range c.Report.Held {
-		row.Held[Item{h.Model, h.Adapter}.String()] = Holding{Size: h.Size}
-	}
-	s.dirty["row/"+row.Runner] = true
+	row.Held = holdingsOf(c.Report)
+	s.dirty[rowKey(row.Runner)] = true
 }
 
-// MarkLeaving notes that an incarnation is leaving, for good.
+// MarkLeaving notes that an incarnation is leaving. It never comes back.
 type MarkLeaving struct{ Mark protocol.LeavingRunner }
 
-// Apply adds the mark.
+// Apply adds the incarnation.
 func (c MarkLeaving) Apply(s *State) {
 	if s.LeavingRunners[c.Mark] {
 		return
@@ -111,7 +102,7 @@
 	s.dirty[leavingKey(c.Mark)] = true
 }
 
-// RecordOrder writes an order down before it is sent.
+// RecordOrder opens an order before it is sent.
 type RecordOrder struct {
 	Runner, Incarnation string
 	Action              string
@@ -119,8 +110,8 @@
 	Size                int64
 }
 
-// Apply takes the next order number, unless the row can't take the order any
-// more: another order is open, the runner is another, or there is no room.
+// Apply takes the next order number, unless the order is not possible any more: another
+// is open, the runner has another incarnation, or there is no room.
 func (c RecordOrder) Apply(s *State) {
 	row := s.Rows[c.Runner]
 	if row == nil || row.Incarnation != c.Incarnation || row.Order != nil {
@@ -131,8 +122,8 @@
 	}
 	s.Orders++
 	row.Order = &OpenOrder{s.Orders, c.Action, c.Item.Model, c.Item.Adapter, c.Size}
-	s.dirty["orders"] = true
-	s.dirty["row/"+c.Runner] = true
+	s.dirty[ordersKey] = true
+	s.dirty[rowKey(c.Runner)] = true
 }
 
 // CompleteOrder ends an order as the runner's report says.
@@ -148,7 +139,7 @@
 	if row == nil || row.Incarnation != c.Incarnation || row.Order == nil || row.Order.Number != c.Number {
 		return
 	}
-	item := Item{row.Order.Model, row.Order.Adapter}.String()
+	item := row.Order.Item().String()
 	switch {
 	case row.Order.Action == protocol.ActionLoad && c.Done:
 		row.Held[item] = Holding{Size: row.Order.Size}
@@ -156,5 +147,5 @@
 		delete(row.Held, item)
 	}
 	row.Order = nil
-	s.dirty["row/"+c.Runner] = true
+	s.dirty[rowKey(c.Runner)] = true
 }
--- a/internal/native/ledger/ledger.go
+++ b/internal/native/ledger/ledger.go
@@ -1,7 +1,7 @@
-// Package ledger is the holding ledger: which runner holds which model or
-// adapter, from our own orders and the runners' answers, together with the
-// description in force. Commands are types with an Apply method; they run at
-// the primary alone and leave rows, which is what disks and followers take.
+// Package ledger is the record of which runner holds which model or adapter, by the
+// orders that were given and the runners' reports, together with the description in
+// force. Commands change it at the primary alone and leave rows, which disks and
+// followers take.
 package ledger
 
 import (
@@ -13,115 +13,53 @@
 	"myrtlewinch/internal/statetable"
 )
 
-// Item names a model, or an adapter on its model.
-type Item struct{ Model, Adapter string }
-
-func (i Item) String() string {
-	if i.Adapter == "" {
-		return i.Model
-	}
-	return i.Model + "+" + i.Adapter
-}
-
-// ParseItem reads what String wrote.
-func ParseItem(name string) Item {
-	model, adapter, _ := strings.Cut(name, "+")
-	return Item{Model: model, Adapter: adapter}
-}
-
-// Holding is one thing that a runner holds.
-type Holding struct {
-	Size int64 `json:"size"`
-}
-
-// OpenOrder is an order whose end is not known yet. Its room is taken until a
-// later report of the runner names it.
-type OpenOrder struct {
-	Number  uint64 `json:"number"`
-	Action  string `json:"action"`
-	Model   string `json:"model"`
-	Adapter string `json:"adapter,omitempty"`
-	Size    int64  `json:"size"`
-}
-
-// Item is what the order loads or unloads.
-func (o *OpenOrder) Item() Item { return Item{Model: o.Model, Adapter: o.Adapter} }
-
-// RunnerRow is what the ledger knows of one runner.
-type RunnerRow struct {
-	Runner      string             `json:"runner"`
-	Incarnation string             `json:"incarnation"`
-	Address     string             `json:"address"`
-	Room        int64              `json:"room"`
-	Leaving     bool               `json:"leaving,omitempty"`
-	Held        map[string]Holding `json:"held"`
-	Order       *OpenOrder         `json:"intent,omitempty"`
-}
-
-// UsedRoom is the room that held, loading, unknown and not yet unloaded things
-// take together.
-func (r *RunnerRow) UsedRoom() int64 {
-	var taken int64
-	for _, h := range r.Held {
-		taken += h.Size
-	}
-	if r.Order != nil && r.Order.Action == protocol.ActionLoad {
-		taken += r.Order.Size
-	}
-	return taken
-}
-
-// Holds says whether the item is held for certain: an item that is being
-// unloaded is no longer counted on.
-func (r *RunnerRow) Holds(item Item) bool {
-	if item.Model == "" {
-		return true
-	}
-	if _, ok := r.Held[item.String()]; !ok {
-		return false
-	}
-	return r.Order == nil || r.Order.Action != protocol.ActionUnload ||
-		Item{r.Order.Model, r.Order.Adapter} != item
-}
-
-// Matches says whether the row holds just what the report says.
-func (r *RunnerRow) Matches(report protocol.RunnerReport) bool {
-	for _, h := range report.Held {
-		if r.Held[Item{h.Model, h.Adapter}.String()].Size != h.Size {
-			return false
-		}
-	}
-	return len(report.Held) == len(r.Held)
-}
-
-// Loading says whether an order to load the item is on its way.
-func (r *RunnerRow) Loading(item Item) bool {
-	return r.Order != nil && r.Order.Action == protocol.ActionLoad && Item{r.Order.Model, r.Order.Adapter} == item
-}
-
 // Revision is a description that was accepted.
 type Revision struct {
 	Number uint64 `json:"number"`
 	Text   string `json:"text"`
 }
 
-// HistoryEntry is a line of the history of revisions.
+// HistoryEntry says of a revision that was in force once what it was.
 type HistoryEntry struct {
 	Number uint64 `json:"number"`
-	Bytes  int    `json:"bytes"`
-	Sum    string `json:"sum"`
-	Epoch  uint64 `json:"epoch"`
+	// Bytes is the size of its text, Sum the digest.
+	Bytes int    `json:"bytes"`
+	Sum   string `json:"sum"`
+	// Epoch is that of the primary that accepted it.
+	Epoch uint64 `json:"epoch"`
 }
 
+// maxHistory bounds the history; the oldest entries go first.
 const maxHistory = 100
 
+// Keys of the rows. They are on disks, so they stay.
+const (
+	revisionKey = "revision"
+	historyKey  = "past"
+	ordersKey   = "orders"
+	// rowPrefix is before the name of a runner, leavingPrefix before name and
+	// incarnation of one that leaves.
+	rowPrefix     = "row/"
+	leavingPrefix = "mark/"
+	leavingText   = "leaving"
+)
+
+func rowKey(runner string) string { return rowPrefix + runner }
+
+func leavingKey(runner protocol.LeavingRunner) string {
+	return leavingPrefix + runner.Runner + "/" + runner.Incarnation
+}
+
 // State is the ledger in memory. It is the statetable.Ledger of a controller.
 type State struct {
+	// Revision is the description in force; its number is 0 while there is none.
 	Revision Revision
 	History  []HistoryEntry
-	Orders   uint64
-	Rows     map[string]*RunnerRow
-	// LeavingRunners are the leaving incarnations; they only grow.
+	// Orders is the number of the last order.
+	Orders uint64
+	// Rows are the runners by name.
+	Rows map[string]*RunnerRow
+	// LeavingRunners are the leaving incarnations. None is ever removed.
 	LeavingRunners map[protocol.LeavingRunner]bool
 	// dirty are the keys of the rows that the present batch has written.
 	dirty map[string]bool
@@ -132,60 +70,68 @@
 	return &State{Rows: map[string]*RunnerRow{}, LeavingRunners: map[protocol.LeavingRunner]bool{}, dirty: map[string]bool{}}
 }
 
+// addHistory notes the revision in force in the history.
+func (s *State) addHistory(epoch uint64) {
+	s.History = append(s.History, HistoryEntry{
+		Number: s.Revision.Number, Bytes: len(s.Revision.Text), Sum: protocol.Digest(s.Revision.Text), Epoch: epoch,
+	})
+	s.History = s.History[max(0, len(s.History)-maxHistory):]
+	s.dirty[revisionKey], s.dirty[historyKey] = true, true
+}
+
 // Keys lists the keys of all rows.
 func (s *State) Keys() []string {
-	keys := []string{"revision", "past", "orders"}
-	for name := range s.Rows {
-		keys = append(keys, "row/"+name)
+	keys := []string{revisionKey, historyKey, ordersKey}
+	for runner := range s.Rows {
+		keys = append(keys, rowKey(runner))
 	}
-	for mark := range s.LeavingRunners {
-		keys = append(keys, leavingKey(mark))
+	for runner := range s.LeavingRunners {
+		keys = append(keys, leavingKey(runner))
 	}
 	return keys
 }
 
 // Encode gives the text of a row.
 func (s *State) Encode(key string) string {
-	var value any
 	switch {
-	case key == "revision":
-		value = s.Revision
-	case key == "past":
-		value = s.History
-	case key == "orders":
+	case key == revisionKey:
+		return encodeJSON(s.Revision)
+	case key == historyKey:
+		return encodeJSON(s.History)
+	case key == ordersKey:
 		return strconv.FormatUint(s.Orders, 10)
-	case strings.HasPrefix(key, "row/"):
-		value = s.Rows[strings.TrimPrefix(key, "row/")]
-	case strings.HasPrefix(key, "mark/"):
-		return "leaving"
+	case strings.HasPrefix(key, leavingPrefix):
+		return leavingText
 	}
-	text, _ := json.Marshal(value)
-	return string(text)
+	return encodeJSON(s.Rows[strings.TrimPrefix(key, rowPrefix)])
 }
 
-func leavingKey(mark protocol.LeavingRunner) string {
-	return "mark/" + mark.Runner + "/" + mark.Incarnation
+func encodeJSON(value any) string {
+	text, _ := json.Marshal(value)
+	return string(text)
 }
 
 // Decode takes the text of a row, as a follower or a restart does.
 func (s *State) Decode(key, text string) error {
-	switch {
-	case key == "revision":
+	if runner, ok := strings.CutPrefix(key, rowPrefix); ok {
+		row := &RunnerRow{}
+		s.Rows[runner] = row
+		return json.Unmarshal([]byte(text), row)
+	}
+	if name, ok := strings.CutPrefix(key, leavingPrefix); ok {
+		runner, incarnation, _ := strings.Cut(name, "/")
+		s.LeavingRunners[protocol.LeavingRunner{Runner: runner, Incarnation: incarnation}] = true
+		return nil
+	}
+	switch key {
+	case revisionKey:
 		return json.Unmarshal([]byte(text), &s.Revision)
-	case key == "past":
+	case historyKey:
 		return json.Unmarshal([]byte(text), &s.History)
-	case key == "orders":
+	case ordersKey:
 		number, err := strconv.ParseUint(text, 10, 64)
 		s.Orders = number
 		return err
-	case strings.HasPrefix(key, "row/"):
-		row := &RunnerRow{}
-		s.Rows[strings.TrimPrefix(key, "row/")] = row
-		return json.Unmarshal([]byte(text), row)
-	case strings.HasPrefix(key, "mark/"):
-		runner, incarnation, _ := strings.Cut(strings.TrimPrefix(key, "mark/"), "/")
-		s.LeavingRunners[protocol.LeavingRunner{Runner: runner, Incarnation: incarnation}] = true
-		return nil
 	}
 	return statetable.ErrUnknownRow
 }
@@ -199,7 +145,7 @@
 	return copied
 }
 
-// Leaving says whether the runner's present incarnation is marked.
+// Leaving says whether the runner's present incarnation is leaving.
 func (s *State) Leaving(row *RunnerRow) bool {
 	return row.Leaving || s.LeavingRunners[protocol.LeavingRunner{Runner: row.Runner, Incarnation: row.Incarnation}]
 }
--- a/internal/native/statediff/comparison.go
+++ b/internal/native/statediff/comparison.go
@@ -1,4 +1,4 @@
-// Package statediff sets side by side what two daemons believe.
+// Package statediff compares what two daemons believe, by their status pages.
 package statediff
 
 import (
@@ -10,19 +10,20 @@
 	"github.com/cockroachdb/errors"
 
 	"myrtlewinch/internal/native/controller"
+	"myrtlewinch/internal/native/ledger"
 	"myrtlewinch/internal/native/router"
 	"myrtlewinch/internal/protocol"
 )
 
-// View is what one daemon believes: fields by name, with the age of what it
-// was learnt from where the daemon tells one (-1 where not).
+// View is what one daemon believes: fields by name, each with the age in ms of the
+// message it was learnt from, or unknownAge.
 type View struct {
 	Name   string
 	Fields map[string]string
 	AgesMs map[string]int64
 }
 
-// Difference is a field that two daemons see differently.
+// Difference is a field about which two daemons believe different things.
 type Difference struct {
 	Field      string `json:"field"`
 	Left       string `json:"left"`
@@ -31,9 +32,14 @@
 	RightAgeMs int64  `json:"rightAgeMs"`
 }
 
-const absent = "(none)"
+const (
+	// absent stands for a field that a daemon does not have.
+	absent = "(none)"
+	// unknownAge is the age of what a daemon tells none of.
+	unknownAge = -1
+)
 
-// Read makes a belief of a daemon's status page.
+// Read makes a view of a daemon's status page.
 func Read(text []byte) (View, error) {
 	var part struct {
 		Part string `json:"part"`
@@ -41,132 +47,152 @@
 	if err := json.Unmarshal(text, &part); err != nil {
 		return View{}, err
 	}
-	b := View{Fields: map[string]string{}, AgesMs: map[string]int64{}}
+	v := View{Fields: map[string]string{}, AgesMs: map[string]int64{}}
 	switch part.Part {
 	case protocol.RoleController:
 		var s controller.Status
 		if err := json.Unmarshal(text, &s); err != nil {
-			return b, err
+			return v, err
 		}
-		b.controller(s)
+		v.setController(s)
 	case protocol.RoleRouter:
 		var s router.Status
 		if err := json.Unmarshal(text, &s); err != nil {
-			return b, err
+			return v, err
 		}
-		b.router(s)
+		v.setRouter(s)
 	default:
-		return b, errors.Newf("not a daemon's status: part is %q", part.Part)
+		return v, errors.Newf("not a daemon's status: part is %q", part.Part)
 	}
-	return b, nil
+	return v, nil
 }
 
-func (b *View) set(field, value string, ageMs int64) {
-	b.Fields[field] = value
-	b.AgesMs[field] = ageMs
+// Kinds of fields: the first word of a field's name.
+const (
+	epochField     = "epoch"
+	primaryField   = "primary"
+	replicasField  = "pair"
+	witnessesField = "witnesses"
+	revisionField  = "revision"
+	peerField      = "roster"
+	rowField       = "row"
+	leavingField   = "leaving"
+	cacheField     = "entry"
+)
+
+func (v *View) set(field, value string, ageMs int64) {
+	v.Fields[field] = value
+	v.AgesMs[field] = ageMs
 }
 
-func memberList(list []protocol.MemberID) string {
+// memberList is the same text for the same members in any order.
+func memberList(members []protocol.MemberID) string {
 	var names []string
-	for _, seat := range list {
-		names = append(names, seat.Name+"/"+seat.Incarnation)
+	for _, member := range members {
+		names = append(names, member.Name+"/"+member.Incarnation)
 	}
 	sort.Strings(names)
 	return strings.Join(names, " ")
 }
 
-func (b *View) leaving(marks []protocol.LeavingRunner) {
-	for _, mark := range marks {
-		b.set("leaving "+mark.Runner+"/"+mark.Incarnation, "yes", -1)
+func (v *View) setLeaving(runners []protocol.LeavingRunner) {
+	for _, runner := range runners {
+		v.set(leavingField+" "+runner.Runner+"/"+runner.Incarnation, "yes", unknownAge)
 	}
 }
 
-func (b *View) controller(s controller.Status) {
-	b.Name = s.Name
-	ageMs := int64(-1)
-	for _, peer := range s.Peers {
-		b.set("roster "+peer.Name, peer.Address+" "+peer.Incarnation, peer.AgoMs)
-		if peer.Name == s.Record.Primary {
+// setController takes a controller's status. What it knows of the record and of runners
+// is as old as its last message of the primary.
+func (v *View) setController(status controller.Status) {
+	v.Name = status.Name
+	ageMs := int64(unknownAge)
+	for _, peer := range status.Peers {
+		v.set(peerField+" "+peer.Name, peer.Address+" "+peer.Incarnation, peer.AgoMs)
+		if peer.Name == status.Record.Primary {
 			ageMs = peer.AgoMs
 		}
 	}
-	b.set("epoch", fmt.Sprint(s.Record.Epoch), ageMs)
-	b.set("primary", s.Record.Primary, ageMs)
-	b.set("pair", memberList(s.Record.Replicas), ageMs)
-	b.set("witnesses", memberList(s.Record.Witnesses), ageMs)
-	b.set("revision", fmt.Sprint(s.Revision), ageMs)
-	for _, row := range s.Rows {
-		var held []string
-		for item, h := range row.Held {
-			held = append(held, fmt.Sprintf("%s=%d", item, h.Size))
-		}
-		sort.Strings(held)
-		b.set("row "+row.Runner+" incarnation", row.Incarnation, ageMs)
-		b.set("row "+row.Runner+" held", strings.Join(held, " "), ageMs)
-		if row.Order != nil {
-			b.set("row "+row.Runner+" order", fmt.Sprintf("%d %s %s %s", row.Order.Number, row.Order.Action, row.Order.Model, row.Order.Adapter), ageMs)
-		}
+	v.set(epochField, fmt.Sprint(status.Record.Epoch), ageMs)
+	v.set(primaryField, status.Record.Primary, ageMs)
+	v.set(replicasField, memberList(status.Record.Replicas), ageMs)
+	v.set(witnessesField, memberList(status.Record.Witnesses), ageMs)
+	v.set(revisionField, fmt.Sprint(status.Revision), ageMs)
+	for _, row := range status.Rows {
+		v.setRow(row, ageMs)
 	}
-	b.leaving(s.Leaving)
+	v.setLeaving(status.Leaving)
 }
 
-func (b *View) router(s router.Status) {
-	b.Name = s.Name
-	b.set("epoch", fmt.Sprint(s.Epoch), s.WordMs)
-	b.set("primary", s.Primary, s.WordMs)
-	b.set("revision", fmt.Sprint(s.Revision), s.WordMs)
-	for _, entry := range s.Cache {
-		b.set("entry "+entry.Key, strings.Join(entry.Runners, " "), entry.AgeMs)
+func (v *View) setRow(row *ledger.RunnerRow, ageMs int64) {
+	var held []string
+	for item, holding := range row.Held {
+		held = append(held, fmt.Sprintf("%s=%d", item, holding.Size))
+	}
+	sort.Strings(held)
+	prefix := rowField + " " + row.Runner
+	v.set(prefix+" incarnation", row.Incarnation, ageMs)
+	v.set(prefix+" held", strings.Join(held, " "), ageMs)
+	if order := row.Order; order != nil {
+		v.set(prefix+" order", fmt.Sprintf("%d %s %s %s", order.Number, order.Action, order.Model, order.Adapter), ageMs)
 	}
-	b.leaving(s.Leaving)
 }
 
-// Compare lists the differences in order of field. A field that only daemons
-// of one part have is no difference to one of another part; the roster's own
-// line and what a router was never asked for are not either.
-func Compare(left, right View) []Difference {
-	var out []Difference
-	names := map[string]bool{}
-	for name := range left.Fields {
-		names[name] = true
+// setRouter takes a router's status.
+func (v *View) setRouter(status router.Status) {
+	v.Name = status.Name
+	v.set(epochField, fmt.Sprint(status.Epoch), status.WordMs)
+	v.set(primaryField, status.Primary, status.WordMs)
+	v.set(revisionField, fmt.Sprint(status.Revision), status.WordMs)
+	for _, entry := range status.Cache {
+		v.set(cacheField+" "+entry.Key, strings.Join(entry.Runners, " "), entry.AgeMs)
 	}
-	for name := range right.Fields {
-		names[name] = true
+	v.setLeaving(status.Leaving)
+}
+
+// Compare lists the differences in order of field. A field that a daemon would not report
+// whatever it believes is no difference.
+func Compare(left, right View) []Difference {
+	fields := map[string]bool{}
+	for _, view := range []View{left, right} {
+		for field := range view.Fields {
+			fields[field] = true
+		}
 	}
-	for name := range names {
-		l, inLeft := left.Fields[name]
-		r, inRight := right.Fields[name]
-		if l == r && inLeft == inRight {
+	var differences []Difference
+	for field := range fields {
+		leftValue, leftAgeMs, inLeft := left.get(field)
+		rightValue, rightAgeMs, inRight := right.get(field)
+		if leftValue == rightValue && inLeft == inRight {
 			continue
 		}
-		if !inLeft || !inRight {
-			if !left.wouldReport(name) || !right.wouldReport(name) {
-				continue
-			}
-		}
-		d := Difference{Field: name, Left: l, Right: r, LeftAgeMs: -1, RightAgeMs: -1}
-		if inLeft {
-			d.LeftAgeMs = left.AgesMs[name]
-		} else {
-			d.Left = absent
-		}
-		if inRight {
-			d.RightAgeMs = right.AgesMs[name]
-		} else {
-			d.Right = absent
+		inBoth := inLeft && inRight
+		if !inBoth && !(left.wouldReport(field) && right.wouldReport(field)) {
+			continue
 		}
-		out = append(out, d)
+		differences = append(differences, Difference{
+			Field: field, Left: leftValue, Right: rightValue, LeftAgeMs: leftAgeMs, RightAgeMs: rightAgeMs,
+		})
+	}
+	sort.Slice(differences, func(i, j int) bool { return differences[i].Field < differences[j].Field })
+	return differences
+}
+
+// get gives a field's value and age, or absent.
+func (v View) get(field string) (value string, ageMs int64, ok bool) {
+	value, ok = v.Fields[field]
+	if !ok {
+		return absent, unknownAge, false
 	}
-	sort.Slice(out, func(i, j int) bool { return out[i].Field < out[j].Field })
-	return out
+	return value, v.AgesMs[field], true
 }
 
-// wouldReport says whether a daemon that lacks the field would have it if it
-// believed it.
-func (b View) wouldReport(field string) bool {
-	kind, rest, _ := strings.Cut(field, " ")
-	if _, controller := b.Fields["pair"]; !controller {
-		return kind == "epoch" || kind == "primary" || kind == "revision" || kind == "leaving"
+// wouldReport says whether a daemon that lacks the field would have it if it believed it.
+// A router knows little of the site, a controller has no cache, and no daemon lists itself
+// as a peer.
+func (v View) wouldReport(field string) bool {
+	kind, name, _ := strings.Cut(field, " ")
+	if _, isController := v.Fields[replicasField]; !isController {
+		return kind == epochField || kind == primaryField || kind == revisionField || kind == leavingField
 	}
-	return kind != "entry" && !(kind == "roster" && rest == b.Name)
+	return kind != cacheField && !(kind == peerField && name == v.Name)
 }
--- a/internal/native/topology/topology.go
+++ b/internal/native/topology/topology.go
@@ -24,7 +24,7 @@
 
 // Read takes a collection of features. A polygon with kind "zone" is a zone; a
 // point with kind "controller", "router" or "runner" is a machine, in the zone
-// that it names or that it lies in. Every fault is told with its place.
+// that it names or that it lies in. Every fault is reported with its path.
 func Read(text []byte) (Parts, []string) {
 	var parts Parts
 	collection, err := geojson.UnmarshalFeatureCollection(text)
@@ -104,19 +104,19 @@
 		r.fault(path+".properties.name", "%s %q is drawn twice", kind, name)
 	}
 	r.names[kind+name] = true
-	in := r.zoneOf(path, f)
+	zone := r.zoneOf(path, f)
 	switch kind {
 	case "controller":
-		parts.Controllers = append(parts.Controllers, description.Member{Name: name, Zone: in})
+		parts.Controllers = append(parts.Controllers, description.Member{Name: name, Zone: zone})
 	case "router":
-		parts.Routers = append(parts.Routers, description.Member{Name: name, Zone: in})
+		parts.Routers = append(parts.Routers, description.Member{Name: name, Zone: zone})
 	case "runner":
 		room, ok := f.Properties["room"].(float64)
 		if !ok || room < 0 || room != math.Trunc(room) {
 			r.fault(path+".properties.room", "must be a whole number, not negative")
 		}
 		parts.Runners = append(parts.Runners, description.Runner{
-			Name: name, Zone: in, Pool: r.plainName(path, f, "pool", true), Room: int64(room),
+			Name: name, Zone: zone, Pool: r.plainName(path, f, "pool", true), Room: int64(room),
 		})
 	}
 }
@@ -144,7 +144,7 @@
 	return found[0]
 }
 
-// Text gives the parts as a change for a description.
+// Text gives the parts as a partial change of a description.
 func (p Parts) Text() []byte {
 	text, _ := json.MarshalIndent(p, "", "  ")
 	return text
