--- a/internal/native/controller/index_test.go
+++ b/internal/native/controller/index_test.go
@@ -9,7 +9,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// asks brings a router's look-up and gives the answers that leave.
+// asks handles a router's look-up and gives the replies.
 func asks(p *testPrimary, nowMs int64, service, model string) []protocol.LookUpReply {
 	return indexed(p.step(nowMs, protocol.Envelope{
 		Site: "s", To: "a", From: protocol.Node{Name: "e", Address: "e:1", Part: protocol.RoleRouter, Incarnation: "1"},
@@ -27,7 +27,7 @@
 	return out
 }
 
-// A look-up gets one answer: who holds the thing, or when it may be held.
+// A look-up gets one answer: who holds the item, or when it may be held.
 func TestLookUp(t *testing.T) {
 	item := ledger.Holding{Size: 6}
 	cases := []struct {
@@ -43,11 +43,11 @@
 		{"held by two", func(p *testPrimary) {
 			p.state().Rows["r"].Held["m"], p.state().Rows["q"].Held["m"] = item, item
 		}, "v", "m", 2, false, 0, true},
-		{"held by a leaver", func(p *testPrimary) {
+		{"held by a leaving runner", func(p *testPrimary) {
 			p.state().Rows["r"].Held["m"] = item
 			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, "v", "m", 0, false, 0, true},
-		{"held by a dark one", func(p *testPrimary) {
+		{"held by a silent runner", func(p *testPrimary) {
 			p.state().Rows["r"].Held["m"] = item
 			p.primary.runners["r"].reportedMs = p.nowMs() - runnerTimeoutMs - 100
 		}, "v", "m", 0, false, 0, true},
@@ -58,7 +58,7 @@
 			p.state().Rows["r"].Held["m"] = item
 			p.state().Rows["r"].Order = &ledger.OpenOrder{Action: protocol.ActionUnload, Model: "m"}
 		}, "v", "m", 0, false, 0, true},
-		{"its turn is known", func(p *testPrimary) { p.primary.waitEstimatesMs = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
+		{"its wait is known", func(p *testPrimary) { p.primary.waitEstimatesMs = map[string]int64{"m": 900} }, "v", "m", 0, false, 900, true},
 		{"no such service", func(*testPrimary) {}, "x", "m", 0, false, 0, false},
 		{"not a model of the service", func(*testPrimary) {}, "v", "x", 0, false, 0, false},
 	}
@@ -79,8 +79,8 @@
 	}
 }
 
-// A router that asked in vain is told once the thing is loaded, and once only.
-func TestWaitingRoutersAreTold(t *testing.T) {
+// A router that asked in vain is notified once the item is loaded, and once only.
+func TestWaitingRoutersAreNotified(t *testing.T) {
 	p := newPlacingPrimary(t)
 	nowMs := p.nowMs() + 1
 	qt.Assert(t, asks(p, nowMs, "v", "m")[0].Holders, qt.HasLen, 0)
--- a/internal/native/controller/limiter_test.go
+++ b/internal/native/controller/limiter_test.go
@@ -6,7 +6,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func TestPace(t *testing.T) {
+func TestLoadLimiter(t *testing.T) {
 	cases := []struct {
 		about string
 		stepMs, tries,
--- a/internal/native/controller/placement_test.go
+++ b/internal/native/controller/placement_test.go
@@ -27,8 +27,8 @@
 	return p
 }
 
-// What is needed: what is asked for, described with copies, or about to go
-// with a runner that leaves.
+// Items are needed that are asked for, described with copies, or about to be lost
+// with a leaving runner.
 func TestNeeds(t *testing.T) {
 	held := ledger.Holding{Size: 6}
 	cases := []struct {
@@ -42,28 +42,28 @@
 			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
 		}, nil},
-		{"its runner is dark", func(p *testPrimary) {
+		{"its runner is silent", func(p *testPrimary) {
 			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
 			p.primary.runners["r"].reportedMs = p.nowMs() - runnerTimeoutMs - 1
 		}, []string{"m"}},
 		{"it was asked for a while ago", func(p *testPrimary) { p.primary.addDemand(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1) }, nil},
-		{"and goes with its runner", func(p *testPrimary) {
+		{"it was asked for a while ago and its runner leaves", func(p *testPrimary) {
 			p.primary.addDemand(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
 			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, []string{"m"}},
-		{"goes with one runner and is held by another", func(p *testPrimary) {
+		{"one runner leaves and another holds it", func(p *testPrimary) {
 			p.primary.addDemand(p.nowMs()-20_000, ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"], p.state().Rows["q"].Held["m"] = held, held
 			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
-		{"goes with its runner, and nobody has asked for long", func(p *testPrimary) {
+		{"its runner leaves, and nobody has asked for long", func(p *testPrimary) {
 			p.primary.addDemand(p.nowMs()-60_000, ledger.Item{Model: "m"}, 1)
 			p.state().Rows["r"].Held["m"] = held
 			p.state().LeavingRunners[protocol.LeavingRunner{Runner: "r", Incarnation: "1"}] = true
 		}, nil},
-		{"a crowd earns a second copy, after first ones", func(p *testPrimary) {
+		{"high demand earns a second replica, after first ones", func(p *testPrimary) {
 			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "m"}, secondReplicaScore)
 			p.state().Rows["r"].Held["m"] = held
 			p.primary.addDemand(p.nowMs(), ledger.Item{Model: "n"}, 1)
@@ -82,8 +82,8 @@
 	}
 }
 
-// Where a need goes, and what must go for it.
-func TestPlaceOne(t *testing.T) {
+// Where a needed item is placed, and what is evicted for it.
+func TestPlaceNeed(t *testing.T) {
 	held := ledger.Holding{Size: 6}
 	cases := []struct {
 		about  string
@@ -97,28 +97,28 @@
 			p.primary.runners["r"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
 			p.primary.runners["q"].report = protocol.RunnerReport{Held: []protocol.HeldItem{{Model: "x", Size: 9}}}
 		}, false, "", ""},
-		{"not where an order of someone else is under way", func(p *testPrimary) {
+		{"not where an order of another primary is under way", func(p *testPrimary) {
 			p.primary.runners["r"].report.LastState = protocol.OrderUnderWay
 			p.primary.runners["q"].report.LastState = protocol.OrderUnderWay
 		}, false, "", ""},
 		{"not where a late order may still come", func(p *testPrimary) {
 			p.primary.runners["r"].fencedMs, p.primary.runners["q"].fencedMs = p.nowMs(), 0
 		}, false, "", ""},
-		{"nothing goes before its stay is over", func(p *testPrimary) {
+		{"nothing is evicted before its minimum residence", func(p *testPrimary) {
 			for _, name := range []string{"r", "q"} {
 				p.state().Rows[name].Held["n"] = held
 				p.primary.runners[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				p.primary.runners[name].heldSinceMs["n"] = p.nowMs() - minResidenceMs + 1
 			}
 		}, false, "", ""},
-		{"the second copy goes once it is", func(p *testPrimary) {
+		{"a second replica is evicted after it", func(p *testPrimary) {
 			for _, name := range []string{"r", "q"} {
 				p.state().Rows[name].Held["n"] = held
 				p.primary.runners[name].report.Held = []protocol.HeldItem{{Model: "n", Size: 6}}
 				p.primary.runners[name].heldSinceMs["n"] = p.nowMs() - minResidenceMs
 			}
 		}, true, "r", protocol.ActionUnload},
-		{"what operators want held stays", func(p *testPrimary) {
+		{"described copies stay", func(p *testPrimary) {
 			p.description.Models[1].Copies = 2
 			for _, name := range []string{"r", "q"} {
 				p.state().Rows[name].Held["n"] = held
--- a/internal/native/controller/primary_test.go
+++ b/internal/native/controller/primary_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-// A runner that may still be reached by a late order of the holder before is
+// A runner that may still be reached by a late order of an earlier primary is
 // given none, and none is given at all before those that answer are fenced.
 func TestOrdersWaitForFences(t *testing.T) {
 	cases := []struct {
@@ -75,7 +75,7 @@
 		{"all heed this epoch, the gap is not over", 0, "", 2900, 0},
 		{"all heed this epoch and the gap is over", 0, "", 3300, 1},
 		{"none says that it heeds this epoch", 1, "", 9000, 0},
-		{"one is dark: the others go on", 0, "q", 3600, 1},
+		{"one is silent: the others go on", 0, "q", 3600, 1},
 	}
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
--- a/internal/native/controller/proposals_test.go
+++ b/internal/native/controller/proposals_test.go
@@ -11,7 +11,7 @@
 
 // A description waits for every process that may still use the one in force,
 // and for a majority of the listed routers.
-func TestRoutersReady(t *testing.T) {
+func TestProposalAcknowledged(t *testing.T) {
 	const nowMs = 10_000
 	holds := func(seats map[protocol.MemberID]routerLease) map[protocol.MemberID]*routerLease {
 		out := map[protocol.MemberID]*routerLease{}
@@ -30,9 +30,9 @@
 		{"one may still use the old", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("b", "1"): {acknowledged: "t"}, memberID("c", "1"): {untilMs: nowMs + 1}}, false},
 		{"its lease has run out", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("b", "1"): {acknowledged: "t"}, memberID("c", "1"): {untilMs: nowMs}}, true},
 		{"no majority", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("b", "1"): {untilMs: nowMs}, memberID("c", "1"): {untilMs: nowMs}}, false},
-		{"what was given to peers may run", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t", extendedUntilMs: nowMs + 1}, memberID("b", "1"): {acknowledged: "t"}}, false},
-		{"that was waited out", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t", extendedUntilMs: nowMs}, memberID("b", "1"): {acknowledged: "t"}}, true},
-		{"acknowledged was another offer", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "u"}, memberID("b", "1"): {acknowledged: "t"}}, false},
+		{"an extension granted to peers may run", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t", extendedUntilMs: nowMs + 1}, memberID("b", "1"): {acknowledged: "t"}}, false},
+		{"that extension has run out", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t", extendedUntilMs: nowMs}, memberID("b", "1"): {acknowledged: "t"}}, true},
+		{"another proposal was acknowledged", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "u"}, memberID("b", "1"): {acknowledged: "t"}}, false},
 		{"an old process of a name may still use the old", map[protocol.MemberID]routerLease{memberID("a", "1"): {untilMs: nowMs + 1}, memberID("a", "2"): {acknowledged: "t"}, memberID("b", "1"): {acknowledged: "t"}}, false},
 		{"one who is not listed is no part of the majority", map[protocol.MemberID]routerLease{memberID("a", "1"): {acknowledged: "t"}, memberID("x", "1"): {acknowledged: "t"}}, false},
 	}
@@ -50,7 +50,7 @@
 
 // Of two processes of a name the one that registered last stays. A question
 // that shows no number proves nothing: its sender may be long gone.
-func TestRegister(t *testing.T) {
+func TestRouterRegistration(t *testing.T) {
 	var o proposals
 	o.resetRouters()
 	old, fresh := memberID("e", "old"), memberID("e", "fresh")
--- a/internal/native/controller/waits_test.go
+++ b/internal/native/controller/waits_test.go
@@ -8,9 +8,9 @@
 	"myrtlewinch/internal/native/ledger"
 )
 
-// Turns are worked out by the pace, and by how long things stay once the room
-// is taken; they grow along the line and are bounded.
-func TestTakeTurns(t *testing.T) {
+// Waits are estimated by the rate of loads, and by how long items stay once the room
+// is used up; they grow along the queue and are bounded.
+func TestWaitEstimates(t *testing.T) {
 	p := newTestPrimary(t)
 	p.description.Store.LoadsPer10s = 10
 	p.primary.listed = nil
@@ -19,7 +19,7 @@
 		p.state().Rows[name] = &ledger.RunnerRow{Runner: name, Incarnation: "1", Room: 10, Held: map[string]ledger.Holding{}}
 		p.primary.runners[name] = &runnerState{reportedMs: p.nowMs(), fencedMs: 1}
 	}
-	line := func(count int, size int64) []need {
+	queue := func(count int, size int64) []need {
 		var needs []need
 		for i := range count {
 			needs = append(needs, need{item: ledger.Item{Model: string(rune('a' + i))}, size: size, wantedReplicas: 1})
@@ -31,10 +31,10 @@
 		needs  []need
 		lastMs int64
 	}{
-		{"one, with room", line(1, 5), initialLoadMs + 1111},
-		{"four, with room for all", line(4, 5), initialLoadMs + 4*1111},
-		{"six, two of them beyond the room", line(6, 5), initialLoadMs + 6*1111 + 2*((minResidenceMs+initialLoadMs)*5/20-1111)},
-		{"more than is worth telling", line(26, 20), maxWaitEstimateMs},
+		{"one, with room", queue(1, 5), initialLoadMs + 1111},
+		{"four, with room for all", queue(4, 5), initialLoadMs + 4*1111},
+		{"six, two of them beyond the room", queue(6, 5), initialLoadMs + 6*1111 + 2*((minResidenceMs+initialLoadMs)*5/20-1111)},
+		{"more than is worth telling", queue(26, 20), maxWaitEstimateMs},
 	}
 	for _, test := range cases {
 		p.estimateWaits(test.needs)
@@ -49,8 +49,8 @@
 	}
 }
 
-// Who was told when to come back is still wanted then.
-func TestPlacesAreKept(t *testing.T) {
+// An item for which clients were told when to come back is still wanted then.
+func TestItemStaysWantedForReturningClients(t *testing.T) {
 	p := newTestPrimary(t)
 	item := ledger.Item{Model: "m"}
 	p.primary.addDemand(p.nowMs(), item, 1)
