--- a/internal/native/description/description.go
+++ b/internal/native/description/description.go
@@ -2,11 +2,7 @@
 // Every fault is reported with its path; a document with any fault has no effect at all.
 package description
 
-import (
-	"bytes"
-	"encoding/json"
-	"slices"
-)
+import "slices"
 
 // MaxBytes is the most bytes that a document may have.
 const MaxBytes = 1 << 20
@@ -79,131 +75,6 @@
 	runners  map[string]int
 }
 
-var topLevelFields = []string{"site", "controllers", "routers", "runners", "models", "adapters", "services", "store", "secondGoes"}
-
-// Read checks a whole document for a site. With any fault there is none.
-func Read(text []byte, site string) (*Description, []string) {
-	r := &reader{}
-	root, ok := r.read(text)
-	if !ok {
-		return nil, r.faults
-	}
-	d := &Description{}
-	top := r.object(root, topLevelFields...)
-	d.Site = r.name(top.values["site"])
-	if d.Site != "" && d.Site != site {
-		r.fault("site", "is %q; this site is %q", d.Site, site)
-	}
-	d.Controllers = members(r, top.values["controllers"])
-	d.Routers = members(r, top.values["routers"])
-	d.readRunners(r, top.values["runners"])
-	d.Models = items(r, top.values["models"], false)
-	d.Adapters = items(r, top.values["adapters"], true)
-	d.readServices(r, top.values["services"])
-	store := r.object(top.values["store"], "loadsPer10s")
-	d.Store.LoadsPer10s = r.integer(store.values["loadsPer10s"], 1, 100_000, 0)
-	d.RetryAllowance = r.integer(top.values["secondGoes"], 0, 1000, 10)
-	d.index()
-	d.check(r, top)
-	if len(r.faults) > 0 {
-		return nil, r.faults
-	}
-	return d, nil
-}
-
-func members(r *reader, n node) []Member {
-	var out []Member
-	seen := names{}
-	for _, inner := range r.list(n) {
-		f := r.object(inner, "name", "zone")
-		out = append(out, Member{seen.unique(r, f.values["name"]), r.name(f.values["zone"])})
-	}
-	if len(out) == 0 {
-		r.fault(n.path, "must list at least one")
-	}
-	return out
-}
-
-// names finds duplicate names in a list.
-type names map[string]bool
-
-func (s names) unique(r *reader, n node) string {
-	name := r.name(n)
-	if name != "" && s[name] {
-		r.fault(n.path, "%q is listed twice", name)
-	}
-	s[name] = true
-	return name
-}
-
-func (d *Description) readRunners(r *reader, n node) {
-	seen := names{}
-	for _, inner := range r.list(n) {
-		f := r.object(inner, "name", "pool", "zone", "room")
-		d.Runners = append(d.Runners, Runner{
-			Name: seen.unique(r, f.values["name"]),
-			Pool: r.name(f.values["pool"]),
-			Zone: r.name(f.values["zone"]),
-			Room: r.integer(f.values["room"], 0, 1<<40, 0),
-		})
-	}
-	if len(d.Runners) == 0 {
-		r.fault(n.path, "must list at least one")
-	}
-}
-
-func items(r *reader, n node, adapter bool) []Item {
-	var out []Item
-	seen := names{}
-	known := []string{"name", "size", "copies"}
-	if adapter {
-		known = append(known, "model")
-	}
-	for _, inner := range r.list(n) {
-		f := r.object(inner, known...)
-		item := Item{
-			Name:   seen.unique(r, f.values["name"]),
-			Size:   r.integer(f.values["size"], 1, 1<<40, 0),
-			Copies: r.integer(f.values["copies"], 0, 1000, 0),
-		}
-		if adapter {
-			item.Model = r.name(f.values["model"])
-		}
-		out = append(out, item)
-	}
-	return out
-}
-
-func (d *Description) readServices(r *reader, n node) {
-	seen := names{}
-	for _, inner := range r.list(n) {
-		f := r.object(inner, "name", "telling", "repeatable", "pools", "models", "deadlineMs", "bytesMost", "holding")
-		s := Service{
-			Name:       seen.unique(r, f.values["name"]),
-			Streaming:  r.boolean(f.values["telling"]),
-			Idempotent: r.boolean(f.values["repeatable"]),
-			DeadlineMs: r.integer(f.values["deadlineMs"], 100, 3_600_000, 30_000),
-			MaxBytes:   r.integer(f.values["bytesMost"], 16, 16<<20, 64<<10),
-			MaxQueued:  r.integer(f.values["holding"], 1, 100_000, 64),
-		}
-		pools := names{}
-		for _, pool := range r.list(f.values["pools"]) {
-			s.Pools = append(s.Pools, pools.unique(r, pool))
-		}
-		if len(s.Pools) == 0 {
-			r.fault(f.values["pools"].path, "must list at least one")
-		}
-		models := names{}
-		for _, model := range r.list(f.values["models"]) {
-			s.Models = append(s.Models, models.unique(r, model))
-		}
-		d.Services = append(d.Services, s)
-	}
-	if len(d.Services) == 0 {
-		r.fault(n.path, "must list at least one")
-	}
-}
-
 func (d *Description) index() {
 	d.services, d.models, d.adapters, d.runners = map[string]int{}, map[string]int{}, map[string]int{}, map[string]int{}
 	for i := range d.Services {
@@ -220,54 +91,6 @@
 	}
 }
 
-// check finds references to undefined names, and sizes for which no runner has room.
-func (d *Description) check(r *reader, top fields) {
-	roomMost := map[string]int64{}
-	for _, runner := range d.Runners {
-		roomMost[runner.Pool] = max(roomMost[runner.Pool], runner.Room)
-	}
-	at := func(part string, i int, field string) string {
-		if list, ok := top.values[part].value.([]node); ok && i < len(list) {
-			return list[i].path + "." + field
-		}
-		return part
-	}
-	modelRoom := map[string]int64{}
-	for i, s := range d.Services {
-		for _, pool := range s.Pools {
-			if _, ok := roomMost[pool]; !ok && pool != "" {
-				r.fault(at("services", i, "pools"), "no runner is in pool %q", pool)
-			}
-			for _, model := range s.Models {
-				modelRoom[model] = max(modelRoom[model], roomMost[pool])
-			}
-		}
-		for _, model := range s.Models {
-			if _, ok := d.models[model]; !ok && model != "" {
-				r.fault(at("services", i, "models"), "no model is named %q", model)
-			}
-		}
-	}
-	for i, m := range d.Models {
-		// A model that no service names may be described ahead of its use.
-		if room, used := modelRoom[m.Name]; used && m.Size > room {
-			r.fault(at("models", i, "size"), "is %d; no runner that may hold %q has more room than %d", m.Size, m.Name, room)
-		}
-	}
-	for i, a := range d.Adapters {
-		model, ok := d.models[a.Model]
-		if !ok {
-			if a.Model != "" {
-				r.fault(at("adapters", i, "model"), "no model is named %q", a.Model)
-			}
-			continue
-		}
-		if room, used := modelRoom[a.Model]; used && a.Size+d.Models[model].Size > room {
-			r.fault(at("adapters", i, "size"), "is %d; with its model it is more than the room of any runner (%d)", a.Size, room)
-		}
-	}
-}
-
 // Service finds a service by name.
 func (d *Description) Service(name string) (*Service, bool) {
 	i, ok := d.services[name]
@@ -309,45 +132,3 @@
 
 // Allows says whether the service may name the model.
 func (s *Service) Allows(model string) bool { return slices.Contains(s.Models, model) }
-
-// Patch replaces named parts of a document and gives the complete new text, which is to be
-// checked like any other.
-func Patch(text, change []byte) ([]byte, []string) {
-	r := &reader{}
-	root, ok := r.read(change)
-	if !ok {
-		return nil, r.faults
-	}
-	r.object(root, topLevelFields...)
-	if len(r.faults) > 0 {
-		return nil, r.faults
-	}
-	var whole, named map[string]json.RawMessage
-	if err := json.Unmarshal(text, &whole); err != nil {
-		return nil, []string{".: the description in force can't be read: " + err.Error()}
-	}
-	if err := json.Unmarshal(change, &named); err != nil {
-		return nil, []string{".: " + err.Error()}
-	}
-	for name, part := range named {
-		whole[name] = part
-	}
-	// The parts are written in one order, so that the same content gives the same text.
-	var out bytes.Buffer
-	out.WriteString("{")
-	for _, name := range topLevelFields {
-		part, ok := whole[name]
-		if !ok {
-			continue
-		}
-		if out.Len() > 1 {
-			out.WriteString(",")
-		}
-		label, _ := json.Marshal(name)
-		out.Write(label)
-		out.WriteString(":")
-		out.Write(part)
-	}
-	out.WriteString("}")
-	return out.Bytes(), nil
-}
--- a/internal/native/description/json.go
+++ b/internal/native/description/json.go
@@ -5,25 +5,26 @@
 	"encoding/json"
 	"fmt"
 	"io"
+	"slices"
 	"strings"
 
 	"github.com/cockroachdb/errors"
 )
 
-// node is one value of a JSON text with its path, kept in order so that
-// doubled fields can be named.
+// node is a value of a JSON text with its path.
 type node struct {
 	path  string
 	value any
 }
 
-// fields is a JSON object in the order it was written.
+// fields is a JSON object; names are in the order of the text.
 type fields struct {
 	names  []string
 	values map[string]node
 }
 
-// reader walks a JSON text by hand and gathers faults with their paths.
+// reader reads a JSON text and collects its faults with their paths. Unlike
+// encoding/json it reports all of them, duplicate and unknown fields too.
 type reader struct {
 	tokens *json.Decoder
 	faults []string
@@ -36,7 +37,7 @@
 	r.faults = append(r.faults, path+": "+fmt.Sprintf(format, args...))
 }
 
-// read turns the text into nodes. A text that is not JSON gives one fault.
+// read turns a text into nodes. One that is not JSON has one fault.
 func (r *reader) read(text []byte) (node, bool) {
 	r.tokens = json.NewDecoder(bytes.NewReader(text))
 	r.tokens.UseNumber()
@@ -53,6 +54,7 @@
 	return root, true
 }
 
+// next reads one value.
 func (r *reader) next(path string) (node, error) {
 	token, err := r.tokens.Token()
 	if err != nil {
@@ -60,42 +62,55 @@
 	}
 	switch token {
 	case json.Delim('{'):
-		object := fields{values: map[string]node{}}
-		for r.tokens.More() {
-			key, err := r.tokens.Token()
-			if err != nil {
-				return node{}, err
-			}
-			name := key.(string)
-			inner, err := r.next(strings.TrimPrefix(path+"."+name, "."))
-			if err != nil {
-				return node{}, err
-			}
-			if _, twice := object.values[name]; twice {
-				r.fault(inner.path, "is given twice")
-				continue
-			}
-			object.names = append(object.names, name)
-			object.values[name] = inner
-		}
-		_, err := r.tokens.Token()
-		return node{path, object}, err
+		return r.nextObject(path)
 	case json.Delim('['):
-		list := []node{}
-		for r.tokens.More() {
-			inner, err := r.next(fmt.Sprintf("%s[%d]", path, len(list)))
-			if err != nil {
-				return node{}, err
-			}
-			list = append(list, inner)
-		}
-		_, err := r.tokens.Token()
-		return node{path, list}, err
+		return r.nextList(path)
 	}
 	return node{path, token}, nil
 }
 
-// object gives the node's fields and names those that are not known.
+// nextObject reads the rest of an object. Of a duplicate field the first value counts.
+func (r *reader) nextObject(path string) (node, error) {
+	object := fields{values: map[string]node{}}
+	for r.tokens.More() {
+		key, err := r.tokens.Token()
+		if err != nil {
+			return node{}, err
+		}
+		name := key.(string)
+		inner, err := r.next(fieldPath(path, name))
+		if err != nil {
+			return node{}, err
+		}
+		if _, duplicate := object.values[name]; duplicate {
+			r.fault(inner.path, "is given twice")
+			continue
+		}
+		object.names = append(object.names, name)
+		object.values[name] = inner
+	}
+	_, err := r.tokens.Token()
+	return node{path, object}, err
+}
+
+// nextList reads the rest of a list.
+func (r *reader) nextList(path string) (node, error) {
+	list := []node{}
+	for r.tokens.More() {
+		inner, err := r.next(fmt.Sprintf("%s[%d]", path, len(list)))
+		if err != nil {
+			return node{}, err
+		}
+		list = append(list, inner)
+	}
+	_, err := r.tokens.Token()
+	return node{path, list}, err
+}
+
+// fieldPath is the path of an object's field.
+func fieldPath(path, name string) string { return strings.TrimPrefix(path+"."+name, ".") }
+
+// object gives a node's fields, with those that are absent, and reports unknown ones.
 func (r *reader) object(n node, known ...string) fields {
 	f, ok := n.value.(fields)
 	if !ok {
@@ -103,17 +118,13 @@
 		return fields{values: map[string]node{}}
 	}
 	for _, name := range f.names {
-		unknown := true
-		for _, k := range known {
-			unknown = unknown && k != name
-		}
-		if unknown {
+		if !slices.Contains(known, name) {
 			r.fault(f.values[name].path, "is not a known field (known: %s)", strings.Join(known, ", "))
 		}
 	}
 	for _, name := range known {
 		if _, ok := f.values[name]; !ok {
-			f.values[name] = node{strings.TrimPrefix(n.path+"."+name, "."), nil}
+			f.values[name] = node{fieldPath(n.path, name), nil}
 		}
 	}
 	return f
@@ -132,7 +143,7 @@
 
 const maxNameBytes = 64
 
-// name reads a plain name: letters, digits, dash, dot, underscore.
+// name reads a plain name: letters, digits, dash, dot and underscore.
 func (r *reader) name(n node) string {
 	text, ok := n.value.(string)
 	if !ok || text == "" {
--- /dev/null
+++ b/internal/native/description/patch.go
@@ -0,0 +1,48 @@
+package description
+
+import (
+	"bytes"
+	"encoding/json"
+)
+
+// Patch replaces named parts of a document and gives the complete new text, which is to be
+// checked like any other.
+func Patch(text, change []byte) ([]byte, []string) {
+	r := &reader{}
+	root, ok := r.read(change)
+	if !ok {
+		return nil, r.faults
+	}
+	r.object(root, topLevelFields...)
+	if len(r.faults) > 0 {
+		return nil, r.faults
+	}
+	var whole, named map[string]json.RawMessage
+	if err := json.Unmarshal(text, &whole); err != nil {
+		return nil, []string{".: the description in force can't be read: " + err.Error()}
+	}
+	if err := json.Unmarshal(change, &named); err != nil {
+		return nil, []string{".: " + err.Error()}
+	}
+	for name, part := range named {
+		whole[name] = part
+	}
+	// The parts are written in one order, so that the same content gives the same text.
+	var out bytes.Buffer
+	out.WriteString("{")
+	for _, name := range topLevelFields {
+		part, ok := whole[name]
+		if !ok {
+			continue
+		}
+		if out.Len() > 1 {
+			out.WriteString(",")
+		}
+		label, _ := json.Marshal(name)
+		out.Write(label)
+		out.WriteString(":")
+		out.Write(part)
+	}
+	out.WriteString("}")
+	return out.Bytes(), nil
+}
