--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -23,6 +23,7 @@
 var coreNode = protocol.Node{Name: "core-1", Address: "c1", Part: protocol.RoleController}
 
 func newBench(c *qt.C) *bench {
+	c.Helper()
 	text, err := os.ReadFile("../../../examples/zagreb.json")
 	c.Assert(err, qt.IsNil)
 	b := &bench{c: c, nowMs: 10_000}
--- a/internal/proxy/attempttracker_test.go
+++ b/internal/proxy/attempttracker_test.go
@@ -14,7 +14,7 @@
 		stopped          bool
 	}{
 		{"silent", 1000, 1100, 1700, true},
-		{"heard of lately", 1000, 1300, 1700, false},
+		{"bytes came recently", 1000, 1300, 1700, false},
 		{"only just sent", 1300, 1000, 1700, false},
 	}
 	for _, test := range cases {
--- a/internal/proxy/cache_test.go
+++ b/internal/proxy/cache_test.go
@@ -49,7 +49,7 @@
 	c.Assert(lines[cacheKey{"s", "1", ""}], qt.IsNil)
 }
 
-// A runner that said no is left out until a later word of the index tells of a
+// A runner that does not hold the model is left out until the index reports a
 // change, or a second has passed.
 func TestCacheExcludesRunners(t *testing.T) {
 	c := qt.New(t)
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -51,6 +51,7 @@
 
 // runConnectionBench plays one connection; serve makes the server for its listener.
 func runConnectionBench(t *testing.T, serve func(b *connectionBench, front net.Listener) (*http.Server, net.Listener), play func(b *connectionBench)) {
+	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		client, accepted := net.Pipe()
 		b := &connectionBench{client: client, reader: bufio.NewReader(client)}
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -247,6 +247,7 @@
 // checkAnswers reads what a client got: whole answers, or one that breaks off.
 // How long those to HEAD are can't be told here, so a body may be lacking.
 func checkAnswers(t *testing.T, answers []byte) {
+	t.Helper()
 	if len(answers) > 0 && !bytes.HasPrefix(answers, []byte("HTTP/1.")) {
 		t.Fatalf("no answer: %q", answers)
 	}
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -51,7 +51,7 @@
 	otherPlace   = protocol.Node{Name: "core-2", Address: "c:2", Part: protocol.RoleController}
 )
 
-// machineBench is a machine with a hand on its clock.
+// machineBench drives a machine and its clock.
 type machineBench struct {
 	c     *qt.C
 	m     *Machine
@@ -60,6 +60,7 @@
 }
 
 func newMachineBench(c *qt.C) *machineBench {
+	c.Helper()
 	b := &machineBench{c: c, nowMs: 1_000_000}
 	b.m = New(Settings{
 		Site: "site", Self: selfPlace, Seeds: []string{"c:1"}, ListAddress: "list:1",
@@ -92,6 +93,7 @@
 
 // newReadyBench makes a router with a map and two runners of each service in its cache.
 func newReadyBench(c *qt.C) *machineBench {
+	c.Helper()
 	b := newMachineBench(c)
 	b.configUpdate(1)
 	b.index(protocol.IndexReply{Service: "pages", Holders: []protocol.IndexHolder{holder("p1"), holder("p2")}})
@@ -151,6 +153,7 @@
 }
 
 func onlyOutput[T any](c *qt.C, out protocol.Effects) T {
+	c.Helper()
 	c.Assert(out.Responses, qt.HasLen, 1)
 	body, ok := out.Responses[0].Body.(T)
 	c.Assert(ok, qt.IsTrue, qt.Commentf("%#v", out.Responses[0].Body))
@@ -255,14 +258,14 @@
 	c := qt.New(t)
 	b := newReadyBench(c)
 	b.configUpdate(1, func(w *protocol.ConfigUpdate) { w.EchoMs, w.Leaving = 0, []string{"p1"} })
-	// A later word without it takes nothing back.
+	// A later update without it takes nothing back.
 	b.configUpdate(1)
 	for range 3 {
 		c.Assert(onlyOutput[StartAttempt](c, b.request("/safe/x")).Params.Runner, qt.Equals, "p2")
 	}
 }
 
-// The question names the lists that were told, so that they need not come
+// The poll states the lists that the router has, so that they need not come
 // again; what came once holds until another comes.
 func TestPollStatesWhatTheRouterHas(t *testing.T) {
 	c := qt.New(t)
@@ -308,7 +311,7 @@
 		{"of the own zone", []protocol.Node{far, near, primaryPlace}, false, false, 89, "core-3"},
 		{"a miss", []protocol.Node{far, near, primaryPlace}, true, false, 89, "core-1"},
 		{"none is in the own zone", []protocol.Node{far}, false, false, 89, "core-4"},
-		{"none was told", nil, false, false, 89, "core-1"},
+		{"none is known", nil, false, false, 89, "core-1"},
 		{"few routers", []protocol.Node{far, near, primaryPlace}, false, false, 9, "core-1"},
 		{"the primary is silent", []protocol.Node{far, near, primaryPlace}, false, true, 89, "core-1"},
 	}
@@ -345,10 +348,10 @@
 		want        string
 	}{
 		{"safe, lost", "/safe/", AttemptEnded{Outcome: ResponseLost}, send},
-		{"safe, nonsense", "/safe/", AttemptEnded{Outcome: InvalidResponse}, send},
+		{"safe, invalid response", "/safe/", AttemptEnded{Outcome: InvalidResponse}, send},
 		{"safe, failed", "/safe/", AttemptEnded{Outcome: ServerError}, send},
 		{"unsafe, lost", "/unsafe/", AttemptEnded{Outcome: ResponseLost}, string(errkind.OutcomeUnknown)},
-		{"unsafe, nonsense", "/unsafe/", AttemptEnded{Outcome: InvalidResponse}, string(errkind.BrokenResponse)},
+		{"unsafe, invalid response", "/unsafe/", AttemptEnded{Outcome: InvalidResponse}, string(errkind.BrokenResponse)},
 		{"unsafe, turned away", "/unsafe/", AttemptEnded{Outcome: Rejected}, send},
 		{"unsafe, not held", "/unsafe/", AttemptEnded{Outcome: Misdirected}, send},
 		{"unsafe, not sent", "/unsafe/", AttemptEnded{Outcome: NotSent}, send},
@@ -448,7 +451,7 @@
 		{"nobody knows, with much time", "/stream/", protocol.IndexReply{}, 8000, errkind.NoRunner, 800, 1000},
 		{"its turn is too late for a silent stream", "/stream/", protocol.IndexReply{TurnMs: 2500}, 8000, errkind.PlacementTimeout, 0, 0},
 		{"nobody knows, and the client bears silence", "/patient/", protocol.IndexReply{}, 20_000, errkind.NoConfig, 5300, 5500},
-		// What was told of a turn is not believed for ever.
+		// An expected load is not waited for for ever.
 		{"its turn is in time for one that bears silence", "/patient/", protocol.IndexReply{TurnMs: 6000}, 20_000, errkind.NoConfig, 5300, 5500},
 	}
 	for _, test := range cases {
@@ -502,7 +505,7 @@
 	c := qt.New(t)
 	b := newReadyBench(c)
 	c.Assert(onlyOutput[Reject](c, b.request("/nowhere/")).Kind, qt.Equals, errkind.UnknownPage)
-	// Without word the route may be there by now.
+	// While the primary is silent the route may be new.
 	for range 50 {
 		b.nowMs += 25
 		b.step(protocol.Tick{})
@@ -555,7 +558,7 @@
 	}
 }
 
-// A line that the index has not told of for long is no hit: the request waits
+// An entry that the index has not sent for long is no hit: the request waits
 // for its look-up's answer, but no longer than a miss does at first.
 func TestStaleEntryIsAMiss(t *testing.T) {
 	c := qt.New(t)
@@ -575,7 +578,7 @@
 	onlyOutput[StartAttempt](c, b.request("/safe/"))
 }
 
-// After standing still nothing is sent on before the primary gave its word,
+// After a stall nothing is dispatched before the primary has answered,
 // or a while has passed.
 func TestRouterPollsFirstAfterAStall(t *testing.T) {
 	c := qt.New(t)
--- a/internal/proxy/runnerstate_test.go
+++ b/internal/proxy/runnerstate_test.go
@@ -13,11 +13,11 @@
 		load  int
 		full  bool
 	}{
-		{"told", func(r *runnerState) { r.reportLoad(100, 3, 6) }, 3, false},
+		{"reported", func(r *runnerState) { r.reportLoad(100, 3, 6) }, 3, false},
 		{"begun since", func(r *runnerState) { r.reportLoad(100, 3, 6); r.addInFlight(150, 1, 10) }, 4, false},
 		{"begun before", func(r *runnerState) { r.addInFlight(50, 1, 10); r.reportLoad(100, 3, 6) }, 3, false},
 		{"ended since", func(r *runnerState) { r.addInFlight(50, 1, 10); r.reportLoad(100, 3, 6); r.addInFlight(120, -1, -10) }, 2, false},
-		{"an older word", func(r *runnerState) { r.reportLoad(100, 3, 6); r.reportLoad(90, 6, 6) }, 3, false},
+		{"an older report", func(r *runnerState) { r.reportLoad(100, 3, 6); r.reportLoad(90, 6, 6) }, 3, false},
 		{"never below its own", func(r *runnerState) { r.addInFlight(50, 1, 10); r.reportLoad(100, 0, 6) }, 1, false},
 		{"no place", func(r *runnerState) { r.reportLoad(100, 8, 6) }, 8, true},
 		{"turned away", func(r *runnerState) {
@@ -26,9 +26,9 @@
 			r.addInFlight(120, -1, -1)
 			r.markFull(120)
 		}, 1, true},
-		{"told anew", func(r *runnerState) { r.reportLoad(100, 1, 6); r.markFull(120); r.reportLoad(130, 2, 6) }, 2, false},
+		{"reported again", func(r *runnerState) { r.reportLoad(100, 1, 6); r.markFull(120); r.reportLoad(130, 2, 6) }, 2, false},
 		{"token memory", func(r *runnerState) { r.reportLoad(100, 1, 6); r.reportCache(100, 950, 1000) }, 1, true},
-		{"token memory of own sends", func(r *runnerState) {
+		{"KV cache of own attempts", func(r *runnerState) {
 			r.reportLoad(100, 1, 6)
 			r.reportCache(100, 800, 1000)
 			r.addInFlight(110, 1, 150)
@@ -46,7 +46,7 @@
 	}
 }
 
-// Without another word nothing is believed for long, or a runner that was
+// Without another report nothing is used for long, or a runner that was
 // full once would never be asked again.
 func TestOldReportIsIgnored(t *testing.T) {
 	c := qt.New(t)
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -92,6 +92,7 @@
 const end = "<end>"
 
 func newScriptedRunner(c *qt.C, scripts ...string) *scriptedRunner {
+	c.Helper()
 	at, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(func() { _ = at.Close() })
@@ -174,6 +175,7 @@
 
 // newServerBench is a router with stand-in runners, all of which hold all.
 func newServerBench(c *qt.C, runners ...*scriptedRunner) (*Server, *httptest.Server) {
+	c.Helper()
 	var addresses []string
 	for _, r := range runners {
 		addresses = append(addresses, r.at.Addr().String())
@@ -185,7 +187,7 @@
 }
 
 // startServer runs a router for runners that all hold all.
-func startServer(tongue Codec, document config.Configuration, addresses []string, logs io.Writer) (g *Server, url string, stop func(), err error) {
+func startServer(codec Codec, document config.Configuration, addresses []string, logs io.Writer) (g *Server, url string, stop func(), err error) {
 	var listeners [3]net.Listener
 	for i := range listeners {
 		if listeners[i], err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -195,7 +197,7 @@
 	peers, front, page := listeners[0], listeners[1], listeners[2]
 	g, err = NewServer(Settings{
 		Site: "site", Self: selfPlace, Bounds: bounds.Bounds{GraceMs: 3000, RetryRatio: 0.2, ExtraTries: 400},
-	}, tongue, plainFormat{}, nil, peers, front, page, log.NewWithOptions(logs, log.Options{Level: log.DebugLevel}))
+	}, codec, plainFormat{}, nil, peers, front, page, log.NewWithOptions(logs, log.Options{Level: log.DebugLevel}))
 	if err != nil {
 		return nil, "", nil, err
 	}
@@ -224,6 +226,7 @@
 
 // call asks the router; broken says that the answer did not end well.
 func call(c *qt.C, base, path string) (status int, header http.Header, body string, broken bool) {
+	c.Helper()
 	r, err := http.NewRequest(http.MethodPost, base+path, strings.NewReader("the body"))
 	c.Assert(err, qt.IsNil)
 	r.Host = "h"
