--- a/internal/dataplane/outbox.go
+++ b/internal/dataplane/outbox.go
@@ -1,6 +1,5 @@
-// Package dataplane holds what the two routers share: that of sites with a
-// service map (package proxy) and that of the own interface (package
-// native/router).
+// Package dataplane holds what the two routers share: that of the users' platform
+// (package proxy) and that of the own interface (package native/router).
 package dataplane
 
 import (
--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -7,7 +7,7 @@
 )
 
 // findModel finds what a look-up is about; nil means that no runner and no
-// service map knows the name, so that nothing is kept of it.
+// configuration knows the name, so that nothing is kept of it.
 func (m *Manager) findModel(service, name string) *runnerstate.Model {
 	s := m.services[service]
 	if s == nil {
--- a/internal/placement/holders_test.go
+++ b/internal/placement/holders_test.go
@@ -15,7 +15,7 @@
 // managerWithHolders is a manager of so many runners in four zones. Each holds
 // m000 and m001, and every fourth the adapter a1 of m000 too.
 func managerWithHolders(t testing.TB, count int) *Manager {
-	s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
+	s := newPlatformSim(t, 1, newConfiguration(4, 8, 4.2), 0)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 	var list []protocol.RunnerEntry
@@ -162,7 +162,7 @@
 // The holders of adapters agree with what the runners hold, whatever came and
 // went.
 func TestAdapterHoldersMatchRunners(t *testing.T) {
-	s := newPlatformSim(t, 3, newServiceMap(8, 16, 4.2), 6)
+	s := newPlatformSim(t, 3, newConfiguration(8, 16, 4.2), 6)
 	s.fill(0)
 	s.requestLoss, s.replyLoss = 0.1, 0.1
 	manager := s.manager("one")
--- a/internal/placement/lookup_test.go
+++ b/internal/placement/lookup_test.go
@@ -56,7 +56,7 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
+			s := newPlatformSim(t, 1, newConfiguration(4, 8, 4.2), 0)
 			manager := s.manager("one")
 			manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 			e := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: held("a1")}
@@ -100,7 +100,7 @@
 	}{{0, 1}, {index.GainNotifyMs, 1}, {index.GainNotifyMs + 1, 0}} {
 		t.Run(fmt.Sprint(test.laterMs), func(t *testing.T) {
 			c := qt.New(t)
-			s := newPlatformSim(t, 1, newServiceMap(4, 8, 4.2), 0)
+			s := newPlatformSim(t, 1, newConfiguration(4, 8, 4.2), 0)
 			manager := s.manager("one")
 			manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs()+1_000_000)
 			one := protocol.RunnerEntry{ID: "r1", Service: llm, Address: "10.0.0.1:80", Slots: 8, LeftMs: -1, Models: []protocol.HeldModel{{Name: "m000"}}}
@@ -178,7 +178,7 @@
 // look-ups to it.
 func TestFollowerAnswersFromSnapshot(t *testing.T) {
 	c := qt.New(t)
-	s := newPlatformSim(t, 8, newServiceMap(20, 42, 4.2), 8)
+	s := newPlatformSim(t, 8, newConfiguration(20, 42, 4.2), 8)
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -40,8 +40,8 @@
 // Manager keeps the state of the runners, orders loads and unloads while its
 // daemon is the primary, and answers look-ups.
 type Manager struct {
-	selfName   string
-	serviceMap *config.Configuration
+	selfName      string
+	configuration *config.Configuration
 	// nowMs is the time of the last tick.
 	nowMs int64
 
@@ -123,16 +123,16 @@
 	}
 }
 
-// SetMap takes the service map in force.
-func (m *Manager) SetMap(serviceMap *config.Configuration) {
-	if serviceMap == nil || serviceMap == m.serviceMap {
+// SetMap takes the configuration in force.
+func (m *Manager) SetMap(configuration *config.Configuration) {
+	if configuration == nil || configuration == m.configuration {
 		return
 	}
-	m.serviceMap = serviceMap
+	m.configuration = configuration
 	storeRate := 0.0
 	named := map[string]bool{}
-	for i := range serviceMap.Services {
-		s := &serviceMap.Services[i]
+	for i := range configuration.Services {
+		s := &configuration.Services[i]
 		named[s.Name] = true
 		m.serviceNamed(s.Name).SetEngine(s.Engine)
 		// One store serves all services; the slowest rate that any of them names
--- a/internal/placement/manager_bench_test.go
+++ b/internal/placement/manager_bench_test.go
@@ -7,7 +7,7 @@
 
 // BenchmarkLargeSite ticks a manager with the look-ups of 50 ms at a large site.
 func BenchmarkLargeSite(b *testing.B) {
-	m := newServiceMap(747, 42, 46)
+	m := newConfiguration(747, 42, 46)
 	m.Services[0].Engine.Slots = 12
 	s := newPlatformSim(b, 1, m, 140)
 	s.fill(0, 1)
--- a/internal/placement/manager_test.go
+++ b/internal/placement/manager_test.go
@@ -40,7 +40,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := qt.New(t)
 			// Every other time the store is so slow that its rate binds.
-			s := newPlatformSim(t, seed, newServiceMap(39, 42, []float64{4.2, 1.2}[seed%2]), 12)
+			s := newPlatformSim(t, seed, newConfiguration(39, 42, []float64{4.2, 1.2}[seed%2]), 12)
 			s.fill(0, 1)
 			s.requestLoss, s.replyLoss = 0.15, 0.15
 			manager := s.manager("one")
@@ -101,7 +101,7 @@
 // A model to which demand moves has more copies within a few seconds.
 func TestCopiesFollowDemand(t *testing.T) {
 	c := qt.New(t)
-	s := newPlatformSim(t, 3, newServiceMap(39, 42, 4.2), 12)
+	s := newPlatformSim(t, 3, newConfiguration(39, 42, 4.2), 12)
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
@@ -137,7 +137,7 @@
 // Many rare models that are requested at once are all loaded, one after the other.
 func TestBurstOfRareModels(t *testing.T) {
 	c := qt.New(t)
-	s := newPlatformSim(t, 4, newServiceMap(39, 0, 4.2), 12)
+	s := newPlatformSim(t, 4, newConfiguration(39, 0, 4.2), 12)
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
@@ -169,7 +169,7 @@
 // any is loaded often, and nobody waits for long.
 func TestAdaptersSpread(t *testing.T) {
 	c := qt.New(t)
-	s := newPlatformSim(t, 5, newServiceMap(4, 42, 4.2), 5)
+	s := newPlatformSim(t, 5, newConfiguration(4, 42, 4.2), 5)
 	for _, r := range s.runners {
 		r.memory.Models["m000"] = map[string]bool{}
 	}
@@ -202,7 +202,7 @@
 // still serves.
 func TestModelsOfDrainingRunnerAreLoadedElsewhere(t *testing.T) {
 	c := qt.New(t)
-	s := newPlatformSim(t, 6, newServiceMap(9, 0, 4.2), 5)
+	s := newPlatformSim(t, 6, newConfiguration(9, 0, 4.2), 5)
 	s.fill()
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
@@ -237,7 +237,7 @@
 // Where all models fit and demand is steady, nothing moves after the start.
 func TestSteadyDemandMovesNothing(t *testing.T) {
 	c := qt.New(t)
-	s := newPlatformSim(t, 9, newServiceMap(12, 8, 4.2), 8)
+	s := newPlatformSim(t, 9, newConfiguration(12, 8, 4.2), 8)
 	s.fill(0, 1)
 	manager := s.manager("one")
 	manager.BecomePrimary(s.events.NowMs(), 1, s.events.NowMs())
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -47,7 +47,7 @@
 // mayOrder says whether orders may go out now.
 func (m *Manager) mayOrder(nowMs, leaseUntilMs int64) bool {
 	allowed := m.active && m.ordersAllowed && !m.fenced && nowMs >= m.ordersFromMs
-	informed := m.serviceMap != nil && m.list.readMs > 0
+	informed := m.configuration != nil && m.list.readMs > 0
 	return allowed && informed && nowMs < leaseUntilMs-leaseMarginMs
 }
 
--- a/internal/placement/planner/planner.go
+++ b/internal/placement/planner/planner.go
@@ -171,7 +171,7 @@
 }
 
 // freeMb is the room in MB that a runner has left; negative if it holds more
-// than the service map now allows.
+// than the configuration now allows.
 func (p *Planner) freeMb(r *runnerstate.Runner) float64 {
 	return p.service.Engine.WeightMemoryMb - r.UsedMb()
 }
--- a/internal/placement/runnerstate/model.go
+++ b/internal/placement/runnerstate/model.go
@@ -33,7 +33,7 @@
 	// Name is empty for the stand-in of a service without models.
 	Name string
 	Spec config.Model
-	// Configured says that the service map names it. Other models exist as long
+	// Configured says that the configuration names it. Other models exist as long
 	// as a runner holds them.
 	Configured bool
 	// Holders are the runners that hold it, in the order in which they got it.
@@ -104,7 +104,7 @@
 }
 
 // HasAdapter says whether the model has an adapter of that name. Adapters are
-// named a1, a2 and so on up to the number in the service map.
+// named a1, a2 and so on up to the number in the configuration.
 func (m *Model) HasAdapter(name string) bool {
 	number, found := strings.CutPrefix(name, "a")
 	n, err := strconv.Atoi(number)
--- a/internal/placement/runnerstate/service.go
+++ b/internal/placement/runnerstate/service.go
@@ -7,15 +7,15 @@
 	"myrtlewinch/internal/config"
 )
 
-// Service is what is known of one service of the service map, or of runners
-// whose service the map does not name.
+// Service is what is known of one service of the configuration, or of runners
+// whose service the configuration does not name.
 type Service struct {
 	Name string
-	// Engine is that of the service map in force, nil if the service has none or
-	// the map does not name the service.
+	// Engine is that of the configuration in force, nil if the service has none or
+	// it does not name the service.
 	Engine *config.Engine
 	Models map[string]*Model
-	// Configured are the models of the service map, in its order.
+	// Configured are the models of the configuration, in its order.
 	Configured []*Model
 	// Plain stands for requests that need no model.
 	Plain *Model
@@ -45,7 +45,7 @@
 	return m
 }
 
-// SetEngine takes the engine of a new service map. The sizes of models that it
+// SetEngine takes the engine of a new configuration. The sizes of models that it
 // dropped are kept, since runners may still hold them.
 func (s *Service) SetEngine(engine *config.Engine) {
 	s.Engine = engine
--- a/internal/placement/simulator_test.go
+++ b/internal/placement/simulator_test.go
@@ -85,9 +85,9 @@
 	list []protocol.RunnerEntry
 }
 
-// newServiceMap describes models of two sizes, of which m000 and m002 have
+// newConfiguration describes models of two sizes, of which m000 and m002 have
 // adapters, and a service without models.
-func newServiceMap(models, adapters int, perSec float64) *config.Configuration {
+func newConfiguration(models, adapters int, perSec float64) *config.Configuration {
 	e := &config.Engine{Slots: 64, CacheTokens: 150_000, TokensPerEvent: 6, WeightMemoryMb: 220_000, MaxAdapters: 8, LoadsPerSec: perSec}
 	for i := range models {
 		m := config.Model{Name: fmt.Sprintf("m%03d", i), SizeMb: 65_100, LoadMs: 1900, AdapterSizeMb: 12}
--- a/internal/placement/weightstore/limiter.go
+++ b/internal/placement/weightstore/limiter.go
@@ -12,7 +12,7 @@
 // runners, at or below the store's rate. Make it with NewLimiter.
 type Limiter struct {
 	windowMs int64
-	// loadsPerSec is the store's rate, 0 until a service map names one.
+	// loadsPerSec is the store's rate, 0 until a configuration names one.
 	loadsPerSec float64
 	// startedMs holds, for each load that counts, the latest time at which it may
 	// have begun.
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// Limits of clients' connections if the service map sets none.
+	// Limits of clients' connections if the configuration sets none.
 	defaultIdle        = 20 * time.Second
 	defaultHeadTimeout = 5 * time.Second
 	defaultHeadBytes   = 64 << 10
-	// headBytesCeiling limits a head whatever the service map says.
+	// headBytesCeiling limits a head whatever the configuration says.
 	headBytesCeiling = 256 << 10
-	// timeoutSlack is added to the time-outs of the service map: a new map may
+	// timeoutSlack is added to the time-outs of the configuration: a new one may
 	// arrive here later than at the clients, and a request may be on its way.
 	timeoutSlack = 2 * time.Second
-	// maxTimeout keeps the numbers of a service map in the range of a timer.
+	// maxTimeout keeps the numbers of a configuration in the range of a timer.
 	maxTimeout = 24 * time.Hour
 	// finalReadTimeout is for one more read after the deadline, which finds
 	// what arrived while the process stood still.
@@ -37,25 +37,25 @@
 	headBytes int64
 }
 
-// clientLimitsOf returns the limits of a service map, which may be nil.
-func clientLimitsOf(serviceMap *config.Configuration) clientLimits {
+// clientLimitsOf returns the limits of a configuration, which may be nil.
+func clientLimitsOf(configuration *config.Configuration) clientLimits {
 	limits := clientLimits{defaultIdle, defaultHeadTimeout, defaultHeadBytes}
-	if serviceMap == nil {
+	if configuration == nil {
 		return limits
 	}
-	if ms := serviceMap.Limits.IdleTimeoutMs; ms > 0 {
+	if ms := configuration.Limits.IdleTimeoutMs; ms > 0 {
 		limits.idle = timeoutOf(ms)
 	}
-	if ms := serviceMap.Limits.HeaderTimeoutMs; ms > 0 {
+	if ms := configuration.Limits.HeaderTimeoutMs; ms > 0 {
 		limits.headTimeout = timeoutOf(ms)
 	}
-	if bytes := serviceMap.Limits.MaxHeaderBytes; bytes > 0 {
+	if bytes := configuration.Limits.MaxHeaderBytes; bytes > 0 {
 		limits.headBytes = min(bytes, headBytesCeiling)
 	}
 	return limits
 }
 
-// timeoutOf returns the time-out for a number of a service map.
+// timeoutOf returns the time-out for a number of a configuration.
 func timeoutOf(ms int64) time.Duration {
 	return time.Duration(min(ms, maxTimeout.Milliseconds()))*time.Millisecond + timeoutSlack
 }
@@ -106,7 +106,7 @@
 	connActive
 )
 
-// clientConn sets read deadlines that follow changes of the service map, which
+// clientConn sets read deadlines that follow changes of the configuration, which
 // those of the standard server cannot. All but the reads during a request
 // happen in the one goroutine that serves the connection.
 type clientConn struct {
@@ -153,7 +153,7 @@
 	}
 }
 
-// readUntil reads until a deadline, which a new service map may move: a later
+// readUntil reads until a deadline, which a new configuration may move: a later
 // one is used at once, an earlier one only from the next read on, since the
 // client may not know of it yet.
 func (c *clientConn) readUntil(p []byte, deadline func() time.Time) (int, error) {
--- a/internal/proxy/controlplane.go
+++ b/internal/proxy/controlplane.go
@@ -32,11 +32,11 @@
 type controlPlane struct {
 	// seeds are the addresses at which the primary is searched for.
 	seeds []string
-	// serviceMap is the map in use, which other goroutines read too;
-	// mapVersion and mapDigest belong to it.
-	serviceMap atomic.Pointer[config.Configuration]
-	mapVersion uint64
-	mapDigest  string
+	// configuration is the one in use, which other goroutines read too;
+	// configVersion and configDigest belong to it.
+	configuration atomic.Pointer[config.Configuration]
+	configVersion uint64
+	configDigest  string
 	// epoch is that of the last accepted update, primary the controller that
 	// is polled.
 	epoch   uint64
@@ -72,7 +72,7 @@
 		return
 	}
 	m.outbox.Send(node, protocol.ConfigPoll{
-		EchoMs: m.nowMs, Version: m.mapVersion, Sum: m.mapDigest,
+		EchoMs: m.nowMs, Version: m.configVersion, Sum: m.configDigest,
 		LeavingSum: m.drainingDigest, ControllersSum: m.controllersDigest,
 	})
 }
@@ -171,7 +171,7 @@
 	m.updateControllers(update)
 	m.updateDraining(update)
 	m.updateRouterCount(update.Routers)
-	m.activateMap(update)
+	m.activateConfig(update)
 	m.dispatchQueue()
 }
 
@@ -223,10 +223,10 @@
 	}
 }
 
-// activateMap puts a newer map into use. A router never goes back to an older
+// activateConfig puts a newer configuration into use. A router never goes back to an older
 // version.
-func (m *Machine) activateMap(update protocol.ConfigUpdate) {
-	if update.Version <= m.mapVersion {
+func (m *Machine) activateConfig(update protocol.ConfigUpdate) {
+	if update.Version <= m.configVersion {
 		return
 	}
 	text := update.Text
@@ -246,14 +246,14 @@
 		}
 		return
 	}
-	serviceMap, faults := m.format.Parse([]byte(text))
-	if len(faults) > 0 || serviceMap == nil {
+	configuration, faults := m.format.Parse([]byte(text))
+	if len(faults) > 0 || configuration == nil {
 		m.outbox.CountError(errkind.Malformed)
 		return
 	}
-	serviceMap.BuildIndex()
-	m.mapVersion, m.mapDigest = update.Version, update.Sum
-	m.serviceMap.Store(serviceMap)
+	configuration.BuildIndex()
+	m.configVersion, m.configDigest = update.Version, update.Sum
+	m.configuration.Store(configuration)
 	m.outbox.Logf("map version %d is in use", update.Version)
 }
 
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -1,4 +1,4 @@
-// Package proxy is the data plane for sites with a service map: a router takes
+// Package proxy is the data plane of the users' platform: a router takes
 // clients' requests by host and path, looks up once which runners can serve
 // each of them, chooses a runner and forwards the response, event by event if
 // it is a stream.
@@ -37,7 +37,7 @@
 	sweepEachMs = 10_000
 	// latencyWeight is the part of a new measurement in a route's latency.
 	latencyWeight = 1.0 / 16
-	// Routes and models that a new map no longer has are removed from the
+	// Routes and models that a new configuration no longer has are removed from the
 	// latency estimates once these have more entries than
 	// latencyEntriesPerRoute for each route and extraLatencyEntries.
 	latencyEntriesPerRoute = 4
@@ -63,9 +63,9 @@
 	MemoryMb, OpenFiles int
 }
 
-// Format parses service maps.
+// Format parses configurations.
 type Format interface {
-	// Parse returns the map, or a description of every fault in the text.
+	// Parse returns the configuration, or a description of every fault in the text.
 	Parse(text []byte) (*config.Configuration, []string)
 }
 
@@ -124,7 +124,7 @@
 }
 
 // New returns the machine of a router that knows only its settings: no primary
-// and no service map.
+// and no configuration.
 func New(settings Settings, format Format, nowMs int64) *Machine {
 	return &Machine{
 		settings: settings, format: format, nowMs: nowMs, lastStepMs: nowMs, lastSweepMs: nowMs,
@@ -150,9 +150,9 @@
 	}
 }
 
-// Map returns the service map in use, or nil before the first one. It may be
-// called from any goroutine; the map must not be changed.
-func (m *Machine) Map() *config.Configuration { return m.serviceMap.Load() }
+// Map returns the configuration in use, or nil before the first one. It may be
+// called from any goroutine; the result must not be changed.
+func (m *Machine) Map() *config.Configuration { return m.configuration.Load() }
 
 // Step applies one input at the given time and returns its effects: messages,
 // outputs, outbound calls and log lines. Times of successive calls must not
@@ -232,11 +232,11 @@
 			delete(m.runners, id)
 		}
 	}
-	serviceMap := m.serviceMap.Load()
-	if serviceMap == nil {
+	configuration := m.configuration.Load()
+	if configuration == nil {
 		return
 	}
-	if len(m.routeLatencies) > latencyEntriesPerRoute*len(serviceMap.Routes)+extraLatencyEntries {
+	if len(m.routeLatencies) > latencyEntriesPerRoute*len(configuration.Routes)+extraLatencyEntries {
 		clear(m.routeLatencies)
 		clear(m.prefillEstimates)
 	}
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -135,7 +135,7 @@
 	var all protocol.Effects
 	for end := b.nowMs + ms; b.nowMs < end; {
 		b.nowMs += min(25, end-b.nowMs)
-		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.receive(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.mapVersion})} {
+		for _, out := range []protocol.Effects{b.step(protocol.Tick{}), b.receive(primaryPlace, protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: b.m.epoch, Version: b.m.configVersion})} {
 			all.Responses = append(all.Responses, out.Responses...)
 			all.Sends = append(all.Sends, out.Sends...)
 		}
@@ -248,7 +248,7 @@
 			b.configUpdate(5)
 			b.nowMs++
 			b.configUpdate(test.version, test.word)
-			c.Assert(b.m.mapVersion, qt.Equals, test.want)
+			c.Assert(b.m.configVersion, qt.Equals, test.want)
 			c.Assert(b.m.Map().Version, qt.Equals, test.want)
 		})
 	}
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// firstMapWaitMs is how long a request waits for the first service map.
-	firstMapWaitMs = 300
+	// firstConfigWaitMs is how long a request waits for the first configuration.
+	firstConfigWaitMs = 300
 	// defaultDeadlineMs is the time for a request if neither its client nor
 	// its route states one.
 	defaultDeadlineMs = 30_000
@@ -23,7 +23,7 @@
 	Request
 	// arrivedMs is when it arrived, deadlineMs when its client stops waiting.
 	arrivedMs, deadlineMs int64
-	// route, service and key are set by resolve, once a service map is known.
+	// route, service and key are set by resolve, once a configuration is known.
 	route   *config.Route
 	service *config.Service
 	key     cacheKey
@@ -109,21 +109,21 @@
 }
 
 // resolve finds the route and the service of a request and sends its look-up.
-// It returns false if the request waits for a service map or was rejected.
+// It returns false if the request waits for a configuration or was rejected.
 func (m *Machine) resolve(r *request) bool {
 	if r.route != nil {
 		return true
 	}
-	serviceMap := m.serviceMap.Load()
-	if serviceMap == nil {
+	configuration := m.configuration.Load()
+	if configuration == nil {
 		return false
 	}
-	route, found := serviceMap.FindRoute(r.Host, r.Path)
+	route, found := configuration.FindRoute(r.Host, r.Path)
 	if !found {
 		m.rejectUnknownRoute(r)
 		return false
 	}
-	r.service, found = chooseService(serviceMap, route, r.Params, r.draw)
+	r.service, found = chooseService(configuration, route, r.Params, r.draw)
 	if !found {
 		m.reject(r, errkind.UnknownModel, 0)
 		return false
@@ -183,12 +183,12 @@
 // chooseService draws the service of a request by the weights of the route's
 // split, among the services that can hold the model. It returns false if there
 // is none.
-func chooseService(serviceMap *config.Configuration, route *config.Route, params RequestParams, draw uint64) (*config.Service, bool) {
+func chooseService(configuration *config.Configuration, route *config.Route, params RequestParams, draw uint64) (*config.Service, bool) {
 	var services []*config.Service
 	var weights []int64
 	total := int64(0)
 	for _, share := range route.Split {
-		service, found := serviceMap.FindService(share.Service)
+		service, found := configuration.FindService(share.Service)
 		if !found || share.Weight <= 0 || !canHoldModel(service, params.Model) {
 			continue
 		}
@@ -228,7 +228,7 @@
 		return
 	}
 	if !m.resolve(r) {
-		if m.requests[r.ID] != nil && m.nowMs-r.arrivedMs >= firstMapWaitMs {
+		if m.requests[r.ID] != nil && m.nowMs-r.arrivedMs >= firstConfigWaitMs {
 			m.reject(r, errkind.NoConfig, retryUnknownMs)
 		}
 		return
@@ -237,7 +237,7 @@
 		m.reject(r, errkind.ShuttingDown, retryShutdownMs)
 		return
 	}
-	// After a stall the map may be outdated and runners may have moved.
+	// After a stall the configuration may be outdated and runners may have moved.
 	if m.nowMs < m.stallGuardUntilMs {
 		return
 	}
--- a/internal/proxy/runnerlist.go
+++ b/internal/proxy/runnerlist.go
@@ -33,7 +33,7 @@
 
 // listReadDue reports whether the router is to read the list of runners now.
 func (m *Machine) listReadDue() bool {
-	if m.settings.ListAddress == "" || m.serviceMap.Load() == nil || m.listReadPending {
+	if m.settings.ListAddress == "" || m.configuration.Load() == nil || m.listReadPending {
 		return false
 	}
 	return m.primarySilent() && m.nowMs >= m.nextListReadMs
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -21,7 +21,7 @@
 const (
 	// tickMs is the time between two ticks of the machine.
 	tickMs = 25
-	// defaultMaxBodyBytes limits a request body if the service map does not.
+	// defaultMaxBodyBytes limits a request body if the configuration does not.
 	defaultMaxBodyBytes = 4 << 20
 	// smallBodyBytes is the length up to which a body's memory is allocated at
 	// once, and up to which it does not count towards the limit of all bodies.
@@ -159,7 +159,7 @@
 	}
 }
 
-// clientLimits returns the limits of the service map in use.
+// clientLimits returns the limits of the configuration in use.
 func (s *Server) clientLimits() clientLimits { return clientLimitsOf(s.machine.Map()) }
 
 // SetSeeds replaces the addresses at which the control plane is searched for.
@@ -307,13 +307,13 @@
 	return body, ""
 }
 
-// maxBodyBytes returns the limit of the service map in use.
+// maxBodyBytes returns the limit of the configuration in use.
 func (s *Server) maxBodyBytes() int64 {
-	serviceMap := s.machine.Map()
-	if serviceMap == nil || serviceMap.Limits.MaxBodyBytes <= 0 {
+	configuration := s.machine.Map()
+	if configuration == nil || configuration.Limits.MaxBodyBytes <= 0 {
 		return defaultMaxBodyBytes
 	}
-	return serviceMap.Limits.MaxBodyBytes
+	return configuration.Limits.MaxBodyBytes
 }
 
 // readAllOf reads a body of the announced length, or of any length if that is
--- a/internal/proxy/status.go
+++ b/internal/proxy/status.go
@@ -39,7 +39,7 @@
 type Status struct {
 	// Name is the router's name in the settings.
 	Name string `json:"name"`
-	// Version is that of the service map in use; 0 without a map.
+	// Version is that of the configuration in use; 0 without one.
 	Version uint64 `json:"version"`
 	// Epoch and Primary are those of the control plane as this router knows
 	// them.
@@ -70,7 +70,7 @@
 	counters.Rejections = map[errkind.Kind]uint64{}
 	maps.Copy(counters.Rejections, m.Counters.Rejections)
 	return Status{
-		Name: m.settings.Self.Name, Version: m.mapVersion, Epoch: m.epoch, Primary: m.primary,
+		Name: m.settings.Self.Name, Version: m.configVersion, Epoch: m.epoch, Primary: m.primary,
 		HeardMs: m.nowMs - m.primaryConfirmedMs, Routers: m.routerCount, Leaving: m.draining,
 		Entries: len(m.cache), Runners: len(m.runners), Requests: len(m.requests), Waiting: len(m.queue),
 		Counters: counters,
--- a/internal/simulation/scalesim/configuration.go
+++ b/internal/simulation/scalesim/configuration.go
@@ -34,10 +34,10 @@
 	adapterShare = 25
 )
 
-// jsonFormat reads service maps as plain JSON.
+// jsonFormat reads configurations as plain JSON.
 type jsonFormat struct{}
 
-// Parse returns the service map, or every fault found.
+// Parse returns the configuration, or every fault found.
 func (jsonFormat) Parse(text []byte) (*config.Configuration, []string) {
 	var m config.Configuration
 	if err := json.Unmarshal(text, &m); err != nil {
@@ -61,7 +61,7 @@
 	return max(0, min(most, s.Adapters-model*most))
 }
 
-// configText is the service map of a version, as an operator would write it.
+// configText is the configuration of a version, as an operator would write it.
 // Versions differ in the time-outs of the routes.
 func (s Size) configText(version uint64) string {
 	engine := &config.Engine{
@@ -83,7 +83,7 @@
 	}
 	text, err := json.Marshal(m)
 	if err != nil {
-		panic("scalesim: a service map can't be encoded: " + err.Error())
+		panic("scalesim: a configuration can't be encoded: " + err.Error())
 	}
 	return string(text)
 }
--- a/internal/simulation/scalesim/result.go
+++ b/internal/simulation/scalesim/result.go
@@ -86,7 +86,7 @@
 	StoreLoads int64 `json:"loads"`
 	// LongestStepMs is the longest step of the primary's state machine.
 	LongestStepMs float64 `json:"primary_step_ms_most"`
-	// ConfigKb is the size of the service map, ConfigLagMs how long the slowest one
+	// ConfigKb is the size of the configuration, ConfigLagMs how long the slowest one
 	// took from its acceptance to its use at all routers.
 	ConfigKb    float64 `json:"map_kb"`
 	ConfigLagMs int64   `json:"map_lag_ms"`
--- a/internal/simulation/scalesim/simulation.go
+++ b/internal/simulation/scalesim/simulation.go
@@ -37,7 +37,7 @@
 	// firstEventMs is when the first event of a response comes.
 	firstEventMs = 150
 	// startTimeoutMs bounds the start of a site, and submitIntervalMs is how often
-	// its first service map is submitted until it is accepted.
+	// its first configuration is submitted until it is accepted.
 	startTimeoutMs   = 20_000
 	submitIntervalMs = 200
 	// prefilledShare is the part of all places for models that are filled by
@@ -99,7 +99,7 @@
 	measuring bool
 	messages  map[string]MessageCount
 
-	// configAccepted says that a service map was ever accepted; version is the
+	// configAccepted says that a configuration was ever accepted; version is the
 	// newest, accepted at acceptedMs.
 	configAccepted bool
 	version        uint64
@@ -197,7 +197,7 @@
 	return n
 }
 
-// start starts all daemons and waits until the first service map is in use
+// start starts all daemons and waits until the first configuration is in use
 // everywhere.
 func (s *simulation) start() error {
 	var seeds []string
@@ -243,7 +243,7 @@
 	return nil
 }
 
-// awaitFirstConfig submits a service map until it is accepted, and waits until
+// awaitFirstConfig submits a configuration until it is accepted, and waits until
 // all routers use it.
 func (s *simulation) awaitFirstConfig() error {
 	for s.events.NowMs() < startMs+startTimeoutMs && s.err == nil {
@@ -258,5 +258,5 @@
 	if s.err != nil {
 		return s.err
 	}
-	return errors.Newf("%d routers have no service map %d s after the start", s.routersBehind(), startTimeoutMs/1000)
+	return errors.Newf("%d routers have no configuration %d s after the start", s.routersBehind(), startTimeoutMs/1000)
 }
--- a/internal/simulation/scalesim/size.go
+++ b/internal/simulation/scalesim/size.go
@@ -13,11 +13,11 @@
 	Routers, Controllers, Zones int
 	// Adapters is the number of adapters of all models together.
 	Runners, Models, Adapters int
-	// Routes is how many routes the service map has.
+	// Routes is how many routes the configuration has.
 	Routes int
 	// RequestsPerSec come to all routers together.
 	RequestsPerSec int `json:"PerSec"`
-	// Changes is how many service maps come into force while it is measured.
+	// Changes is how many configurations come into force while it is measured.
 	Changes int
 	// ShiftMs is how often another model becomes one of the busiest; 0 is never.
 	ShiftMs int
--- a/internal/simulation/scalesim/workload.go
+++ b/internal/simulation/scalesim/workload.go
@@ -13,11 +13,11 @@
 	requestTimeoutMs = 30_000
 	// busiestModels is among how many of the busiest a model that shifts comes.
 	busiestModels = 10
-	// configPollMs is how often to look whether all routers use a service map.
+	// configPollMs is how often to look whether all routers use a configuration.
 	configPollMs = 10
 )
 
-// submitConfig gives the next service map to every controller; the primary
+// submitConfig gives the next configuration to every controller; the primary
 // accepts it.
 func (s *simulation) submitConfig() {
 	text := s.size.configText(s.version + 1)
@@ -26,7 +26,7 @@
 	}
 }
 
-// routersBehind counts the routers that don't use the service map in force.
+// routersBehind counts the routers that don't use the configuration in force.
 func (s *simulation) routersBehind() int {
 	count := 0
 	for _, n := range s.routers {
@@ -37,7 +37,7 @@
 	return count
 }
 
-// awaitConfig notes when the service map accepted last is in use everywhere.
+// awaitConfig notes when the configuration accepted last is in use everywhere.
 func (s *simulation) awaitConfig() {
 	if s.routersBehind() == 0 {
 		s.configLagMs = max(s.configLagMs, s.events.NowMs()-s.acceptedMs)
