--- a/internal/native/controller/application.go
+++ b/internal/native/controller/application.go
@@ -19,14 +19,18 @@
 	"myrtlewinch/internal/statetable"
 )
 
-// Settings is what a controller of the own interface knows at its start.
+// Settings is what a controller of the own interface is started with.
 type Settings struct {
-	Site  string
-	Self  protocol.Node
+	// Site is the name that all daemons of the site share.
+	Site string
+	// Self is this daemon as its peers know it.
+	Self protocol.Node
+	// Seeds are the addresses of controllers at which peers are looked for.
 	Seeds []string
 	// Platform is the address of the platform's list of runners.
 	Platform string
-	// GapMs replaces the usual gap between the orders of two primaries.
+	// GapMs is the least time between the last order of one primary and the first of the
+	// next; 0 is consensus.DefaultGapMs.
 	GapMs int64
 }
 
@@ -77,6 +81,7 @@
 	return m, err
 }
 
+// newController also gives the application, for tests.
 func newController(settings Settings, keys map[string]string, nowMs int64) (*consensus.Machine, *application, error) {
 	a := newApplication(settings)
 	m, err := consensus.New(consensus.Settings{
@@ -87,6 +92,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
+	// StateChanged could only log that the description can't be read.
 	if err := a.compileDescription(); err != nil {
 		return nil, nil, err
 	}
