--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -73,7 +73,7 @@
 func (m *Machine) applyChanges(from protocol.Node, changes []protocol.Change) bool {
 	applied := false
 	for _, change := range changes {
-		if !m.follower.GoesOn(change) || m.disk.failed {
+		if !m.follower.CanApply(change) || m.disk.failed {
 			continue
 		}
 		if err := m.state.Load(change.Rows); err != nil {
--- a/internal/election/ballot.go
+++ b/internal/election/ballot.go
@@ -7,8 +7,8 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// prepare begins a ballot above any that is known. For a bootstrap or a recovery
-// the witnesses of the first record are asked.
+// prepare begins a ballot with a round above any that is known. For a bootstrap
+// or a recovery it asks the witnesses of the record m.first.
 func (m *Machine) prepare(env *Environment, bootstraps bool) {
 	m.Role, m.roleSinceMs, m.requestedMs = Preparing, env.NowMs, env.NowMs
 	m.round = max(m.round, m.RecordBallot.Round, env.Acceptor.Promised.Round) + 1
@@ -23,9 +23,9 @@
 	m.sendPrepares(env)
 }
 
-// bestKnownRecord is the newest record that this daemon knows, with its ballot. What
-// only its own witness stores names whom to ask, too: of a bootstrap that was cut
-// short there is nothing else.
+// bestKnownRecord is the newest record that this daemon knows, with its ballot. The
+// record that its own witness stored counts, although it may not be complete: after
+// an interrupted bootstrap there is no other that lists witnesses to ask.
 func (m *Machine) bestKnownRecord(env *Environment) (protocol.EpochRecord, protocol.Ballot) {
 	own := env.Acceptor.State
 	if own.Record.Epoch > m.Record.Epoch {
@@ -34,12 +34,13 @@
 	return m.Record, m.RecordBallot
 }
 
-// prepareRequest is what a candidate asks of each witness.
+// prepareRequest returns the Prepare message for each witness.
 func (m *Machine) prepareRequest(env *Environment) protocol.Prepare {
 	request := protocol.Prepare{Ballot: m.Ballot}
 	if m.bootstrap == nil {
-		// Seeds that have not stored a half-recorded first record are blank still;
-		// they must be able to agree to its completion.
+		// Seeds that have not stored the half-recorded first record are still
+		// blank and refuse any Prepare but that of a bootstrap; Found lets them
+		// agree to its completion.
 		request.Found = m.config.BootstrapBySeeds && m.Record.Epoch == 0 && m.attempt.highest.Epoch == firstEpoch
 		return request
 	}
@@ -48,7 +49,8 @@
 	return request
 }
 
-// sendPrepares asks the witnesses that have not been asked under this ballot.
+// sendPrepares sends the Prepare to the witnesses that were not sent it under
+// this ballot.
 func (m *Machine) sendPrepares(env *Environment) {
 	for _, voter := range m.attempt.highest.Voters() {
 		if !m.attempt.asked[voter] {
@@ -58,9 +60,10 @@
 	}
 }
 
-// repeatRequests repeats to the witnesses that have not granted it what this
-// candidate asks. One that held off a moment ago may be free by now, and where
-// just a majority is left, one lost message would cost the whole attempt.
+// repeatRequests sends the present request again to the witnesses that have
+// not granted it. A lease that made one refuse may have expired by now, and
+// where only a bare majority is alive, one lost message would fail the whole
+// attempt.
 func (m *Machine) repeatRequests(env *Environment) {
 	if env.NowMs-m.requestedMs < m.config.Timing.RetryMs {
 		return
@@ -77,7 +80,7 @@
 	}
 }
 
-// HandlePrepareReply takes a witness's promise or refusal.
+// HandlePrepareReply counts a witness's promise, or handles its refusal.
 func (m *Machine) HandlePrepareReply(env *Environment, from protocol.Node, reply protocol.PrepareReply) {
 	m.round = max(m.round, reply.Highest.Round)
 	if m.Role != Preparing || reply.Ballot != m.Ballot {
@@ -107,8 +110,8 @@
 
 func (m *Machine) hasPromised(voter protocol.MemberID) bool { return m.attempt.promised[voter] }
 
-// noteHighest notes a newer record that a witness stores. It may be half-recorded;
-// it is completed before any other is proposed.
+// noteHighest records the newest record that a witness stored. It may be stored at
+// less than a majority, so it is completed before any other is proposed.
 func (m *Machine) noteHighest(env *Environment, reply protocol.PrepareReply) {
 	stored := reply.Record
 	newer := stored.Epoch > m.attempt.highest.Epoch || stored.Epoch == m.attempt.highest.Epoch && m.attempt.highestBallot.Less(reply.Kept)
@@ -123,23 +126,26 @@
 		m.yieldToRival(env, from, reply.Highest, m.attempt.highest, m.attempt.promised)
 		return
 	}
-	// A witness that this bootstrap left half taken may be ahead in ballots; it is
-	// overtaken at once, within the time of this attempt.
+	// A witness that an earlier attempt of this bootstrap reached may have
+	// promised a higher ballot; a still higher one is tried at once, within the
+	// time of this attempt.
 	roleSinceMs := m.roleSinceMs
 	m.prepare(env, true)
 	m.roleSinceMs = roleSinceMs
 }
 
-// yieldToRival gives way to a candidate under a higher ballot, once so many refuse
-// for its sake that no majority is left. Two that go on side by side would hold
-// each other's witnesses off for as long as both of them try; but one witness may
-// remember a ballot of long ago.
+// yieldToRival ends this attempt in favour of a candidate with a higher ballot,
+// once so many witnesses refused that no majority is left. Two candidates that
+// both continued would block each other's witnesses as long as both of them try. A
+// single refusal is not enough, since one witness may remember a ballot of long
+// ago.
 func (m *Machine) yieldToRival(env *Environment, from protocol.Node, highest protocol.Ballot, record protocol.EpochRecord, agreed map[protocol.MemberID]bool) {
 	if m.bootstrap != nil || !m.Ballot.Less(highest) {
 		return
 	}
 	m.attempt.refused[memberID(from)] = true
-	// Right after its start this daemon has not heard of the others yet.
+	// Right after its start this daemon doesn't know the other candidates
+	// yet.
 	justStarted := env.NowMs-m.config.StartMs < m.config.Timing.TimeoutMs
 	mayAgree := func(voter protocol.MemberID) bool {
 		reachable := justStarted || voter == m.self() || env.Nodes.Live(env.NowMs, voter.Name)
@@ -149,14 +155,15 @@
 		return
 	}
 	if m.Role == Accepting {
-		// What witnesses granted with the record would keep the other out.
+		// The leases that witnesses granted with the record would block the
+		// other candidate.
 		m.releaseLeases(env, *m.Proposal)
 	}
 	m.retreat(env, m.config.Timing.BallotMs)
 }
 
 // propose asks the witnesses to store a record under the present ballot.
-// Completes says that it is another's record.
+// completes says that the record is another candidate's.
 func (m *Machine) propose(env *Environment, record protocol.EpochRecord, completes bool) {
 	if m.Role != Primary {
 		m.Role, m.roleSinceMs = Accepting, env.NowMs
@@ -169,7 +176,8 @@
 	m.sendAccepts(env)
 }
 
-// Propose records a change of the members at the primary.
+// Propose starts to record a change of the members. Only the primary calls
+// it; RecordChanged reports that the record is in force.
 func (m *Machine) Propose(env *Environment, record protocol.EpochRecord) {
 	m.propose(env, record, false)
 }
@@ -182,7 +190,8 @@
 	}
 }
 
-// HandleAcceptReply takes a witness's answer to an Accept or to a RenewLease.
+// HandleAcceptReply handles a witness's answer to an Accept or to a
+// RenewLease.
 func (m *Machine) HandleAcceptReply(env *Environment, from protocol.Node, reply protocol.AcceptReply) {
 	m.round = max(m.round, reply.Highest.Round)
 	if reply.Ballot != m.Ballot {
@@ -193,7 +202,8 @@
 		return
 	}
 	voter := memberID(from)
-	// Any grant under this ballot holds others off, so it counts for the lease.
+	// A witness that granted anything under this ballot refuses other
+	// candidates, so the grant counts for the lease.
 	if m.grants != nil {
 		m.grants[voter] = max(m.grants[voter], reply.EchoMs)
 	}
@@ -211,8 +221,8 @@
 }
 
 func (m *Machine) handleAcceptRefusal(env *Environment, from protocol.Node, reply protocol.AcceptReply) {
-	// A new witness that missed the record which took it in is blank still, and
-	// grants no renewal: it is given that record again.
+	// A new witness that missed the record which added it is still blank and
+	// grants no renewal, so that record is sent again.
 	missed := reply.Record.Epoch < m.Record.Epoch && !m.Ballot.Less(reply.Highest)
 	if missed && m.Role == Primary && slices.Contains(m.Record.Witnesses, memberID(from)) {
 		m.send(from, protocol.Accept{Ballot: m.Ballot, Record: m.Record, EchoMs: env.NowMs})
@@ -222,7 +232,9 @@
 	}
 }
 
-// recordStored goes on once a majority of the witnesses stores the proposal.
+// recordStored is called once a majority of the witnesses has stored the
+// proposal, which is then in force. It continues with this candidate's own
+// record if the one stored was another's.
 func (m *Machine) recordStored(env *Environment) {
 	record := *m.Proposal
 	m.Proposal = nil
@@ -245,7 +257,8 @@
 	}
 }
 
-// retreat ends an attempt; none begins within waitMs. A bootstrap fails with it.
+// retreat ends an attempt, and with it a bootstrap. No other attempt begins
+// within waitMs.
 func (m *Machine) retreat(env *Environment, waitMs int64) {
 	m.Role, m.retryFromMs, m.Proposal = Follower, env.NowMs+waitMs, nil
 	m.failBootstrap(errkind.NotAccepted, "not all witnesses agreed; they must be up (for a founding: blank, or left by this same act); repeat it")
--- a/internal/election/machine.go
+++ b/internal/election/machine.go
@@ -15,13 +15,15 @@
 const (
 	// Follower waits for the primary to fall silent.
 	Follower Role = iota
-	// PreVote asks the other controllers whether they miss the primary, too.
+	// PreVote asks the other controllers whether they have lost contact with
+	// the primary as well.
 	PreVote
 	// Preparing asks the witnesses to promise a ballot.
 	Preparing
 	// Accepting asks the witnesses to store a record.
 	Accepting
-	// Primary holds the lease, or held it until a moment ago.
+	// Primary holds the lease. The role outlasts the lease until the next
+	// input, when CheckLease ends it.
 	Primary
 )
 
@@ -40,16 +42,18 @@
 	TimeoutMs int64
 	// PreVoteMs is how long the others have to answer a pre-vote.
 	PreVoteMs int64
-	// BallotMs bounds each half of a ballot.
+	// BallotMs bounds each of the two phases of a ballot, Preparing and
+	// Accepting.
 	BallotMs int64
 	// RetryMs passes until an unanswered request to a witness is repeated.
 	RetryMs int64
-	// OrderGapMs passes between the last possible order of one primary and the
-	// first of the next.
+	// OrderGapMs is how long after its election a new primary gives no orders
+	// to runners, so that the last possible order of the previous primary
+	// comes first.
 	OrderGapMs int64
-	// QuietAfterRecoveryMs is how long a primary that began by an operator's
-	// recovery doesn't speak for the site, so that leases of the lost primary run
-	// out first.
+	// QuietAfterRecoveryMs is how long a primary that was made by an operator's
+	// recovery doesn't serve yet, so that leases of the lost primary expire
+	// first.
 	QuietAfterRecoveryMs int64
 }
 
@@ -60,8 +64,8 @@
 	Timing  Timing
 	// MaxLosses is how many disks may be lost at once.
 	MaxLosses int
-	// BootstrapBySeeds lets the seeds bootstrap the site among them; otherwise it
-	// takes an operator's Bootstrap.
+	// BootstrapBySeeds lets the seeds bootstrap the site without an operator;
+	// otherwise an operator's Bootstrap input is needed.
 	BootstrapBySeeds bool
 	// FirstStart says that this is the first start of the whole site.
 	FirstStart bool
@@ -70,81 +74,89 @@
 	StopWithoutHandover bool
 }
 
-// Environment is what the rest of the daemon knows when an input is handled.
+// Environment is the state of the rest of the daemon at the time of an input.
+// The caller fills it in anew for each input.
 type Environment struct {
 	NowMs    int64
 	Nodes    *failuredetector.Detector
 	Acceptor *witness.Acceptor
 	// Seeds are the addresses of the site's seeds.
 	Seeds []string
-	// Position and Revision are those of this daemon's copy of the state.
+	// Position and Revision are those of this daemon's replica of the state.
 	Position protocol.Position
 	Revision uint64
-	// DiskFailed says that this disk takes no more writes; Leaving that the daemon
-	// is stopping as planned.
+	// DiskFailed says that this disk accepts no more writes; Leaving that the
+	// daemon is stopping as planned.
 	DiskFailed, Leaving bool
 }
 
-// attempt is what a ballot of this daemon has come to.
+// attempt is the state of one ballot of this daemon as a candidate.
 type attempt struct {
-	// asked holds whom a promise was asked of, promised who gave it, and refused
-	// who refused for the sake of a higher ballot.
+	// asked are the witnesses that were sent a Prepare, promised those that
+	// granted it, and refused those that refused because of a higher ballot.
 	asked, promised, refused map[protocol.MemberID]bool
-	// highest is the newest record that any witness showed, stored under
-	// highestBallot; it may be half-recorded.
+	// highest is the newest record that any witness returned, stored under
+	// highestBallot. It may be stored at less than a majority.
 	highest       protocol.EpochRecord
 	highestBallot protocol.Ballot
-	// accepted holds who stored the proposal; completes says that the proposal is
-	// another's record, to be completed.
+	// accepted are the witnesses that stored the proposal. completes says that
+	// the proposal is a record of another candidate that may be stored at some
+	// witnesses already and therefore has to be completed first.
 	accepted  map[protocol.MemberID]bool
 	completes bool
 }
 
-// Machine is one daemon's part in elections. Its exported fields may be read at
-// any time; only tests set them.
+// Machine is the state of one daemon in elections. The owner may read the
+// exported fields between two inputs; only tests set them.
 type Machine struct {
 	config  Config
 	outputs []Output
-	// Record is the record in force, as far as this daemon knows. It is complete:
-	// a majority of the witnesses stored it. RecordBallot is the ballot under which
-	// they did, where that is known. At epoch 0 it only names witnesses to be asked.
+	// Record is the record in force, as far as this daemon knows. A majority of the
+	// witnesses stored it. RecordBallot is the ballot under which they did, zero if
+	// unknown. At epoch 0 the record only lists witnesses to ask.
 	Record       protocol.EpochRecord
 	RecordBallot protocol.Ballot
 	Role         Role
-	// HeardMs is when the primary was last known to be alive.
+	// HeardMs is when a message of the primary last showed that it was alive.
 	HeardMs int64
-	// roleSinceMs is when the present half of an attempt began; retryFromMs is
-	// until when no attempt may begin.
+	// roleSinceMs is when the present phase of an attempt began, retryFromMs
+	// the earliest time for the next attempt.
 	roleSinceMs, retryFromMs int64
 	// requestedMs is when the witnesses were last asked, queriedMs when the other
 	// controllers were asked for a newer record, renewedMs when the lease was.
 	requestedMs, queriedMs, renewedMs int64
-	// opposed says that another controller hears the primary.
-	opposed bool
-	// Ballot is that of the last attempt; round is the highest known to any.
+	// primarySeenByPeer says that another controller answered the pre-vote that it is
+	// in contact with the primary.
+	primarySeenByPeer bool
+	// Ballot is that of the last attempt; round is the highest that this
+	// daemon has seen, its own or others'.
 	Ballot protocol.Ballot
 	round  uint64
-	// attempt is what the present ballot has come to.
+	// attempt is the state of the present ballot.
 	attempt attempt
-	// Proposal is the record being stored under Ballot.
+	// Proposal is the record that the witnesses are asked to store under
+	// Ballot; nil if there is none.
 	Proposal *protocol.EpochRecord
-	// grants holds when the last renewal that each witness granted had been sent.
+	// grants has, by witness, the time at which the last renewal that it granted
+	// was sent.
 	grants map[protocol.MemberID]int64
-	// LeaseUntilMs is when the lease runs out, OrdersFromMs from when this primary
-	// may give orders.
+	// LeaseUntilMs is when the lease expires unless it is renewed. OrdersFromMs is
+	// when this primary may give its first order; see Timing.OrderGapMs.
 	LeaseUntilMs, OrdersFromMs int64
-	// Established says that all replicas hold the first change of this primacy;
-	// quietUntilMs is until when it says nothing nevertheless.
+	// Established says that all replicas hold this primary's first change. Even
+	// then it doesn't serve before quietUntilMs; see
+	// Timing.QuietAfterRecoveryMs.
 	Established  bool
 	quietUntilMs int64
-	// bootstrap is what this daemon is to begin or recover the site by, first the
-	// record that it would make. completesFirst says that first is another's
-	// attempt, which this one completes.
+	// bootstrap is the bootstrap or recovery that is under way, or nil; first is
+	// the record that it is to store. completesFirst says that first comes from
+	// another daemon's interrupted bootstrap, which this one completes.
 	bootstrap      *Bootstrap
 	first          protocol.EpochRecord
 	completesFirst bool
-	// firstDisk says that this disk was there at the first start of the site, and
-	// notFirstDisks names the disks that said that they were not.
+	// firstDisk says that this disk took part in the first start of the site.
+	// notFirstDisks are the incarnations of the disks that answered that they did
+	// not.
 	firstDisk     bool
 	notFirstDisks map[string]bool
 }
@@ -165,7 +177,8 @@
 	}
 }
 
-// TakeOutputs returns what is to be done, in order, and forgets it.
+// TakeOutputs returns the outputs since the last call, in their order. Call
+// it after each input.
 func (m *Machine) TakeOutputs() []Output {
 	outputs := m.outputs
 	m.outputs = nil
@@ -181,25 +194,26 @@
 // IsPrimary says whether this daemon is the primary by its record.
 func (m *Machine) IsPrimary() bool { return m.Role == Primary }
 
-// HasLease says whether the lease runs.
+// HasLease says whether the lease has not expired.
 func (m *Machine) HasLease(nowMs int64) bool { return nowMs < m.LeaseUntilMs }
 
-// Serves says whether this daemon may speak for the site: it is the primary, its
-// lease runs, and all replicas hold what it has.
+// Serves says whether this daemon may answer on behalf of the site: it is the
+// primary, its lease has not expired, and all replicas hold its first change.
 func (m *Machine) Serves(nowMs int64) bool {
 	return m.IsPrimary() && m.HasLease(nowMs) && m.Established && nowMs >= m.quietUntilMs
 }
 
-// mayLead says whether this disk may become primary under the record.
+// mayLead says whether this daemon may become primary under the record: its
+// disk is one of the replicas and works.
 func (m *Machine) mayLead(env *Environment, record protocol.EpochRecord) bool {
 	stops := env.Leaving && m.config.StopWithoutHandover
 	return !env.DiskFailed && !stops && record.HasReplica(m.self())
 }
 
-// mayStand says whether this daemon may be a candidate. It also goes by what only
-// its own witness knows: a new replica may not know yet that its record is
-// complete.
-func (m *Machine) mayStand(env *Environment) bool {
+// mayBeCandidate says whether this daemon may be a candidate, by the record in
+// force or by the one that its own witness stored: a new replica may not have
+// learned yet that the latter is complete.
+func (m *Machine) mayBeCandidate(env *Environment) bool {
 	own := env.Acceptor.Record
 	return m.mayLead(env, m.Record) || own.Epoch > m.Record.Epoch && m.mayLead(env, own)
 }
@@ -221,27 +235,28 @@
 	}
 }
 
-// backoffMs is how long a candidate waits after an attempt that failed, which
-// differs by name, so that two candidates don't stay in step.
+// backoffMs is how long a candidate waits after a failed attempt. It depends
+// on the name, so that two candidates don't collide again and again.
 func backoffMs(name string) int64 {
 	const leastMs, spreadMs = 200, 300
 	last := int(name[len(name)-1])
 	return leastMs + int64(len(name)*37+last*13)%spreadMs
 }
 
-// leavingDelayMs is how much longer than others a daemon that is stopping as
-// planned waits before it takes over from a primary that is gone.
+// leavingDelayMs is added to the election time-out of a daemon that is
+// stopping as planned, so that others take over before it does.
 const leavingDelayMs = 500
 
 func (m *Machine) tickFollower(env *Environment) {
-	if !m.mayStand(env) {
+	if !m.mayBeCandidate(env) {
 		m.queryRecord(env)
 		return
 	}
 	if env.NowMs < m.retryFromMs {
 		return
 	}
-	// After a restart the recorded primary need not miss itself.
+	// The recorded primary itself, restarted or with an expired lease, need
+	// not wait for a time-out nor ask its peers.
 	if m.Record.Primary == m.config.Self.Name {
 		m.prepare(env, false)
 		return
@@ -289,8 +304,8 @@
 	}
 }
 
-// AdoptRecord takes a complete record as the one in force, unless an own one is
-// newer. The ballot is zero where it is not known.
+// AdoptRecord makes a complete record the one in force, unless the one known
+// here is newer. The ballot is zero if it is not known.
 func (m *Machine) AdoptRecord(env *Environment, record protocol.EpochRecord, ballot protocol.Ballot) {
 	if record.Epoch < m.Record.Epoch {
 		return
@@ -312,8 +327,8 @@
 	}
 }
 
-// LearnRecord takes a record that another controller holds as complete, unless
-// this daemon is the primary.
+// LearnRecord adopts a record that another controller knows to be complete,
+// unless this daemon is the primary.
 func (m *Machine) LearnRecord(env *Environment, record protocol.EpochRecord) bool {
 	if len(record.Replicas) == 0 || record.Epoch <= m.Record.Epoch || m.IsPrimary() {
 		return false
@@ -322,8 +337,9 @@
 	return true
 }
 
-// AcceptPrimary takes the record of a message of a primary. False says that the
-// sender is not the primary by it, or that it is older than what is known.
+// AcceptPrimary adopts the record that came with a message of a primary. It
+// returns false, and the message is to be ignored, if the sender is not the
+// primary by that record, or if the record is older than the one known here.
 func (m *Machine) AcceptPrimary(env *Environment, from protocol.Node, record protocol.EpochRecord, ballot protocol.Ballot) bool {
 	if record.Epoch < m.Record.Epoch || record.Primary != from.Name || record.Epoch == 0 {
 		return false
@@ -335,8 +351,8 @@
 	return true
 }
 
-// PrimaryAlive notes that the primary is alive. A candidate that has asked nobody
-// but its peers gives up.
+// PrimaryAlive records that the primary is alive. A candidate that is still in
+// its pre-vote becomes a follower again.
 func (m *Machine) PrimaryAlive(env *Environment) {
 	m.HeardMs = env.NowMs
 	if m.Role == PreVote {
@@ -344,15 +360,16 @@
 	}
 }
 
-// HandleRetire heeds a message that this daemon's name has passed to another disk,
-// if its record says so and is not older than what is known.
+// HandleRetire retires this daemon if the record of the message lists this disk as
+// gone and is not older than the one known here.
 func (m *Machine) HandleRetire(env *Environment, message protocol.Retire) {
 	if message.Record.Epoch >= m.Record.Epoch && slices.Contains(message.Record.Gone, m.self()) {
 		m.retire(env)
 	}
 }
 
-// retire ends this daemon's part for good.
+// retire ends this daemon's participation for good: its name has passed to
+// another disk.
 func (m *Machine) retire(env *Environment) {
 	m.output(Retired{})
 	if m.IsPrimary() {
--- a/internal/election/outputs.go
+++ b/internal/election/outputs.go
@@ -2,8 +2,8 @@
 
 import "myrtlewinch/internal/protocol"
 
-// Output is something that the machine's owner is to do. Outputs are to be carried
-// out in their order.
+// Output is something that the owner of the machine has to do. Outputs have to be
+// carried out in their order.
 type Output interface{ isOutput() }
 
 type (
@@ -25,9 +25,9 @@
 	RecordChanged struct{}
 	// BecamePrimary says that this daemon is the primary by the record in force. It
 	// serves once Establish is called. Recovered says that an operator's recovery
-	// began the primacy.
+	// made it the primary.
 	BecamePrimary struct{ Recovered bool }
-	// LostPrimacy says that this daemon is the primary no more.
+	// LostPrimacy says that this daemon is no longer the primary.
 	LostPrimacy struct{}
 	// FirstDiskMarked says that this disk was there at the first start of the site.
 	// It is to be saved on the disk before any vote.
--- a/internal/election/prevote.go
+++ b/internal/election/prevote.go
@@ -6,10 +6,11 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// beginPreVote keeps one bad view from starting a take-over: the other
-// controllers and the primary's watchers must miss it, too.
+// beginPreVote asks the others first, so that one daemon that alone lost
+// contact doesn't start a take-over: the other controllers and the primary's
+// watchers must have lost contact as well.
 func (m *Machine) beginPreVote(env *Environment) {
-	m.Role, m.roleSinceMs, m.opposed = PreVote, env.NowMs, false
+	m.Role, m.roleSinceMs, m.primarySeenByPeer = PreVote, env.NowMs, false
 	asked := env.Nodes.NodesOf(protocol.RoleController)
 	for _, node := range env.Nodes.Watchers(m.Record.Primary) {
 		if !slices.Contains(asked, node) && node.Name != m.config.Self.Name {
@@ -28,8 +29,9 @@
 	if env.NowMs-m.roleSinceMs < preVoteMs {
 		return
 	}
-	if m.opposed {
-		// They may miss it a moment later, and each moment counts.
+	if m.primarySeenByPeer {
+		// They may lose contact a moment later than this daemon did, so ask
+		// again without a backoff.
 		m.logf("peers still hear the primary; no take-over")
 		m.retreat(env, preVoteMs)
 		return
@@ -37,9 +39,9 @@
 	m.prepare(env, false)
 }
 
-// HandlePrimaryQuery says when the primary was heard. What counts is the primary's
-// own messages, not that its daemon lives: it may have lost its disk or stepped
-// down.
+// HandlePrimaryQuery answers when the primary last showed that it is alive. Only
+// its messages as primary count, not that its process runs: it may have lost its
+// disk or stepped down.
 func (m *Machine) HandlePrimaryQuery(env *Environment, from protocol.Node, query protocol.PrimaryQuery) {
 	heardMs := env.NowMs - m.HeardMs
 	if m.IsPrimary() {
@@ -48,9 +50,10 @@
 	m.send(from, protocol.PrimaryReply{Epoch: query.Epoch, HeardMs: heardMs, Record: m.Record})
 }
 
-// HandlePrimaryReply takes what a peer knows. A candidate by an older record goes
-// by the newer one from then on, and asks anew: those who know the newest record
-// may be no replicas by it, and then only those who don't know it can take over.
+// HandlePrimaryReply applies a peer's answer. A candidate that learns of a newer
+// record adopts it and repeats the pre-vote. Peers send their record because
+// those that know the newest one may not be replicas by it; then only daemons
+// that don't know it yet can take over.
 func (m *Machine) HandlePrimaryReply(env *Environment, reply protocol.PrimaryReply) {
 	if m.LearnRecord(env, reply.Record) {
 		if m.Role == PreVote {
@@ -60,12 +63,12 @@
 	}
 	heard := reply.Epoch == m.Record.Epoch && reply.HeardMs < m.config.Timing.TimeoutMs
 	if m.Role == PreVote && heard {
-		m.opposed = true
+		m.primarySeenByPeer = true
 	}
 }
 
-// HandleTransfer takes over from a primary that stepped down. Its record may not
-// have been known here yet.
+// HandleTransfer takes over from a primary that stepped down. Its record may be
+// new to this daemon.
 func (m *Machine) HandleTransfer(env *Environment, from protocol.Node, transfer protocol.TransferPrimary) {
 	if transfer.Record.Primary == from.Name && !m.IsPrimary() {
 		m.AdoptRecord(env, transfer.Record, protocol.Ballot{})
--- a/internal/election/primary.go
+++ b/internal/election/primary.go
@@ -7,8 +7,9 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// countLease counts the lease from when the renewals that a majority granted were
-// sent, so that it ends here before it ends at any of them.
+// countLease extends the lease. It counts from when the renewals that a majority
+// granted were sent, so that it expires here before it expires at any of those
+// witnesses.
 func (m *Machine) countLease() {
 	sent := make([]int64, 0, len(m.grants))
 	for _, sentMs := range m.grants {
@@ -32,16 +33,17 @@
 	m.Role, m.Established, m.LeaseUntilMs = Primary, false, 0
 	m.countLease()
 	m.renewedMs = env.NowMs
-	// Another may have ordered until now.
+	// The previous primary may have given orders until now.
 	m.OrdersFromMs = env.NowMs + m.config.Timing.OrderGapMs
-	m.output(BecamePrimary{Recovered: m.recovers()})
+	m.output(BecamePrimary{Recovered: m.isRecovering()})
 }
 
-// Establish says that all replicas hold the first change of this primacy, so that
-// it serves. It returns the bootstrap or recovery that began it, if one did.
+// Establish is called once all replicas hold this primary's first change; from
+// then on it serves. It returns the bootstrap or recovery that made this daemon
+// the primary, or nil.
 func (m *Machine) Establish(nowMs int64) *Bootstrap {
 	m.Established, m.quietUntilMs = true, 0
-	if m.recovers() {
+	if m.isRecovering() {
 		m.quietUntilMs = nowMs + m.config.Timing.QuietAfterRecoveryMs
 	}
 	bootstrap := m.bootstrap
@@ -49,7 +51,7 @@
 	return bootstrap
 }
 
-// losePrimacy ends this daemon's primacy without a message to anyone.
+// losePrimacy makes this daemon a follower without a message to anyone.
 func (m *Machine) losePrimacy(env *Environment, reason string) {
 	m.logf("no longer primary: %s", reason)
 	m.Role, m.Established, m.Proposal, m.LeaseUntilMs = Follower, false, nil, 0
@@ -75,8 +77,8 @@
 	}
 }
 
-// releaseLeases gives back what the witnesses of a record granted under the
-// present ballot.
+// releaseLeases releases the leases that the witnesses of a record granted
+// under the present ballot.
 func (m *Machine) releaseLeases(env *Environment, record protocol.EpochRecord) {
 	for _, voter := range record.Voters() {
 		m.sendTo(env, voter.Name, protocol.ReleaseLease{Epoch: record.Epoch, Ballot: m.Ballot})
--- a/internal/election/recovery.go
+++ b/internal/election/recovery.go
@@ -7,15 +7,16 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// recoveryEpochs puts a recovery's epoch far above any that may have been recorded
-// where this daemon could not see it.
+// recoveryEpochs is added to the epoch of a recovery, so that it is above any that
+// may have been recorded without this daemon's knowledge.
 const recoveryEpochs = 1000
 
-func (m *Machine) recovers() bool { return m.bootstrap != nil && m.bootstrap.Recover }
+func (m *Machine) isRecovering() bool { return m.bootstrap != nil && m.bootstrap.Recover }
 
-// recoverSite goes on from this daemon's copy after all replicas were lost: an
-// operator's explicit act, which must name what it goes on from. Three live
-// controllers must agree, blank or not; none may have a later copy.
+// recoverSite makes this daemon's outdated copy of the state the site's, after
+// all replicas were lost. Only an operator's command does this, and it must
+// name the change and revision of that copy. Three live controllers must
+// agree, blank or not; none may have a later copy.
 func (m *Machine) recoverSite(env *Environment, bootstrap Bootstrap) {
 	if rejection := m.rejectRecovery(env); rejection != nil {
 		m.reject(bootstrap, rejection)
@@ -33,8 +34,9 @@
 		return
 	}
 	first.Epoch = max(m.Record.Epoch, env.Acceptor.Record.Epoch, at.Epoch) + recoveryEpochs
-	// A lost replica that returns has another history; it may not come back, and a
-	// blank disk under its name has none of it.
+	// A lost replica that returns has changes that this history doesn't have, so
+	// its disk is recorded as gone; a daemon of that name may return with a blank
+	// disk.
 	first.Gone = m.Record.Gone
 	for _, id := range m.Record.Replicas {
 		lost := protocol.EpochRecord{Gone: first.Gone}
@@ -45,7 +47,8 @@
 	m.prepare(env, true)
 }
 
-// rejectRecovery says why this daemon can't recover the site; nil if it can.
+// rejectRecovery returns why this daemon can't recover the site, or nil if it
+// can.
 func (m *Machine) rejectRecovery(env *Environment) *protocol.Rejection {
 	switch {
 	case env.Position.Number == 0:
@@ -54,7 +57,7 @@
 		return rejected(errkind.NotAccepted, "this controller's disk failed")
 	case m.bootstrap != nil:
 		return rejected(errkind.NotAccepted, "a recovery is under way")
-	case m.IsPrimary() || m.mayStand(env):
+	case m.IsPrimary() || m.mayBeCandidate(env):
 		return rejected(errkind.NotAccepted, "this disk is one of the pair: it takes over by itself")
 	}
 	for _, id := range m.Record.Replicas {
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,7 +1,7 @@
-// Package failuredetector tells which daemons of a site are alive. Each daemon
-// sends heartbeats to a few watchers, which its place on a ring of names gives, and
-// the watchers report them to the primary. So a daemon's work stays the same
-// however large the site is. The package also keeps the list of all known daemons,
+// Package failuredetector decides which daemons of a site are alive. Each daemon
+// sends heartbeats to a few watchers, its successors on a ring of hashed names, and
+// the watchers report them to the primary. The cost for one daemon therefore
+// doesn't grow with the site. The package also keeps the list of all known daemons,
 // and looks for peers while no primary is known.
 package failuredetector
 
@@ -30,7 +30,7 @@
 	maxPeers = 2048
 )
 
-// neverMs stands for the time at which a peer was seen that never was.
+// neverMs stands for the time at which a peer was last seen if it never was.
 const neverMs = math.MinInt64
 
 // peer is another daemon.
@@ -63,9 +63,10 @@
 	return d
 }
 
-// AddNodes takes nodes that others know. What a peer that is live said of itself is
-// believed over it; a silent peer may have moved. False says that some of the nodes
-// were not believed, so that the list is to be sent again.
+// AddNodes adds nodes that another daemon knows. What a live peer said of itself
+// takes precedence; the entry of a silent peer is replaced, since it may have
+// moved. False says that some of the nodes were not accepted, so that the list has
+// to be sent again.
 func (d *Detector) AddNodes(nowMs int64, nodes []protocol.Node) bool {
 	believed := true
 	for _, node := range nodes {
@@ -110,9 +111,9 @@
 	known.seenMs, known.seen = nowMs, true
 }
 
-// makeRoom says whether there is room for a further peer. Of a full list it forgets
-// the one that was silent for longest: on a site whose machines are replaced day by
-// day, new ones would be ignored otherwise.
+// makeRoom says whether another peer can be added. If the list is full it removes
+// the peer that has been silent for longest; otherwise a site whose machines are
+// replaced every day would some day ignore the new ones.
 func (d *Detector) makeRoom(nowMs int64) bool {
 	if len(d.peers) < maxPeers {
 		return true
@@ -137,7 +138,8 @@
 
 func (d *Detector) changed() { d.sorted, d.sum = nil, 0 }
 
-// ObserveReport takes a watcher's report, unless something later is known.
+// ObserveReport applies a watcher's report, unless the peer was seen alive
+// after that.
 func (d *Detector) ObserveReport(nowMs int64, report protocol.HeartbeatReport) {
 	seenMs := nowMs - report.AgoMs
 	known := d.peers[report.Place.Name]
@@ -146,7 +148,8 @@
 	}
 }
 
-// SilentMs says how long ago the peer was last known to be alive, if it ever was.
+// SilentMs returns how long ago, in ms, the peer was last known to be alive;
+// false if it never was.
 func (d *Detector) SilentMs(nowMs int64, name string) (int64, bool) {
 	known := d.peers[name]
 	if known == nil || !known.seen {
@@ -155,7 +158,7 @@
 	return nowMs - known.seenMs, true
 }
 
-// Live says whether the peer was alive lately.
+// Live says whether the peer was known to be alive within the last TimeoutMs.
 func (d *Detector) Live(nowMs int64, name string) bool {
 	silentMs, seen := d.SilentMs(nowMs, name)
 	return seen && silentMs <= TimeoutMs
@@ -173,7 +176,7 @@
 	return known.node, true
 }
 
-// NodeAt finds a peer that was itself heard of, or this daemon, by address.
+// NodeAt finds this daemon, or a peer that sent a message itself, by address.
 func (d *Detector) NodeAt(address string) (protocol.Node, bool) {
 	if address == d.self.Address {
 		return d.self, true
@@ -200,7 +203,8 @@
 	return d.sorted
 }
 
-// Digest names the list of all nodes, so that it need not be sent again.
+// Digest is the hash of the list of all nodes, by which a peer shows that it
+// already has the list. It is never 0.
 func (d *Detector) Digest() uint64 {
 	if d.sum == 0 {
 		d.sum = protocol.DigestNodes(d.Nodes())
@@ -228,7 +232,8 @@
 	return nodes
 }
 
-// Watchers lists whom a daemon sends heartbeats to: its successors on the ring.
+// Watchers lists the peers that a daemon sends heartbeats to: its successors on
+// the ring.
 func (d *Detector) Watchers(name string) []protocol.Node {
 	ring := slices.Clone(d.Nodes())
 	slices.SortFunc(ring, func(a, b protocol.Node) int { return cmp.Compare(ringPosition(a.Name), ringPosition(b.Name)) })
@@ -249,8 +254,9 @@
 	return sum.Sum64()
 }
 
-// Tick returns the messages that are due. The epoch and whether this daemon serves
-// go with its heartbeats; primary is whom reports are sent to, if it is known.
+// Tick returns the messages that are due. Heartbeats carry the epoch and whether
+// this daemon is the serving primary. Reports go to the daemon named primary, and
+// to nobody while the name is empty.
 func (d *Detector) Tick(nowMs int64, epoch uint64, primary string, serving bool) []protocol.Send {
 	var sends []protocol.Send
 	if nowMs-d.heartbeatMs >= HeartbeatMs {
--- a/internal/membership/leave.go
+++ b/internal/membership/leave.go
@@ -7,8 +7,9 @@
 )
 
 // MayLeave says whether a member that is stopping as planned has nothing left
-// that another daemon could take over. A successor that still catches up is
-// waited for. No record may be on its way.
+// that another daemon could take over. The member has to wait for a successor
+// that is still catching up. The caller makes sure that no record is being
+// proposed.
 func (v *View) MayLeave(id protocol.MemberID) bool {
 	return !v.replicaIsAwaited(id) && !v.voteIsAwaited(id) && v.replicasKnowRecord(id)
 }
@@ -25,8 +26,8 @@
 }
 
 // replicasKnowRecord says whether all other reliable replicas know the record that
-// names them. One that doesn't would not take over, and might be the only one
-// left once the member is gone.
+// names them. One that doesn't would not take over as primary, and might be the
+// only replica left once the member has stopped.
 func (v *View) replicasKnowRecord(leaving protocol.MemberID) bool {
 	return !slices.ContainsFunc(v.Record.Replicas, func(id protocol.MemberID) bool {
 		if id == leaving || id == v.self() || !v.reliableReplica(id) {
@@ -59,7 +60,7 @@
 
 // hasSuccessorOutside says whether a daemon that stays is none of the members.
 func (v *View) hasSuccessorOutside(members []protocol.MemberID) bool {
-	for id := range v.staying() {
+	for id := range v.stayingControllers() {
 		if !hasName(members, id.Name) {
 			return true
 		}
--- a/internal/membership/planner.go
+++ b/internal/membership/planner.go
@@ -9,8 +9,8 @@
 
 // Planner plans the next record of a primary. The zero value is ready.
 type Planner struct {
-	// reported is the witness that was last reported to stay away without
-	// anyone to take its place.
+	// reported is the witness for which Next last logged that it is silent
+	// and has no replacement, so that it is logged once.
 	reported string
 }
 
@@ -36,8 +36,8 @@
 		next.Replicas, next.Gone = change.replicas, change.gone
 		return Plan{Record: next, Change: true, LogLine: change.logLine}
 	}
-	// Once a new set of witnesses is recorded, the one before need not agree any
-	// more.
+	// The new set of witnesses is recorded, so the previous one need not agree
+	// any more.
 	if v.witnessSetChanging() {
 		return Plan{Record: next, Change: true}
 	}
@@ -50,7 +50,8 @@
 }
 
 // nextWitness returns the change that the witnesses need, if any, or else a
-// warning, once, where one stays away that nobody can replace.
+// warning, logged once, about a silent witness for which there is no
+// replacement.
 func (p *Planner) nextWitness(v *View) (change witnessChange, warning string, ok bool) {
 	if change, ok = v.returnedWitness(); ok {
 		return change, "", true
@@ -77,8 +78,8 @@
 // logLinef formats a sentence for the log.
 func logLinef(format string, args ...any) string { return fmt.Sprintf(format, args...) }
 
-// apply returns the witnesses after the change, and the disks that are gone for
-// good: one that came back with another disk has lost the one before.
+// apply returns the witnesses after the change, and the disks that will never
+// return: a daemon that came back with another disk has lost its previous one.
 func (c witnessChange) apply(record protocol.EpochRecord) (witnesses, gone []protocol.MemberID) {
 	witnesses, gone = slices.Clone(record.Witnesses), record.Gone
 	if c.index == len(witnesses) {
--- a/internal/membership/replicas.go
+++ b/internal/membership/replicas.go
@@ -15,13 +15,14 @@
 }
 
 // nextReplicas returns the change that the replicas need, if any: one member at a
-// time. A lost or leaving replica is given up only once another has taken its
-// place; the exception is what is beyond the wanted number.
+// time. A lost or leaving replica is dropped only once another has taken its
+// place. Replicas beyond the wanted number are dropped without a replacement.
 func (v *View) nextReplicas() (replicaChange, bool) {
 	lost, surplus := v.lostAndSurplus()
-	// A new primary takes recorded replicas for reliable until their time to
-	// answer is over, so that none is recruited needlessly. Of the members none is
-	// given up on the strength of one that has not answered.
+	// A new primary counts recorded replicas as reliable until their time to
+	// answer is over, so that it recruits no replacement for one that is merely
+	// slow. A replica is dropped only if enough others have actually answered
+	// (proven), not just because they count as reliable.
 	wanted, reliable, proven := v.wantedReplicas(), v.countReplicas(v.reliableReplica), v.countReplicas(v.provenReplica)
 	switch {
 	case proven >= wanted && lost != protocol.MemberID{}:
@@ -44,8 +45,9 @@
 	return replicaChange{append(v.replicasWithout(lost), recruit), gone, logLine}, true
 }
 
-// lostAndSurplus returns the last replica that can't be relied on, and the last
-// other one than the primary's that can; each is zero where there is none.
+// lostAndSurplus returns two candidates for removal: the last replica in the
+// record that is unreliable, and the last reliable one that isn't the primary's
+// own. Each is zero if there is none.
 func (v *View) lostAndSurplus() (lost, surplus protocol.MemberID) {
 	for _, id := range v.Record.Replicas {
 		switch {
@@ -73,7 +75,7 @@
 func (v *View) recruit(lost protocol.MemberID) (protocol.MemberID, bool) {
 	var best protocol.MemberID
 	found, bestElsewhere := false, false
-	for id, node := range v.staying() {
+	for id, node := range v.stayingControllers() {
 		if id == lost || v.Record.HasReplica(id) || !v.caughtUp(id) {
 			continue
 		}
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -33,8 +33,8 @@
 	return protocol.MemberID{Name: node.Name, Incarnation: node.Incarnation}
 }
 
-// staying yields the other controllers that are live and not stopping as planned.
-func (v *View) staying() iter.Seq2[protocol.MemberID, protocol.Node] {
+// stayingControllers yields the other controllers that are live and not stopping as planned.
+func (v *View) stayingControllers() iter.Seq2[protocol.MemberID, protocol.Node] {
 	return func(yield func(protocol.MemberID, protocol.Node) bool) {
 		for _, node := range v.Controllers {
 			id := memberID(node)
--- a/internal/membership/witnesses.go
+++ b/internal/membership/witnesses.go
@@ -26,8 +26,9 @@
 	return silent
 }
 
-// userTimeoutMs is how long the daemon of a member has not answered this primary, on
-// whatever disk.
+// silentMs is the time in ms since the daemon of a member last answered this
+// primary, with whatever disk it has now. A daemon that never answered counts from
+// the start of this primacy.
 func (v *View) silentMs(id protocol.MemberID) int64 {
 	if id == v.self() {
 		return 0
@@ -53,8 +54,8 @@
 	return witnessChange{}, false
 }
 
-// furtherWitness adds a witness where more losses are to be borne than the site
-// was founded for.
+// furtherWitness adds a witness if MaxLosses was raised after the site was
+// bootstrapped.
 func (v *View) furtherWitness() (witnessChange, bool) {
 	have := len(v.Record.Witnesses)
 	if have >= v.wantedWitnesses() {
@@ -79,7 +80,7 @@
 
 // spareWitness returns a caught-up daemon that is no witness.
 func (v *View) spareWitness() (protocol.MemberID, bool) {
-	for id := range v.staying() {
+	for id := range v.stayingControllers() {
 		if !hasName(v.Record.Witnesses, id.Name) && v.caughtUp(id) {
 			return id, true
 		}
--- a/internal/replication/doc.go
+++ b/internal/replication/doc.go
@@ -14,7 +14,7 @@
 	// RetryMs is how long a change or a snapshot may stay unacknowledged before
 	// it is sent again.
 	RetryMs int64
-	// DiskStallMs is how long a follower that lacks changes may acknowledge none
-	// before its disk counts as stalled.
+	// DiskStallMs is how long a follower that is behind may acknowledge no
+	// change before its disk counts as stalled.
 	DiskStallMs int64
 }
--- a/internal/replication/follower.go
+++ b/internal/replication/follower.go
@@ -2,24 +2,25 @@
 
 import "myrtlewinch/internal/protocol"
 
-// Follower is how far this daemon's own disk has followed the primary, and what
-// it received from primaries beside changes. A primary keeps it, too: Durable and
-// Received are of its own disk.
+// Follower is the position of this daemon's own disk, and what it received from
+// primaries beside changes. A primary uses Durable and Received too, for its own
+// disk.
 type Follower struct {
-	// Durable is what this disk holds; Received is what it holds once all writes
-	// that were asked of it have ended.
+	// Durable is the position that is synced on this disk; Received is the
+	// position once all writes that were handed to the disk have ended.
 	Durable, Received protocol.Position
-	// NodesDigest names the list of nodes that was received from the primary; 0
-	// while it was not fully taken.
+	// NodesDigest identifies the list of nodes that was received from the
+	// primary; 0 if the failure detector did not accept all of it.
 	NodesDigest uint64
-	// newest orders the messages of primaries, however they were delayed.
+	// newest is the newest message of any primary that was received.
 	newest messageOrder
-	// ContactMs is this daemon's own time at which a majority is known to have
-	// stood behind the primary.
+	// ContactMs is the last time, on this daemon's own clock, at which the
+	// primary is known to have held its lease, and so the support of a
+	// majority.
 	ContactMs int64
 }
 
-// messageOrder is the place of a primary's message among those of all primaries.
+// messageOrder orders the messages of all primaries: by epoch, then by sequence.
 type messageOrder struct {
 	epoch, sequence uint64
 }
@@ -28,8 +29,8 @@
 // position.
 func NewFollower(at protocol.Position) Follower { return Follower{Durable: at, Received: at} }
 
-// Overtaken says whether a later message of a primary was received before this
-// one. It notes the message otherwise.
+// Overtaken returns true if a newer message of a primary was received before
+// this one. Otherwise it records this message as the newest and returns false.
 func (f *Follower) Overtaken(epoch, sequence uint64) bool {
 	if epoch < f.newest.epoch || epoch == f.newest.epoch && sequence <= f.newest.sequence {
 		return true
@@ -41,16 +42,18 @@
 // NewestSequence is the sequence number of the newest message of a primary.
 func (f *Follower) NewestSequence() uint64 { return f.newest.sequence }
 
-// GoesOn says whether a change goes on from what was received.
-func (f *Follower) GoesOn(change protocol.Change) bool { return change.Before == f.Received }
+// CanApply says whether a change directly follows what was received, so that it
+// can be applied.
+func (f *Follower) CanApply(change protocol.Change) bool { return change.Before == f.Received }
 
 // IsNewer says whether a snapshot is further than what was received. Positions
-// grow along every lawful history, so one that is not further can only be late,
-// and would take back what this disk has acknowledged.
+// only grow, so a snapshot that is not further was delayed in transit; applying
+// it would undo changes that this disk has acknowledged.
 func (f *Follower) IsNewer(at protocol.Position) bool { return f.Received.Less(at) }
 
-// NoteContact takes the echo of this daemon's own clock. The echo of another life
-// of the process, which began at another startMs, says nothing here.
+// NoteContact updates ContactMs from a primary's echo of this daemon's own clock.
+// An echo of an earlier process of this daemon, which has another startMs, is
+// ignored: its clock was another one.
 func (f *Follower) NoteContact(nowMs, startMs int64, echo protocol.ClockEcho) {
 	if echo.StartMs != startMs || echo.SentMs > nowMs {
 		return
@@ -58,8 +61,8 @@
 	f.ContactMs = max(f.ContactMs, echo.SentMs)
 }
 
-// HasContact says whether a majority stood behind the primary within the last
-// lease.
+// HasContact says whether the primary is known to have held its lease within
+// the last leaseMs.
 func (f *Follower) HasContact(nowMs, leaseMs int64) bool {
 	return f.ContactMs > 0 && nowMs < f.ContactMs+leaseMs
 }
--- a/internal/replication/follower_test.go
+++ b/internal/replication/follower_test.go
@@ -36,7 +36,7 @@
 	follower := NewFollower(protocol.Position{Epoch: 1, Number: 4})
 	follower.Received = protocol.Position{Epoch: 1, Number: 6}
 	for number, goesOn := range map[uint64]bool{5: false, 6: false, 7: true, 8: false} {
-		qt.Check(t, follower.GoesOn(changeAt(number)), qt.Equals, goesOn, qt.Commentf("change %d", number))
+		qt.Check(t, follower.CanApply(changeAt(number)), qt.Equals, goesOn, qt.Commentf("change %d", number))
 		snapshotAt := protocol.Position{Epoch: 1, Number: number}
 		qt.Check(t, follower.IsNewer(snapshotAt), qt.Equals, number > 6, qt.Commentf("snapshot at %d", number))
 	}
--- a/internal/replication/log.go
+++ b/internal/replication/log.go
@@ -11,8 +11,8 @@
 	maxLogBytes = 1 << 20
 )
 
-// Log holds the recent changes of a primary, for followers that lack them. A
-// follower that lacks an older change needs a snapshot.
+// Log holds the recent changes of a primary, for followers that are behind. A
+// follower that needs an older change gets a snapshot.
 type Log struct {
 	// base is the position right before the oldest change.
 	base    protocol.Position
@@ -21,7 +21,7 @@
 	bytes int
 }
 
-// NewLog returns an empty log that goes on from base.
+// NewLog returns an empty log whose first change will follow base.
 func NewLog(base protocol.Position) Log { return Log{base: base} }
 
 // Append adds the newest change, and drops the oldest ones beyond the bounds.
@@ -54,8 +54,9 @@
 	return after
 }
 
-// Contains says whether the log goes on from a position: it is the base, or that
-// of one of the changes. A follower at any other position needs a snapshot.
+// Contains says whether a follower at the position can be brought up to date
+// from the log: the position is the base, or that of one of the changes. A
+// follower at any other position needs a snapshot.
 func (l *Log) Contains(at protocol.Position) bool {
 	if at == l.base {
 		return true
--- a/internal/replication/primary.go
+++ b/internal/replication/primary.go
@@ -5,12 +5,12 @@
 	"myrtlewinch/internal/statetable"
 )
 
-// Primary is the primary's part of replication. After a primacy it keeps
-// Committed and the sequence, and holds nothing else.
+// Primary is the primary's part of replication. End drops the log, the writes
+// and the followers' progress, and keeps Committed and Sequence.
 type Primary struct {
 	timing Timing
-	// Tracker holds the followers' progress; nil of followers while this daemon
-	// is not the primary.
+	// Tracker holds the followers' progress. It is empty while this daemon is
+	// not the primary.
 	Tracker Tracker
 	Log     Log
 	// Committed is the number of the last change that all replicas hold. At the
@@ -45,8 +45,10 @@
 // NewPrimary returns the part of a daemon that has not been primary yet.
 func NewPrimary(timing Timing) Primary { return Primary{timing: timing} }
 
-// Begin starts a primacy whose state is at the position. Each replica has until
-// graceMs from now to show itself, since the primary before may be lost for good.
+// Begin is called when this daemon has become the primary; at is the position of
+// its state. Each recorded replica has graceMs from now to acknowledge something
+// before it counts as lost, since the disk of the previous primary may never
+// return.
 func (p *Primary) Begin(nowMs int64, at protocol.Position, replicas []protocol.MemberID, graceMs int64) {
 	p.Tracker = NewTracker(p.timing)
 	p.Log = NewLog(at)
@@ -59,8 +61,8 @@
 	}
 }
 
-// End ends a primacy. Every write that waits is answered with false, as its
-// outcome is unknown.
+// End is called when this daemon is no longer the primary. Each queued or
+// pending write is answered with false, since its outcome is unknown.
 func (p *Primary) End() {
 	pending, queue := p.pending, p.queue
 	p.pending, p.queue = nil, nil
@@ -111,8 +113,8 @@
 }
 
 // Commit raises Committed to the last change that this disk, up to durable, and
-// the other members of all the replica sets hold. It does nothing as long as one
-// of them is not known.
+// the other members of all the replica sets hold. It does nothing and returns
+// false while there is no progress of one of them.
 func (p *Primary) Commit(durable uint64, self string, replicaSets ...[]protocol.MemberID) bool {
 	common, known := durable, true
 	for _, replicas := range replicaSets {
@@ -160,8 +162,9 @@
 // AddChanges gives the message the next sequence number and the changes that the
 // follower is to be sent.
 func (p *Primary) AddChanges(nowMs int64, follower *Progress, message *protocol.Append) {
-	// The time runs from the last change that came through, not from the last
-	// that was sent: a storm of changes would put it off for ever.
+	// The retry time counts from the last acknowledged change, not from the
+	// last one sent: otherwise a steady stream of changes would postpone the
+	// retry for ever.
 	unacknowledged := !follower.NeedsSnapshot && follower.Acknowledged < follower.Sent
 	if unacknowledged && follower.retryDue(nowMs, p.timing.RetryMs) {
 		follower.Sent, follower.SentMs = follower.Acknowledged, nowMs
@@ -181,17 +184,18 @@
 	follower.Sent, follower.SentSequence = message.Last.Number, p.Sequence
 }
 
-// ReplyResult says what an acknowledgement was worth.
+// ReplyResult is the effect of an acknowledgement.
 type ReplyResult int
 
 const (
-	// ReplyCounted moved the follower's progress; more may be committed.
+	// ReplyCounted: the follower's progress was updated, so more may be
+	// committed now.
 	ReplyCounted ReplyResult = iota
-	// ReplyOvertaken says less than one that came before it, and was ignored: a
-	// disk never goes back.
+	// ReplyOvertaken: an acknowledgement of more came earlier, so this one was
+	// ignored. What a disk holds never shrinks.
 	ReplyOvertaken
-	// ReplyOffLog is of a position from which the log doesn't go on; the follower
-	// gets a snapshot.
+	// ReplyOffLog: the log doesn't contain the follower's position, so that the
+	// follower gets a snapshot.
 	ReplyOffLog
 )
 
@@ -223,8 +227,8 @@
 	return ReplyCounted
 }
 
-// requireSnapshot has a snapshot sent at once to a follower from whose position
-// the log doesn't go on.
+// requireSnapshot makes SnapshotDue true at once for a follower whose position
+// the log doesn't contain.
 func (p *Primary) requireSnapshot(nowMs int64, follower *Progress, last uint64) {
 	follower.acknowledge(nowMs, 0, last)
 	if !follower.NeedsSnapshot {
--- a/internal/replication/progress.go
+++ b/internal/replication/progress.go
@@ -3,7 +3,7 @@
 import "myrtlewinch/internal/protocol"
 
 // Progress is what the primary knows of one follower. The zero value, with the
-// incarnation set, is a follower that has not been heard of.
+// incarnation set, is a follower that has not acknowledged anything yet.
 type Progress struct {
 	// Incarnation names the follower's disk.
 	Incarnation string
@@ -31,15 +31,18 @@
 	BehindSinceMs int64
 	// Clock is the follower's clock as it was last sent, to be echoed.
 	Clock protocol.ClockEcho
-	// Answered says that the follower acknowledged something in this primacy.
+	// Answered says that the follower has acknowledged something since this
+	// primary was elected.
 	Answered bool
 	// RecordEpoch is the epoch of the record that the follower knows.
 	RecordEpoch uint64
-	// Leaving says that the follower's daemon is stopping as planned.
+	// Leaving says that the follower's daemon announced a planned stop in its
+	// last acknowledgement.
 	Leaving bool
 }
 
-// acknowledge notes how far the follower is, and since when it lacks something.
+// acknowledge records the last change that the follower holds, and since when
+// it has been behind.
 func (p *Progress) acknowledge(nowMs int64, acknowledged, last uint64) {
 	if acknowledged > p.Acknowledged || acknowledged >= last {
 		p.BehindSinceMs = 0
@@ -50,15 +53,17 @@
 	}
 }
 
-// resendGap has the changes sent again that the follower lacks although it
-// received the message that brought them, or a later one.
+// resendGap resets Sent, so that changes are sent again that the follower
+// doesn't have although it received the message that carried them, or a later
+// one.
 func (p *Progress) resendGap(reply protocol.AppendReply) {
 	if reply.Heard >= p.SentSequence && reply.Taken.Number < p.Sent {
 		p.Sent = max(p.Acknowledged, reply.Taken.Number)
 	}
 }
 
-// retryDue says whether what was sent last has stayed unacknowledged for long.
+// retryDue says whether what was sent last has been unacknowledged for
+// retryMs.
 func (p *Progress) retryDue(nowMs, retryMs int64) bool { return nowMs-p.SentMs >= retryMs }
 
 // Tracker holds the progress of all followers, by the names of their daemons.
@@ -79,7 +84,8 @@
 // nil.
 func (t *Tracker) Named(name string) *Progress { return t.followers[name] }
 
-// Get returns the progress of the very disk, or nil.
+// Get returns the progress of the daemon if it still has the disk that the id
+// names, or nil.
 func (t *Tracker) Get(id protocol.MemberID) *Progress {
 	progress := t.followers[id.Name]
 	if progress == nil || progress.Incarnation != id.Incarnation {
@@ -88,15 +94,15 @@
 	return progress
 }
 
-// Live says whether the very disk acknowledged something lately.
+// Live says whether this disk acknowledged something within Timing.LiveMs.
 func (t *Tracker) Live(nowMs int64, id protocol.MemberID) bool {
 	progress := t.Get(id)
 	return progress != nil && nowMs-progress.HeardMs <= t.timing.LiveMs
 }
 
 // KeepsUp says whether the disk is live and also takes writes. The daemon of a
-// disk that stalls still acknowledges; as a replica it would hold up every write
-// of the site.
+// stalled disk still answers heartbeats, but as a replica it would block every
+// write of the site.
 func (t *Tracker) KeepsUp(nowMs int64, id protocol.MemberID) bool {
 	if !t.Live(nowMs, id) {
 		return false
@@ -105,14 +111,15 @@
 	return behindSinceMs == 0 || nowMs-behindSinceMs <= t.timing.DiskStallMs
 }
 
-// Leaving says whether the daemon of the very disk is stopping as planned.
+// Leaving says whether the daemon of this disk is stopping as planned.
 func (t *Tracker) Leaving(id protocol.MemberID) bool {
 	progress := t.Get(id)
 	return progress != nil && progress.Leaving
 }
 
 // CommonAcknowledged returns the last change, up to limit, that all the members
-// but the one without hold. False says that one of them is not known.
+// but the one without hold. False says that there is no progress of one of
+// them, so that nothing is known of what it holds.
 func (t *Tracker) CommonAcknowledged(members []protocol.MemberID, without string, limit uint64) (uint64, bool) {
 	for _, id := range members {
 		if id.Name == without {
