--- a/internal/consensus/application.go
+++ b/internal/consensus/application.go
@@ -24,7 +24,7 @@
 	HandleMessage(h Host, e protocol.Envelope) bool
 	// HandleInput takes any other input, such as the result of an outbound call; false
 	// says that it is not the application's.
-	HandleInput(h Host, input any) bool
+	HandleInput(h Host, input protocol.Input) bool
 	// Tick is called about each 50 ms, also where this daemon is not the primary.
 	Tick(h Host)
 }
@@ -64,7 +64,7 @@
 	// Call makes an outbound call to an address; its result comes back as an input.
 	Call(address string, body protocol.OutboundRequest)
 	// Answer ends a request of a caller or an operator.
-	Answer(id uint64, body any)
+	Answer(id uint64, body protocol.Reply)
 	// Logf writes a line to the log, and Count adds one to a counter.
 	Logf(format string, args ...any)
 	Count(name string)
@@ -105,6 +105,6 @@
 	h.m.out.Calls = append(h.m.out.Calls, protocol.OutboundCall{Address: address, Body: body})
 }
 
-func (h host) Answer(id uint64, body any)      { h.m.respond(id, body) }
-func (h host) Logf(format string, args ...any) { h.m.logf(format, args...) }
-func (h host) Count(name string)               { h.m.out.Counts = append(h.m.out.Counts, name) }
+func (h host) Answer(id uint64, body protocol.Reply) { h.m.respond(id, body) }
+func (h host) Logf(format string, args ...any)       { h.m.logf(format, args...) }
+func (h host) Count(name string)                     { h.m.out.Counts = append(h.m.out.Counts, name) }
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -32,7 +32,11 @@
 // inspectHost lets a test look at the machine as its application sees it.
 type inspectHost struct{ look func(h Host) }
 
-func (k *rowApplication) HandleInput(h Host, input any) bool {
+// MachineInput marks the inputs of rowApplication.
+func (submitRow) MachineInput()   {}
+func (inspectHost) MachineInput() {}
+
+func (k *rowApplication) HandleInput(h Host, input protocol.Input) bool {
 	switch in := input.(type) {
 	case submitRow:
 		h.Submit(map[string]string{"row": in.row}, in.done)
@@ -140,7 +144,7 @@
 
 func (w *cluster) schedule(ms int64, do func()) { w.events = append(w.events, event{w.nowMs + ms, do}) }
 
-func (w *cluster) step(name string, input any) {
+func (w *cluster) step(name string, input protocol.Input) {
 	n := w.nodes[name]
 	if n.down {
 		return
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -97,6 +97,9 @@
 	Backup  string `json:"backup"`
 }
 
+// ReplyBody marks BootstrapResult as a protocol.Reply.
+func (BootstrapResult) ReplyBody() {}
+
 // stepDown ends a primacy on purpose, so that the next primary need not wait for
 // the lease to run out.
 func (m *Machine) stepDown(reason string) {
@@ -118,7 +121,7 @@
 }
 
 // stepRetired answers operators, and ignores all else.
-func (m *Machine) stepRetired(input any) {
+func (m *Machine) stepRetired(input protocol.Input) {
 	if in, ok := input.(Bootstrap); ok {
 		m.respond(in.ID, retiredRejection)
 		return
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -35,7 +35,7 @@
 	HintsReceived(hints protocol.Hints)
 	// InputWhileRetired takes an input at a daemon whose name has passed to
 	// another disk. It may only answer that input.
-	InputWhileRetired(input any)
+	InputWhileRetired(input protocol.Input)
 }
 
 // ExtendedHost is what an application with Hooks may ask beside Host.
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -7,6 +7,9 @@
 	HandedOver bool
 }
 
+// ReplyBody marks LeaveResult as a protocol.Reply.
+func (LeaveResult) ReplyBody() {}
+
 // plannedStop is a stop of this daemon that was announced by a Leave. A member of the
 // record in force can't just stop for good: it would count as lost, so that fewer
 // further disks might be lost. Its replica and its vote are handed to others first, by
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -130,9 +130,13 @@
 	SetSeeds struct{ Seeds []string }
 )
 
+// MachineInput marks the inputs of this package.
+func (Leave) MachineInput()    {}
+func (SetSeeds) MachineInput() {}
+
 // Step takes one input and returns what to do: an Envelope, DiskWriteDone or Tick of
 // package protocol, a Bootstrap, Leave or SetSeeds, or any input of the application.
-func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
+func (m *Machine) Step(nowMs int64, input protocol.Input) protocol.Effects {
 	m.nowMs = nowMs
 	m.out = protocol.Effects{}
 	if m.retired {
@@ -150,7 +154,7 @@
 	return m.out
 }
 
-func (m *Machine) handleInput(input any) {
+func (m *Machine) handleInput(input protocol.Input) {
 	switch in := input.(type) {
 	case protocol.Envelope:
 		m.handleEnvelope(in)
@@ -199,6 +203,6 @@
 
 func (m *Machine) count(kind errkind.Kind) { m.out.Counts = append(m.out.Counts, string(kind)) }
 
-func (m *Machine) respond(id uint64, body any) {
+func (m *Machine) respond(id uint64, body protocol.Reply) {
 	m.out.Responses = append(m.out.Responses, protocol.Response{ID: id, Body: body})
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -113,7 +113,7 @@
 
 // HandleInput handles a request of an operator or the result of a call to the
 // platform or to a runner. It returns false for a type that it does not know.
-func (c *Controller) HandleInput(h consensus.Host, input any) bool {
+func (c *Controller) HandleInput(h consensus.Host, input protocol.Input) bool {
 	switch in := input.(type) {
 	case OperatorRequest:
 		c.handleOperatorRequest(h, in)
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -146,7 +146,7 @@
 func (d *Daemon) Shutdown() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.handoverTimeout+flushTime)
 	defer cancel()
-	d.runtime.Call(ctx, func(id uint64) any { return consensus.Leave{ID: id} })
+	d.runtime.Call(ctx, func(id uint64) protocol.Input { return consensus.Leave{ID: id} })
 	time.Sleep(flushTime)
 }
 
--- a/internal/controller/host_test.go
+++ b/internal/controller/host_test.go
@@ -57,7 +57,7 @@
 	write.then(ok)
 }
 
-func (h *pendingHost) Answer(id uint64, body any) {
+func (h *pendingHost) Answer(id uint64, body protocol.Reply) {
 	text := fmt.Sprintf("%T", body)
 	switch answer := body.(type) {
 	case ConfigAccepted:
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -1,11 +1,17 @@
 package controller
 
-import "myrtlewinch/internal/config"
+import (
+	"myrtlewinch/internal/config"
+	"myrtlewinch/internal/protocol"
+)
 
 // OperatorRequest is a request of an operator: SubmitConfig, ReadConfig or
 // ReadStatus. Each has an ID that its answer repeats. The answer is an
 // OperatorReply, or a protocol.Rejection with the reason why there is none.
-type OperatorRequest interface{ isOperatorRequest() }
+type OperatorRequest interface {
+	protocol.Input
+	isOperatorRequest()
+}
 
 // SubmitConfig submits a configuration. It is accepted only while BaseVersion
 // is in force, so that of two operators who change the same version only one
@@ -32,9 +38,17 @@
 func (ReadConfig) isOperatorRequest()   {}
 func (ReadStatus) isOperatorRequest()   {}
 
+// MachineInput marks the requests of operators as inputs.
+func (SubmitConfig) MachineInput() {}
+func (ReadConfig) MachineInput()   {}
+func (ReadStatus) MachineInput()   {}
+
 // OperatorReply is the outcome of an OperatorRequest: ConfigAccepted,
 // ConfigText or Status.
-type OperatorReply interface{ isOperatorReply() }
+type OperatorReply interface {
+	protocol.Reply
+	isOperatorReply()
+}
 
 // ConfigAccepted says that a submitted configuration is committed and in force
 // as the given version.
@@ -50,6 +64,11 @@
 func (ConfigText) isOperatorReply()     {}
 func (Status) isOperatorReply()         {}
 
+// ReplyBody marks the replies to operators.
+func (ConfigAccepted) ReplyBody() {}
+func (ConfigText) ReplyBody()     {}
+func (Status) ReplyBody()         {}
+
 // ConfigFormat translates the text of configurations. It decides nothing and
 // keeps nothing. Package platform has the format of the users' platform.
 type ConfigFormat interface {
--- a/internal/controller/routers_test.go
+++ b/internal/controller/routers_test.go
@@ -32,7 +32,7 @@
 	rows                 map[string]string
 	controllers, routers []protocol.Node
 	sent                 []protocol.Send
-	answers              []any
+	answers              []protocol.Reply
 	// outOfContact says that the host has no contact to a majority.
 	outOfContact bool
 }
@@ -53,7 +53,7 @@
 func (h *stubHost) Routers() []protocol.Node              { return h.routers }
 func (h *stubHost) Row(key string) string                 { return h.rows[key] }
 func (h *stubHost) Call(string, protocol.OutboundRequest) {}
-func (h *stubHost) Answer(_ uint64, body any)             { h.answers = append(h.answers, body) }
+func (h *stubHost) Answer(_ uint64, body protocol.Reply)  { h.answers = append(h.answers, body) }
 func (h *stubHost) Logf(string, ...any)                   {}
 func (h *stubHost) Count(string)                          {}
 
--- a/internal/dataplane/outbox.go
+++ b/internal/dataplane/outbox.go
@@ -24,7 +24,7 @@
 }
 
 // Respond adds the response to the input with this id.
-func (o *Outbox) Respond(id uint64, body any) {
+func (o *Outbox) Respond(id uint64, body protocol.Reply) {
 	o.Responses = append(o.Responses, protocol.Response{ID: id, Body: body})
 }
 
--- a/internal/dataplane/statuspage.go
+++ b/internal/dataplane/statuspage.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
 )
 
 // statusTimeout is how long a machine may take for its status.
@@ -14,7 +15,7 @@
 
 // QueryStatus asks the machine of a process for its status by the input that
 // query makes. It returns false if there was no answer in time.
-func QueryStatus(r *http.Request, runtime *process.Runtime, query func(id uint64) any) (any, bool) {
+func QueryStatus(r *http.Request, runtime *process.Runtime, query func(id uint64) protocol.Input) (protocol.Reply, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 	return runtime.Call(ctx, query)
--- a/internal/election/bootstrap.go
+++ b/internal/election/bootstrap.go
@@ -22,6 +22,9 @@
 	Change, Revision uint64
 }
 
+// MachineInput marks Bootstrap as a protocol.Input.
+func (Bootstrap) MachineInput() {}
+
 const (
 	// firstEpoch is the epoch of the record that bootstraps a site.
 	firstEpoch = 1
--- a/internal/native/controller/api.go
+++ b/internal/native/controller/api.go
@@ -81,7 +81,7 @@
 }
 
 // call gives the machine an input and waits for its answer; false says that none came.
-func (d *Daemon) call(r *http.Request, timeout time.Duration, input func(id uint64) any) (any, bool) {
+func (d *Daemon) call(r *http.Request, timeout time.Duration, input func(id uint64) protocol.Input) (protocol.Reply, bool) {
 	ctx, cancel := context.WithTimeout(r.Context(), timeout)
 	defer cancel()
 	return d.runtime.Call(ctx, input)
@@ -132,7 +132,7 @@
 		fault.Write(w)
 		return
 	}
-	answer, ok := d.call(r, changeTimeout, func(id uint64) any {
+	answer, ok := d.call(r, changeTimeout, func(id uint64) protocol.Input {
 		return SubmitDescription{ID: id, Base: base, Text: string(text), Partial: r.Method == http.MethodPatch}
 	})
 	if !ok {
@@ -151,7 +151,7 @@
 // readDescription reads what the machine knows of the description. Without an answer it
 // writes the error.
 func (d *Daemon) readDescription(w http.ResponseWriter, r *http.Request) (DescriptionReply, bool) {
-	answer, _ := d.call(r, readTimeout, func(id uint64) any { return DescriptionRequest{ID: id} })
+	answer, _ := d.call(r, readTimeout, func(id uint64) protocol.Input { return DescriptionRequest{ID: id} })
 	reply, ok := answer.(DescriptionReply)
 	if !ok {
 		writeNoAnswer(w)
@@ -186,7 +186,7 @@
 
 // readStatus reads the machine's status; false says that it did not answer in time.
 func (d *Daemon) readStatus(r *http.Request) (Status, bool) {
-	answer, _ := d.call(r, readTimeout, func(id uint64) any { return StatusRequest{ID: id} })
+	answer, _ := d.call(r, readTimeout, func(id uint64) protocol.Input { return StatusRequest{ID: id} })
 	status, ok := answer.(Status)
 	return status, ok
 }
@@ -224,7 +224,7 @@
 		errkind.ErrorBody{Kind: errkind.BadRequest, Detail: err.Error()}.Write(w)
 		return
 	}
-	answer, ok := d.call(r, changeTimeout, func(id uint64) any {
+	answer, ok := d.call(r, changeTimeout, func(id uint64) protocol.Input {
 		return consensus.Bootstrap{
 			ID: id, Witnesses: request.Witnesses, Backup: request.Backup,
 			Recover: r.URL.Path == recoverPath, Change: request.Change, Revision: request.Revision,
--- a/internal/native/controller/application.go
+++ b/internal/native/controller/application.go
@@ -44,6 +44,9 @@
 	Partial bool
 }
 
+// MachineInput marks SubmitDescription as a protocol.Input.
+func (SubmitDescription) MachineInput() {}
+
 // application is the own interface on top of the replicated state:
 // descriptions, the index, the placement and the orders.
 type application struct {
@@ -177,7 +180,7 @@
 }
 
 // HandleInput takes what an operator or a call to a runner or the platform brings.
-func (a *application) HandleInput(_ consensus.Host, input any) bool {
+func (a *application) HandleInput(_ consensus.Host, input protocol.Input) bool {
 	switch in := input.(type) {
 	case protocol.RunnerReportResult:
 		a.handleRunnerReport(in)
@@ -196,7 +199,7 @@
 }
 
 // InputWhileRetired still answers reads, and rejects descriptions.
-func (a *application) InputWhileRetired(input any) {
+func (a *application) InputWhileRetired(input protocol.Input) {
 	switch in := input.(type) {
 	case StatusRequest:
 		a.replyStatus(in)
--- a/internal/native/controller/helpers_test.go
+++ b/internal/native/controller/helpers_test.go
@@ -80,10 +80,10 @@
 
 // step gives the machine an input, ends its writes, lets the other controllers
 // answer, and gives all effects together.
-func (p *testPrimary) step(nowMs int64, input any) protocol.Effects {
+func (p *testPrimary) step(nowMs int64, input protocol.Input) protocol.Effects {
 	p.t.Helper()
 	var all protocol.Effects
-	inputs := []any{input}
+	inputs := []protocol.Input{input}
 	for len(inputs) > 0 {
 		effects := p.machine.Step(nowMs, inputs[0])
 		inputs = inputs[1:]
--- a/internal/native/controller/proposals.go
+++ b/internal/native/controller/proposals.go
@@ -57,6 +57,9 @@
 	Revision uint64 `json:"revision"`
 }
 
+// ReplyBody marks DescriptionAccepted as a protocol.Reply.
+func (DescriptionAccepted) ReplyBody() {}
+
 func (a *application) reject(id uint64, kind errkind.Kind, detail string, faults []string) {
 	a.host.Answer(id, protocol.Rejection{
 		Kind: kind, Detail: detail, Faults: faults, Revision: a.proposals.current.Number, Primary: a.host.Record().Primary,
--- a/internal/native/controller/status.go
+++ b/internal/native/controller/status.go
@@ -14,6 +14,10 @@
 // DescriptionRequest is an input. It is answered with DescriptionReply.
 type DescriptionRequest struct{ ID uint64 }
 
+// MachineInput marks the requests for reads as inputs.
+func (StatusRequest) MachineInput()      {}
+func (DescriptionRequest) MachineInput() {}
+
 // Status is what a controller believes.
 type Status struct {
 	Site        string `json:"site"`
@@ -61,6 +65,10 @@
 	History       []ledger.HistoryEntry
 }
 
+// ReplyBody marks the answers to reads as replies.
+func (Status) ReplyBody()           {}
+func (DescriptionReply) ReplyBody() {}
+
 // replyDescription answers with the description in force. The state of a primary may be
 // ahead of what is committed.
 func (a *application) replyDescription(request DescriptionRequest) {
--- a/internal/native/router/exchange.go
+++ b/internal/native/router/exchange.go
@@ -13,6 +13,7 @@
 
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/httpclient"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -69,7 +70,7 @@
 
 // perform carries out one output of the machine and reports whether the
 // request is finished.
-func (e *exchange) perform(output any) (finished bool) {
+func (e *exchange) perform(output protocol.Reply) (finished bool) {
 	switch output := output.(type) {
 	case Reject:
 		errkind.ErrorBody{
--- a/internal/native/router/machine.go
+++ b/internal/native/router/machine.go
@@ -170,7 +170,7 @@
 // Step applies one input at the given time and returns its effects. Times of
 // successive calls must not decrease. An input that is neither an Input nor
 // one of the types of package protocol that Input names panics.
-func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
+func (m *Machine) Step(nowMs int64, input protocol.Input) protocol.Effects {
 	m.nowMs = nowMs
 	m.outbox = dataplane.Outbox{}
 	switch in := input.(type) {
--- a/internal/native/router/machine_test.go
+++ b/internal/native/router/machine_test.go
@@ -33,7 +33,7 @@
 	return b
 }
 
-func (b *bench) step(input any) protocol.Effects {
+func (b *bench) step(input protocol.Input) protocol.Effects {
 	b.out = b.m.Step(b.nowMs, input)
 	return b.out
 }
--- a/internal/native/router/messages.go
+++ b/internal/native/router/messages.go
@@ -1,11 +1,15 @@
 package router
 
-import "myrtlewinch/internal/errkind"
+import (
+	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
+)
 
 // Input is an input of Machine.Step that this package defines. Step also takes
 // protocol.Envelope (a message of another daemon), protocol.RunnerListResult
 // (the result of a protocol.PlatformCall) and protocol.Tick.
 type Input interface {
+	protocol.Input
 	// apply changes the machine's state by this input.
 	apply(m *Machine)
 }
@@ -14,6 +18,7 @@
 // StatusQuery. A request may get several StartAttempts, one after the other.
 // It ends with the attempt that is Completed, or else with a Reject.
 type Output interface {
+	protocol.Reply
 	output()
 }
 
@@ -58,6 +63,13 @@
 func (Drain) apply(m *Machine)                 { m.startDraining() }
 func (in StatusQuery) apply(m *Machine)        { m.respond(in.ID, m.status()) }
 
+// MachineInput marks the inputs of this package.
+func (Request) MachineInput()            {}
+func (AttemptEnded) MachineInput()       {}
+func (ClientDisconnected) MachineInput() {}
+func (Drain) MachineInput()              {}
+func (StatusQuery) MachineInput()        {}
+
 // StartAttempt orders one attempt: the request is sent to the given runner,
 // and the result comes back as an AttemptEnded.
 type StartAttempt struct {
@@ -90,6 +102,11 @@
 func (Reject) output()       {}
 func (Status) output()       {}
 
+// ReplyBody marks the outputs of this package.
+func (StartAttempt) ReplyBody() {}
+func (Reject) ReplyBody()       {}
+func (Status) ReplyBody()       {}
+
 // Outcome classifies the end of an attempt by what is known of its effect at
 // the runner.
 type Outcome int
--- a/internal/native/router/server.go
+++ b/internal/native/router/server.go
@@ -122,7 +122,7 @@
 }
 
 func (s *Server) queryStatus(r *http.Request) (Status, bool) {
-	answer, ok := dataplane.QueryStatus(r, s.runtime, func(id uint64) any { return StatusQuery{ID: id} })
+	answer, ok := dataplane.QueryStatus(r, s.runtime, func(id uint64) protocol.Input { return StatusQuery{ID: id} })
 	status, isStatus := answer.(Status)
 	return status, ok && isStatus
 }
--- a/internal/process/diskwriter.go
+++ b/internal/process/diskwriter.go
@@ -34,6 +34,10 @@
 	store   *storage.Store
 }
 
+// MachineInput lets machineReopened wait in the queue of inputs. The runtime takes
+// it from there itself; no machine is stepped with it.
+func (machineReopened) MachineInput() {}
+
 // queueWrite queues a write of the machine. One that can't be queued has failed.
 func (r *Runtime) queueWrite(write protocol.DiskWrite) {
 	if r.store == nil || !r.writes.Push(diskWrite{write, r.store}) {
--- a/internal/process/diskwriter_test.go
+++ b/internal/process/diskwriter_test.go
@@ -16,20 +16,28 @@
 	"myrtlewinch/internal/threads"
 )
 
+// writeText is the input that has the writer write this text.
+type writeText string
+
+// reportName is the input that has the writer report its name.
+type reportName struct{}
+
+// MachineInput marks the inputs of the writer.
+func (writeText) MachineInput()  {}
+func (reportName) MachineInput() {}
+
 // writer is a machine that writes each text it gets and reports the outcome.
 type writer struct {
 	name  string
 	ended chan string
 }
 
-func (w *writer) Step(_ int64, input any) protocol.Effects {
+func (w *writer) Step(_ int64, input protocol.Input) protocol.Effects {
 	switch in := input.(type) {
-	case string:
-		if in == "who" {
-			w.ended <- w.name
-			return protocol.Effects{}
-		}
-		return protocol.Effects{DiskWrites: []protocol.DiskWrite{{Number: 1, Write: storage.Write{Set: map[string]string{"key": in}}}}}
+	case reportName:
+		w.ended <- w.name
+	case writeText:
+		return protocol.Effects{DiskWrites: []protocol.DiskWrite{{Number: 1, Write: storage.Write{Set: map[string]string{"key": string(in)}}}}}
 	case protocol.DiskWriteDone:
 		if in.Ok {
 			w.ended <- w.name + " wrote"
@@ -92,14 +100,14 @@
 	}
 	runtime, stop := startRuntime(c, Options{Reopen: reopen}, &writer{"first", ended}, store)
 	store.OverrideSync(func(*os.File) error { return os.ErrInvalid })
-	c.Assert(runtime.Submit("one"), qt.IsTrue)
+	c.Assert(runtime.Submit(writeText("one")), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first failed")
 	store.OverrideSync((*os.File).Sync)
 	<-reopened
 	for name := ""; name != "second"; name = <-ended {
-		c.Assert(runtime.Submit("who"), qt.IsTrue)
+		c.Assert(runtime.Submit(reportName{}), qt.IsTrue)
 	}
-	c.Assert(runtime.Submit("two"), qt.IsTrue)
+	c.Assert(runtime.Submit(writeText("two")), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "second wrote")
 	stop()
 	checkStored(c, folder, "two")
@@ -118,13 +126,13 @@
 		<-mayEnd
 		return file.Sync()
 	})
-	c.Assert(runtime.Submit("one"), qt.IsTrue)
+	c.Assert(runtime.Submit(writeText("one")), qt.IsTrue)
 	<-syncs
 	for _, text := range []string{"two", "three", "four", "five", "six"} {
-		c.Assert(runtime.Submit(text), qt.IsTrue)
+		c.Assert(runtime.Submit(writeText(text)), qt.IsTrue)
 	}
 	// The machine has queued all of them once it answers this.
-	c.Assert(runtime.Submit("who"), qt.IsTrue)
+	c.Assert(runtime.Submit(reportName{}), qt.IsTrue)
 	c.Assert(<-ended, qt.Equals, "first")
 	close(mayEnd)
 	for range 6 {
--- a/internal/process/machine.go
+++ b/internal/process/machine.go
@@ -22,7 +22,7 @@
 }
 
 // handleInput gives an input to the machine, or is about the machine itself.
-func (r *Runtime) handleInput(input any) {
+func (r *Runtime) handleInput(input protocol.Input) {
 	switch in := input.(type) {
 	case machineReopened:
 		r.machine, r.store = in.machine, in.store
@@ -37,7 +37,7 @@
 	}
 }
 
-func (r *Runtime) step(input any) {
+func (r *Runtime) step(input protocol.Input) {
 	r.apply(r.machine.Step(r.options.Clock.NowMs(), input))
 }
 
--- a/internal/process/replies.go
+++ b/internal/process/replies.go
@@ -15,13 +15,13 @@
 type replyTable struct {
 	mu      sync.Mutex
 	lastID  uint64
-	waiting map[uint64]chan any
+	waiting map[uint64]chan protocol.Reply
 }
 
-func newReplyTable() replyTable { return replyTable{waiting: map[uint64]chan any{}} }
+func newReplyTable() replyTable { return replyTable{waiting: map[uint64]chan protocol.Reply{}} }
 
-func (t *replyTable) open() (id uint64, replies <-chan any) {
-	channel := make(chan any, maxReplies)
+func (t *replyTable) open() (id uint64, replies <-chan protocol.Reply) {
+	channel := make(chan protocol.Reply, maxReplies)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.lastID++
--- a/internal/process/runtime.go
+++ b/internal/process/runtime.go
@@ -36,7 +36,7 @@
 	// Step handles one input at a time of the process's clock. Inputs are
 	// protocol.Envelope, protocol.Tick, protocol.DiskWriteDone, a
 	// protocol.OutboundResult, and the requests that the machine's package defines.
-	Step(nowMs int64, input any) protocol.Effects
+	Step(nowMs int64, input protocol.Input) protocol.Effects
 }
 
 // Options is what a Runtime needs beside its machine.
@@ -66,7 +66,7 @@
 	// machine and store belong to the machine's goroutine once it runs.
 	machine Machine
 	store   *storage.Store
-	inputs  *ringbuffer.Buffer[any]
+	inputs  *ringbuffer.Buffer[protocol.Input]
 	writes  *ringbuffer.Buffer[diskWrite]
 	// sender and server carry messages between daemons.
 	sender *transport.Sender
@@ -88,7 +88,7 @@
 func New(options Options, machine Machine, store *storage.Store, peers, web net.Listener, handler http.Handler) *Runtime {
 	r := &Runtime{
 		options: options, machine: machine, store: store,
-		inputs: ringbuffer.New[any](maxInputs), writes: ringbuffer.New[diskWrite](maxInputs),
+		inputs: ringbuffer.New[protocol.Input](maxInputs), writes: ringbuffer.New[diskWrite](maxInputs),
 		webListener: web, replies: newReplyTable(), counters: newCounters(), ended: make(chan struct{}),
 	}
 	r.sender = transport.NewSender(r.Count)
@@ -148,7 +148,7 @@
 
 // Submit queues an input for the machine. It returns false where the queue is
 // full or closed; the input is then dropped and counted.
-func (r *Runtime) Submit(input any) bool {
+func (r *Runtime) Submit(input protocol.Input) bool {
 	if !r.inputs.Push(input) {
 		r.Count("ring full")
 		return false
@@ -182,14 +182,14 @@
 
 // OpenReplies reserves a new id whose responses arrive on the channel until
 // CloseReplies.
-func (r *Runtime) OpenReplies() (id uint64, replies <-chan any) { return r.replies.open() }
+func (r *Runtime) OpenReplies() (id uint64, replies <-chan protocol.Reply) { return r.replies.open() }
 
 // CloseReplies ends an id; later responses to it are dropped.
 func (r *Runtime) CloseReplies(id uint64) { r.replies.close(id) }
 
 // Call submits the input that is made for a new id and waits for the first
 // response to it, for as long as ctx lasts. It returns false where there is none.
-func (r *Runtime) Call(ctx context.Context, input func(id uint64) any) (any, bool) {
+func (r *Runtime) Call(ctx context.Context, input func(id uint64) protocol.Input) (protocol.Reply, bool) {
 	id, replies := r.OpenReplies()
 	defer r.CloseReplies(id)
 	if !r.Submit(input(id)) {
--- a/internal/protocol/effects.go
+++ b/internal/protocol/effects.go
@@ -8,6 +8,9 @@
 // Tick is the input that tells a machine only that time has passed.
 type Tick struct{}
 
+// MachineInput marks Tick as an Input.
+func (Tick) MachineInput() {}
+
 // Effects is what a state machine wants done after a step. The process carries
 // them out in their order within each list.
 type Effects struct {
@@ -43,10 +46,13 @@
 	Ok     bool
 }
 
+// MachineInput marks DiskWriteDone as an Input.
+func (DiskWriteDone) MachineInput() {}
+
 // Response answers a request that a caller or an operator submitted with this id.
 type Response struct {
 	ID   uint64
-	Body any
+	Body Reply
 }
 
 // Rejection is the body of a response that refuses a request.
@@ -63,6 +69,9 @@
 	RetryMs int64
 }
 
+// ReplyBody marks Rejection as a Reply.
+func (Rejection) ReplyBody() {}
+
 // OutboundCall is a call over HTTP to a runner or to the platform. Its
 // OutboundResult follows as an input.
 type OutboundCall struct {
--- a/internal/protocol/envelope.go
+++ b/internal/protocol/envelope.go
@@ -16,3 +16,6 @@
 	To   string
 	Body Message
 }
+
+// MachineInput marks Envelope as an Input.
+func (Envelope) MachineInput() {}
--- a/internal/protocol/outbound.go
+++ b/internal/protocol/outbound.go
@@ -13,10 +13,20 @@
 
 // OutboundResult is the result of an OutboundCall, also of one that failed. It
 // reaches the machine as an input, exactly once for each call.
-type OutboundResult interface{ outboundResult() }
+type OutboundResult interface {
+	Input
+	outboundResult()
+}
 
 func (RunnerList) outboundResult()         {}
 func (RunnerStateResult) outboundResult()  {}
 func (RunnerOrderResult) outboundResult()  {}
 func (RunnerReportResult) outboundResult() {}
 func (RunnerListResult) outboundResult()   {}
+
+// MachineInput marks the results of outbound calls as Inputs.
+func (RunnerList) MachineInput()         {}
+func (RunnerStateResult) MachineInput()  {}
+func (RunnerOrderResult) MachineInput()  {}
+func (RunnerReportResult) MachineInput() {}
+func (RunnerListResult) MachineInput()   {}
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -258,7 +258,7 @@
 			EchoMs: g.runtime.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
 		}})
 		// The machine takes one input after the other, so this one is behind.
-		_, ok := g.runtime.Call(context.Background(), func(id uint64) any { return StatusQuery{ID: id} })
+		_, ok := g.runtime.Call(context.Background(), func(id uint64) protocol.Input { return StatusQuery{ID: id} })
 		c.Assert(ok, qt.IsTrue)
 		connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
 		c.Assert(err, qt.IsNil)
--- a/internal/proxy/exchange.go
+++ b/internal/proxy/exchange.go
@@ -11,6 +11,7 @@
 	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/httpclient"
+	"myrtlewinch/internal/protocol"
 )
 
 const (
@@ -88,7 +89,7 @@
 // perform carries out one output of the machine. It reports whether the
 // request is finished for the machine, and whether the client's connection is
 // to be aborted.
-func (e *exchange) perform(output any) (finished, abort bool) {
+func (e *exchange) perform(output protocol.Reply) (finished, abort bool) {
 	switch output := output.(type) {
 	case Reject:
 		e.server.codec.WriteRejection(e.writer, output.Kind, output.RetryMs)
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -158,7 +158,7 @@
 // outputs, outbound calls and log lines. Times of successive calls must not
 // decrease. An input that is neither an Input nor one of the types of package
 // protocol that Input names panics.
-func (m *Machine) Step(nowMs int64, input any) protocol.Effects {
+func (m *Machine) Step(nowMs int64, input protocol.Input) protocol.Effects {
 	m.nowMs = nowMs
 	m.outbox = dataplane.Outbox{}
 	if nowMs-m.lastStepMs > stallMs {
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -75,7 +75,7 @@
 	budget.Deposit(tokens - budget.Tokens())
 }
 
-func (b *machineBench) step(input any) protocol.Effects { return b.m.Step(b.nowMs, input) }
+func (b *machineBench) step(input protocol.Input) protocol.Effects { return b.m.Step(b.nowMs, input) }
 
 func (b *machineBench) receive(place protocol.Node, body protocol.Message) protocol.Effects {
 	return b.step(protocol.Envelope{Site: "site", From: place, To: selfPlace.Name, Body: body})
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -3,12 +3,14 @@
 import (
 	"myrtlewinch/internal/config"
 	"myrtlewinch/internal/errkind"
+	"myrtlewinch/internal/protocol"
 )
 
 // Input is an input of Machine.Step that this package defines. Step also takes
 // protocol.Envelope (a message of another daemon), protocol.RunnerList (the
 // result of a protocol.ListRunners call) and protocol.Tick.
 type Input interface {
+	protocol.Input
 	// apply changes the machine's state by this input.
 	apply(m *Machine)
 }
@@ -19,6 +21,7 @@
 // attempt that is Completed, or else with one Reject, ForwardKept or
 // AbortStream.
 type Output interface {
+	protocol.Reply
 	output()
 }
 
@@ -83,6 +86,15 @@
 func (in SetSeeds) apply(m *Machine)           { m.seeds = in.Seeds }
 func (in StatusQuery) apply(m *Machine)        { m.reply(in.ID, m.status()) }
 
+// MachineInput marks the inputs of this package.
+func (Request) MachineInput()            {}
+func (ResponseStarted) MachineInput()    {}
+func (AttemptEnded) MachineInput()       {}
+func (ClientDisconnected) MachineInput() {}
+func (Drain) MachineInput()              {}
+func (SetSeeds) MachineInput()           {}
+func (StatusQuery) MachineInput()        {}
+
 // StartAttempt orders one attempt: the request is sent to the given runner,
 // and the result comes back as an AttemptEnded.
 type StartAttempt struct {
@@ -122,3 +134,10 @@
 func (ForwardKept) output()  {}
 func (AbortStream) output()  {}
 func (Status) output()       {}
+
+// ReplyBody marks the outputs of this package.
+func (StartAttempt) ReplyBody() {}
+func (Reject) ReplyBody()       {}
+func (ForwardKept) ReplyBody()  {}
+func (AbortStream) ReplyBody()  {}
+func (Status) ReplyBody()       {}
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -15,6 +15,7 @@
 	"myrtlewinch/internal/dataplane"
 	"myrtlewinch/internal/errkind"
 	"myrtlewinch/internal/process"
+	"myrtlewinch/internal/protocol"
 	"myrtlewinch/internal/threads"
 )
 
@@ -211,7 +212,7 @@
 }
 
 func (s *Server) serveStatus(w http.ResponseWriter, r *http.Request) {
-	status, ok := dataplane.QueryStatus(r, s.runtime, func(id uint64) any { return StatusQuery{ID: id} })
+	status, ok := dataplane.QueryStatus(r, s.runtime, func(id uint64) protocol.Input { return StatusQuery{ID: id} })
 	if !ok {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
--- a/internal/simulation/endurance/cluster_test.go
+++ b/internal/simulation/endurance/cluster_test.go
@@ -151,7 +151,7 @@
 }
 
 // step gives a node's state machine an input and carries out its effects.
-func (c *cluster) step(n *node, input any) {
+func (c *cluster) step(n *node, input protocol.Input) {
 	if n.down {
 		return
 	}
--- a/internal/simulation/faultsim/buggy_application.go
+++ b/internal/simulation/faultsim/buggy_application.go
@@ -50,7 +50,7 @@
 }
 
 // HandleInput answers operators as a controller with the bugs would.
-func (a buggyApplication) HandleInput(h consensus.Host, input any) bool {
+func (a buggyApplication) HandleInput(h consensus.Host, input protocol.Input) bool {
 	version, text := localConfig(h)
 	switch in := input.(type) {
 	case controller.ReadConfig:
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -26,7 +26,7 @@
 
 // stateMachine is the part of a daemon that is simulated in its own code.
 type stateMachine interface {
-	Step(nowMs int64, input any) protocol.Effects
+	Step(nowMs int64, input protocol.Input) protocol.Effects
 }
 
 // node is one daemon on a machine of its own.
@@ -145,7 +145,7 @@
 }
 
 // deliver gives a daemon an input; a frozen one handles it once it thaws.
-func (sim *Simulation) deliver(n *node, incarnation int, input any) {
+func (sim *Simulation) deliver(n *node, incarnation int, input protocol.Input) {
 	switch {
 	case !n.runs(incarnation):
 	case n.isFrozen:
--- a/internal/simulation/faultsim/operator_calls.go
+++ b/internal/simulation/faultsim/operator_calls.go
@@ -139,7 +139,7 @@
 }
 
 // recordAnswer records a clear answer in the history.
-func (o *operators) recordAnswer(call *operatorCall, body any) {
+func (o *operators) recordAnswer(call *operatorCall, body protocol.Reply) {
 	record := answerRecord{sentMs: call.sentMs, atMs: o.sim.NowMs()}
 	switch answer := body.(type) {
 	case controller.ConfigText:
@@ -163,7 +163,7 @@
 }
 
 // handleAnswer lets the operator act on an answer.
-func (o *operators) handleAnswer(call *operatorCall, body any) {
+func (o *operators) handleAnswer(call *operatorCall, body protocol.Reply) {
 	s := call.submission
 	switch answer := body.(type) {
 	case controller.ConfigAccepted:
--- a/internal/simulation/modelcheck/application.go
+++ b/internal/simulation/modelcheck/application.go
@@ -13,6 +13,9 @@
 	Done func(ok bool)
 }
 
+// MachineInput marks Write as a protocol.Input.
+func (Write) MachineInput() {}
+
 // writtenValue is the value of all rows.
 const writtenValue = "written"
 
@@ -36,7 +39,7 @@
 func (a *rowApplication) Tick(consensus.Host) {}
 
 // HandleInput submits a Write.
-func (a *rowApplication) HandleInput(h consensus.Host, input any) bool {
+func (a *rowApplication) HandleInput(h consensus.Host, input protocol.Input) bool {
 	write, isWrite := input.(Write)
 	if isWrite {
 		h.Submit(map[string]string{write.Key: writtenValue}, write.Done)
--- a/internal/simulation/modelcheck/cluster.go
+++ b/internal/simulation/modelcheck/cluster.go
@@ -135,7 +135,7 @@
 
 // step gives a machine one input and schedules its effects. cause is the
 // message that the input is, or nil.
-func (c *cluster) step(i int, input any, cause *event) {
+func (c *cluster) step(i int, input protocol.Input, cause *event) {
 	m := c.members[i]
 	effects := m.machine.Step(c.nowMs, input)
 	m.cachedHash = 0
--- a/internal/simulation/modelcheck/invariants_test.go
+++ b/internal/simulation/modelcheck/invariants_test.go
@@ -20,14 +20,14 @@
 type interceptor struct {
 	machine StateMachine
 	// input changes an input; the machine does not get one that becomes nil.
-	input func(input any) any
+	input func(input protocol.Input) protocol.Input
 	// send changes a message that the machine sends.
 	send func(body protocol.Message) protocol.Message
 	// write changes a write.
 	write func(write storage.Write) storage.Write
 }
 
-func (b *interceptor) Step(nowMs int64, input any) protocol.Effects {
+func (b *interceptor) Step(nowMs int64, input protocol.Input) protocol.Effects {
 	if b.input != nil {
 		if input = b.input(input); input == nil {
 			return protocol.Effects{}
@@ -79,7 +79,7 @@
 
 // acknowledgingEarly acknowledges a write before any disk has it.
 func acknowledgingEarly(member string, machine StateMachine) StateMachine {
-	return &interceptor{machine: machine, input: func(input any) any {
+	return &interceptor{machine: machine, input: func(input protocol.Input) protocol.Input {
 		if write, ok := input.(Write); ok {
 			write.Done(true)
 		}
@@ -92,7 +92,7 @@
 
 // countingLongLeases counts the lease from a time after its renewal was sent.
 func countingLongLeases(member string, machine StateMachine) StateMachine {
-	return &interceptor{machine: machine, input: func(input any) any {
+	return &interceptor{machine: machine, input: func(input protocol.Input) protocol.Input {
 		if envelope, ok := input.(protocol.Envelope); ok {
 			if reply, isReply := envelope.Body.(protocol.AcceptReply); isReply {
 				reply.EchoMs += longerLeaseMs
@@ -117,7 +117,7 @@
 
 // ignoringPrepare never answers a candidate.
 func ignoringPrepare(member string, machine StateMachine) StateMachine {
-	return &interceptor{machine: machine, input: func(input any) any {
+	return &interceptor{machine: machine, input: func(input protocol.Input) protocol.Input {
 		if envelope, ok := input.(protocol.Envelope); ok {
 			if _, isPrepare := envelope.Body.(protocol.Prepare); isPrepare {
 				return nil
@@ -188,7 +188,7 @@
 // Machines with the same history have the same hash; any input that changes a
 // field, also an unexported one, changes it.
 func TestHashCoversEveryField(t *testing.T) {
-	machine := func(inputs ...any) uint64 {
+	machine := func(inputs ...protocol.Input) uint64 {
 		scope := Scope{}.withDefaults()
 		c := newCluster(scope, nil, true)
 		for _, input := range inputs {
@@ -203,7 +203,7 @@
 	qt.Assert(t, machine(), qt.Equals, machine())
 	for _, test := range []struct {
 		name  string
-		input any
+		input protocol.Input
 	}{
 		{"a tick", protocol.Tick{}},
 		{"a message of another", from(protocol.Heartbeat{})},
--- a/internal/simulation/modelcheck/scope.go
+++ b/internal/simulation/modelcheck/scope.go
@@ -18,7 +18,7 @@
 
 // StateMachine is a state machine that takes one input at a time.
 type StateMachine interface {
-	Step(nowMs int64, input any) protocol.Effects
+	Step(nowMs int64, input protocol.Input) protocol.Effects
 }
 
 // Scope bounds one check.
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -81,7 +81,7 @@
 
 // deliver gives an input to a daemon's state machine; a frozen daemon gets it
 // when it wakes.
-func (w *World) deliver(p nodeProcess, input any) {
+func (w *World) deliver(p nodeProcess, input protocol.Input) {
 	if !p.running() {
 		return
 	}
--- a/internal/simulation/nativesim/operator.go
+++ b/internal/simulation/nativesim/operator.go
@@ -22,7 +22,7 @@
 type operator struct {
 	lastID uint64
 	// pending are the functions that wait for a controller's answer, by id.
-	pending map[uint64]func(body any)
+	pending map[uint64]func(body protocol.Reply)
 	// accepted are the whole descriptions that were accepted, by revision.
 	accepted map[uint64]string
 	// texts are the whole descriptions that were submitted, by marker service.
@@ -31,7 +31,7 @@
 	outcomes map[string]int
 	// bootstrapResult is how the last bootstrap or recovery ended: a
 	// consensus.BootstrapResult or a protocol.Rejection, or nil before that.
-	bootstrapResult any
+	bootstrapResult protocol.Reply
 	// newestAccepted is the newest revision that was told as accepted.
 	newestAccepted uint64
 }
@@ -39,7 +39,7 @@
 func newOperator() operator {
 	return operator{
 		lastID:   firstOperatorID,
-		pending:  map[uint64]func(body any){},
+		pending:  map[uint64]func(body protocol.Reply){},
 		accepted: map[uint64]string{},
 		texts:    map[string]string{},
 		outcomes: map[string]int{},
@@ -47,7 +47,7 @@
 }
 
 // ask sends an input with a new id to a controller, and its answer to then.
-func (w *World) ask(name string, input func(id uint64) any, then func(body any)) {
+func (w *World) ask(name string, input func(id uint64) protocol.Input, then func(body protocol.Reply)) {
 	n := w.nodes[name]
 	if n == nil {
 		w.tracef("operator: no primary to be found")
@@ -77,10 +77,10 @@
 // bootstrapWith founds the site with a backup.
 func (w *World) bootstrapWith(backup string) {
 	names := w.nodeNames(protocol.RoleController)
-	input := func(id uint64) any {
+	input := func(id uint64) protocol.Input {
 		return consensus.Bootstrap{ID: id, Witnesses: names[:seedCount], Backup: backup}
 	}
-	w.ask(names[0], input, func(body any) {
+	w.ask(names[0], input, func(body protocol.Reply) {
 		w.tracef("bootstrap: %+v", body)
 		w.operator.bootstrapResult = body
 	})
@@ -99,11 +99,11 @@
 // recoverAt asks a controller for a recovery.
 func (w *World) recoverAt(name string, recovery consensus.Bootstrap) {
 	w.operator.bootstrapResult = nil
-	input := func(id uint64) any {
+	input := func(id uint64) protocol.Input {
 		recovery.ID = id
 		return recovery
 	}
-	w.ask(name, input, func(body any) {
+	w.ask(name, input, func(body protocol.Reply) {
 		w.tracef("recovery: %+v", body)
 		w.operator.bootstrapResult = body
 	})
@@ -126,11 +126,11 @@
 		w.Checker.DescriptionSubmitted(marker)
 		w.clients.markers = append(w.clients.markers, marker)
 	}
-	input := func(id uint64) any {
+	input := func(id uint64) protocol.Input {
 		submission.ID = id
 		return submission
 	}
-	w.ask(name, input, func(body any) {
+	w.ask(name, input, func(body protocol.Reply) {
 		if w.Bugs.InvertOutcomes {
 			body = inverted(body)
 		}
@@ -180,7 +180,7 @@
 }
 
 // inverted is the opposite of a controller's answer to a submission.
-func inverted(body any) any {
+func inverted(body protocol.Reply) protocol.Reply {
 	switch body.(type) {
 	case controller.DescriptionAccepted:
 		return protocol.Rejection{Kind: errkind.NotAccepted}
--- a/internal/simulation/nativesim/requests.go
+++ b/internal/simulation/nativesim/requests.go
@@ -70,7 +70,7 @@
 
 // routerAnswered handles what the router's state machine responds: a rejection,
 // or an attempt to start.
-func (r *clientRequest) routerAnswered(body any) {
+func (r *clientRequest) routerAnswered(body protocol.Reply) {
 	switch response := body.(type) {
 	case router.Reject:
 		r.retryMs = response.RetryMs
--- a/internal/simulation/scalesim/network.go
+++ b/internal/simulation/scalesim/network.go
@@ -40,7 +40,7 @@
 }
 
 // step gives a node's state machine an input and carries out its effects.
-func (s *simulation) step(n *node, input any) {
+func (s *simulation) step(n *node, input protocol.Input) {
 	sumNs := &n.usage.controlNs
 	switch input.(type) {
 	case proxy.Request, proxy.ResponseStarted, proxy.AttemptEnded:
--- a/internal/simulation/scalesim/simulation.go
+++ b/internal/simulation/scalesim/simulation.go
@@ -56,7 +56,7 @@
 type node struct {
 	self    protocol.Node
 	machine interface {
-		Step(nowMs int64, input any) protocol.Effects
+		Step(nowMs int64, input protocol.Input) protocol.Effects
 	}
 	usage usage
 	// peers are the addresses of the daemons that it exchanged messages with.
