--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -5,14 +5,17 @@
 //
 // Machine holds all decisions and all state; Server performs them over HTTP.
 // The concerns, one file each: config updates and the search for the primary
-// (controlplane.go), index look-ups (lookup.go) and their cache (cache.go),
-// which runners can take a request (candidates.go), the load and health of
-// runners (runnerstate.go, runnerreports.go), the choice among them
-// (balancer.go), the queue (queue.go, rejection.go), attempts and their
-// outcomes (attempt.go), the retry budget (retrybudget.go), and on the HTTP
-// side clients' connections (clientconn.go), request bodies (server.go), one
-// attempt (exchange.go), complete responses (response.go) and streams
-// (stream.go).
+// (controlplane.go), the platform's list of runners while there is no primary
+// (runnerlist.go), index look-ups (lookup.go) and their cache (cache.go), the
+// life of a request (request.go), which runners can take it (candidates.go),
+// their load and health (runnerstate.go, runnerreports.go, prefill.go), the
+// choice among them (balancer.go), the queue (queue.go) and how long a request
+// waits in it (rejection.go), attempts and their outcomes (attempt.go), the
+// retry budget (retrybudget.go); and on the HTTP side clients' connections
+// (clientconn.go), request bodies (server.go), one attempt (exchange.go),
+// unreachable runners (attempttracker.go), complete responses (response.go)
+// and streams (stream.go, eventsplitter.go). Platforms plug in their headers
+// with a Codec (codec.go).
 package proxy
 
 import (
