--- a/internal/consensus/application.go
+++ b/internal/consensus/application.go
@@ -11,57 +11,69 @@
 // controller: what the rows mean, which messages of routers it answers, and the
 // orders to runners. All methods run on the machine's own thread.
 type Application interface {
-	// StateChanged says that rows of the replicated state changed, or all of them. At
-	// a primary they may not be committed yet.
+	// StateChanged is called after one or more rows of the replicated state changed,
+	// and once by New. The rows may not be committed yet, at a primary as at a
+	// follower.
 	StateChanged(h Host)
-	// BecamePrimary says that this daemon has become the primary and serves.
+	// BecamePrimary is called once this daemon is the primary and serves: all
+	// replicas hold its first change.
 	BecamePrimary(h Host)
-	// LostPrimacy says that this daemon is the primary no more. It may come without a
-	// BecamePrimary before it.
+	// LostPrimacy is called when this daemon is no longer the primary. If it was
+	// elected but never served, it is called without a BecamePrimary before it.
 	LostPrimacy(h Host)
-	// HandleMessage takes a message of another daemon; false says that it is not the
-	// application's.
+	// HandleMessage handles a message of another daemon. It returns false for a
+	// message that is not the application's.
 	HandleMessage(h Host, e protocol.Envelope) bool
 	// HandleInput takes any other input, such as the result of an outbound call; false
 	// says that it is not the application's.
 	HandleInput(h Host, input protocol.Input) bool
-	// Tick is called about each 50 ms, also where this daemon is not the primary.
+	// Tick is called with each protocol.Tick, about every 50 ms, at the primary
+	// and at all others.
 	Tick(h Host)
 }
 
-// Host is what an application may ask of the machine that keeps its state.
+// Host is what the machine offers its application. It may be used only on the
+// goroutine that calls Machine.Step.
 type Host interface {
-	// NowMs is the time of the present step, on this process's own clock.
+	// NowMs is the time of the present step in ms, by this process's own
+	// clock.
 	NowMs() int64
-	// Active says whether this daemon may speak for the site now: it is the primary,
-	// its lease runs, and all replicas hold what it has.
+	// Active says whether this daemon may answer on behalf of the site now: it is
+	// the primary, its lease has not expired, and all replicas hold its first
+	// change.
 	Active() bool
-	// QuorumContact says whether a majority of the site stood behind what this daemon
-	// knows within the last lease: the primary by its lease, a follower by the
-	// primary's messages. Without it no answers may be given from the state.
+	// QuorumContact says whether the primary, this daemon or the one that it follows,
+	// is known to have held its lease within the last lease time. Without it the
+	// state may be outdated, and no answers may be given from it.
 	QuorumContact() bool
-	// LeaseUntilMs is when the lease runs out unless it is renewed.
+	// LeaseUntilMs is when this primary's lease expires unless it is renewed.
 	LeaseUntilMs() int64
-	// OrdersFromMs is from when a new primary may give orders, since the one before
-	// may have given some until its lease ran out.
+	// OrdersFromMs is the earliest time at which a new primary may give orders to
+	// runners: the previous primary may have given some until its lease expired.
 	OrdersFromMs() int64
 	// Self is this daemon.
 	Self() protocol.Node
 	// Epoch is that of the record in force, as far as this daemon knows.
 	Epoch() uint64
-	// Primary is the primary by that record; its name may be empty.
+	// Primary is the primary by that record. It is the zero Node while the
+	// primary or its address is unknown.
 	Primary() protocol.Node
-	// Controllers and Routers list the live peers of a part, without this daemon.
+	// Controllers and Routers list the live peers with that role, without this
+	// daemon.
 	Controllers() []protocol.Node
 	Routers() []protocol.Node
-	// Row reads the replicated state; a primary's may be ahead of what is committed.
+	// Row returns the value of a row of the replicated state, empty if there is
+	// none. It may not be committed yet.
 	Row(key string) string
-	// Submit changes rows; an empty value deletes one. Done is called with true once
-	// the change is committed, or with false when that can't be known any more.
+	// Submit starts to change rows; an empty value deletes the row. Only a primary
+	// may call it. done is called with true once the change is committed, or with
+	// false when the primacy ends before that: the change may then be committed or
+	// not.
 	Submit(rows map[string]string, done func(ok bool))
 	// Send sends a message to another daemon. It may be lost.
 	Send(to protocol.Node, body protocol.Message)
-	// Call makes an outbound call to an address; its result comes back as an input.
+	// Call starts an outbound call to an address. Its result comes to
+	// Application.HandleInput.
 	Call(address string, body protocol.OutboundRequest)
 	// Answer ends a request of a caller or an operator.
 	Answer(id uint64, body protocol.Reply)
@@ -70,7 +82,7 @@
 	Count(name string)
 }
 
-// host shows a machine to its application.
+// host implements Host and ExtendedHost for a machine.
 type host struct{ m *Machine }
 
 func (h host) NowMs() int64        { return h.m.nowMs }
@@ -78,7 +90,7 @@
 func (h host) QuorumContact() bool { return h.m.inContact() }
 func (h host) LeaseUntilMs() int64 { return h.m.election.LeaseUntilMs }
 func (h host) OrdersFromMs() int64 { return h.m.election.OrdersFromMs }
-func (h host) Self() protocol.Node { return h.m.set.Self }
+func (h host) Self() protocol.Node { return h.m.settings.Self }
 func (h host) Epoch() uint64       { return h.m.record().Epoch }
 
 func (h host) Primary() protocol.Node {
--- a/internal/consensus/disk.go
+++ b/internal/consensus/disk.go
@@ -9,14 +9,15 @@
 )
 
 // Keys of a controller's own rows on the disk, beside witness.Key and those of the
-// replicated state. They stay as they are from release to release.
+// replicated state. Data folders of earlier releases have them, so they must not
+// change.
 const (
 	recordKey  = "record"
 	retiredKey = "retired"
 	nodesKey   = "fellows"
-	// firstDiskKey marks a disk that was there, empty, at the first start of the
+	// firstDiskKey marks a disk that took part, empty, in the first start of the
 	// site. Only such a disk may vote for a first record: one that was emptied later
-	// may have voted for another, which it forgot.
+	// may have voted for another first record before.
 	firstDiskKey = "bootstrap"
 )
 
@@ -26,21 +27,22 @@
 	Ballot protocol.Ballot      `json:"ballot"`
 }
 
-// disk is what the machine knows of its disk.
+// disk is the state of the machine's disk: writes under way, and whether it
+// failed.
 type disk struct {
 	// saves are the callbacks of writes under way, by number; saved is the last
 	// number that was given.
 	saves map[uint64]func(ok bool)
 	saved uint64
-	// failed says that a write failed. What it left behind is unknown, so nothing
-	// more is written until the daemon is restarted.
+	// failed says that a write failed. It is unknown what of it is on the disk,
+	// so nothing more is written until the daemon is restarted.
 	failed bool
 }
 
 func newDisk() disk { return disk{saves: map[uint64]func(bool){}} }
 
-// save asks for a change of the disk; done, where it isn't nil, is called once it
-// ended. Writes end in the order in which they were asked for.
+// save starts a write to the disk. done, unless nil, is called once the write
+// ended. Writes end in the order of the calls.
 func (m *Machine) save(write storage.Write, done func(ok bool)) {
 	m.disk.saved++
 	if done != nil {
@@ -85,9 +87,9 @@
 	savedMs int64
 }
 
-// saveNodes saves the known nodes, so that seeds may be swapped while this daemon
-// is down. Routers keep no files: after the loss of everything it is the
-// controllers that find them.
+// saveNodes saves the known nodes, so that this daemon finds its peers after a
+// restart even if all seeds were replaced meanwhile. Routers keep no files; after
+// an outage of the whole site the controllers connect to them.
 func (m *Machine) saveNodes() {
 	known := &m.savedNodes
 	if m.disk.failed || m.detector.Digest() == known.digest || m.nowMs-known.savedMs < saveNodesMs {
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -11,7 +11,7 @@
 // elect has the election handle an input, and carries out its outputs.
 func (m *Machine) elect(handle func(e *election.Machine, env *election.Environment)) {
 	handle(&m.election, &election.Environment{
-		NowMs: m.nowMs, Nodes: m.detector, Acceptor: m.witness.acceptor, Seeds: m.set.Seeds,
+		NowMs: m.nowMs, Nodes: m.detector, Acceptor: m.witness.acceptor, Seeds: m.settings.Seeds,
 		Position: m.state.Position, Revision: m.state.RevisionNumber(), DiskFailed: m.disk.failed, Leaving: m.leaving.begun,
 	})
 	for _, output := range m.election.TakeOutputs() {
@@ -29,13 +29,14 @@
 		m.saveRecord(out)
 	case election.RecordChanged:
 		m.commit()
-		// Who is a member by it should know at the next tick.
-		m.primary.SentMs = m.nowMs - m.set.Timing.AppendIntervalMs
+		// Appends go out at the next tick, so that the members of the record
+		// learn of it soon.
+		m.primary.SentMs = m.nowMs - m.settings.Timing.AppendIntervalMs
 	case election.BecamePrimary:
 		m.beginPrimacy(out.Recovered)
 	case election.LostPrimacy:
 		m.primary.End()
-		m.set.Application.LostPrimacy(host{m})
+		m.settings.Application.LostPrimacy(host{m})
 	case election.FirstDiskMarked:
 		m.saveRow(firstDiskKey, "first start")
 	case election.BootstrapFailed:
@@ -59,8 +60,8 @@
 // beginPrimacy submits the first change of a primacy. The primary serves once all
 // replicas hold it.
 func (m *Machine) beginPrimacy(recovered bool) {
-	if m.set.Hooks != nil {
-		m.set.Hooks.Elected()
+	if m.settings.Hooks != nil {
+		m.settings.Hooks.Elected()
 	}
 	m.beginReplication()
 	epoch := m.record().Epoch
@@ -80,12 +81,12 @@
 func (m *Machine) establish() {
 	bootstrap := m.election.Establish(m.nowMs)
 	m.logf("the copies are whole; epoch %d serves", m.record().Epoch)
-	m.set.Application.BecamePrimary(host{m})
-	if bootstrap == nil || m.set.Bootstrap != BootstrapByOperator {
+	m.settings.Application.BecamePrimary(host{m})
+	if bootstrap == nil || m.settings.Bootstrap != BootstrapByOperator {
 		return
 	}
 	if !bootstrap.Recover {
-		m.set.Hooks.Bootstrapped()
+		m.settings.Hooks.Bootstrapped()
 	}
 	m.respond(bootstrap.ID, BootstrapResult{Epoch: m.record().Epoch, Primary: m.record().Primary, Backup: bootstrap.Backup})
 }
@@ -100,8 +101,8 @@
 // ReplyBody marks BootstrapResult as a protocol.Reply.
 func (BootstrapResult) ReplyBody() {}
 
-// stepDown ends a primacy on purpose, so that the next primary need not wait for
-// the lease to run out.
+// stepDown ends this daemon's primacy and releases its lease, so that the next
+// primary need not wait for the lease to expire.
 func (m *Machine) stepDown(reason string) {
 	if !m.isPrimary() {
 		return
@@ -110,7 +111,8 @@
 	m.elect(func(e *election.Machine, env *election.Environment) { e.StepDown(env, reason, successor.Name) })
 }
 
-// retire ends this daemon's part in the site for good, also over restarts.
+// retire ends this daemon's participation for good. A row on the disk keeps
+// it retired over restarts.
 func (m *Machine) retire() {
 	if m.retired {
 		return
@@ -126,8 +128,8 @@
 		m.respond(in.ID, retiredRejection)
 		return
 	}
-	if m.set.Hooks != nil {
-		m.set.Hooks.InputWhileRetired(input)
+	if m.settings.Hooks != nil {
+		m.settings.Hooks.InputWhileRetired(input)
 	}
 }
 
--- a/internal/consensus/follower.go
+++ b/internal/consensus/follower.go
@@ -8,7 +8,9 @@
 	"myrtlewinch/internal/storage"
 )
 
-// acceptPrimary says whether a message of a primary counts, and adopts its record.
+// acceptPrimary adopts the record of a primary's message. It returns false, and
+// the message is to be ignored, if the sender is not the primary by the newest
+// known record.
 func (m *Machine) acceptPrimary(from protocol.Node, record protocol.EpochRecord, ballot protocol.Ballot) bool {
 	accepted := false
 	m.elect(func(e *election.Machine, env *election.Environment) {
@@ -20,10 +22,10 @@
 	return accepted
 }
 
-// notePrimaryAlive notes that the primary is alive. A message that answers what
-// this daemon said long ago was delayed on its way, and tells nothing of now.
+// notePrimaryAlive records that the primary is alive. A message whose echo of
+// this daemon's clock is old was delayed in transit and doesn't show that.
 func (m *Machine) notePrimaryAlive(echo protocol.ClockEcho) {
-	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.set.Timing.ElectionTimeoutMs {
+	if echo.StartMs == m.startMs && m.nowMs-echo.SentMs > m.settings.Timing.ElectionTimeoutMs {
 		m.count(errkind.Overtaken)
 		return
 	}
@@ -36,8 +38,9 @@
 	if rival || !m.acceptPrimary(from, message.Record, message.Ballot) {
 		return
 	}
-	// Changes chain, so those of a message that was overtaken still count; all
-	// else in it is older than what is known here.
+	// Each change names the position that it follows, so the changes of an
+	// overtaken message can still be applied. The rest of the message is
+	// outdated.
 	if m.follower.Overtaken(message.Record.Epoch, message.Sequence) {
 		m.count(errkind.Overtaken)
 	} else {
@@ -49,7 +52,7 @@
 	}
 }
 
-// applyHeader takes what a primary's message says beside the changes.
+// applyHeader applies what a primary's message says beside the changes.
 func (m *Machine) applyHeader(message protocol.Append) {
 	if len(message.Peers) > 0 {
 		m.follower.NodesDigest = 0
@@ -58,8 +61,8 @@
 		}
 	}
 	m.hints = message.Soft
-	if m.set.Hooks != nil {
-		m.set.Hooks.HintsReceived(message.Soft)
+	if m.settings.Hooks != nil {
+		m.settings.Hooks.HintsReceived(message.Soft)
 	}
 	m.follower.NoteContact(m.nowMs, m.startMs, message.Contact)
 	if message.MayLeave && m.leaving.begun {
@@ -67,9 +70,9 @@
 	}
 }
 
-// applyChanges applies those that go on from what this disk has, and says whether
-// there were any. What is compiled from the state, such as a large configuration,
-// is brought up to it once for all of them.
+// applyChanges applies the changes that directly follow what this disk has, and
+// returns whether there were any. The application is notified once for all of
+// them, since it may have to parse a large configuration again.
 func (m *Machine) applyChanges(from protocol.Node, changes []protocol.Change) bool {
 	applied := false
 	for _, change := range changes {
@@ -85,7 +88,7 @@
 		m.writeRows(storage.Write{Set: change.Rows}, change.At, func() { m.acknowledge(from) })
 	}
 	if applied {
-		m.set.Application.StateChanged(host{m})
+		m.settings.Application.StateChanged(host{m})
 	}
 	return applied
 }
@@ -103,21 +106,21 @@
 	if !m.follower.Overtaken(snapshot.Record.Epoch, snapshot.Sequence) {
 		m.notePrimaryAlive(snapshot.Contact)
 	}
-	state := m.set.newState()
+	state := m.settings.newState()
 	if err := state.Load(snapshot.Rows); err != nil {
 		m.logf("a snapshot can't be read: %v", err)
 		m.count(errkind.Malformed)
 		return
 	}
 	m.state = state
-	m.set.Application.StateChanged(host{m})
+	m.settings.Application.StateChanged(host{m})
 	m.logf("took a snapshot at change %d", snapshot.At.Number)
 	write := storage.Write{ClearPrefix: statetable.Prefix, Set: snapshot.Rows}
 	m.writeRows(write, snapshot.At, func() { m.acknowledge(from) })
 }
 
-// acknowledge tells the primary how far this disk is. A daemon whose disk failed
-// says nothing, so that another takes its part.
+// acknowledge sends the primary the position of this disk. A daemon whose disk
+// failed sends nothing, so that the primary replaces it.
 func (m *Machine) acknowledge(to protocol.Node) {
 	if m.disk.failed {
 		return
@@ -129,12 +132,11 @@
 	})
 }
 
-// inContact says whether a majority stood behind what this daemon knows within
-// the last lease: as the primary by its lease, else by the primary's echo. What
-// is handed out without it may have been replaced long ago.
+// inContact implements Host.QuorumContact: the primary goes by its own lease, a
+// follower by the primary's echo of its clock.
 func (m *Machine) inContact() bool {
 	if m.isPrimary() {
 		return m.serves()
 	}
-	return m.follower.HasContact(m.nowMs, m.set.Timing.LeaseMs)
+	return m.follower.HasContact(m.nowMs, m.settings.Timing.LeaseMs)
 }
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -16,8 +16,8 @@
 	BootstrapByOperator
 )
 
-// Hooks tells an application of more than Application does, at the moment when it
-// happens. An application that needs none leaves Settings.Hooks nil. All methods
+// Hooks are further callbacks for an application, each at the moment of the
+// event. Settings.Hooks is nil for an application that needs none. All methods
 // run on the machine's own thread.
 type Hooks interface {
 	// Attach gives the machine to the application, once and before any other call.
@@ -28,8 +28,8 @@
 	// Bootstrapped says, after Application.BecamePrimary, that this primacy is the site's first
 	// and was begun by an operator's Bootstrap input.
 	Bootstrapped()
-	// Hints returns what a primary sends its followers beside rows. It is called
-	// before each regular round of messages to them.
+	// Hints returns what a primary sends its followers without storing it. It is
+	// called before each regular round of messages to them.
 	Hints() protocol.Hints
 	// HintsReceived gives a follower what the primary's Hints returned.
 	HintsReceived(hints protocol.Hints)
@@ -38,7 +38,8 @@
 	InputWhileRetired(input protocol.Input)
 }
 
-// ExtendedHost is what an application with Hooks may ask beside Host.
+// ExtendedHost is what the machine offers an application with Hooks beside
+// Host.
 type ExtendedHost interface {
 	Host
 	// IsPrimary says whether this daemon is the primary by its record, also before
--- a/internal/consensus/leave.go
+++ b/internal/consensus/leave.go
@@ -10,13 +10,12 @@
 // ReplyBody marks LeaveResult as a protocol.Reply.
 func (LeaveResult) ReplyBody() {}
 
-// plannedStop is a stop of this daemon that was announced by a Leave. A member of the
-// record in force can't just stop for good: it would count as lost, so that fewer
-// further disks might be lost. Its replica and its vote are handed to others first, by
-// recorded changes.
+// plannedStop is a stop of this daemon that was announced by a Leave. A member that
+// just stopped for good would count as one of the MaxLosses lost disks. So its replica
+// and its vote pass to other daemons first, by changes of the epoch record.
 type plannedStop struct {
 	begun bool
-	// done says that the Leave with the id was answered.
+	// done says that the Leave input with this id was answered.
 	done bool
 	id   uint64
 	// untilMs is when it is answered at the latest.
@@ -28,8 +27,8 @@
 	if m.leaving.begun {
 		return
 	}
-	m.leaving = plannedStop{begun: true, id: in.ID, untilMs: m.nowMs + m.set.LeaveTimeoutMs}
-	if m.set.StopWithoutHandover {
+	m.leaving = plannedStop{begun: true, id: in.ID, untilMs: m.nowMs + m.settings.LeaveTimeoutMs}
+	if m.settings.StopWithoutHandover {
 		m.stepDown("planned stop")
 		m.endLeave("planned stop")
 		return
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -23,9 +23,9 @@
 
 // Machine is one controller. It reads no clock, no socket and no disk.
 type Machine struct {
-	set     Settings
-	startMs int64
-	nowMs   int64
+	settings Settings
+	startMs  int64
+	nowMs    int64
 	// out collects the effects of the present step, local the messages of this
 	// daemon to itself.
 	out   protocol.Effects
@@ -41,8 +41,8 @@
 	planner  membership.Planner
 	// state is the replicated state; a primary's may be ahead of what is committed.
 	state *statetable.Table
-	// hints is what the primary knows that needs no disk, at a follower as it was
-	// last received.
+	// hints is what the primary sends its followers without storing it; at a
+	// follower, what it received last.
 	hints protocol.Hints
 	// minReplicas is how many disks must have a change before it is committed.
 	minReplicas int
@@ -54,12 +54,12 @@
 }
 
 // New makes a controller from the rows that its disk holds.
-func New(set Settings, rows map[string]string, nowMs int64) (*Machine, error) {
+func New(settings Settings, rows map[string]string, nowMs int64) (*Machine, error) {
 	m := &Machine{
-		set: set.withDefaults(), minReplicas: set.MaxLosses + 1, startMs: nowMs, nowMs: nowMs,
-		state: set.newState(), disk: newDisk(), retired: rows[retiredKey] != "",
+		settings: settings.withDefaults(), minReplicas: settings.MaxLosses + 1, startMs: nowMs, nowMs: nowMs,
+		state: settings.newState(), disk: newDisk(), retired: rows[retiredKey] != "",
 	}
-	acceptor, err := witness.New(m.self(), rows[witness.Key], nowMs, m.set.Timing.LeaseMs)
+	acceptor, err := witness.New(m.self(), rows[witness.Key], nowMs, m.settings.Timing.LeaseMs)
 	if err != nil {
 		return nil, errors.Wrap(err, "the witness record on the disk can't be read")
 	}
@@ -71,21 +71,21 @@
 	if err != nil {
 		return nil, err
 	}
-	m.election = election.New(m.set.electionConfig(nowMs), saved)
+	m.election = election.New(m.settings.electionConfig(nowMs), saved)
 	var nodes []protocol.Node
 	if text := rows[nodesKey]; text != "" {
 		if err := json.Unmarshal([]byte(text), &nodes); err != nil {
 			return nil, errors.Wrap(err, "the remembered peers on the disk can't be read")
 		}
 	}
-	m.detector = failuredetector.New(set.Self, set.Seeds, nodes)
+	m.detector = failuredetector.New(settings.Self, settings.Seeds, nodes)
 	m.savedNodes.savedMs = nowMs - saveNodesMs
-	m.primary = replication.NewPrimary(m.set.Timing.replicationTiming())
+	m.primary = replication.NewPrimary(m.settings.Timing.replicationTiming())
 	m.follower = replication.NewFollower(m.state.Position)
-	if set.Hooks != nil {
-		set.Hooks.Attach(host{m})
+	if settings.Hooks != nil {
+		settings.Hooks.Attach(host{m})
 	}
-	set.Application.StateChanged(host{m})
+	settings.Application.StateChanged(host{m})
 	return m, nil
 }
 
@@ -97,14 +97,15 @@
 			return election.Saved{}, errors.Wrap(err, "the epoch record on the disk can't be read")
 		}
 	}
-	// A witness's record may be half-recorded, so it is only a hint whom to ask.
+	// The record that the witness stored may not be complete, so only its list
+	// of witnesses is used.
 	if acceptor.Record.Epoch > 0 && known.Record.Epoch == 0 {
 		known.Record.Witnesses, known.Record.Before = acceptor.Record.Witnesses, acceptor.Record.Before
 	}
 	return election.Saved{Record: known.Record, Ballot: known.Ballot, FirstDisk: rows[firstDiskKey] != ""}, nil
 }
 
-func (m *Machine) self() protocol.MemberID { return memberID(m.set.Self) }
+func (m *Machine) self() protocol.MemberID { return memberID(m.settings.Self) }
 
 func memberID(node protocol.Node) protocol.MemberID {
 	return protocol.MemberID{Name: node.Name, Incarnation: node.Incarnation}
@@ -143,7 +144,8 @@
 		m.stepRetired(input)
 		return m.out
 	}
-	// A lease that ran out while nothing was done is noticed before anything else.
+	// A lease that expired since the last step ends the primacy before the input
+	// is handled.
 	m.elect((*election.Machine).CheckLease)
 	m.handleInput(input)
 	for len(m.local) > 0 {
@@ -165,12 +167,12 @@
 	case Leave:
 		m.beginLeave(in)
 	case SetSeeds:
-		m.set.Seeds = in.Seeds
+		m.settings.Seeds = in.Seeds
 		m.detector.SetSeeds(in.Seeds)
 	case protocol.Tick:
 		m.tick()
 	default:
-		if !m.set.Application.HandleInput(host{m}, input) {
+		if !m.settings.Application.HandleInput(host{m}, input) {
 			panic(fmt.Sprintf("consensus: unknown input %T", input))
 		}
 	}
@@ -183,15 +185,15 @@
 	m.tickLeave()
 	m.tickReplication()
 	m.elect((*election.Machine).TickBootstrap)
-	m.set.Application.Tick(host{m})
+	m.settings.Application.Tick(host{m})
 	m.saveNodes()
 }
 
 // send sends a message. One of this daemon to itself, such as to its own witness,
 // is handled at the end of the step.
 func (m *Machine) send(to protocol.Node, body protocol.Message) {
-	if to.Name == m.set.Self.Name {
-		m.local = append(m.local, protocol.Envelope{Site: m.set.Site, From: m.set.Self, To: to.Name, Body: body})
+	if to.Name == m.settings.Self.Name {
+		m.local = append(m.local, protocol.Envelope{Site: m.settings.Site, From: m.settings.Self, To: to.Name, Body: body})
 		return
 	}
 	m.out.Sends = append(m.out.Sends, protocol.Send{To: to.Name, Address: to.Address, Body: body})
--- a/internal/consensus/membership.go
+++ b/internal/consensus/membership.go
@@ -6,16 +6,18 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// members is what the primary decides on the next record by.
+// members returns the primary's view of the members, from which the next
+// record is planned.
 func (m *Machine) members() *membership.View {
 	return &membership.View{
-		NowMs: m.nowMs, Self: m.set.Self, Leaving: m.leaving.begun, Record: m.record(),
-		Controllers: m.detector.NodesOf(protocol.RoleController), Primary: &m.primary, MaxLosses: m.set.MaxLosses,
-		LiveMs: m.set.Timing.ElectionTimeoutMs, WitnessTimeoutMs: m.set.WitnessTimeoutMs,
+		NowMs: m.nowMs, Self: m.settings.Self, Leaving: m.leaving.begun, Record: m.record(),
+		Controllers: m.detector.NodesOf(protocol.RoleController), Primary: &m.primary, MaxLosses: m.settings.MaxLosses,
+		LiveMs: m.settings.Timing.ElectionTimeoutMs, WitnessTimeoutMs: m.settings.WitnessTimeoutMs,
 	}
 }
 
-// planRecord records a change of the members where they need one.
+// planRecord proposes the next record if the members need a change. One
+// record is proposed at a time.
 func (m *Machine) planRecord() {
 	if m.election.Proposal != nil || !m.election.HasLease(m.nowMs) {
 		return
@@ -35,8 +37,8 @@
 	return m.election.Proposal == nil && m.members().MayLeave(id)
 }
 
-// silentWitnesses lists, at the primary, the witnesses that have been silent for
-// long.
+// silentWitnesses returns, at the primary, the witnesses that exceeded the
+// witness time-out.
 func (m *Machine) silentWitnesses() []protocol.MemberID {
 	if !m.isPrimary() {
 		return nil
--- a/internal/consensus/messages.go
+++ b/internal/consensus/messages.go
@@ -10,12 +10,12 @@
 
 // handleEnvelope takes a message of another daemon or of this one itself.
 func (m *Machine) handleEnvelope(e protocol.Envelope) {
-	if e.Site != m.set.Site {
+	if e.Site != m.settings.Site {
 		m.count(errkind.WrongSite)
 		return
 	}
 	// An address may have passed to another daemon.
-	if e.To != "" && e.To != m.set.Self.Name {
+	if e.To != "" && e.To != m.settings.Self.Name {
 		m.count(errkind.WrongDaemon)
 		return
 	}
@@ -23,7 +23,7 @@
 		return
 	}
 	m.detector.Observe(m.nowMs, e.From)
-	if !m.set.Application.HandleMessage(host{m}, e) {
+	if !m.settings.Application.HandleMessage(host{m}, e) {
 		m.handleMessage(e)
 	}
 }
@@ -105,10 +105,10 @@
 // controllers only, they get no more: all of them ask at once while a primary is
 // missing.
 func (m *Machine) nodesFor(to protocol.Node) []protocol.Node {
-	if m.set.PeersForRouters || to.Part != protocol.RoleRouter {
+	if m.settings.PeersForRouters || to.Part != protocol.RoleRouter {
 		return m.detector.Nodes()
 	}
-	return append(m.detector.NodesOf(protocol.RoleController), m.set.Self)
+	return append(m.detector.NodesOf(protocol.RoleController), m.settings.Self)
 }
 
 var retiredRejection = protocol.Rejection{Kind: errkind.AlreadyBootstrapped, Detail: "this daemon is retired"}
--- a/internal/consensus/replication.go
+++ b/internal/consensus/replication.go
@@ -14,19 +14,20 @@
 }
 
 func (m *Machine) beginReplication() {
-	m.primary.Begin(m.nowMs, m.state.Position, m.record().Replicas, m.set.ReplicaGraceMs)
-	m.primary.SentMs = m.nowMs - m.set.Timing.AppendIntervalMs
+	m.primary.Begin(m.nowMs, m.state.Position, m.record().Replicas, m.settings.ReplicaGraceMs)
+	m.primary.SentMs = m.nowMs - m.settings.Timing.AppendIntervalMs
 }
 
-// submit hands commands over; done is called once all replicas have them, or with
-// false when that can't be known any more.
+// submit queues commands for the next change. done is called with true once all
+// replicas hold it, or with false when the primacy ends before that.
 func (m *Machine) submit(done func(ok bool), commands ...statetable.Command) {
 	m.primary.Enqueue(commands, done)
 	m.writeNext()
 }
 
-// writeNext writes what waits as one change, once the change before is on this
-// disk, and sends it to the followers meanwhile.
+// writeNext makes one change of all queued commands, unless the previous
+// change is still being written to this disk. It is written here and sent to
+// the followers at the same time.
 func (m *Machine) writeNext() {
 	if !m.primary.MayWrite() || !m.isPrimary() || m.disk.failed {
 		return
@@ -34,7 +35,7 @@
 	at := protocol.Position{Epoch: m.record().Epoch, Number: m.state.Position.Number + 1}
 	change := protocol.Change{Before: m.state.Position, At: at}
 	change.Rows = m.state.Apply(at, m.primary.TakeQueue(at.Number))
-	m.set.Application.StateChanged(host{m})
+	m.settings.Application.StateChanged(host{m})
 	m.primary.BeginWrite(m.nowMs, change)
 	m.writeRows(storage.Write{Set: change.Rows}, at, func() {
 		if m.isPrimary() {
@@ -46,8 +47,8 @@
 	m.sendAppends()
 }
 
-// writeRows writes rows of the state to this disk. Writes end in the order in
-// which they were asked for.
+// writeRows writes rows of the state to this disk and calls done once they
+// are synced. Writes end in the order of the calls.
 func (m *Machine) writeRows(write storage.Write, at protocol.Position, done func()) {
 	m.follower.Received = at
 	m.save(write, func(ok bool) {
@@ -63,32 +64,34 @@
 	if !m.isPrimary() || !m.election.HasLease(m.nowMs) {
 		return
 	}
-	// As many disks may be lost at once as there are further replicas.
+	// With fewer replicas the change would not survive MaxLosses lost disks.
 	if len(m.record().Replicas) < m.minReplicas {
 		return
 	}
 	replicaSets := [][]protocol.MemberID{m.record().Replicas}
-	// While a new record is on its way, either may turn out to be in force.
+	// While a new record is being proposed, either it or the present one may
+	// turn out to be in force, so the replicas of both count.
 	if m.election.Proposal != nil {
 		replicaSets = append(replicaSets, m.election.Proposal.Replicas)
 	}
-	if m.primary.Commit(m.follower.Durable.Number, m.set.Self.Name, replicaSets...) {
+	if m.primary.Commit(m.follower.Durable.Number, m.settings.Self.Name, replicaSets...) {
 		m.primary.AnswerCommitted()
 	}
 }
 
 func (m *Machine) tickReplication() {
-	if !m.isPrimary() || m.nowMs-m.primary.SentMs < m.set.Timing.AppendIntervalMs {
+	if !m.isPrimary() || m.nowMs-m.primary.SentMs < m.settings.Timing.AppendIntervalMs {
 		return
 	}
-	// A stalled disk would hold up the whole site; another replica's will not.
+	// A stalled disk at the primary blocks all writes of the site; another
+	// replica takes over.
 	if m.primary.DiskStalls(m.nowMs) {
 		m.stepDown("the disk stalls")
 		return
 	}
 	m.primary.SentMs = m.nowMs
-	if m.set.Hooks != nil {
-		m.hints = m.set.Hooks.Hints()
+	if m.settings.Hooks != nil {
+		m.hints = m.settings.Hooks.Hints()
 	}
 	m.sendAppends()
 }
@@ -99,8 +102,8 @@
 	}
 }
 
-// sendAppend sends a follower what it lacks, or else the news that the primary
-// lives.
+// sendAppend sends a follower the changes that it doesn't have, or a snapshot.
+// An Append without changes is the primary's heartbeat.
 func (m *Machine) sendAppend(to protocol.Node) {
 	follower := m.primary.Follower(to)
 	if m.primary.SnapshotDue(m.nowMs, follower) {
@@ -112,7 +115,8 @@
 		Record: m.record(), Ballot: m.election.Ballot, Last: m.state.Position, Soft: m.hints, PeersSum: m.detector.Digest(),
 		MayLeave: follower.Leaving && m.mayLeave(id),
 	}
-	// Without the lease a majority may stand behind another primary by now.
+	// Without a lease there may be another primary by now, so the echo must
+	// not show contact with a majority.
 	if m.election.HasLease(m.nowMs) {
 		message.Contact = follower.Clock
 	}
@@ -123,8 +127,8 @@
 	m.send(to, message)
 }
 
-// handleAppendReply takes a follower's acknowledgement. One that knows the record
-// before only may not have received the newest yet.
+// handleAppendReply handles a follower's acknowledgement. A follower that knows
+// only the previous record counts too: the newest may still be in transit to it.
 func (m *Machine) handleAppendReply(from protocol.Node, reply protocol.AppendReply) {
 	knowsRecord := reply.Epoch == m.record().Epoch || reply.Epoch == m.record().Epoch-1
 	if !m.isPrimary() || !knowsRecord {
--- a/internal/consensus/settings.go
+++ b/internal/consensus/settings.go
@@ -6,10 +6,10 @@
 	"myrtlewinch/internal/statetable"
 )
 
-// Settings is what a controller knows before it knows anyone. A wait that is 0
-// has its default.
+// Settings is what a controller is started with. A time of 0 stands for the
+// default.
 type Settings struct {
-	// Site is the name of the site; messages of another site are not heeded.
+	// Site is the name of the site. Messages of other sites are ignored.
 	Site string
 	// Self is this daemon, with the incarnation of its disk.
 	Self protocol.Node
@@ -20,7 +20,7 @@
 	GapMs int64
 	// Application is what runs on top of the replicated state. It must be set.
 	Application Application
-	// Hooks, where set, tells the application of more than Application does.
+	// Hooks are further callbacks for the application; nil if it needs none.
 	Hooks Hooks
 	// NewLedger makes the empty ledger that the application keeps beside plain rows.
 	// It is nil where the application keeps none.
@@ -32,12 +32,12 @@
 	// this daemon's replica and vote to others first: for sites whose members are
 	// listed by their operator, where no other daemon may take them.
 	StopWithoutHandover bool
-	// PeersForRouters tells routers of all known daemons. Else they learn of the
-	// controllers only.
+	// PeersForRouters sends routers the list of all known daemons. Otherwise
+	// they get only the controllers.
 	PeersForRouters bool
-	// QuietAfterRecoveryMs is how long a primary that goes on from an operator's
-	// Recover waits until it speaks for the site, so that leases of the lost
-	// primary have run out.
+	// QuietAfterRecoveryMs is how long a primary that an operator's recovery
+	// made waits before it serves, so that leases of the lost primary have
+	// expired.
 	QuietAfterRecoveryMs int64
 	// MaxLosses is how many disks may be lost at once: there are so many further
 	// replicas beside the primary's. 0 counts as one.
--- a/internal/consensus/status.go
+++ b/internal/consensus/status.go
@@ -2,13 +2,15 @@
 
 import "myrtlewinch/internal/protocol"
 
-// MemberStatus is what a controller knows of itself and of its peers.
+// MemberStatus is the part of the status page about this controller as a
+// member and about its peers.
 type MemberStatus struct {
 	Role         string
 	DiskBroken   bool
 	Retired      bool
 	WitnessBlank bool
-	// Away lists the witnesses that the primary has missed for long.
+	// Away are the names of the witnesses that exceeded
+	// Settings.WitnessTimeoutMs; only the primary fills it in.
 	Away  []string
 	Peers []PeerStatus
 }
@@ -29,7 +31,7 @@
 		status.Away = append(status.Away, witness.Name)
 	}
 	for _, node := range m.detector.Nodes() {
-		if node.Name == m.set.Self.Name {
+		if node.Name == m.settings.Self.Name {
 			continue
 		}
 		agoMs, seen := m.detector.SilentMs(m.nowMs, node.Name)
--- a/internal/consensus/timing.go
+++ b/internal/consensus/timing.go
@@ -3,23 +3,24 @@
 // Timing holds the waits of election and replication, in ms. TimingFor gives those for
 // a catch-up time. All members of a site must have the same.
 type Timing struct {
-	// LeaseMs is how long a primary may speak for the site after a majority of the
-	// witnesses renewed its lease, counted from when the renewal was sent. A witness
-	// that was restarted promises nothing to others for as long.
+	// LeaseMs is how long a primary may serve after a majority of the witnesses
+	// renewed its lease, counted from when the renewal was sent. A restarted witness
+	// makes no promise to other candidates for as long.
 	LeaseMs int64
 	// RenewMs passes between two renewals.
 	RenewMs int64
 	// ElectionTimeoutMs is how long a primary may be silent before a replica asks its
-	// peers whether they miss it, too.
+	// peers whether they have lost contact with it as well.
 	ElectionTimeoutMs int64
 	// PreVoteMs is how long they have to answer.
 	PreVoteMs int64
-	// BallotTimeoutMs bounds each half of a ballot: the promises, the record.
+	// BallotTimeoutMs bounds each of the two phases of a ballot, prepare and
+	// accept.
 	BallotTimeoutMs int64
 	// RequestRetryMs passes until an unanswered request to a witness is repeated.
 	RequestRetryMs int64
 	// AppendIntervalMs passes between two messages of the primary to a follower that
-	// lacks no changes.
+	// is up to date.
 	AppendIntervalMs int64
 	// AppendRetryMs is how long a change or a snapshot may stay unacknowledged before
 	// it is sent again.
@@ -38,11 +39,12 @@
 	AppendIntervalMs: 300, AppendRetryMs: 900, DiskStallMs: 1500,
 }
 
-// leastMs is the least of any wait, since machines tick each 50 ms.
+// leastMs is the lower bound of each of the times, since machines tick every
+// 50 ms.
 const leastMs = 100
 
-// TimingFor gives the waits for a catch-up time, in ms. Where there is more time
-// than usual, nothing is gained by waiting longer.
+// TimingFor gives the waits for a catch-up time, in ms. A longer catch-up time
+// than usual doesn't lengthen the waits.
 func TimingFor(catchUpMs int64) Timing {
 	if catchUpMs >= usualCatchUpMs || catchUpMs <= 0 {
 		return usualTiming
--- a/internal/consensus/witness.go
+++ b/internal/consensus/witness.go
@@ -7,13 +7,13 @@
 	"myrtlewinch/internal/storage"
 )
 
-// witnessState is the witness of this disk, and its answers that wait for the disk.
+// witnessState is the witness of this disk, with the answers that wait for a write.
 type witnessState struct {
 	acceptor *witness.Acceptor
-	// writes counts the changes on their way to the disk.
+	// writes counts the writes of the witness's row that have not ended.
 	writes int
-	// waiting are answers for which nothing changed, which wait for the last
-	// change all the same.
+	// waiting are answers that changed nothing themselves but must not be
+	// sent before those writes ended.
 	waiting []func()
 }
 
@@ -38,10 +38,10 @@
 	m.answerAsWitness(changed, func() { m.send(e.From, reply) })
 }
 
-// answerAsWitness saves the witness where it changed, and then answers. What a
-// witness says rests on all that it has decided, so an answer for which nothing
-// changed waits, too, until the last change is on the disk: the same request that
-// is repeated must not be answered before the first one.
+// answerAsWitness saves the witness if it changed, and then answers. An answer
+// that changed nothing also waits until earlier changes are synced: it depends on
+// them. Otherwise a repeated request would be answered although the change that
+// the first one made may still be lost.
 func (m *Machine) answerAsWitness(changed bool, answer func()) {
 	switch {
 	case m.disk.failed:
@@ -66,8 +66,7 @@
 	})
 }
 
-// answerWaiting gives the answers that waited for the disk, once none is on its
-// way there any more.
+// answerWaiting sends the answers that waited, once no write is under way.
 func (m *Machine) answerWaiting() {
 	if m.witness.writes > 0 {
 		return
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -63,9 +63,9 @@
 }
 
 // StateChanged reads the configuration again after the replicated state has
-// changed. The primary ignores it: it applies its own changes once they are
-// committed. A follower may read one that is not committed yet; that is safe
-// because it answers no operator and updates no router.
+// changed. The primary ignores it: acceptSubmission puts its own changes into
+// use once they are committed. A follower may read one that is not committed
+// yet; that is safe because it answers no operator and updates no router.
 func (c *Controller) StateChanged(h consensus.Host) {
 	if !c.isPrimary {
 		c.config.load(h, c.format)
--- a/internal/controller/daemon.go
+++ b/internal/controller/daemon.go
@@ -20,8 +20,8 @@
 const (
 	// tickMs is the time between two ticks of the machine.
 	tickMs = 50
-	// flushTime is left for the last messages to go out at a planned stop, such
-	// as the one that tells the next primary to take over.
+	// flushTime is left at a planned stop to send the last messages, such as
+	// the TransferPrimary to the next primary.
 	flushTime = 300 * time.Millisecond
 	// exitMs is the part of a planned stop's grace time that is kept for all but
 	// the handover: last messages, open calls of operators, the process's end.
@@ -38,8 +38,8 @@
 	return max(flushTime.Milliseconds(), min(b.CatchUpMs, b.GraceMs-exitMs))
 }
 
-// DaemonSettings is what a controller process is started with. NewDaemon sets the
-// part and the incarnation of Self.
+// DaemonSettings is what a controller process is started with. NewDaemon sets
+// Self.Part and Self.Incarnation.
 type DaemonSettings struct {
 	Settings
 	// Site is the name that all processes of the site share.
@@ -48,7 +48,8 @@
 	Seeds []string
 	// MaxLosses is how many disks may be lost at the same time.
 	MaxLosses int
-	// FirstStart says that the site is being founded by this start.
+	// FirstStart says that this is the first start of the site, at which its
+	// seeds bootstrap it.
 	FirstStart bool
 	DataFolder string
 }
@@ -95,7 +96,7 @@
 // restartSettings returns the settings for a machine that is restarted within
 // the same process, as after a fault of the disk.
 func (d *Daemon) restartSettings(settings DaemonSettings) DaemonSettings {
-	// A site is founded only once.
+	// A restart within the process is never the first start of the site.
 	settings.FirstStart = false
 	settings.Seeds = *d.seeds.Load()
 	return settings
--- a/internal/controller/routers.go
+++ b/internal/controller/routers.go
@@ -22,8 +22,8 @@
 	maxConfigsSent = 4096
 )
 
-// routerRegistry is what the primary knows of the routers and what it tells
-// them beside the configuration.
+// routerRegistry is what the primary knows of the routers, and what it sends
+// them beside the configuration. It is empty at all other controllers.
 type routerRegistry struct {
 	// lastSeenMs has the time of each router's last sign of life, by name.
 	lastSeenMs map[string]int64
@@ -45,7 +45,7 @@
 // is none: a primary's epoch is never 0.
 type announcement struct{ version, epoch uint64 }
 
-// siteSummary is what routers are told about the processes of the site.
+// siteSummary is what ConfigUpdate has about the processes of the site.
 type siteSummary struct {
 	isComputed bool
 	computedMs int64
@@ -164,7 +164,8 @@
 	}
 }
 
-// configUpdate is what routers are told now, without the configuration itself.
+// configUpdate returns the update for routers as of now, without the
+// configuration itself.
 func (c *Controller) configUpdate(h consensus.Host) protocol.ConfigUpdate {
 	c.routers.refreshSummary(h)
 	summary, leaving := &c.routers.summary, &c.routers.leaving
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -148,7 +148,8 @@
 }
 
 // replicate commits rows and then calls done. No other submission is processed
-// before. Where the outcome of the commit is unknown the operator is told so.
+// before. If the outcome of the commit is unknown, the operator gets a
+// rejection that says so.
 func (c *Controller) replicate(h consensus.Host, request SubmitConfig, rows map[string]string, done func()) {
 	c.submissions.isWriting = true
 	h.Submit(rows, func(committed bool) {
--- a/internal/election/witness/witness.go
+++ b/internal/election/witness/witness.go
@@ -13,18 +13,19 @@
 // Key is that of the witness's row on the disk.
 const Key = "witness"
 
-// State is what a witness must not forget. Its fields' keys stay as they are from
-// release to release.
+// State is the durable state of a witness. Its JSON keys are stored on disks, so
+// they must not change.
 type State struct {
 	// Promised is the highest ballot that was promised or accepted. Nothing is
 	// accepted under a lower one.
 	Promised protocol.Ballot `json:"promised"`
 	// Accepted is the ballot under which Record was stored last.
 	Accepted protocol.Ballot `json:"kept"`
-	// Record is the newest record that was stored. It may be half-recorded, so that
-	// no majority stores it.
+	// Record is the newest record that this witness stored. It may not be stored at
+	// a majority.
 	Record protocol.EpochRecord `json:"record"`
-	// Bootstrap is set by no release any more; a stored one is kept.
+	// Bootstrap is no longer set. It is kept where an earlier release stored
+	// it.
 	Bootstrap bool `json:"founding,omitempty"`
 }
 
@@ -33,7 +34,7 @@
 type Acceptor struct {
 	State
 	self protocol.MemberID
-	// leaseMs is how long no other may become primary after a renewal.
+	// leaseMs is how long after a renewal no other candidate gets a promise.
 	leaseMs int64
 	// holder is the name of the candidate that holds the lease until leaseUntilMs; it
 	// is empty where the holder is not known.
@@ -80,7 +81,7 @@
 	if a.Blank() && !(request.Found && a.Record.Epoch == 0) && !request.Recover {
 		return reply, false
 	}
-	// A lease keeps every other candidate out while it runs.
+	// An unexpired lease excludes every other candidate.
 	if nowMs < a.leaseUntilMs && a.holder != from {
 		reply.WaitMs = a.leaseUntilMs - nowMs
 		return reply, false
@@ -99,7 +100,7 @@
 // grants the candidate a lease.
 func (a *Acceptor) Accept(nowMs int64, request protocol.Accept) (reply protocol.AcceptReply, changed bool) {
 	reply = protocol.AcceptReply{Ballot: request.Ballot, Epoch: request.Record.Epoch, Highest: a.Promised, Record: a.Record, EchoMs: request.EchoMs}
-	// A blank disk is taken in only by a record that names it.
+	// A blank disk stores a record only if the record names it as a witness.
 	if a.Blank() && !slices.Contains(request.Record.Witnesses, a.self) {
 		return reply, false
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -23,7 +23,7 @@
 	name, zone string
 	// disk is the incarnation that the last acknowledgement named; "1" if empty.
 	disk string
-	// userTimeoutMs is how long ago that was.
+	// silentMs is how long ago that was.
 	silentMs int64
 	behind   bool
 	stalled  bool
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -187,8 +187,8 @@
 	m.ordersFromMs, m.ordersAllowed, m.replanNeeded = fromMs, true, true
 }
 
-// ForbidOrders holds all orders back until AllowOrders, which should come at
-// about fromMs.
+// ForbidOrders stops all orders until AllowOrders, which should come at about
+// fromMs.
 func (m *Manager) ForbidOrders(fromMs int64) { m.ordersFromMs, m.ordersAllowed = fromMs, false }
 
 // SetEpoch says that the epoch on record rose while this daemon stayed primary.
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -84,7 +84,9 @@
 	}})
 }
 
-// followOrder does with a runner's open order what time brings.
+// followOrder advances a runner's open order by the time: a call without a
+// result has an unknown outcome, an accepted adapter load counts as ended
+// after assumeLoadedMs, and a due retry is sent.
 func (m *Manager) followOrder(nowMs, leaseUntilMs int64, r *runnerstate.Runner) {
 	o := r.Order
 	if o == nil {
@@ -93,7 +95,7 @@
 	accepted := o.Phase == runnerstate.OrderAccepted
 	switch {
 	case o.Phase == runnerstate.OrderSent && nowMs > o.DeadlineMs+callTimeoutMs:
-		// Nothing was heard of the call.
+		// The call has no result yet.
 		o.OutcomeUnknown(nowMs)
 	case accepted && o.LoadsAdapter() && !o.Assumed && nowMs-o.PhaseSinceMs >= assumeLoadedMs:
 		r.AssumeLoaded(nowMs, m)
--- a/internal/placement/planner/adapters.go
+++ b/internal/placement/planner/adapters.go
@@ -48,8 +48,8 @@
 	return 1 + int(math.Ceil(rate/requestsPerAdapterCopy))
 }
 
-// placeAdapters gives each adapter that lacks a copy a runner that holds its
-// model.
+// placeAdapters gives each adapter with fewer copies than its target a runner
+// that holds its model.
 func (p *Planner) placeAdapters() {
 	var shortages []adapterShortage
 	for _, m := range p.service.Configured {
--- a/internal/placement/planner/models.go
+++ b/internal/placement/planner/models.go
@@ -45,8 +45,8 @@
 	prefetch bool
 }
 
-// placeModels gives each model that lacks a copy its best runner, most valuable
-// first.
+// placeModels gives each model with fewer copies than its target the best
+// runner, most valuable first.
 func (p *Planner) placeModels() {
 	p.findShortages()
 	prefetched := false
@@ -61,9 +61,9 @@
 	p.estimateQueues()
 }
 
-// findShortages lists the models that lack a copy, most valuable first. A
-// waiting request makes a model more valuable, yet a crowd on one copy of a busy
-// model still goes before the first copy of a rare one.
+// findShortages lists the models with fewer copies than their target, most
+// valuable first. A waiting request makes a model more valuable, yet a crowd on
+// one copy of a busy model still goes before the first copy of a rare one.
 func (p *Planner) findShortages() {
 	roomToPrefetch := p.roomToPrefetch()
 	for _, m := range p.service.Configured {
--- a/internal/placement/polling.go
+++ b/internal/placement/polling.go
@@ -6,7 +6,8 @@
 )
 
 const (
-	// callTimeoutMs is when a call of which nothing was heard is given up.
+	// callTimeoutMs is how long after its start a call without a result
+	// counts as failed.
 	callTimeoutMs = 3_000
 
 	// The intervals of polls for a runner's state: pollMs usually, openOrderPollMs
--- a/internal/placement/runnerlist.go
+++ b/internal/placement/runnerlist.go
@@ -18,8 +18,8 @@
 	listCallShareMs = 1_500
 	// goneReportedMs is for how long runners that are gone are reported as leaving.
 	goneReportedMs = 60_000
-	// goneAfterLists is how many lists in a row must lack a runner before it counts
-	// as gone. It is not offered after the first.
+	// goneAfterLists is how many lists in a row must be without a runner before it
+	// counts as gone. It is not offered after the first.
 	goneAfterLists = 2
 	// maxPastDisks bounds how many runners that are gone have their disks kept.
 	maxPastDisks = 1_000
@@ -137,8 +137,8 @@
 	return leavingChanged
 }
 
-// missedByList notes that the list lacks a runner. It says whether the runner is
-// newly reported as leaving.
+// missedByList notes that the list is without a runner that it had before. It
+// says whether the runner is newly reported as leaving.
 func (m *Manager) missedByList(nowMs int64, r *runnerstate.Runner) (leavingChanged bool) {
 	r.MissedLists++
 	if r.MissedLists < goneAfterLists {
--- a/internal/placement/runnerstate/runner.go
+++ b/internal/placement/runnerstate/runner.go
@@ -13,7 +13,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Observer is told of each model whose holders changed.
+// Observer is notified of each model whose holders changed.
 type Observer interface{ HoldersChanged(m *Model) }
 
 // HeldModel is a model on a runner.
--- a/internal/process/runtime.go
+++ b/internal/process/runtime.go
@@ -45,7 +45,7 @@
 	Site string
 	// Self is this process as its peers know it.
 	Self protocol.Node
-	// Clock is the clock that the machine goes by.
+	// Clock gives the time that is passed to the machine.
 	Clock Clock
 	// Log takes the log lines of the machine and of the process.
 	Log *log.Logger
@@ -54,8 +54,9 @@
 	// Caller makes the calls out that are not in this project's own format; nil
 	// where there are none.
 	Caller OutboundCaller
-	// Reopen makes the machine anew from its disk once that accepts writes
-	// again after a failure; nil leaves that to a restart of the process.
+	// Reopen makes a new machine from the data folder once the disk accepts
+	// writes again after a failure. If it is nil, the process has to be
+	// restarted.
 	Reopen func() (Machine, *storage.Store, error)
 }
 
--- a/internal/protocol/election.go
+++ b/internal/protocol/election.go
@@ -4,13 +4,15 @@
 // accept any lower ballot. PrepareReply answers it.
 type Prepare struct {
 	Ballot Ballot
-	// Found says that the site is being founded, at its first start or by an
-	// operator's command.
+	// Found says that the site is being bootstrapped, at its first start or
+	// by an operator's command.
 	Found bool
-	// Recover says that an operator's command goes on from a surviving replica.
+	// Recover says that an operator's command recovers the site from a
+	// surviving copy of its state.
 	Recover bool
 	// AllSeeds says that every seed is asked. A witness may then agree to a
-	// founding although it can't show that its disk was there at the first start.
+	// bootstrap although it can't show that its disk took part in the first
+	// start.
 	AllSeeds bool
 }
 
@@ -78,8 +80,8 @@
 	Ballot Ballot
 }
 
-// TransferPrimary tells a replica to take the primacy over at once. It may not
-// know the latest record yet.
+// TransferPrimary asks a replica to become primary at once. The sender has
+// stepped down. The receiver may not know the latest record yet.
 type TransferPrimary struct{ Record EpochRecord }
 
 // PrimaryQuery asks a peer whether it has lost contact with the primary as well.
@@ -89,7 +91,8 @@
 // PrimaryReply answers a PrimaryQuery.
 type PrimaryReply struct {
 	Epoch uint64
-	// HeardMs is how long ago the sender heard of the primary.
+	// HeardMs is how long ago, in ms, a message showed the sender that the
+	// primary was alive.
 	HeardMs int64
 	// Record is the latest that the sender knows; a router sends none. The one
 	// who asked may be the only daemon that the record entitles.
--- a/internal/protocol/failuredetection.go
+++ b/internal/protocol/failuredetection.go
@@ -29,5 +29,5 @@
 	AgoMs int64
 }
 
-// Retire tells a daemon that its name has passed to another one for good.
+// Retire notifies a daemon that its name has passed to another disk for good.
 type Retire struct{ Record EpochRecord }
--- a/internal/protocol/message.go
+++ b/internal/protocol/message.go
@@ -2,7 +2,7 @@
 
 import "encoding/gob"
 
-// Message is the body of an Envelope: what one daemon of a site tells another.
+// Message is the body of an Envelope: what one daemon of a site sends another.
 // Besides the types of this package, an application's own messages implement
 // it; each type has to be known to the encoding through RegisterMessage.
 type Message interface {
--- a/internal/protocol/replication.go
+++ b/internal/protocol/replication.go
@@ -26,8 +26,9 @@
 	Rows map[string]string
 }
 
-// Hints is what the primary tells its followers without storing it, for their
-// answers to look-ups. They decide nothing by it.
+// Hints is what the primary sends its followers without storing it, so that
+// they can answer look-ups. They make no decisions from it. Only the own
+// interface uses it.
 type Hints struct {
 	// Burdens holds the load of runners by name.
 	Burdens map[string]int64
@@ -57,8 +58,8 @@
 	Sequence uint64
 	// Contact echoes the follower's clock while the primary's lease runs.
 	Contact ClockEcho
-	// MayLeave tells a follower that is leaving that it may stop: it has no
-	// replica and no vote that another daemon has yet to take over.
+	// MayLeave permits a follower that is leaving to stop: no replica and no
+	// vote of it has still to pass to another daemon.
 	MayLeave bool
 }
 
--- a/internal/proxy/clientconn.go
+++ b/internal/proxy/clientconn.go
@@ -33,7 +33,7 @@
 	// idle is how long it may wait for the next request, headTimeout how long
 	// the rest of a head may take after its first byte.
 	idle, headTimeout time.Duration
-	// callHeadBytes is the largest size of a head.
+	// headBytes is the largest size of a request's head.
 	headBytes int64
 }
 
@@ -60,7 +60,7 @@
 	return time.Duration(min(ms, maxTimeout.Milliseconds()))*time.Millisecond + timeoutSlack
 }
 
-// callHeadBytes returns the size of a request's head. Headers that the standard
+// headBytes returns the size of a request's head. Headers that the standard
 // server has removed are not counted, so it is never more than was sent.
 func headBytes(r *http.Request) int64 {
 	const space, colon, lineEnd = 1, 2, 2
--- a/internal/storage/store.go
+++ b/internal/storage/store.go
@@ -48,8 +48,8 @@
 // The rows that each data folder holds from the start.
 const (
 	siteRow = "site"
-	// incarnationRow is random, so that an emptied folder is told from the one
-	// that was there before.
+	// incarnationRow is random, so that an emptied folder is not mistaken for
+	// the one that was there before.
 	incarnationRow   = "incarnation"
 	incarnationBytes = 8
 )
