--- a/internal/native/router/messages.go
+++ b/internal/native/router/messages.go
@@ -63,12 +63,20 @@
 func (Drain) apply(m *Machine)                 { m.startDraining() }
 func (in StatusQuery) apply(m *Machine)        { m.respond(in.ID, m.status()) }
 
-// MachineInput marks the inputs of this package.
-func (Request) MachineInput()            {}
-func (AttemptEnded) MachineInput()       {}
+// MachineInput marks Request as a protocol.Input.
+func (Request) MachineInput() {}
+
+// MachineInput marks AttemptEnded as a protocol.Input.
+func (AttemptEnded) MachineInput() {}
+
+// MachineInput marks ClientDisconnected as a protocol.Input.
 func (ClientDisconnected) MachineInput() {}
-func (Drain) MachineInput()              {}
-func (StatusQuery) MachineInput()        {}
+
+// MachineInput marks Drain as a protocol.Input.
+func (Drain) MachineInput() {}
+
+// MachineInput marks StatusQuery as a protocol.Input.
+func (StatusQuery) MachineInput() {}
 
 // StartAttempt orders one attempt: the request is sent to the given runner,
 // and the result comes back as an AttemptEnded.
@@ -102,10 +110,14 @@
 func (Reject) output()       {}
 func (Status) output()       {}
 
-// ReplyBody marks the outputs of this package.
+// ReplyBody marks StartAttempt as a protocol.Reply.
 func (StartAttempt) ReplyBody() {}
-func (Reject) ReplyBody()       {}
-func (Status) ReplyBody()       {}
+
+// ReplyBody marks Reject as a protocol.Reply.
+func (Reject) ReplyBody() {}
+
+// ReplyBody marks Status as a protocol.Reply.
+func (Status) ReplyBody() {}
 
 // Outcome classifies the end of an attempt by what is known of its effect at
 // the runner.
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -86,14 +86,26 @@
 func (in SetSeeds) apply(m *Machine)           { m.seeds = in.Seeds }
 func (in StatusQuery) apply(m *Machine)        { m.reply(in.ID, m.status()) }
 
-// MachineInput marks the inputs of this package.
-func (Request) MachineInput()            {}
-func (ResponseStarted) MachineInput()    {}
-func (AttemptEnded) MachineInput()       {}
+// MachineInput marks Request as a protocol.Input.
+func (Request) MachineInput() {}
+
+// MachineInput marks ResponseStarted as a protocol.Input.
+func (ResponseStarted) MachineInput() {}
+
+// MachineInput marks AttemptEnded as a protocol.Input.
+func (AttemptEnded) MachineInput() {}
+
+// MachineInput marks ClientDisconnected as a protocol.Input.
 func (ClientDisconnected) MachineInput() {}
-func (Drain) MachineInput()              {}
-func (SetSeeds) MachineInput()           {}
-func (StatusQuery) MachineInput()        {}
+
+// MachineInput marks Drain as a protocol.Input.
+func (Drain) MachineInput() {}
+
+// MachineInput marks SetSeeds as a protocol.Input.
+func (SetSeeds) MachineInput() {}
+
+// MachineInput marks StatusQuery as a protocol.Input.
+func (StatusQuery) MachineInput() {}
 
 // StartAttempt orders one attempt: the request is sent to the given runner,
 // and the result comes back as an AttemptEnded.
@@ -135,9 +147,17 @@
 func (AbortStream) output()  {}
 func (Status) output()       {}
 
-// ReplyBody marks the outputs of this package.
+// ReplyBody marks StartAttempt as a protocol.Reply.
 func (StartAttempt) ReplyBody() {}
-func (Reject) ReplyBody()       {}
-func (ForwardKept) ReplyBody()  {}
-func (AbortStream) ReplyBody()  {}
-func (Status) ReplyBody()       {}
+
+// ReplyBody marks Reject as a protocol.Reply.
+func (Reject) ReplyBody() {}
+
+// ReplyBody marks ForwardKept as a protocol.Reply.
+func (ForwardKept) ReplyBody() {}
+
+// ReplyBody marks AbortStream as a protocol.Reply.
+func (AbortStream) ReplyBody() {}
+
+// ReplyBody marks Status as a protocol.Reply.
+func (Status) ReplyBody() {}
