--- a/cmd/myrtlewinch/main.go
+++ b/cmd/myrtlewinch/main.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// run runs a process until it is told to stop.
+// run runs a process until it gets a signal to stop.
 func run(role, file string, newProcess func(platform.Settings, *log.Logger) (siteProcess, error)) {
 	// Before anything else: an unhandled SIGHUP would end the program.
 	hangups := notifySignal(syscall.SIGHUP)
--- a/cmd/myrtlewinch/watcher.go
+++ b/cmd/myrtlewinch/watcher.go
@@ -15,7 +15,7 @@
 // checkInterval is how often the settings file is checked without a signal.
 const checkInterval = 5 * time.Second
 
-// seedsTarget is what is told of new seeds.
+// seedsTarget is what is notified of new seeds.
 type seedsTarget interface{ SetSeeds(seeds []string) }
 
 // settingsWatcher applies changes of the settings file. Only the seeds may change
@@ -52,7 +52,7 @@
 }
 
 // checkFile reads the file and passes on new seeds. Settings that can't be used are
-// logged once, and the process goes on with those that it has.
+// logged once, and the process continues with those that it has.
 func (w *settingsWatcher) checkFile() {
 	text, err := os.ReadFile(w.file)
 	if err != nil {
--- a/internal/config/configuration.go
+++ b/internal/config/configuration.go
@@ -43,7 +43,8 @@
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string `json:"Prefix"`
 	Kind       RequestKind
-	// TimeoutMs is the longest that a request may take; then it is given up.
+	// TimeoutMs is the longest that a request may take in ms; then it is
+	// rejected or its attempt is cancelled.
 	TimeoutMs int64 `json:"GiveUpMs"`
 	// LatencyTargetMs is the time within which a response should be complete.
 	// For a stream it is the time to the first event.
@@ -58,7 +59,7 @@
 	// PrefixCacheAffinity says that prompts share parts, so that a request is
 	// served faster by a runner that has its parts in the prefix cache.
 	PrefixCacheAffinity bool `json:"Sticky"`
-	// Resumable says that a stream may go on at another runner.
+	// Resumable says that a stream may be resumed at another runner.
 	Resumable bool `json:"Resume"`
 	// MaxEventGapMs is the longest pause between two events of a stream that
 	// is still acceptable; 0 where the operator gives none.
--- a/internal/consensus/hooks.go
+++ b/internal/consensus/hooks.go
@@ -43,7 +43,7 @@
 type ExtendedHost interface {
 	Host
 	// IsPrimary says whether this daemon is the primary by its record, also before
-	// it may speak for the site.
+	// it may answer on behalf of the site.
 	IsPrimary() bool
 	// Record is the epoch record in force, as far as this daemon knows.
 	Record() protocol.EpochRecord
--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -116,7 +116,7 @@
 
 func (m *Machine) isPrimary() bool { return m.election.IsPrimary() }
 
-// serves says whether this daemon may speak for the site.
+// serves says whether this daemon may answer on behalf of the site.
 func (m *Machine) serves() bool { return m.election.Serves(m.nowMs) }
 
 // Inputs beside those of package protocol and those of the application.
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// handleRunnerList tells the routers at once when other runners are leaving
+// handleRunnerList notifies the routers at once when other runners are leaving
 // than before.
 func (c *Controller) handleRunnerList(h consensus.Host, list protocol.RunnerList) {
 	if c.placement.HandleRunnerList(h.NowMs(), list) {
--- a/internal/controller/history.go
+++ b/internal/controller/history.go
@@ -12,7 +12,7 @@
 // The configuration is one register with compare-and-set: a submission names its
 // base version, and each version has at most one successor. The history keeps
 // that successor in a row of its own, under the base version, so that one read
-// tells whether a submission that comes again was accepted. This is what makes
+// reports whether a submission that comes again was accepted. This is what makes
 // submissions idempotent: an operator who got no answer submits again.
 
 // Keys of the replicated rows. They are those that earlier releases wrote.
--- a/internal/controller/messages.go
+++ b/internal/controller/messages.go
@@ -19,7 +19,7 @@
 	Ledger   placement.IndexSnapshot
 }
 
-// DemandReport tells the primary which look-ups another controller has answered
+// DemandReport reports to the primary which look-ups another controller has answered
 // since its last report.
 type DemandReport struct{ Counts demand.Counts }
 
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -174,7 +174,7 @@
 
 // rejectAhead rejects a submission whose base version has not been in force. A
 // copy of it may be delivered when that version is, so the rejection is
-// committed before the operator is told.
+// committed before the operator is notified.
 func (c *Controller) rejectAhead(h consensus.Host, request SubmitConfig, sum string) {
 	if isRejected(h, sum) {
 		c.rejectStale(h, request)
--- a/internal/election/bootstrap.go
+++ b/internal/election/bootstrap.go
@@ -7,8 +7,9 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// Bootstrap begins a site, or recovers it from this daemon's copy. Seeds that
-// bootstrap the site among them make it themselves; otherwise an operator does.
+// Bootstrap is the input that begins a site, or recovers it from this daemon's
+// copy of the state. With Config.BootstrapBySeeds the seeds make it themselves;
+// otherwise it comes from an operator.
 type Bootstrap struct {
 	// ID is that of the operator's request.
 	ID uint64
@@ -16,8 +17,8 @@
 	// that of the other replica where an operator names it.
 	Witnesses []string
 	Backup    string
-	// Recover goes on from this daemon's copy instead, which must be at the change
-	// and revision that are named.
+	// Recover makes this daemon's copy the site's state instead of beginning a site.
+	// The copy must be at Change and Revision.
 	Recover          bool
 	Change, Revision uint64
 }
@@ -30,18 +31,19 @@
 	firstEpoch = 1
 	// operatorWitnesses is how many witnesses an operator must name.
 	operatorWitnesses = 3
-	// seedTurnMs lets the seeds try one after the other, so that a seed that died
-	// at the very start holds the site up only for a moment.
+	// seedTurnMs is how long each seed in turn may attempt the bootstrap alone,
+	// so that a seed that fails at the first start delays the site only for that
+	// time.
 	seedTurnMs = 1500
-	// allSeedsMs is how long the seeds wait for all of them before a majority will
-	// do. One that is removed for good at the very start must not keep the site
-	// from being bootstrapped.
+	// allSeedsMs is how long the seeds wait for all of them; after that a majority
+	// is enough, so that the site can be bootstrapped without a seed that is lost
+	// at the first start.
 	allSeedsMs = 3000
 )
 
-// HandleBootstrap begins a site: every witness must agree, and must be blank or
-// hold just what this very bootstrap would give it, since an earlier attempt at it
-// was cut short. Nothing else ever takes a blank disk for a beginning.
+// HandleBootstrap begins a site. Every witness must agree, and must be blank or
+// hold exactly the record of this bootstrap, from an interrupted earlier attempt.
+// Nothing else begins a site from a blank disk.
 func (m *Machine) HandleBootstrap(env *Environment, bootstrap Bootstrap) {
 	if bootstrap.Recover {
 		m.recoverSite(env, bootstrap)
@@ -138,13 +140,14 @@
 	return m.firstRecordOf(replicas, witnesses)
 }
 
-// sameBootstrap says whether two first records are of one bootstrap.
+// sameBootstrap says whether two first records come from the same bootstrap.
 func sameBootstrap(a, b protocol.EpochRecord) bool {
 	return a.Epoch == b.Epoch && a.Primary == b.Primary && slices.Equal(a.Replicas, b.Replicas) && slices.Equal(a.Witnesses, b.Witnesses)
 }
 
-// yieldToOtherBootstrap looks at what a witness stores. It ends the bootstrap and
-// returns true where that is another's, or takes the other's over to complete it.
+// yieldToOtherBootstrap checks the record that a witness stored. If it comes from
+// another bootstrap, it ends this one and returns true, or continues with the
+// other's record to complete it.
 func (m *Machine) yieldToOtherBootstrap(env *Environment, from protocol.Node, reply protocol.PrepareReply) bool {
 	if m.bootstrap.Recover {
 		return m.yieldToLaterCopy(env, from, reply)
@@ -166,15 +169,17 @@
 	}
 	yielded := *m.bootstrap
 	m.bootstrap = nil
-	// Whoever stores that record completes it, if it is left the time.
+	// The daemon that stores that record completes it, if no other attempt
+	// interferes.
 	m.retreat(env, seedTurnMs)
 	m.reject(yielded, rejected(errkind.AlreadyBootstrapped, "a witness belongs to another founding"))
 	return true
 }
 
-// acceptFirst goes on with a bootstrap once all witnesses have agreed. All of them,
-// not a majority: if any later epoch were recorded, one would know. To complete
-// another's attempt a majority will do, as for any half-recorded record.
+// acceptFirst continues a bootstrap once all witnesses have agreed. A majority is
+// not enough: only if all agree is it certain that no later epoch was recorded. To
+// complete another daemon's interrupted attempt a majority is enough, as for any
+// record.
 func (m *Machine) acceptFirst(env *Environment) {
 	if m.completesFirst {
 		if m.first.Majority(m.hasPromised) {
@@ -190,9 +195,9 @@
 	m.propose(env, m.first, false)
 }
 
-// MayVoteForBootstrap says whether this disk may vote for a first record. One that
-// was emptied after the first start may have voted for another, which it forgot.
-// An operator who bootstraps vouches for the disks.
+// MayVoteForBootstrap says whether this disk may vote for a first record. A disk
+// that was emptied after the first start may have voted for another record before.
+// If an operator bootstraps the site, the operator is responsible for that.
 func (m *Machine) MayVoteForBootstrap() bool { return !m.config.BootstrapBySeeds || m.firstDisk }
 
 // markFirstDisk notes that this disk was there at the first start of the site.
@@ -204,10 +209,10 @@
 }
 
 // TickBootstrap bootstraps the site, where this is the first start of all and this
-// daemon is one of the seeds. All of those that it names must agree to the first
-// record, and they are a majority of the seeds, on disks that were there at the
-// first start, or all seeds. So of two attempts one meets a seed that has agreed
-// to the other, unless more disks were lost than may be.
+// daemon is one of the seeds. All seeds that the first record names must agree to
+// it. They are either all seeds, or a majority of the seeds on disks that took
+// part in the first start. So of two attempts one reaches a seed that has agreed
+// to the other, unless more than MaxLosses disks were lost.
 func (m *Machine) TickBootstrap(env *Environment) {
 	if !m.config.BootstrapBySeeds {
 		return
@@ -234,9 +239,9 @@
 	}
 }
 
-// bootstrapSeeds names the seeds that are known: all of them, or else those on
-// disks that were there at the first start. Once a majority will do, one that was
-// known before may be gone for good, and must be live.
+// bootstrapSeeds returns the names of the known seeds: all of them, or else those
+// on disks that took part in the first start. With mustBeLive it leaves out those
+// that are silent, which may be lost for good.
 func (m *Machine) bootstrapSeeds(env *Environment, seeds []string, mustBeLive bool) []string {
 	var known, onFirstDisks []string
 	for _, address := range seeds {
--- a/internal/errkind/errorbody.go
+++ b/internal/errkind/errorbody.go
@@ -18,7 +18,7 @@
 	Request string `json:"request,omitempty"`
 	// Revision is the one in force, where that helps an operator.
 	Revision uint64 `json:"revision,omitempty"`
-	// Primary is the controller to turn to, where that is known.
+	// Primary is the controller that can answer, if it is known.
 	Primary string `json:"primary,omitempty"`
 	// RetryMs is when to come back, where that can be estimated. It replaces the
 	// time of the kind.
--- a/internal/errkind/kind.go
+++ b/internal/errkind/kind.go
@@ -64,9 +64,9 @@
 	NotPrimary Kind = "not the primary"
 	// AcceptanceUnknown: the change may have been accepted or not.
 	AcceptanceUnknown Kind = "acceptance unknown"
-	// NotBootstrapped: the site has not been founded yet.
+	// NotBootstrapped: the site has not been bootstrapped yet.
 	NotBootstrapped Kind = "not founded"
-	// AlreadyBootstrapped: the site was founded before.
+	// AlreadyBootstrapped: the site was bootstrapped before.
 	AlreadyBootstrapped Kind = "already founded"
 )
 
--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -20,7 +20,8 @@
 	// adapterOrderMs is the expected time until a missing adapter of a held model is
 	// loaded.
 	adapterOrderMs = 200
-	// planAheadMs is added to the load of a model that waits for its turn.
+	// planAheadMs is added to the load time of a model whose load has not
+	// been ordered yet.
 	planAheadMs = 300
 )
 
--- a/internal/placement/index/subscriptions.go
+++ b/internal/placement/index/subscriptions.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// subscriptionMs is for how long after a look-up a router is told that a
+	// subscriptionMs is for how long after a look-up a router is notified that a
 	// holder went; without that its next request might go astray.
 	subscriptionMs = 4_000
-	// GainNotifyMs is for how long it is told that a holder came; without that it
+	// GainNotifyMs is for how long it is notified that a holder came; without that it
 	// has a little less to choose from until its next look-up.
 	GainNotifyMs = 1_500
 	// maxSubscriptions bounds how many pairs of router and key are kept.
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -192,7 +192,7 @@
 func (m *Manager) ForbidOrders(fromMs int64) { m.ordersFromMs, m.ordersAllowed = fromMs, false }
 
 // SetEpoch says that the epoch on record rose while this daemon stayed primary.
-// Orders stopped for a low epoch may go on.
+// Orders stopped for a low epoch may continue.
 func (m *Manager) SetEpoch(epoch uint64) {
 	if epoch <= m.epoch {
 		return
@@ -204,7 +204,7 @@
 }
 
 // BecomeFollower ends the duty of the primary: no orders, no polls. What was
-// known goes on answering look-ups until a primary's snapshot comes.
+// known continues to answer look-ups until a primary's snapshot comes.
 func (m *Manager) BecomeFollower() {
 	m.active = false
 	m.list.stop()
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -41,7 +41,7 @@
 }
 
 // stopOrdering stops all orders, since a runner has seen a higher epoch: another
-// daemon is the primary. They go on only if this one's epoch rises.
+// daemon is the primary. They continue only if this one's epoch rises.
 func (m *Manager) stopOrdering() { m.fenced, m.fencedEpoch = true, m.epoch }
 
 // mayOrder says whether orders may go out now.
--- a/internal/placement/planner/models.go
+++ b/internal/placement/planner/models.go
@@ -28,7 +28,8 @@
 	// adapterRoomCost is for a load that leaves no room for the model's adapters.
 	adapterRoomCost = 0.05
 	// evictionFactor and evictionMargin are by how much what comes must be worth
-	// more than what goes, so that models don't push each other out by turns.
+	// more than what goes, so that models don't evict each other again and
+	// again.
 	evictionFactor = 1.5
 	evictionMargin = 0.1
 )
--- a/internal/placement/planner/targets.go
+++ b/internal/placement/planner/targets.go
@@ -85,7 +85,7 @@
 	}
 }
 
-// countHeld counts the copies that a runner holds and will go on holding.
+// countHeld counts the copies that a runner holds and will keep.
 func countHeld(r *runnerstate.Runner) {
 	for _, h := range r.Held {
 		if h.Unloading || !h.Model.Configured {
--- a/internal/process/clock.go
+++ b/internal/process/clock.go
@@ -13,8 +13,8 @@
 	readMs  func() int64
 }
 
-// NewClock starts a clock. It begins at one hour, so that a time long ago is told
-// from zero, which means never.
+// NewClock starts a clock. It begins at one hour, so that a time long ago is
+// distinguished from zero, which means never.
 func NewClock() Clock { return newClock(bootMs) }
 
 func newClock(readMs func() int64) Clock {
--- a/internal/process/runtime.go
+++ b/internal/process/runtime.go
@@ -21,7 +21,7 @@
 	// maxInputs bounds the inputs that wait for the machine, and the writes
 	// that wait for the disk.
 	maxInputs = 1 << 16
-	// shutdownTimeout is how long open requests may go on at the end.
+	// shutdownTimeout is how long open requests may take at the end.
 	shutdownTimeout = 2 * time.Second
 	// The limits of the HTTP server.
 	headerTimeout  = 5 * time.Second
--- a/internal/protocol/effects.go
+++ b/internal/protocol/effects.go
@@ -5,7 +5,7 @@
 	"myrtlewinch/internal/storage"
 )
 
-// Tick is the input that tells a machine only that time has passed.
+// Tick is the input that says only that time has passed.
 type Tick struct{}
 
 // MachineInput marks Tick as an Input.
@@ -63,7 +63,7 @@
 	Faults []string
 	// Revision is the one in force, where that helps.
 	Revision uint64
-	// Primary is the controller to turn to, where that is known.
+	// Primary is the controller that can answer, if it is known.
 	Primary string
 	// RetryMs is when to come back, where that can be estimated.
 	RetryMs int64
--- a/internal/protocol/failuredetection.go
+++ b/internal/protocol/failuredetection.go
@@ -20,7 +20,7 @@
 	Record EpochRecord
 }
 
-// HeartbeatReports tells the primary which heartbeats the sender received.
+// HeartbeatReports sends the primary which heartbeats the sender received.
 type HeartbeatReports struct{ Seen []HeartbeatReport }
 
 // HeartbeatReport says how long ago the heartbeat of a peer arrived.
--- a/internal/protocol/index.go
+++ b/internal/protocol/index.go
@@ -35,7 +35,7 @@
 	AgeMs                 int64
 }
 
-// IndexReply answers an IndexLookUp. With ID 0 it tells a router that looked
+// IndexReply answers an IndexLookUp. With ID 0 it notifies a router that looked
 // the model up lately that the answer has changed.
 type IndexReply struct {
 	ID                      uint64
--- a/internal/protocol/native.go
+++ b/internal/protocol/native.go
@@ -57,7 +57,7 @@
 	Incarnation string `json:"incarnation"`
 }
 
-// PollRequest tells a router to poll at once.
+// PollRequest asks a router to poll at once.
 type PollRequest struct{ Epoch uint64 }
 
 // ExtendLease asks a peer router to extend the lease on a revision while the
@@ -113,5 +113,5 @@
 	Behind bool
 }
 
-// DemandReport tells the primary how many look-ups a follower answered, by key.
+// DemandReport sends the primary how many look-ups a follower answered, by key.
 type DemandReport struct{ Counts map[string]int64 }
--- a/internal/protocol/node.go
+++ b/internal/protocol/node.go
@@ -19,7 +19,7 @@
 	// Part is RoleController or RoleRouter.
 	Part string `json:"part"`
 	// Incarnation names the data folder of a controller, or the process of a
-	// router. It tells a replaced daemon from the one before it.
+	// router. It distinguishes a replaced daemon from the one before it.
 	Incarnation string `json:"incarnation"`
 }
 
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -451,7 +451,7 @@
 		{"nobody knows, with much time", "/stream/", protocol.IndexReply{}, 8000, errkind.NoRunner, 800, 1000},
 		{"its turn is too late for a silent stream", "/stream/", protocol.IndexReply{TurnMs: 2500}, 8000, errkind.PlacementTimeout, 0, 0},
 		{"nobody knows, and the client bears silence", "/patient/", protocol.IndexReply{}, 20_000, errkind.NoConfig, 5300, 5500},
-		// An expected load is not waited for for ever.
+		// An expected load is not waited for forever.
 		{"its turn is in time for one that bears silence", "/patient/", protocol.IndexReply{TurnMs: 6000}, 20_000, errkind.NoConfig, 5300, 5500},
 	}
 	for _, test := range cases {
--- a/internal/proxy/messages.go
+++ b/internal/proxy/messages.go
@@ -68,7 +68,7 @@
 // ClientDisconnected reports that the client of a request disconnected.
 type ClientDisconnected struct{ ID uint64 }
 
-// Drain starts a planned shutdown. Requests go on as before until half of the
+// Drain starts a planned shutdown. Requests continue as before until half of the
 // grace period is over; those that are still queued then are rejected.
 type Drain struct{}
 
--- a/internal/proxy/prefill_test.go
+++ b/internal/proxy/prefill_test.go
@@ -16,7 +16,7 @@
 	p.record("s", "m", 100, 1)
 	p.record("s", "other", 1000, 7)
 	c.Assert(p.takeMinimum("s", "m"), qt.Equals, 30.0)
-	// It is reported once, so that an old measurement does not stay for ever.
+	// It is reported once, so that an old measurement does not stay forever.
 	c.Assert(p.takeMinimum("s", "m"), qt.Equals, 0.0)
 	c.Assert(p.takeMinimum("s", "other"), qt.Equals, 7.0)
 }
--- a/internal/proxy/request.go
+++ b/internal/proxy/request.go
@@ -70,7 +70,7 @@
 	unreachable        []string
 	unreachableUntilMs int64
 	// mayHaveRun is set by the first attempt that a runner may have executed:
-	// from then on the client is never told that the request has not run.
+	// from then on the client never gets an answer that says that it has not run.
 	mayHaveRun bool
 	// forwarded says that the client has the head of a response;
 	// hasKeptResponse that the Server keeps a failed response for it.
--- a/internal/replication/follower_test.go
+++ b/internal/replication/follower_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A change counts if it goes on from what was received, also while that is not
+// A change counts if it continues from what was received, also while that is not
 // durable yet; a snapshot if it is further.
 func TestFollowerTakesWhatGoesOn(t *testing.T) {
 	follower := NewFollower(protocol.Position{Epoch: 1, Number: 4})
--- a/internal/replication/primary.go
+++ b/internal/replication/primary.go
@@ -146,8 +146,8 @@
 	return progress
 }
 
-// SnapshotDue says whether a snapshot is to be sent. One is on its way at a time;
-// meanwhile the follower gets appends without changes.
+// SnapshotDue says whether a snapshot is to be sent. At most one is
+// unacknowledged at a time; meanwhile the follower gets appends without changes.
 func (p *Primary) SnapshotDue(nowMs int64, follower *Progress) bool {
 	return follower.NeedsSnapshot && follower.retryDue(nowMs, p.timing.RetryMs)
 }
@@ -164,7 +164,7 @@
 func (p *Primary) AddChanges(nowMs int64, follower *Progress, message *protocol.Append) {
 	// The retry time counts from the last acknowledged change, not from the
 	// last one sent: otherwise a steady stream of changes would postpone the
-	// retry for ever.
+	// retry forever.
 	unacknowledged := !follower.NeedsSnapshot && follower.Acknowledged < follower.Sent
 	if unacknowledged && follower.retryDue(nowMs, p.timing.RetryMs) {
 		follower.Sent, follower.SentMs = follower.Acknowledged, nowMs
--- a/internal/replication/progress.go
+++ b/internal/replication/progress.go
@@ -10,7 +10,7 @@
 	// HeardMs is when the last acknowledgement came, in the primary's time.
 	HeardMs int64
 	// Durable is the furthest position that the follower said to be on its disk,
-	// whether or not the primary's log goes on from it.
+	// whether or not the primary's log contains it.
 	Durable protocol.Position
 	// Acknowledged is the number of the last change that the follower's disk
 	// holds of the primary's own history; 0 where it needs a snapshot.
@@ -22,7 +22,7 @@
 	// SentMs is when unacknowledged changes or a snapshot were first sent, or
 	// when the last of them came through; from it the retry is counted.
 	SentMs int64
-	// NeedsSnapshot says that the log doesn't go on from what the follower holds.
+	// NeedsSnapshot says that the log doesn't contain the follower's position.
 	NeedsSnapshot bool
 	// NodesDigest names the list of nodes that the follower has.
 	NodesDigest uint64
--- a/internal/simulation/disk/disk.go
+++ b/internal/simulation/disk/disk.go
@@ -35,7 +35,7 @@
 	return &Disk{Contents: map[string]string{}, incarnation: fmt.Sprintf("%s-disk-%d", daemon, wipes), wipes: wipes}
 }
 
-// Incarnation tells the disk from itself before it was wiped.
+// Incarnation distinguishes the disk from itself before it was wiped.
 func (d *Disk) Incarnation() string { return d.incarnation }
 
 // Wipe empties the disk and ends its faults. Its daemon must not be running.
--- a/internal/simulation/faultsim/check_config.go
+++ b/internal/simulation/faultsim/check_config.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// recordAccepted notes that an operator was told that a version is accepted.
+// recordAccepted notes that an operator was notified that a version is accepted.
 func (c *Checker) recordAccepted(version, baseVersion uint64) {
 	if _, isKnown := c.configs.acceptedMs[version]; isKnown {
 		return
@@ -84,7 +84,7 @@
 	c.configs.successorOf[baseVersion] = version
 }
 
-// recordRefused notes that an operator was told that a version has no effect.
+// recordRefused notes that an operator was notified that a version has no effect.
 func (c *Checker) recordRefused(version uint64, reason string) {
 	c.configs.refusedReason[version] = reason
 	if _, isAccepted := c.configs.acceptedMs[version]; isAccepted {
--- a/internal/simulation/faultsim/checker.go
+++ b/internal/simulation/faultsim/checker.go
@@ -83,11 +83,11 @@
 	usedBy map[string][]configUse
 	// firstUsedMs is when any router first used a version.
 	firstUsedMs map[uint64]int64
-	// acceptedMs is when an operator was told that a version is accepted.
+	// acceptedMs is when an operator was notified that a version is accepted.
 	acceptedMs map[uint64]int64
 	// successorOf is the accepted version that is based on another.
 	successorOf map[uint64]uint64
-	// refusedReason is why an operator was told that a version has no effect.
+	// refusedReason is why an operator was notified that a version has no effect.
 	refusedReason map[uint64]string
 }
 
--- a/internal/simulation/faultsim/history.go
+++ b/internal/simulation/faultsim/history.go
@@ -60,7 +60,7 @@
 	sum          string
 }
 
-// history records what operators sent and were told.
+// history records what operators sent and got as answers.
 type history struct {
 	byKey       map[submissionKey]*submissionRecord
 	submissions []*submissionRecord
--- a/internal/simulation/faultsim/node.go
+++ b/internal/simulation/faultsim/node.go
@@ -67,7 +67,7 @@
 // clock is the daemon's own clock: monotonic, with a start of its own.
 func (n *node) clock(nowMs int64) int64 { return nowMs - n.startedMs + n.clockOffsetMs }
 
-// identity is what the daemon tells others of itself.
+// identity is the node that the daemon states in its messages.
 func (n *node) identity() protocol.Node {
 	identity := protocol.Node{
 		Name: n.name, Address: n.address + daemonPort, Zone: n.zone, Part: n.role,
@@ -177,7 +177,7 @@
 	}
 }
 
-// handleAnswer passes a daemon's answer on to whom it is for.
+// handleAnswer passes a daemon's answer to the caller that waits for it.
 func (sim *Simulation) handleAnswer(n *node, incarnation int, answer protocol.Response) {
 	if _, isDeparted := answer.Body.(consensus.LeaveResult); isDeparted {
 		sim.after(exitDelayMs, func() { sim.exitAndRestart(n, incarnation) })
--- a/internal/simulation/faultsim/node_lifecycle.go
+++ b/internal/simulation/faultsim/node_lifecycle.go
@@ -89,7 +89,7 @@
 	sim.after(afterMs, func() { sim.startNode(n, false) })
 }
 
-// freeze stops a daemon without ending it; thaw lets it go on.
+// freeze stops a daemon without ending it; thaw lets it continue.
 func (sim *Simulation) freeze(n *node) {
 	if n.isUp && !n.isFrozen {
 		sim.logf("%s freezes", n.name)
@@ -115,7 +115,7 @@
 }
 
 // replaceController removes a controller and starts an empty one at a new
-// address. All nodes are told of the new seeds.
+// address. All nodes are notified of the new seeds.
 func (sim *Simulation) replaceController(removed *node) {
 	sim.kill(removed)
 	removed.isRemoved = true
@@ -130,7 +130,7 @@
 	})
 }
 
-// reseed tells all nodes but one of the new seeds.
+// reseed notifies all nodes but one of the new seeds.
 func (sim *Simulation) reseed(except *node) {
 	for _, name := range sim.nodeNames() {
 		n := sim.nodes[name]
--- a/internal/simulation/faultsim/operators.go
+++ b/internal/simulation/faultsim/operators.go
@@ -167,7 +167,7 @@
 	}
 }
 
-// accept notes that the operator was told that its submission is accepted.
+// accept notes that the operator was notified that its submission is accepted.
 func (o *operators) accept(s *submission) {
 	if s.isDone {
 		return
@@ -219,7 +219,7 @@
 	}
 }
 
-// CheckHistory checks all that operators sent and were told against one
+// CheckHistory checks all that operators sent and got as answers against one
 // register with compare-and-set.
 func (sim *Simulation) CheckHistory() {
 	for _, message := range sim.operators.history.check() {
--- a/internal/simulation/faultsim/proxied_request.go
+++ b/internal/simulation/faultsim/proxied_request.go
@@ -33,7 +33,7 @@
 	id          uint64
 	client      *clientRequest
 	attributes  proxy.RequestParams
-	// isFinished says that the machine gave its last answer, or was told that none
+	// isFinished says that the machine gave its last answer, or was notified that none
 	// is wanted.
 	isFinished bool
 	// isHeadSent says that the client has the head of the answer.
@@ -89,7 +89,7 @@
 	}
 }
 
-// completeClient tells the client how its request ended.
+// completeClient answers the client how its request ended.
 func (p *proxiedRequest) completeClient(outcome clientOutcome) {
 	p.client.deliver(p.router.name, func() { p.client.complete(outcome) })
 }
@@ -204,7 +204,7 @@
 	p.connectionLost(a)
 }
 
-// reportOutcome tells the router's machine how the send ended.
+// reportOutcome reports to the router's machine how the send ended.
 func (p *proxiedRequest) reportOutcome(ended proxy.AttemptEnded) {
 	if p.isFinished {
 		return
--- a/internal/simulation/faultsim/runner_lifecycle.go
+++ b/internal/simulation/faultsim/runner_lifecycle.go
@@ -4,7 +4,7 @@
 	// crashListedMs is for how long a crashed runner stays listed.
 	crashListedMs = 4000
 	// drainSlackMs is how much longer than the rules' drain time a runner that
-	// stops as planned goes on.
+	// stops as planned continues.
 	drainSlackMs = 1500
 	// A runner whose machine is taken away ends spotNoticeMs after it is listed
 	// as draining, and up to spotNoticeSpreadMs later.
--- a/internal/simulation/invariants/checker.go
+++ b/internal/simulation/invariants/checker.go
@@ -18,7 +18,7 @@
 const (
 	// RuleTwice: a request that may not be repeated ran twice.
 	RuleTwice Rule = "twice"
-	// RuleDropRan: a request that its client was told is dropped ran.
+	// RuleDropRan: a request that was reported to its client as dropped ran.
 	RuleDropRan Rule = "drop ran"
 	// RuleTornAnswer: a client got something else than the runner's whole answer.
 	RuleTornAnswer Rule = "torn answer"
--- a/internal/simulation/invariants/descriptions.go
+++ b/internal/simulation/invariants/descriptions.go
@@ -3,7 +3,7 @@
 // Marker is what became of a submitted description. A service that no other
 // description has, its marker service, identifies it.
 type Marker struct {
-	// Rejected says that its operator was last told that it has no effect.
+	// Rejected says that its operator was last notified that it has no effect.
 	Rejected bool
 	// Revision is the number under which the marker service first ran, or 0.
 	Revision uint64
@@ -13,7 +13,7 @@
 
 // descriptionLog is what was observed of descriptions and their revisions.
 type descriptionLog struct {
-	// acceptedMs is when an operator was told that a revision is in force.
+	// acceptedMs is when an operator was notified that a revision is in force.
 	acceptedMs map[uint64]int64
 	// newestRevision is the newest one under which a router's requests ran.
 	newestRevision map[string]uint64
@@ -32,7 +32,7 @@
 	}
 }
 
-// RevisionAccepted records that an operator was told that a revision is in force.
+// RevisionAccepted records that an operator was notified that a revision is in force.
 func (c *Checker) RevisionAccepted(atMs int64, revision uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// DescriptionRejected records that an operator was told that a description has
+// DescriptionRejected records that an operator was notified that a description has
 // no effect.
 func (c *Checker) DescriptionRejected(atMs int64, markerService string) {
 	c.mu.Lock()
--- a/internal/simulation/localcluster/daemon.go
+++ b/internal/simulation/localcluster/daemon.go
@@ -150,7 +150,7 @@
 	return nil
 }
 
-// running tells whether the daemon was not killed yet.
+// running reports whether the daemon was not killed yet.
 func (d *Daemon) running() bool {
 	select {
 	case <-d.stop:
--- a/internal/simulation/modelcheck/apply_fault.go
+++ b/internal/simulation/modelcheck/apply_fault.go
@@ -101,7 +101,7 @@
 	c.scheduleRestart(e.member, Fault{Kind: Crash, Ms: returnMs, Return: WithDisk})
 }
 
-// crash ends the process that an event was for. Ticks go on, for the next.
+// crash ends the process that an event was for. Ticks continue, for the next.
 func (c *cluster) crash(e *event, f Fault) {
 	c.keepTick(e)
 	c.exitProcess(e.member, f)
--- a/internal/simulation/modelcheck/event.go
+++ b/internal/simulation/modelcheck/event.go
@@ -163,7 +163,7 @@
 }
 
 // isVoid says whether an event has no effect: its process has ended, or its
-// link is cut. Ticks go on, for the next process.
+// link is cut. Ticks continue, for the next process.
 func (c *cluster) isVoid(e *event) bool {
 	switch body := e.body.(type) {
 	case *message:
--- a/internal/simulation/modelcheck/explore.go
+++ b/internal/simulation/modelcheck/explore.go
@@ -158,7 +158,7 @@
 	return &run{explorer: x, cluster: c, schedule: schedule, windowEnd: windowNotBegun}
 }
 
-// run runs one schedule, goes on from its last deviation without further ones,
+// run runs one schedule, continues from its last deviation without further ones,
 // and collects the schedules with one more deviation.
 func (x *explorer) run(schedule Schedule) {
 	x.runs.Add(1)
--- a/internal/simulation/modelcheck/fault.go
+++ b/internal/simulation/modelcheck/fault.go
@@ -24,7 +24,7 @@
 	// Crash ends a process; writes that were not complete are lost.
 	Crash
 	// CrashAfterWrite ends a process once a write is durable, before its machine
-	// is told so.
+	// is notified of that.
 	CrashAfterWrite
 	// CrashMidSend ends a process for good right after it handled the event, and
 	// loses its messages in flight to a set of others.
--- a/internal/simulation/nativesim/attempts.go
+++ b/internal/simulation/nativesim/attempts.go
@@ -47,7 +47,7 @@
 	})
 }
 
-// end tells the router's state machine how the attempt ended. A revision other
+// end reports to the router's state machine how the attempt ended. A revision other
 // than 0 is the one that a runner that rejected it has seen.
 func (a *attempt) end(outcome router.Outcome, revision uint64) {
 	r := a.request
@@ -88,7 +88,7 @@
 	a.world.events.After(max(1, leftMs), a.lose)
 }
 
-// runnerIsUp tells whether the runner that it was sent to has not ended.
+// runnerIsUp reports whether the runner that it was sent to has not ended.
 func (a *attempt) runnerIsUp() bool {
 	return a.runner.up && a.runner.incarnation == a.runnerIncarnation
 }
--- a/internal/simulation/nativesim/bootstrap_test.go
+++ b/internal/simulation/nativesim/bootstrap_test.go
@@ -60,7 +60,7 @@
 	w.Run(4000)
 }
 
-// haveRecord tells whether any of the witnesses kept the record.
+// haveRecord reports whether any of the witnesses kept the record.
 func (w *World) haveRecord(witnesses []string) bool {
 	kept := false
 	for _, name := range witnesses {
--- a/internal/simulation/nativesim/clients.go
+++ b/internal/simulation/nativesim/clients.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// StopClients ends it; requests in flight go on.
+// StopClients ends it; requests in flight continue.
 func (w *World) StopClients() { w.clients.stopped = true }
 
 func (w *World) scheduleRequest(service string) {
@@ -206,7 +206,7 @@
 	}
 }
 
-// isDrop tells whether an outcome promises that the request did not run.
+// isDrop reports whether an outcome promises that the request did not run.
 func isDrop(outcome testbackend.Outcome) bool { return errkind.Kind(outcome).Response().NotExecuted }
 
 // StarvedModels counts the models that were asked for often and never answered.
@@ -220,7 +220,7 @@
 	return starved
 }
 
-// RetryOutcomes tells how requests ended that had been dropped before.
+// RetryOutcomes returns how requests ended that had been dropped before.
 func (w *World) RetryOutcomes() string { return fmt.Sprintf("came back: %v", w.clients.retryOutcomes) }
 
 // OutcomeLines gives the counts of outcomes as sorted lines of text.
--- a/internal/simulation/nativesim/lifecycle.go
+++ b/internal/simulation/nativesim/lifecycle.go
@@ -101,7 +101,7 @@
 	}
 }
 
-// retired tells whether a daemon believes that it was replaced.
+// retired reports whether a daemon believes that it was replaced.
 func (w *World) retired(name string) bool {
 	n := w.nodes[name]
 	if n.role == protocol.RoleController {
--- a/internal/simulation/nativesim/measurements.go
+++ b/internal/simulation/nativesim/measurements.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// allAnsweredSince tells whether every service has answered more often.
+// allAnsweredSince reports whether every service has answered more often.
 func (w *World) allAnsweredSince(before map[string]int) bool {
 	for _, service := range w.Description.Services {
 		if w.Answered(service.Name) == before[service.Name] {
--- a/internal/simulation/nativesim/nativesim_test.go
+++ b/internal/simulation/nativesim/nativesim_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// isLost tells whether the site lost a request that ended like this.
+// isLost reports whether the site lost a request that ended like this.
 func isLost(outcome testbackend.Outcome) bool {
 	switch outcome {
 	case outcomeAnswered, outcomeNotConnected:
--- a/internal/simulation/nativesim/node.go
+++ b/internal/simulation/nativesim/node.go
@@ -60,7 +60,7 @@
 // process gives the present process of a daemon.
 func (n *node) process() nodeProcess { return nodeProcess{node: n, incarnation: n.incarnation} }
 
-// running tells whether the process has not ended.
+// running reports whether the process has not ended.
 func (p nodeProcess) running() bool { return p.node.up && p.node.incarnation == p.incarnation }
 
 func (w *World) addNode(member description.Member, role string) *node {
@@ -153,7 +153,7 @@
 	}
 }
 
-// Freeze stops a daemon where it is; Thaw lets it go on.
+// Freeze stops a daemon where it is; Thaw lets it continue.
 func (w *World) Freeze(name string) {
 	w.tracef("%s freezes", name)
 	w.nodes[name].frozen, w.nodes[name].frozenSinceMs = true, w.events.NowMs()
--- a/internal/simulation/nativesim/operator.go
+++ b/internal/simulation/nativesim/operator.go
@@ -18,7 +18,7 @@
 	submissionUnanswered = "no answer"
 )
 
-// operator bootstraps the site, submits descriptions and keeps what it was told.
+// operator bootstraps the site, submits descriptions and keeps the answers that it got.
 type operator struct {
 	lastID uint64
 	// pending are the functions that wait for a controller's answer, by id.
@@ -32,7 +32,7 @@
 	// bootstrapResult is how the last bootstrap or recovery ended: a
 	// consensus.BootstrapResult or a protocol.Rejection, or nil before that.
 	bootstrapResult protocol.Reply
-	// newestAccepted is the newest revision that was told as accepted.
+	// newestAccepted is the newest revision that was reported as accepted.
 	newestAccepted uint64
 }
 
@@ -86,7 +86,7 @@
 	})
 }
 
-// Recover goes on from a controller's replica with controllers that are left,
+// Recover continues from a controller's replica with controllers that are left,
 // as an operator does after having seen what that replica holds.
 func (w *World) Recover(name string, witnesses []string, backup string) {
 	status := w.status(w.nodes[name])
@@ -165,7 +165,7 @@
 	}
 }
 
-// recordLimits tells the checker what an accepted description allows, if that
+// recordLimits reports to the checker what an accepted description allows, if that
 // differs from the first one.
 func (w *World) recordLimits(text string) {
 	d, faults := description.Read([]byte(text), w.Description.Site)
--- a/internal/simulation/nativesim/outbound.go
+++ b/internal/simulation/nativesim/outbound.go
@@ -61,7 +61,7 @@
 	}, ignoreLoss)
 }
 
-// noteLeaving tells the checker which runners a list shows as leaving. That is
+// noteLeaving reports to the checker which runners a list shows as leaving. That is
 // known once the list has come to a daemon that reads it.
 func (c *outboundCall) noteLeaving(list []protocol.ListedRunner) {
 	if c.ended || !c.from.running() || c.from.node.frozen {
--- a/internal/simulation/nativesim/recovery_test.go
+++ b/internal/simulation/nativesim/recovery_test.go
@@ -46,7 +46,7 @@
 }
 
 // Both disks of the pair are wiped. Nothing goes on by itself. The operator's
-// recovery goes on from a spare, loses nothing that it holds, and breaks no
+// recovery continues from a spare, loses nothing that it holds, and breaks no
 // rule.
 func TestRecoveryFromASpare(t *testing.T) {
 	t.Parallel()
--- a/internal/simulation/nativesim/world.go
+++ b/internal/simulation/nativesim/world.go
@@ -23,7 +23,7 @@
 
 const (
 	startMs = 1_000_000
-	// tickMs is how often daemons are told the time.
+	// tickMs is how often daemons get a Tick.
 	tickMs        = 50
 	maxTraceLines = 400
 	// seedCount is how many controllers the daemons know by address from the
--- a/internal/simulation/scalesim/simulation.go
+++ b/internal/simulation/scalesim/simulation.go
@@ -23,7 +23,7 @@
 	listAddress  = "list"
 	listPerSec   = 47
 	operatorPort = "8146"
-	// seedCount is how many controllers all daemons are told of.
+	// seedCount is how many controllers all daemons have as seeds.
 	seedCount = 3
 	// maxLosses is how many disks of controllers may be lost at the same time.
 	maxLosses = 2
--- a/internal/simulation/testbackend/client.go
+++ b/internal/simulation/testbackend/client.go
@@ -126,7 +126,7 @@
 	})
 }
 
-// RunFor sends requests for a time, or until the process is told to stop, and
+// RunFor sends requests for a time, or until the process gets a signal to stop, and
 // waits until every answer has come.
 func (c *Client) RunFor(length time.Duration) {
 	var group threads.Group
--- a/internal/simulation/testbackend/client_request.go
+++ b/internal/simulation/testbackend/client_request.go
@@ -52,12 +52,12 @@
 	}
 }
 
-// ended tells the checker how a request ended.
+// ended reports to the checker how a request ended.
 func (c *Client) ended(workload Workload, id string, outcome Outcome, dropped bool) {
 	c.Checker.RequestEnded(c.NowMs(), workload.Service, id, string(outcome), dropped)
 }
 
-// invalid tells the checker of an answer that breaks a rule.
+// invalid reports to the checker an answer that breaks a rule.
 func (c *Client) invalid(workload Workload, id, detail string) {
 	c.Checker.InvalidAnswer(c.NowMs(), workload.Service, id, detail)
 }
@@ -90,7 +90,7 @@
 	return OutcomeAnswered
 }
 
-// answers tells whether a plain answer is to a request, as RunnerServer writes
+// answers reports whether a plain answer is to a request, as RunnerServer writes
 // them.
 func answers(answer router.RunResponse, id string) bool {
 	return answer.Request == id && strings.Contains(string(answer.Answer), answerText(id)+`"`)
--- a/internal/simulation/testbackend/runner.go
+++ b/internal/simulation/testbackend/runner.go
@@ -19,13 +19,13 @@
 // for use by several goroutines at once.
 type Runner struct {
 	Name string
-	// Incarnation tells one life of the runner's process from the next.
+	// Incarnation distinguishes a runner's process from the one after a restart.
 	Incarnation string
 	// Capacity bounds the sum of the sizes of what it holds.
 	Capacity int64
 	// LoadMs is how long a load takes; an unload takes a tenth of it.
 	LoadMs int64
-	// Checker is told what happens; nil for none.
+	// Checker is notified of what happens; nil for none.
 	Checker *invariants.Checker
 	// AcceptOldRevisions makes it run requests under any revision, to show that
 	// the system does not rely on the runners' own guard.
@@ -175,7 +175,7 @@
 	return ""
 }
 
-// holds tells whether a model is held, and the adapter if one is named.
+// holds reports whether a model is held, and the adapter if one is named.
 func (r *Runner) holds(model, adapter string) bool {
 	_, modelHeld := r.held[ledger.Item{Model: model}]
 	_, adapterHeld := r.held[ledger.Item{Model: model, Adapter: adapter}]
--- a/internal/simulation/testbackend/runner_server.go
+++ b/internal/simulation/testbackend/runner_server.go
@@ -139,7 +139,7 @@
 	_ = encoder.Encode(router.RunResponse{Request: call.Request, Incarnation: s.runner.Incarnation, End: &s.Pieces})
 }
 
-// wait passes the time that work takes, and tells whether the router still
+// wait passes the time that work takes, and reports whether the router still
 // waits for the answer.
 func (s *RunnerServer) wait(r *http.Request) bool {
 	timer := time.NewTimer(time.Duration(s.WorkMs) * time.Millisecond)
--- a/internal/statetable/table.go
+++ b/internal/statetable/table.go
@@ -41,7 +41,7 @@
 	Decode(key, text string) error
 	// RevisionNumber is a number by which an operator recognizes the state.
 	RevisionNumber() uint64
-	// SkipAhead gives the command with which a site goes on from a copy that may
+	// SkipAhead gives the command with which a site continues from a copy that may
 	// lack the last changes, in an epoch that an operator's recovery began.
 	SkipAhead(epoch uint64) Command
 }
