--- a/internal/consensus/machine.go
+++ b/internal/consensus/machine.go
@@ -132,7 +132,9 @@
 )
 
 // MachineInput marks the inputs of this package.
-func (Leave) MachineInput()    {}
+func (Leave) MachineInput() {}
+
+// MachineInput marks SetSeeds as a protocol.Input.
 func (SetSeeds) MachineInput() {}
 
 // Step takes one input and returns what to do: an Envelope, DiskWriteDone or Tick of
--- a/internal/controller/requests.go
+++ b/internal/controller/requests.go
@@ -40,8 +40,12 @@
 
 // MachineInput marks the requests of operators as inputs.
 func (SubmitConfig) MachineInput() {}
-func (ReadConfig) MachineInput()   {}
-func (ReadStatus) MachineInput()   {}
+
+// MachineInput marks ReadConfig as a protocol.Input.
+func (ReadConfig) MachineInput() {}
+
+// MachineInput marks ReadStatus as a protocol.Input.
+func (ReadStatus) MachineInput() {}
 
 // OperatorReply is the outcome of an OperatorRequest: ConfigAccepted,
 // ConfigText or Status.
@@ -66,8 +70,12 @@
 
 // ReplyBody marks the replies to operators.
 func (ConfigAccepted) ReplyBody() {}
-func (ConfigText) ReplyBody()     {}
-func (Status) ReplyBody()         {}
+
+// ReplyBody marks ConfigText as a protocol.Reply.
+func (ConfigText) ReplyBody() {}
+
+// ReplyBody marks Status as a protocol.Reply.
+func (Status) ReplyBody() {}
 
 // ConfigFormat translates the text of configurations. It decides nothing and
 // keeps nothing. Package platform has the format of the users' platform.
--- a/internal/native/controller/status.go
+++ b/internal/native/controller/status.go
@@ -15,7 +15,9 @@
 type DescriptionRequest struct{ ID uint64 }
 
 // MachineInput marks the requests for reads as inputs.
-func (StatusRequest) MachineInput()      {}
+func (StatusRequest) MachineInput() {}
+
+// MachineInput marks DescriptionRequest as a protocol.Input.
 func (DescriptionRequest) MachineInput() {}
 
 // Status is what a controller believes.
@@ -66,7 +68,9 @@
 }
 
 // ReplyBody marks the answers to reads as replies.
-func (Status) ReplyBody()           {}
+func (Status) ReplyBody() {}
+
+// ReplyBody marks DescriptionReply as a protocol.Reply.
 func (DescriptionReply) ReplyBody() {}
 
 // replyDescription answers with the description in force. The state of a primary may be
--- a/internal/protocol/outbound.go
+++ b/internal/protocol/outbound.go
@@ -25,8 +25,16 @@
 func (RunnerListResult) outboundResult()   {}
 
 // MachineInput marks the results of outbound calls as Inputs.
-func (RunnerList) MachineInput()         {}
-func (RunnerStateResult) MachineInput()  {}
-func (RunnerOrderResult) MachineInput()  {}
+func (RunnerList) MachineInput() {}
+
+// MachineInput marks RunnerStateResult as an Input.
+func (RunnerStateResult) MachineInput() {}
+
+// MachineInput marks RunnerOrderResult as an Input.
+func (RunnerOrderResult) MachineInput() {}
+
+// MachineInput marks RunnerReportResult as an Input.
 func (RunnerReportResult) MachineInput() {}
-func (RunnerListResult) MachineInput()   {}
+
+// MachineInput marks RunnerListResult as an Input.
+func (RunnerListResult) MachineInput() {}
