--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -69,7 +69,7 @@
 func (c *Controller) StateChanged(h consensus.Host) {
 	if !c.isPrimary {
 		c.config.load(h, c.format)
-		c.placement.SetMap(c.config.active.parsed)
+		c.placement.SetConfiguration(c.config.active.parsed)
 	}
 }
 
@@ -77,7 +77,7 @@
 func (c *Controller) BecamePrimary(h consensus.Host) {
 	c.isPrimary = true
 	c.config.load(h, c.format)
-	c.placement.SetMap(c.config.active.parsed)
+	c.placement.SetConfiguration(c.config.active.parsed)
 	c.beginOrderRight(h)
 	c.routers.beginPrimacy(c.placement.LeavingRunners())
 	// Routers learn of the new primary at once rather than at their next poll.
--- a/internal/controller/submissions.go
+++ b/internal/controller/submissions.go
@@ -115,7 +115,7 @@
 	c.replicate(h, request, rows, func() {
 		c.config = configState{next, row}
 		h.Logf("configuration version %d is in force", next.version)
-		c.placement.SetMap(next.parsed)
+		c.placement.SetConfiguration(next.parsed)
 		// Routers come before the operator: the sooner they have it, the sooner
 		// it applies.
 		c.updateRouters(h)
--- a/internal/placement/lookup_test.go
+++ b/internal/placement/lookup_test.go
@@ -194,7 +194,7 @@
 	var image IndexSnapshot
 	c.Assert(gob.NewDecoder(&wired).Decode(&image), qt.IsNil)
 	follower := New(s.bounds, "two", "list", 47)
-	follower.SetMap(s.m)
+	follower.SetConfiguration(s.m)
 	follower.ApplySnapshot(s.events.NowMs(), image)
 	from := protocol.Node{Name: "router"}
 	ids := func(x protocol.IndexReply) map[string]bool {
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -123,8 +123,8 @@
 	}
 }
 
-// SetMap takes the configuration in force.
-func (m *Manager) SetMap(configuration *config.Configuration) {
+// SetConfiguration takes the configuration in force.
+func (m *Manager) SetConfiguration(configuration *config.Configuration) {
 	if configuration == nil || configuration == m.configuration {
 		return
 	}
--- a/internal/placement/orders_test.go
+++ b/internal/placement/orders_test.go
@@ -21,7 +21,7 @@
 
 func newHarness(c *qt.C, held ...string) *harness {
 	h := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
-	h.manager.SetMap(newConfiguration(6, 42, 4.2))
+	h.manager.SetConfiguration(newConfiguration(6, 42, 4.2))
 	h.manager.BecomePrimary(h.nowMs, 7, h.nowMs)
 	h.list("r1", held...)
 	return h
@@ -207,7 +207,7 @@
 	} {
 		c := qt.New(t)
 		h := &harness{c: c, nowMs: 1000, manager: New(simBounds, "one", "list", 47)}
-		h.manager.SetMap(newConfiguration(6, 0, 4.2))
+		h.manager.SetConfiguration(newConfiguration(6, 0, 4.2))
 		h.manager.BecomePrimary(h.nowMs, 7, test.fromMs)
 		h.list("r1", "m001")
 		calls, _ := h.manager.Tick(1000, test.leaseUntilMs)
--- a/internal/placement/simulator_test.go
+++ b/internal/placement/simulator_test.go
@@ -175,7 +175,7 @@
 
 func (s *platformSim) manager(name string) *Manager {
 	manager := New(s.bounds, name, "list", 47)
-	manager.SetMap(s.m)
+	manager.SetConfiguration(s.m)
 	s.managers = append(s.managers, manager)
 	return manager
 }
--- a/internal/proxy/machine.go
+++ b/internal/proxy/machine.go
@@ -74,7 +74,7 @@
 
 // Machine is the state machine of one router. It takes inputs through Step and
 // returns effects; it has no clock, connection or goroutine of its own. All of it
-// but Map belongs to the goroutine that calls Step.
+// but Configuration belongs to the goroutine that calls Step.
 type Machine struct {
 	// Counters counts what the router did since its start.
 	Counters Counters
@@ -153,9 +153,9 @@
 	}
 }
 
-// Map returns the configuration in use, or nil before the first one. It may be
+// Configuration returns the configuration in use, or nil before the first one. It may be
 // called from any goroutine; the result must not be changed.
-func (m *Machine) Map() *config.Configuration { return m.configuration.Load() }
+func (m *Machine) Configuration() *config.Configuration { return m.configuration.Load() }
 
 // Step applies one input at the given time and returns its effects: messages,
 // outputs, outbound calls and log lines. Times of successive calls must not
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -249,7 +249,7 @@
 			b.nowMs++
 			b.configUpdate(test.version, test.word)
 			c.Assert(b.m.configVersion, qt.Equals, test.want)
-			c.Assert(b.m.Map().Version, qt.Equals, test.want)
+			c.Assert(b.m.Configuration().Version, qt.Equals, test.want)
 		})
 	}
 }
--- a/internal/proxy/server.go
+++ b/internal/proxy/server.go
@@ -161,7 +161,7 @@
 }
 
 // clientLimits returns the limits of the configuration in use.
-func (s *Server) clientLimits() clientLimits { return clientLimitsOf(s.machine.Map()) }
+func (s *Server) clientLimits() clientLimits { return clientLimitsOf(s.machine.Configuration()) }
 
 // SetSeeds replaces the addresses at which the control plane is searched for.
 func (s *Server) SetSeeds(seeds []string) { s.runtime.Submit(SetSeeds{Seeds: seeds}) }
@@ -222,7 +222,7 @@
 
 // serveReady answers whether the platform may send clients here.
 func (s *Server) serveReady(w http.ResponseWriter) {
-	if s.machine.Map() == nil || s.draining.Load() {
+	if s.machine.Configuration() == nil || s.draining.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -310,7 +310,7 @@
 
 // maxBodyBytes returns the limit of the configuration in use.
 func (s *Server) maxBodyBytes() int64 {
-	configuration := s.machine.Map()
+	configuration := s.machine.Configuration()
 	if configuration == nil || configuration.Limits.MaxBodyBytes <= 0 {
 		return defaultMaxBodyBytes
 	}
--- a/internal/simulation/scalesim/workload.go
+++ b/internal/simulation/scalesim/workload.go
@@ -30,7 +30,7 @@
 func (s *simulation) routersBehind() int {
 	count := 0
 	for _, n := range s.routers {
-		if m := n.machine.(*proxy.Machine).Map(); m == nil || m.Version < s.version {
+		if m := n.machine.(*proxy.Machine).Configuration(); m == nil || m.Version < s.version {
 			count++
 		}
 	}
