--- a/internal/consensus/campaign_test.go
+++ b/internal/consensus/campaign_test.go
@@ -22,7 +22,7 @@
 	campaignServesMs = 12_000
 )
 
-// campaign is a run of random losses, never more at once than the site is to bear:
+// campaign is a run of random losses, never more at once than the site must tolerate:
 // crashes, empty disks, planned stops with and without a return, members replaced at
 // another address, partitions, slow disks, messages that come late and out of order.
 type campaign struct {
@@ -192,7 +192,7 @@
 }
 
 // replace starts a successor at another address and, once that has had its
-// time, tells the member to stop for good; it goes when it says that it may,
+// time, asks the member to stop for good; it is removed when it says that it may,
 // or when its time has run out. It counts as lost no longer from then on.
 func (r *campaign) replace(name string) {
 	r.joined++
@@ -362,7 +362,7 @@
 	r.awaitRecovery()
 }
 
-// campaignShapes are the losses to be borne and the number of members.
+// campaignShapes are the losses to be tolerated and the number of members.
 var campaignShapes = [][2]int{{1, 3}, {1, 4}, {1, 6}, {2, 5}, {2, 6}, {2, 9}}
 
 // Whatever is lost, as many more may be lost once it has been back for the catch-up
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -12,7 +12,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// rowApplication keeps one row and tells what happened to it.
+// rowApplication keeps one row and records what happened to it.
 type rowApplication struct {
 	becamePrimary, lostPrimacy int
 	row                        string
@@ -282,7 +282,7 @@
 func (w *cluster) serves() bool { return w.primary() != "" }
 
 // The first start bootstraps the site, with as many replicas and witnesses as the
-// losses to be borne need.
+// losses to be tolerated need.
 func TestSeedsBootstrapTheSite(t *testing.T) {
 	for _, test := range []struct {
 		losses, count, replicas, witnesses int
@@ -488,7 +488,7 @@
 }
 
 // A primary that is cut off from the rest of the core, either way or one way,
-// gives way; no two ever speak at once.
+// yields; no two ever serve at once.
 func TestPrimaryCutOff(t *testing.T) {
 	for _, oneWay := range []bool{false, true} {
 		w := newCluster(qt.New(t), 1, 3)
--- a/internal/consensus/election_test.go
+++ b/internal/consensus/election_test.go
@@ -105,7 +105,7 @@
 	}
 }
 
-// Of two candidates the one under the lower ballot gives way, and releases what
+// Of two candidates the one under the lower ballot yields, and releases what
 // witnesses granted it.
 func TestCandidateYieldsToAHigherBallotInACluster(t *testing.T) {
 	rival := protocol.Ballot{Round: 1 << 40, Name: "core-9"}
--- a/internal/consensus/leave_test.go
+++ b/internal/consensus/leave_test.go
@@ -10,7 +10,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// leaveForGood tells a member to stop and takes it away once it says that it
+// leaveForGood asks a member to stop and removes it once it says that it
 // may go, or once its time has run out. It gives how long that took.
 func (w *cluster) leaveForGood(name string) int64 {
 	n, beganMs := w.nodes[name], w.nowMs
@@ -24,7 +24,7 @@
 	return w.nowMs - beganMs
 }
 
-// A member that stops as planned hands its copy and its vote over before it
+// A member that stops as planned hands its replica and its vote over before it
 // goes. It is gone for good then, and as many more as may be lost are lost.
 func TestPlannedLeaveThenLosses(t *testing.T) {
 	for _, shape := range [][2]int{{1, 4}, {1, 6}, {2, 6}, {2, 9}} {
@@ -52,7 +52,7 @@
 	}
 }
 
-// memberOfKind names the primary, a backup, or a witness that holds no copy.
+// memberOfKind names the primary, a backup, or a witness that holds no replica.
 func (w *cluster) memberOfKind(who string) string {
 	switch who {
 	case "primary":
@@ -70,7 +70,7 @@
 }
 
 // loseMembers kills as many members as may be lost, of those that the newest record
-// names as copies or as witnesses.
+// names as replicas or as witnesses.
 func (w *cluster) loseMembers(which string, count int) {
 	var newest protocol.EpochRecord
 	for _, n := range w.nodes {
@@ -90,7 +90,7 @@
 	}
 }
 
-// A copy that was recruited for a member that leaves, and was not told yet, may
+// A replica that was recruited for a member that leaves, and doesn't know it yet, may
 // be the only one left: the member waits until it knows.
 func TestLeavingWaitsUntilTheNewReplicaKnows(t *testing.T) {
 	for _, who := range []string{"primary", "backup"} {
@@ -110,7 +110,7 @@
 			for p.record().Epoch == before {
 				w.run(1)
 			}
-			// The new record is complete, and no one has been told.
+			// The new record is complete, and no one has been notified.
 			for name := range w.nodes {
 				if name != leaver && name != other {
 					w.partitioned[primary+">"+name] = true
@@ -181,8 +181,8 @@
 	w.c.Assert(w.leaveForGood(leaver) >= defaultLeaveTimeoutMs, qt.IsTrue)
 }
 
-// While the primary is lost, a copy that is stopping still takes over: it may
-// hold the last copy.
+// While the primary is lost, a replica that is stopping still takes over: it may
+// hold the last replica.
 func TestLastReplicaStaysWhileItIsNeeded(t *testing.T) {
 	w := servingCluster(qt.New(t), 1, 4)
 	w.writeRow("kept")
--- a/internal/consensus/replication_test.go
+++ b/internal/consensus/replication_test.go
@@ -26,7 +26,7 @@
 	return protocol.Envelope{Site: "s", From: w.nodes[from].node, To: to, Body: body}
 }
 
-// A message that a cut held up comes after later ones; right then the primary
+// A message that a partition delayed comes after later ones; right then the primary
 // is lost. What was acknowledged meanwhile stays.
 func TestLateMessagesUndoNothing(t *testing.T) {
 	cases := []struct {
@@ -69,7 +69,7 @@
 	}
 }
 
-// A primary never counts a copy as holding less than that very disk once said,
+// A primary never counts a replica as holding less than that disk once acknowledged,
 // nor as more than it said.
 func TestLateAcknowledgements(t *testing.T) {
 	w := servingCluster(qt.New(t), 1, 3)
@@ -101,7 +101,7 @@
 	w.c.Assert(*first, qt.IsTrue)
 }
 
-// Contact lasts for a lease from the moment that the primary's echo tells of.
+// Contact lasts for a lease from the moment that the primary's echo states.
 func TestQuorumContact(t *testing.T) {
 	cases := []struct {
 		about string
@@ -161,7 +161,7 @@
 	}
 }
 
-// A word of the primary that was held up on its way does not show that it lives.
+// A message of the primary that was delayed in transit does not show that it is alive.
 func TestLateAppendIsNoSignOfLife(t *testing.T) {
 	cases := []struct {
 		about string
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -68,7 +68,7 @@
 	s.does(func(m *Machine) { m.Tick(s.env) })
 }
 
-// sent lists to whom a kind of message was sent by the last input.
+// sent lists the receivers of a kind of message that the last input sent.
 func sent[T protocol.Message](s *scene) []string {
 	var names []string
 	for _, output := range s.outputs {
@@ -166,7 +166,7 @@
 	}
 }
 
-// One that still hears the primary keeps another from taking over.
+// One that is still in contact with the primary keeps another from taking over.
 func TestPreVote(t *testing.T) {
 	cases := []struct {
 		about string
@@ -195,7 +195,7 @@
 	}
 }
 
-// A candidate that hears the primary after all gives up.
+// A candidate that gets a message of the primary after all gives up.
 func TestPreVoteEndsWithThePrimaryAlive(t *testing.T) {
 	s := newScene(t, Config{}, Saved{Record: recorded("a", "b")})
 	s.tickAt(startMs + testTiming.TimeoutMs + 1)
@@ -265,7 +265,7 @@
 	qt.Assert(t, s.machine.Record, qt.DeepEquals, others)
 }
 
-// Of two candidates the one under the lower ballot gives way, and gives back what
+// Of two candidates the one under the lower ballot yields, and releases what
 // witnesses granted it.
 func TestCandidateYieldsToAHigherBallot(t *testing.T) {
 	rival, lower := protocol.Ballot{Round: 1 << 40, Name: "c"}, protocol.Ballot{Round: 0, Name: "c"}
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -13,7 +13,7 @@
 	return protocol.Node{Name: name, Address: address, Part: protocol.RoleRouter, Incarnation: address}
 }
 
-// What a live peer said of itself is believed over what others say of it.
+// What a live peer said of itself takes precedence over what others say of it.
 func TestWhichAddressIsBelieved(t *testing.T) {
 	cases := []struct {
 		about string
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -52,7 +52,7 @@
 	return protocol.EpochRecord{Epoch: 5, Primary: "a", Replicas: replicas, Witnesses: witnesses, Before: witnesses}
 }
 
-// view returns that of primary a, in zone 1, of a site that bears one loss.
+// view returns that of primary a, in zone 1, of a site that tolerates one loss.
 func view(record protocol.EpochRecord, members ...member) *View {
 	primary := replication.NewPrimary(replication.Timing{LiveMs: liveMs, RetryMs: 900, DiskStallMs: 1500})
 	primary.Begin(beganMs, protocol.Position{Epoch: 1, Number: lastChange}, nil, 0)
--- a/internal/placement/holders_test.go
+++ b/internal/placement/holders_test.go
@@ -177,7 +177,7 @@
 			router.request(fmt.Sprintf("m%03d", s.rnd.IntN(8)), "")
 		}
 		if ms%5000 == 0 {
-			// One ends, and its place is taken anew.
+			// One ends, and another takes its place.
 			delete(s.runners, sortedKeys(s.runners)[0])
 			s.start(fmt.Sprintf("10.0.9.%d:80", ms/1000), "a")
 			s.recordList()
--- a/internal/placement/lookup_test.go
+++ b/internal/placement/lookup_test.go
@@ -29,7 +29,7 @@
 	c.Assert(updates, qt.HasLen, 0)
 }
 
-// Only those get an update to whom a change matters: not those who looked up
+// Only routers that a change concerns get an update: not those that looked up
 // another adapter, and nobody who knows already.
 func TestWhichSubscribersGetUpdates(t *testing.T) {
 	held := func(adapters ...string) []protocol.HeldModel {
--- a/internal/placement/orders_test.go
+++ b/internal/placement/orders_test.go
@@ -35,7 +35,7 @@
 	h.manager.HandleRunnerList(h.nowMs, protocol.RunnerList{Ok: true, Runners: []protocol.RunnerEntry{e}})
 }
 
-// tick goes on by so many ms and notes the last poll and order.
+// tick advances by so many ms and records the last poll and order.
 func (h *harness) tick(ms int64) {
 	for end := h.nowMs + ms; h.nowMs < end; {
 		h.nowMs += 50
--- a/internal/placement/simulator_test.go
+++ b/internal/placement/simulator_test.go
@@ -205,7 +205,7 @@
 	return out
 }
 
-// step goes on by some ms: 10 at a time.
+// step advances by some ms: 10 at a time.
 func (s *platformSim) step() {
 	s.events.RunFor(10)
 	if s.events.NowMs()%100 == 0 {
--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -115,7 +115,7 @@
 // wait lets virtual time pass; nothing really sleeps.
 func wait(ms int64) { time.Sleep(time.Duration(ms) * time.Millisecond); synctest.Wait() }
 
-// How long a connection may rest and a head may take follows the map.
+// How long a connection may be idle and a head may take follows the configuration.
 func TestClientTimeoutsFollowTheMap(t *testing.T) {
 	slackMs := timeoutSlack.Milliseconds()
 	cases := []struct {
@@ -188,7 +188,7 @@
 	}
 }
 
-// A client may take up a connection that rested for four fifths of the map's
+// A client may reuse a connection that was idle for four fifths of the configuration's
 // time, whatever that is. The fixed time of before fails this.
 func TestNoAllowedIdleConnectionIsClosed(t *testing.T) {
 	for _, idleMs := range []int64{1, 100, 1000, 15_000, 30_000, 600_000, maxTimeout.Milliseconds(), 1 << 62} {
@@ -237,7 +237,7 @@
 	c.Assert(connection.phase, qt.Equals, connReadingHead)
 }
 
-// The head is counted as it was sent; a map's bound is answered with 431.
+// The head is counted as it was sent; one above the configuration's limit is answered with 431.
 func TestHeadSizeIsLimitedByTheMap(t *testing.T) {
 	c := qt.New(t)
 	head := "POST /safe/x?q=1 HTTP/1.1\r\nHost: h\r\nTry: t1\r\nX-Long: " + strings.Repeat("x", 200) + "\r\nX-Long: y\r\nContent-Length: 2\r\n\r\n"
--- a/internal/proxy/exchange_log_test.go
+++ b/internal/proxy/exchange_log_test.go
@@ -75,7 +75,7 @@
 
 const triesMost = 3
 
-// repeatable tells by the names of exampleMap's routes.
+// repeatable decides by the names of exampleMap's routes.
 func repeatable(route string) bool { return route == "safe" || route == "stream" }
 
 func (l *exchangeLog) violations() []string {
@@ -144,7 +144,7 @@
 }
 
 // checkStream says which rule a stream breaks. Events tell their request and
-// their place; the last one tells that it is the last.
+// their place; the last one says that it is the last.
 func (l *exchangeLog) checkStream(o outcome) string {
 	if o.echo != o.try {
 		return ruleOwnAnswer
--- a/internal/proxy/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -68,7 +68,7 @@
 	log       *exchangeLog
 	mu        sync.Mutex
 	reactions map[string][]reaction
-	// silent tells, by try, that a runner has a request and says nothing.
+	// silent says, by attempt, that a runner has a request and doesn't answer.
 	silent map[string]chan struct{}
 	open   map[io.Closer]bool
 	served sync.WaitGroup
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -91,7 +91,7 @@
 	return b.receive(primaryPlace, w)
 }
 
-// newReadyBench makes a router with a map and two runners of each service in its cache.
+// newReadyBench makes a router with a configuration and two runners of each service in its cache.
 func newReadyBench(c *qt.C) *machineBench {
 	c.Helper()
 	b := newMachineBench(c)
@@ -588,7 +588,7 @@
 	out := b.request("/safe/")
 	c.Assert(out.Responses, qt.HasLen, 0)
 	c.Assert(slices.ContainsFunc(out.Sends, func(s protocol.Send) bool { _, ok := s.Body.(protocol.ConfigPoll); return ok }), qt.IsTrue)
-	// An answer from before it stood still tells nothing of what was missed.
+	// An answer from before the stall shows nothing of what was missed.
 	c.Assert(b.receive(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Responses, qt.HasLen, 0)
 	// The line is from before it stood still too; its look-up may renew it.
 	c.Assert(b.configUpdate(2).Responses, qt.HasLen, 0)
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -376,7 +376,7 @@
 func TestReadyPageUntilShutdown(t *testing.T) {
 	c := qt.New(t)
 	g, _ := newServerBench(c)
-	// The page needs the map, which the machine takes on its own thread.
+	// The page needs the configuration, which the machine applies on its own goroutine.
 	look := func(path string) int {
 		w := httptest.NewRecorder()
 		g.servePlatform(w, httptest.NewRequest(http.MethodGet, path, nil))
--- a/internal/replication/log_test.go
+++ b/internal/replication/log_test.go
@@ -15,8 +15,8 @@
 	}
 }
 
-// What is kept for followers that lack it stays within its bounds, and who
-// lacks more gets a snapshot.
+// What is kept for followers that are behind stays within its bounds, and one that
+// needs more gets a snapshot.
 func TestRecentChangesAreBounded(t *testing.T) {
 	cases := []struct {
 		about              string
--- a/internal/replication/progress_test.go
+++ b/internal/replication/progress_test.go
@@ -10,7 +10,7 @@
 
 var testTiming = Timing{LiveMs: 1000, RetryMs: 900, DiskStallMs: 1500}
 
-// A follower keeps up as long as its very disk answers and takes what it lacks.
+// A follower keeps up as long as this disk answers and stores what it didn't have.
 func TestKeepsUp(t *testing.T) {
 	const last = 10
 	cases := []struct {
