--- a/internal/proxy/clientconn_test.go
+++ b/internal/proxy/clientconn_test.go
@@ -78,12 +78,12 @@
 	})
 }
 
-func serveByTheMap(b *connectionBench, front net.Listener) (*http.Server, net.Listener) {
+func serveByConfiguration(b *connectionBench, front net.Listener) (*http.Server, net.Listener) {
 	limits := func() clientLimits { return clientLimitsOf(&config.Configuration{Limits: *b.limits.Load()}) }
 	return &http.Server{ConnState: trackClientConn}, clientListener{front, limits}
 }
 
-// serveByFixedTimes is how the router waited before.
+// serveByFixedTimes serves with fixed time-outs, as an earlier router did.
 func serveByFixedTimes(_ *connectionBench, front net.Listener) (*http.Server, net.Listener) {
 	return &http.Server{ReadHeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdle}, front
 }
@@ -107,7 +107,7 @@
 		return false
 	}
 	text, err := io.ReadAll(answer.Body)
-	// The server is back to rest once it has nothing more to do.
+	// The server is idle again once it has nothing more to do.
 	synctest.Wait()
 	return err == nil && string(text) == "ok"
 }
@@ -182,14 +182,14 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			answered := false
-			runConnectionBench(t, serveByTheMap, func(b *connectionBench) { answered = test.play(b) })
+			runConnectionBench(t, serveByConfiguration, func(b *connectionBench) { answered = test.play(b) })
 			qt.Assert(t, answered, qt.Equals, test.want)
 		})
 	}
 }
 
 // A client may reuse a connection that was idle for four fifths of the configuration's
-// time, whatever that is. The fixed time of before fails this.
+// idle time, whatever that is. A fixed time-out fails this.
 func TestNoAllowedIdleConnectionIsClosed(t *testing.T) {
 	for _, idleMs := range []int64{1, 100, 1000, 15_000, 30_000, 600_000, maxTimeout.Milliseconds(), 1 << 62} {
 		t.Run(fmt.Sprint(idleMs), func(t *testing.T) {
@@ -203,14 +203,14 @@
 				})
 				return answered
 			}
-			qt.Assert(t, answered(serveByTheMap), qt.IsTrue)
+			qt.Assert(t, answered(serveByConfiguration), qt.IsTrue)
 			qt.Assert(t, answered(serveByFixedTimes), qt.Equals, restMs < defaultIdle.Milliseconds())
 		})
 	}
 }
 
 // stalledConn gives its bytes only after its deadline has passed, as a connection
-// does whose reader stood still.
+// does whose reader was stalled.
 type stalledConn struct {
 	net.Conn
 	text  string
@@ -250,14 +250,14 @@
 	}{{int64(len(head)), 200}, {int64(len(head)) - 1, 431}, {0, 200}} {
 		runner := newScriptedRunner(c, plain("hello"))
 		g, server := newServerBench(c, runner)
-		document := exampleMap(2)
+		document := exampleConfig(2)
 		document.Limits.MaxHeaderBytes = test.bytes
 		text, err := json.Marshal(document)
 		c.Assert(err, qt.IsNil)
 		g.runtime.Submit(protocol.Envelope{Site: "site", From: primaryPlace, To: selfPlace.Name, Body: protocol.ConfigUpdate{
 			EchoMs: g.runtime.Clock().NowMs(), Epoch: 3, Version: 2, Sum: "2", Text: string(text), Routers: 1,
 		}})
-		// The machine takes one input after the other, so this one is behind.
+		// The machine handles one input after the other, so this one comes later.
 		_, ok := g.runtime.Call(context.Background(), func(id uint64) protocol.Input { return StatusQuery{ID: id} })
 		c.Assert(ok, qt.IsTrue)
 		connection, err := net.Dial("tcp", strings.TrimPrefix(server.URL, "http://"))
--- a/internal/proxy/eventsplitter_test.go
+++ b/internal/proxy/eventsplitter_test.go
@@ -22,7 +22,7 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			// However it is cut into reads, the events are the same.
+			// However the bytes are split into reads, the events are the same.
 			for size := 1; size <= len(test.text)+1; size++ {
 				var s eventSplitter
 				var got []string
--- a/internal/proxy/exchange_log_test.go
+++ b/internal/proxy/exchange_log_test.go
@@ -30,24 +30,24 @@
 	afterDoubt, tooEarly bool
 }
 
-// forwardedResponse is an answer that a runner gave to a request, whole or in part.
+// forwardedResponse is a runner's response to a request, complete or in part.
 type forwardedResponse struct {
 	status int
 	body   string
 	whole  bool
 }
 
-// outcome is what a client got for a request.
+// outcome is the response that a client got.
 type outcome struct {
 	try, route string
 	status     int
 	seal       bool
 	echo       string
 	body       string
-	// broken says that the connection ended within the answer, none that it
-	// ended before one; left that the client went away.
+	// broken says that the connection ended within the response, none that it
+	// ended before one; left that the client disconnected.
 	broken, none, left bool
-	// surplus says that bytes followed that no request waits for.
+	// surplus says that bytes followed that belong to no request.
 	surplus bool
 }
 
@@ -75,7 +75,7 @@
 
 const triesMost = 3
 
-// repeatable decides by the names of exampleMap's routes.
+// repeatable decides by the names of exampleConfig's routes.
 func repeatable(route string) bool { return route == "safe" || route == "stream" }
 
 func (l *exchangeLog) violations() []string {
@@ -143,8 +143,8 @@
 	}
 }
 
-// checkStream says which rule a stream breaks. Events tell their request and
-// their place; the last one says that it is the last.
+// checkStream returns the rule that a stream breaks. Events state their request and
+// their number; the last one says that it is the last.
 func (l *exchangeLog) checkStream(o outcome) string {
 	if o.echo != o.try {
 		return ruleOwnAnswer
--- a/internal/proxy/exchange_model_test.go
+++ b/internal/proxy/exchange_model_test.go
@@ -20,7 +20,7 @@
 // reaction is what a modelled runner does with a request that arrives.
 type reaction string
 
-// What runners do, in trouble and without.
+// What runners do, with faults and without.
 const (
 	reactWhole       reaction = "whole answer"
 	reactChunks      reaction = "whole answer in chunks"
@@ -63,7 +63,7 @@
 }
 
 // modelRunners are three runners. Whichever a request comes to, each of its
-// attempts meets the next of its own reactions, so that a play goes alike again.
+// attempts gets the next of its own reactions, so that a run can be repeated exactly.
 type modelRunners struct {
 	log       *exchangeLog
 	mu        sync.Mutex
@@ -141,7 +141,7 @@
 	reader     *bufio.Reader
 	// doubt is set once something was written that must end the connection.
 	doubt bool
-	// before is the last whole answer on it.
+	// before is the last complete response on it.
 	before string
 }
 
@@ -171,7 +171,7 @@
 	}
 }
 
-// give notes an answer to a request, before a byte of it is written.
+// give records a response to a request, before a byte of it is written.
 func (m *modelConn) give(try string, status int, body string, whole bool) {
 	m.runners.log.mu.Lock()
 	defer m.runners.log.mu.Unlock()
@@ -190,7 +190,7 @@
 	return answerHead("200 OK", try, rest+"Transfer-Encoding: chunked\r\n") + fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
 
-// react answers; false ends the connection.
+// react sends a response; false ends the connection.
 func (m *modelConn) react(a *arrival, request *http.Request, react reaction) bool {
 	try := a.try
 	if strings.HasPrefix(request.URL.Path, "/stream/") || strings.HasPrefix(request.URL.Path, "/once/") {
@@ -351,9 +351,9 @@
 	bodyBytes  int
 	// pipelined says that it is written together with the one before.
 	pipelined bool
-	// leaves says that the client goes once the request is written.
+	// leaves says that the client disconnects once the request is written.
 	leaves bool
-	// reactions are what its attempts meet.
+	// reactions are what the runners do with its attempts, in order.
 	reactions []reaction
 }
 
@@ -483,7 +483,7 @@
 	to.Set("Attempt", fmt.Sprint(t.attempts.Add(1)))
 }
 
-// credulousCodec takes any answer for the one to its request.
+// credulousCodec accepts any response as the one to its request.
 type credulousCodec struct{ Codec }
 
 func (t credulousCodec) ParseResponseHead(answer *http.Response) ResponseHead {
@@ -564,10 +564,10 @@
 	return clients
 }
 
-// Whatever runners and clients do, each client gets its own runner's whole
-// answer or a failure, and no connection is used after a doubt.
+// Whatever runners and clients do, each client gets the complete
+// response to its own request or an error, and no connection is used after a doubt.
 func TestEachClientGetsItsOwnResponseOnce(t *testing.T) {
-	model := exchangeModel{plainCodec{}, exampleMap(1)}
+	model := exchangeModel{plainCodec{}, exampleConfig(1)}
 	rapid.Check(t, func(t *rapid.T) {
 		broken, err := model.play(drawClients(t))
 		if err != nil {
@@ -581,13 +581,13 @@
 
 // Each broken router is found by the rule that it breaks.
 func TestTheModelFindsBrokenRouters(t *testing.T) {
-	unsafeAsSafe := exampleMap(1)
+	unsafeAsSafe := exampleConfig(1)
 	for i := range unsafeAsSafe.Routes {
 		if unsafeAsSafe.Routes[i].Name == "unsafe" {
 			unsafeAsSafe.Routes[i].Kind = config.Safe
 		}
 	}
-	moreTries := exampleMap(1)
+	moreTries := exampleConfig(1)
 	for i := range moreTries.Routes {
 		moreTries.Routes[i].MaxAttempts = triesMost + 2
 	}
@@ -598,14 +598,14 @@
 		routes    []string
 		rule      string
 	}{
-		{"any id will do", exchangeModel{credulousCodec{plainCodec{}}, exampleMap(1)}, []reaction{reactForeign}, []string{"safe"}, ruleOwnAnswer},
+		{"any id will do", exchangeModel{credulousCodec{plainCodec{}}, exampleConfig(1)}, []reaction{reactForeign}, []string{"safe"}, ruleOwnAnswer},
 		{"an unsafe one is sent again", exchangeModel{plainCodec{}, unsafeAsSafe}, []reaction{reactClose}, []string{"unsafe"}, ruleOnce},
 		{"a 503 without a promise is passed on", exchangeModel{plainCodec{}, unsafeAsSafe}, []reaction{reactFalse}, []string{"unsafe"}, rulePromise},
 		{"more tries than allowed", exchangeModel{plainCodec{}, moreTries}, []reaction{reactClose, reactClose, reactClose, reactClose}, []string{"safe"}, ruleTries},
-		{"no runner is named", exchangeModel{namelessCodec{plainCodec{}}, exampleMap(1)}, nil, []string{"safe"}, ruleNamed},
-		{"pieces are not numbered", exchangeModel{unnumberedCodec{plainCodec{}}, exampleMap(1)}, []reaction{reactCutStream, reactCutStream}, []string{"stream"}, ruleStream},
+		{"no runner is named", exchangeModel{namelessCodec{plainCodec{}}, exampleConfig(1)}, nil, []string{"safe"}, ruleNamed},
+		{"pieces are not numbered", exchangeModel{unnumberedCodec{plainCodec{}}, exampleConfig(1)}, []reaction{reactCutStream, reactCutStream}, []string{"stream"}, ruleStream},
 		// Of four requests to three runners two meet on one connection.
-		{"any id will do, and the connection goes on", exchangeModel{credulousCodec{plainCodec{}}, exampleMap(1)}, []reaction{reactForeign},
+		{"any id will do, and the connection goes on", exchangeModel{credulousCodec{plainCodec{}}, exampleConfig(1)}, []reaction{reactForeign},
 			[]string{"safe", "safe", "safe", "safe"}, ruleDoubt},
 	}
 	for _, test := range cases {
--- a/internal/proxy/fuzz_test.go
+++ b/internal/proxy/fuzz_test.go
@@ -76,7 +76,7 @@
 	f.Cleanup(func() { _ = listener.Close() })
 	runner := &fixedRunner{}
 	threads.Go(func() { acceptAll(listener, runner.serve) })
-	document := exampleMap(1)
+	document := exampleConfig(1)
 	document.BuildIndex()
 	g, _, stop, err := startServer(plainCodec{}, document, nil, io.Discard)
 	if err != nil {
@@ -127,7 +127,7 @@
 	return nil
 }
 
-// lockedBuffer gathers a log.
+// lockedBuffer collects a log.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -151,7 +151,7 @@
 type sentRequest struct{ method, target, try, body string }
 
 // Whatever a client sends, the router answers in the protocol or closes, and
-// passes nothing on that was not in it.
+// forwards nothing that was not in it.
 func FuzzClientsRequest(f *testing.F) {
 	whole := "POST /safe/x?q=%2f HTTP/1.1\r\nHost: h\r\nTry: t1\r\nContent-Length: 2\r\n\r\nok"
 	chunked := "POST /unsafe/x HTTP/1.1\r\nHost: h\r\nTry: t2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n"
@@ -195,7 +195,7 @@
 		})
 	})
 	var logs lockedBuffer
-	_, url, stop, err := startServer(plainCodec{}, exampleMap(1), []string{listener.Addr().String()}, &logs)
+	_, url, stop, err := startServer(plainCodec{}, exampleConfig(1), []string{listener.Addr().String()}, &logs)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -244,8 +244,8 @@
 	return sentRequest{request.Method, request.RequestURI, request.Header.Get("Try"), string(body)}, nil
 }
 
-// checkAnswers reads what a client got: whole answers, or one that breaks off.
-// How long those to HEAD are can't be told here, so a body may be lacking.
+// checkAnswers reads what a client got: complete responses, or one that breaks off.
+// Responses to HEAD can't be distinguished here, so a body may be missing.
 func checkAnswers(t *testing.T, answers []byte) {
 	t.Helper()
 	if len(answers) > 0 && !bytes.HasPrefix(answers, []byte("HTTP/1.")) {
--- a/internal/proxy/machine_test.go
+++ b/internal/proxy/machine_test.go
@@ -15,7 +15,7 @@
 	"myrtlewinch/internal/protocol"
 )
 
-// plainFormat reads maps written as JSON of the product's own types.
+// plainFormat reads configurations written as JSON of the config package's types.
 type plainFormat struct{}
 
 func (plainFormat) Parse(text []byte) (*config.Configuration, []string) {
@@ -26,7 +26,7 @@
 	return &m, nil
 }
 
-func exampleMap(version uint64) config.Configuration {
+func exampleConfig(version uint64) config.Configuration {
 	return config.Configuration{
 		Version: version,
 		Routes: []config.Route{
@@ -82,7 +82,7 @@
 }
 
 func (b *machineBench) configUpdate(version uint64, more ...func(*protocol.ConfigUpdate)) protocol.Effects {
-	text, err := json.Marshal(exampleMap(version))
+	text, err := json.Marshal(exampleConfig(version))
 	b.c.Assert(err, qt.IsNil)
 	w := protocol.ConfigUpdate{EchoMs: b.nowMs, Epoch: 3, Version: version, Sum: fmt.Sprint(version), Text: string(text), Routers: 1, Controllers: []protocol.Node{primaryPlace, otherPlace}}
 	for _, change := range more {
@@ -105,7 +105,7 @@
 	return protocol.IndexHolder{ID: id, Address: id + ":80", Zone: "z1", Slots: 4}
 }
 
-// index brings a line as an answer to an older look-up.
+// index delivers an index entry as the reply to an older look-up.
 func (b *machineBench) index(line protocol.IndexReply) protocol.Effects {
 	line.Known, line.Epoch = true, 3
 	if line.ID == 0 {
@@ -129,8 +129,8 @@
 	return b.step(Request{ID: b.id, Host: "h", Path: path, Params: asked})
 }
 
-// advance lets time pass in ticks, with the primary's word, and gathers what
-// came of it.
+// advance lets time pass in ticks, with updates of the primary, and collects the
+// effects.
 func (b *machineBench) advance(ms int64) protocol.Effects {
 	var all protocol.Effects
 	for end := b.nowMs + ms; b.nowMs < end; {
@@ -197,7 +197,7 @@
 	c.Assert(b.m.Counters.LookUpRetries, qt.Equals, uint64(1))
 }
 
-// The burden on the index follows the requests, however cold the cache is.
+// The load of the index follows the requests, however empty the cache is.
 func TestColdCacheSendsNoMoreLookUps(t *testing.T) {
 	for _, warm := range []bool{true, false} {
 		c := qt.New(t)
@@ -258,7 +258,7 @@
 	c := qt.New(t)
 	b := newReadyBench(c)
 	b.configUpdate(1, func(w *protocol.ConfigUpdate) { w.EchoMs, w.Leaving = 0, []string{"p1"} })
-	// A later update without it takes nothing back.
+	// A later update without the list leaves it as it is.
 	b.configUpdate(1)
 	for range 3 {
 		c.Assert(onlyOutput[StartAttempt](c, b.request("/safe/x")).Params.Runner, qt.Equals, "p2")
@@ -266,7 +266,7 @@
 }
 
 // The poll states the lists that the router has, so that they need not come
-// again; what came once holds until another comes.
+// again; a list stays valid until another comes.
 func TestPollStatesWhatTheRouterHas(t *testing.T) {
 	c := qt.New(t)
 	b := newReadyBench(c)
@@ -295,8 +295,9 @@
 	c.Assert(asked().LeavingSum, qt.Equals, uint64(9))
 }
 
-// Look-ups that need not wait go to a live controller of the own zone; what a
-// request can't go on without, and all while the primary is silent, does not.
+// Look-ups that need not wait go to a live controller of the own zone. Those that
+// a request waits for, and all while the primary is silent, go to the primary, or
+// to another live controller in its place.
 func TestLookUpTarget(t *testing.T) {
 	near := protocol.Node{Name: "core-3", Address: "c:3", Zone: "z1", Part: protocol.RoleController}
 	far := protocol.Node{Name: "core-4", Address: "c:4", Zone: "z2", Part: protocol.RoleController}
@@ -388,7 +389,7 @@
 	}
 }
 
-// Once a send was lost nothing promises any more that it has not run.
+// Once an attempt was lost no answer promises any more that the request has not run.
 func TestNotRunIsNeverStatedAfterALostResponse(t *testing.T) {
 	c := qt.New(t)
 	b := newReadyBench(c)
@@ -425,7 +426,7 @@
 	b.request("/unsafe/")
 	b.setRetryTokens("pages", 0.5)
 	c.Assert(onlyOutput[Reject](c, b.step(AttemptEnded{ID: b.id, Outcome: Rejected})).Kind, qt.Equals, errkind.RunnerRejected)
-	// A runner that could not be reached has cost nothing.
+	// A runner that could not be reached costs no attempt.
 	b = newReadyBench(c)
 	b.request("/unsafe/")
 	b.setRetryTokens("pages", 0.5)
@@ -447,7 +448,7 @@
 		{"its turn comes late, and it does not", "/stream/", protocol.IndexReply{TurnMs: 1200}, 2000, errkind.PlacementTimeout, 1450, 1550},
 		{"it is being loaded", "/stream/", protocol.IndexReply{Loading: true}, 2000, errkind.PlacementTimeout, 800, 1000},
 		{"nobody knows", "/stream/", protocol.IndexReply{}, 2000, errkind.NoRunner, 800, 1000},
-		// A client gives a stream up after two seconds of silence, whatever time it names.
+		// A client abandons a stream after two seconds of silence, whatever time-out it states.
 		{"nobody knows, with much time", "/stream/", protocol.IndexReply{}, 8000, errkind.NoRunner, 800, 1000},
 		{"its turn is too late for a silent stream", "/stream/", protocol.IndexReply{TurnMs: 2500}, 8000, errkind.PlacementTimeout, 0, 0},
 		{"nobody knows, and the client bears silence", "/patient/", protocol.IndexReply{}, 20_000, errkind.NoConfig, 5300, 5500},
@@ -513,8 +514,8 @@
 	c.Assert(onlyOutput[Reject](c, b.request("/nowhere/")).Kind, qt.Equals, errkind.NoConfig)
 }
 
-// While places are free nobody is refused; then the more urgent goes first,
-// and who gets no place is refused within a quarter of its aim.
+// While slots are free no request is rejected; then the more urgent goes first,
+// and one that gets no slot is rejected within a quarter of its latency target.
 func TestFullRunners(t *testing.T) {
 	c := qt.New(t)
 	b := newReadyBench(c)
@@ -571,10 +572,10 @@
 	out := b.request("/safe/")
 	c.Assert(out.Responses, qt.HasLen, 0)
 	c.Assert(lookUps(out), qt.HasLen, 1)
-	// The answer says that another holds it now.
+	// The reply says that another runner holds it now.
 	out = b.index(protocol.IndexReply{ID: lookUps(out)[0].ID, Service: "pages", Change: 9, Holders: []protocol.IndexHolder{{ID: "p9", Address: "p9:80", Adapter: true, Slots: 4}}})
 	c.Assert(onlyOutput[StartAttempt](c, out).Params.Runner, qt.Equals, "p9")
-	// Now it is young again.
+	// Now the entry is recent again.
 	onlyOutput[StartAttempt](c, b.request("/safe/"))
 }
 
@@ -590,7 +591,7 @@
 	c.Assert(slices.ContainsFunc(out.Sends, func(s protocol.Send) bool { _, ok := s.Body.(protocol.ConfigPoll); return ok }), qt.IsTrue)
 	// An answer from before the stall shows nothing of what was missed.
 	c.Assert(b.receive(primaryPlace, protocol.ConfigUpdate{EchoMs: askedMs, Epoch: 3, Version: 1}).Responses, qt.HasLen, 0)
-	// The line is from before it stood still too; its look-up may renew it.
+	// The entry is from before the stall too; the request's look-up may renew it.
 	c.Assert(b.configUpdate(2).Responses, qt.HasLen, 0)
 	onlyOutput[StartAttempt](c, b.advance(missDelayedMs))
 
@@ -624,7 +625,7 @@
 	c.Assert(calls >= 3 && calls <= 5, qt.IsTrue, qt.Commentf("%d", calls))
 	c.Assert(hellos > 0, qt.IsTrue)
 	c.Assert(b.m.isDraining("p1"), qt.IsTrue)
-	// Its own reading stands in for the index.
+	// Its own reading of the list replaces the index.
 	c.Assert(onlyOutput[StartAttempt](c, b.request("/safe/")).Params.Runner, qt.Equals, "p2")
 }
 
@@ -633,7 +634,7 @@
 	b := newReadyBench(c)
 	b.m.settings.Bounds.GraceMs = 4000
 	b.step(Drain{})
-	// What can be sent on still is.
+	// What can still be forwarded is forwarded.
 	onlyOutput[StartAttempt](c, b.request("/safe/"))
 	b.index(protocol.IndexReply{Service: "reader", Model: "m", Change: 4, Loading: true})
 	b.request("/patient/", func(a *RequestParams) { a.TimeoutMs = 20_000 })
@@ -647,14 +648,14 @@
 	out := b.receive(otherPlace, protocol.PeersReply{Peers: []protocol.Node{otherPlace}, Record: protocol.EpochRecord{Epoch: 4, Primary: otherPlace.Name}})
 	c.Assert(out.Sends, qt.HasLen, 1)
 	c.Assert(out.Sends[0].To, qt.Equals, otherPlace.Name)
-	// A peer that trails changes nothing.
+	// A peer with an older epoch changes nothing.
 	c.Assert(b.receive(primaryPlace, protocol.PeersReply{Record: protocol.EpochRecord{Epoch: 3, Primary: primaryPlace.Name}}).Sends, qt.HasLen, 0)
 	c.Assert(b.m.primary, qt.Equals, otherPlace.Name)
 }
 
 func TestServicesAreDrawnByWeight(t *testing.T) {
 	c := qt.New(t)
-	document := exampleMap(1)
+	document := exampleConfig(1)
 	document.Routes[0].Split = []config.WeightedService{{Service: "pages", Weight: 30}, {Service: "reader", Weight: 70}, {Service: "gone", Weight: 5}}
 	document.BuildIndex()
 	counts := map[string]int{}
@@ -664,7 +665,7 @@
 		counts[service.Name]++
 	}
 	c.Assert(counts["pages"] > 500 && counts["pages"] < 700, qt.IsTrue, qt.Commentf("%v", counts))
-	// Who can't hold the model is not drawn.
+	// A service that can't hold the model is not drawn.
 	service, _ := chooseService(&document, &document.Routes[0], RequestParams{Model: "unknown"}, 5)
 	c.Assert(service.Name, qt.Equals, "pages")
 }
--- a/internal/proxy/retrybudget_test.go
+++ b/internal/proxy/retrybudget_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Routers that come and go never fill a bucket.
+// Changes of the number of routers never fill a bucket.
 func TestResizeNeverAddsTokens(t *testing.T) {
 	c := qt.New(t)
 	b := newRetryBudget(58, 9)
--- a/internal/proxy/runnerstate_test.go
+++ b/internal/proxy/runnerstate_test.go
@@ -65,7 +65,7 @@
 	for _, wantMs := range []int64{1000, 2000, 4000, 8000, 8000} {
 		r.recordFailure(nowMs)
 		c.Assert(r.unhealthyUntilMs-nowMs, qt.Equals, wantMs)
-		// Sends that fail together are one failure.
+		// Attempts that fail together are one failure.
 		r.recordFailure(nowMs + 1)
 		c.Assert(r.unhealthyUntilMs-nowMs, qt.Equals, wantMs)
 		nowMs = r.unhealthyUntilMs
--- a/internal/proxy/server_test.go
+++ b/internal/proxy/server_test.go
@@ -24,7 +24,7 @@
 	"myrtlewinch/internal/threads"
 )
 
-// plainCodec speaks in headers of its own.
+// plainCodec uses headers of its own.
 type plainCodec struct{}
 
 func (plainCodec) ParseRequest(r *http.Request) (RequestParams, error) {
@@ -47,7 +47,7 @@
 func (plainCodec) ParseResponseHead(answer *http.Response) ResponseHead {
 	h := answer.Header
 	heard := ResponseHead{NotRun: h.Get("Not-Run") != "", HasSeal: h.Get("Seal") != "", UnexpectedEncoding: h.Get("Content-Encoding") != ""}
-	// Two ids name no request.
+	// Two ids identify no request.
 	if ids := h["Try"]; len(ids) == 1 {
 		heard.RequestID = ids[0]
 	}
@@ -151,7 +151,7 @@
 	return fmt.Sprintf("%sTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", head, len(body), body)
 }
 
-// events is a stream of the events from the first to the last id; whole says
+// events is a stream of the events from the first to the last id; whole reports
 // whether it ends well.
 func events(first, last int, whole bool) string {
 	text := head + "Content-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -180,7 +180,7 @@
 	for _, r := range runners {
 		addresses = append(addresses, r.at.Addr().String())
 	}
-	g, url, stop, err := startServer(plainCodec{}, exampleMap(1), addresses, io.Discard)
+	g, url, stop, err := startServer(plainCodec{}, exampleConfig(1), addresses, io.Discard)
 	c.Assert(err, qt.IsNil)
 	c.Cleanup(stop)
 	return g, &httptest.Server{URL: url}
@@ -224,7 +224,7 @@
 	return g, "http://" + front.Addr().String(), func() { close(stopped); <-done }, nil
 }
 
-// call asks the router; broken says that the answer did not end well.
+// call sends the router a request; broken says that the response was cut off.
 func call(c *qt.C, base, path string) (status int, header http.Header, body string, broken bool) {
 	c.Helper()
 	r, err := http.NewRequest(http.MethodPost, base+path, strings.NewReader("the body"))
@@ -306,7 +306,7 @@
 	for _, test := range cases {
 		t.Run(test.about, func(t *testing.T) {
 			c := qt.New(t)
-			// One after the other plays its part, whoever is chosen.
+			// The scripts are played in order, whichever runner is chosen.
 			script := newScriptedRunner(c, test.scripts...)
 			_, server := newServerBench(c, script, script, script, script)
 			status, header, body, broken := call(c, server.URL, test.path)
@@ -332,7 +332,7 @@
 	}
 }
 
-// What a runner sends after a whole answer belongs to no request.
+// What a runner sends after a complete response belongs to no request.
 func TestSurplusBytesReachNoClient(t *testing.T) {
 	c := qt.New(t)
 	script := newScriptedRunner(c, plain("one")+plain("surplus"), plain("two"))
@@ -343,7 +343,7 @@
 	}
 }
 
-// A resumed stream that does not go on where the client is leaves its
+// A resumed stream that does not continue where the client is leaves its
 // connection in doubt, also where its end came with it.
 func TestStreamResumedWronglyClosesItsConnection(t *testing.T) {
 	for _, test := range []struct{ about, wrong string }{
