--- a/internal/placement/demand.go
+++ b/internal/placement/demand.go
@@ -57,7 +57,7 @@
 // since its last report: then its demand should go to the primary at once.
 func (m *Manager) HasWaitingRequests() bool { return m.followerDemand.HasWaiting() }
 
-// DrainDemand returns what a follower was asked since the last call, for its
+// DrainDemand returns the look-ups that a follower answered since the last call, for its
 // report to the primary.
 func (m *Manager) DrainDemand() demand.Counts { return m.followerDemand.Drain() }
 
--- a/internal/placement/demand/meter.go
+++ b/internal/placement/demand/meter.go
@@ -70,7 +70,7 @@
 	return math.Exp2(-float64(nowMs-atMs) / float64(halfLifeMs))
 }
 
-// Decay brings the figures to the present.
+// Decay updates the decaying figures to the present time.
 func (m *Meter) Decay(nowMs int64) {
 	if nowMs <= m.updatedMs {
 		return
--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -56,7 +56,7 @@
 	return -1, false
 }
 
-// orderedWaitMs is the shortest expected time until an open order brings a key,
+// orderedWaitMs is the shortest expected time until an open order has loaded a key,
 // -1 if there is none.
 func (m *Manager) orderedWaitMs(nowMs int64, model *runnerstate.Model, adapter string) int64 {
 	waitMs := int64(-1)
@@ -73,7 +73,7 @@
 	return waitMs
 }
 
-// orderLeftMs is the expected time until a runner's open order brings a key, -1
+// orderLeftMs is the expected time until a runner's open order has loaded a key, -1
 // if it doesn't.
 func (m *Manager) orderLeftMs(nowMs int64, r *runnerstate.Runner, model *runnerstate.Model, adapter string) int64 {
 	o := r.Order
--- a/internal/placement/index/subscriptions.go
+++ b/internal/placement/index/subscriptions.go
@@ -162,8 +162,8 @@
 func (s *Subscriptions) appendUpdates(out []Update, nowMs int64, key *subscribers, reply protocol.IndexReply) []Update {
 	s.buffer = reply.Holders[:0]
 	// Of so many holders each router is offered others. That one of them comes or
-	// goes makes little difference, and a key with so many is looked up all the
-	// while: the next reply brings it.
+	// goes makes little difference, and a key with so many is looked up
+	// constantly, so the next reply has it.
 	if len(reply.Holders) >= MaxHolders {
 		return out
 	}
--- a/internal/placement/manager.go
+++ b/internal/placement/manager.go
@@ -88,13 +88,14 @@
 	followerDemand demand.Collector
 
 	planner planner.Planner
-	// plannedMs is when the last plan was made, replanNeeded that something changed
-	// since, and prefetchedMs when what nobody requests was loaded last.
+	// plannedMs is when the last plan was made, and replanNeeded says that
+	// something changed since. prefetchedMs is when a model that nobody requests
+	// was last loaded.
 	plannedMs    int64
 	replanNeeded bool
 	prefetchedMs int64
-	// scannedMs is when all runners were looked at last, and nextScanned with which
-	// of them the next scan begins.
+	// scannedMs is when the last scan of all runners was made, and nextScanned is
+	// the index of the runner with which the next one begins.
 	scannedMs   int64
 	nextScanned int
 	expiredMs   int64
@@ -160,9 +161,9 @@
 	return s
 }
 
-// BecomePrimary starts the duty of the primary. No order goes out before
-// ordersFromMs. What the follower knew is kept, but no runner gets an order
-// before it has shown its state.
+// BecomePrimary is called when this daemon has become the primary. No order is sent
+// before ordersFromMs. What the follower knew is kept, but no runner gets an order before
+// it has answered a poll with its state.
 func (m *Manager) BecomePrimary(nowMs int64, epoch uint64, ordersFromMs int64) {
 	m.nowMs = nowMs
 	m.active, m.epoch, m.fenced = true, epoch, false
@@ -182,7 +183,7 @@
 	}
 }
 
-// AllowOrders lets orders go out from a time on.
+// AllowOrders permits orders from a time on.
 func (m *Manager) AllowOrders(fromMs int64) {
 	m.ordersFromMs, m.ordersAllowed, m.replanNeeded = fromMs, true, true
 }
@@ -203,8 +204,9 @@
 	}
 }
 
-// BecomeFollower ends the duty of the primary: no orders, no polls. What was
-// known continues to answer look-ups until a primary's snapshot comes.
+// BecomeFollower is called when this daemon is no longer the primary: it
+// stops orders and polls. Look-ups are answered from what is known until a
+// snapshot of the new primary comes.
 func (m *Manager) BecomeFollower() {
 	m.active = false
 	m.list.stop()
--- a/internal/placement/orders.go
+++ b/internal/placement/orders.go
@@ -17,7 +17,7 @@
 	reservationMs = 8_000
 )
 
-// HandleOrderResult takes what became of the call of an order.
+// HandleOrderResult applies the result of the call of an order.
 func (m *Manager) HandleOrderResult(nowMs int64, in protocol.RunnerOrderResult) {
 	r := m.runners[in.Runner]
 	if !m.active || r == nil {
--- a/internal/placement/planner/adapters.go
+++ b/internal/placement/planner/adapters.go
@@ -83,7 +83,7 @@
 	return cmp.Or(cmp.Compare(b.value, a.value), cmp.Compare(a.model.Name, b.model.Name), cmp.Compare(a.adapter.Name, b.adapter.Name))
 }
 
-// placeAdapter loads an adapter at the best holder of its model, or makes room
+// placeAdapter loads an adapter at the best holder of its model, or frees memory
 // for it there.
 func (p *Planner) placeAdapter(shortage adapterShortage) {
 	item := shortage.item()
--- a/internal/placement/planner/eviction.go
+++ b/internal/placement/planner/eviction.go
@@ -25,13 +25,13 @@
 	urgentAdapterValue = 3
 )
 
-// eviction is what a runner would have to unload for room.
+// eviction is what a runner would have to unload to free enough memory.
 type eviction struct {
 	// value is what the evicted models are worth together.
 	value float64
 	// running is how likely one of them has requests running.
 	running float64
-	// first is what goes first.
+	// first is what is unloaded first.
 	first runnerstate.Item
 }
 
--- a/internal/placement/planner/planner.go
+++ b/internal/placement/planner/planner.go
@@ -64,7 +64,7 @@
 	shortages []modelShortage
 }
 
-// Plan returns the orders that bring a service closer to its demand, valid until
+// Plan returns the orders that bring a service closer to its targets, valid until
 // the next call, and the loads from the store that are left. It changes the plan
 // figures of the service's models, and clears reservations that are void.
 func (p *Planner) Plan(in Input) (moves []Move, storeLoadsLeft int) {
@@ -81,7 +81,7 @@
 	return p.moves, p.budget.StoreLoads
 }
 
-// loadReserved orders the loads that room was made for.
+// loadReserved orders the loads for which memory was freed and reserved.
 func (p *Planner) loadReserved() {
 	for _, r := range p.service.Runners {
 		item := r.ReservedFor
@@ -128,7 +128,7 @@
 	return true
 }
 
-// unload orders an unload that makes room for something else.
+// unload orders an unload that frees memory for another load.
 func (p *Planner) unload(r *runnerstate.Runner, item, reserveFor runnerstate.Item) {
 	p.moves = append(p.moves, Move{Runner: r, Item: item, ReserveFor: reserveFor})
 	p.used[r] = true
@@ -170,13 +170,13 @@
 	return m.Spec.AdapterSizeMb <= free && r.UsedAdapterSlots() < p.service.Engine.MaxAdapters
 }
 
-// freeMb is the room in MB that a runner has left; negative if it holds more
+// freeMb is the memory in MB that a runner has free; negative if it holds more
 // than the configuration now allows.
 func (p *Planner) freeMb(r *runnerstate.Runner) float64 {
 	return p.service.Engine.WeightMemoryMb - r.UsedMb()
 }
 
-// reservedForOther says whether a runner keeps room for something else.
+// reservedForOther says whether memory of the runner is reserved for another load.
 func (p *Planner) reservedForOther(r *runnerstate.Runner, item runnerstate.Item) bool {
 	return r.ReservedFor != item && r.HasReservation(p.nowMs)
 }
--- a/internal/placement/planner/targets.go
+++ b/internal/placement/planner/targets.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// resetFigures brings a model's demand to the present and its counts to zero.
+// resetFigures updates a model's demand to the present time and resets its counts.
 func (p *Planner) resetFigures(m *runnerstate.Model) {
 	m.Plan.Copies, m.Plan.Coming, m.Plan.Running = 0, 0, 0
 	m.Demand.Decay(p.nowMs)
@@ -100,7 +100,7 @@
 	}
 }
 
-// countOrdered counts the copies that a runner is loading or keeps room for.
+// countOrdered counts the copies that a runner is loading or has memory reserved for.
 func (p *Planner) countOrdered(r *runnerstate.Runner) {
 	o := r.Order
 	if o != nil && o.Load && !o.Assumed && !r.Has(o.Item) {
--- a/internal/placement/runnerstate/order.go
+++ b/internal/placement/runnerstate/order.go
@@ -7,9 +7,9 @@
 	orderCooldownMs = 150
 	// retryMs is the least time between two sends of one order.
 	retryMs = 250
-	// abandonMs is the time after which an order of unknown outcome that no state
-	// shows is given up. Its runner takes no more than one order at a count, so a
-	// later one can't double it.
+	// abandonMs is how long after its first sending an order of unknown outcome
+	// that no state shows is abandoned. A runner executes at most one order for
+	// each value of its count of orders, so a later one can't be executed twice.
 	abandonMs = 2_500
 	// minAbandonRetries is how often such an order must have been sent again.
 	minAbandonRetries = 2
@@ -85,7 +85,7 @@
 }
 
 // canAbandon says whether an order of unknown outcome that a state does not
-// show may be given up.
+// show may be abandoned.
 func (o *Order) canAbandon(nowMs int64) bool {
 	return nowMs-o.FirstSentMs > abandonMs && o.Retries >= minAbandonRetries
 }
@@ -127,7 +127,7 @@
 	}
 }
 
-// ApplyOutcome takes what the call of the open order brought. It returns false
+// ApplyOutcome applies the result of the open order's call. It returns false
 // if the order surely never began, and true if it did or may have.
 func (r *Runner) ApplyOutcome(nowMs int64, outcome protocol.OrderOutcome, observer Observer) (mayHaveBegun bool) {
 	o := r.Order
@@ -153,7 +153,7 @@
 	return false
 }
 
-// abandonOrder gives the open order up.
+// abandonOrder ends the open order without a known outcome.
 func (r *Runner) abandonOrder(observer Observer) {
 	o := r.Order
 	r.Order = nil
--- a/internal/placement/runnerstate/runner.go
+++ b/internal/placement/runnerstate/runner.go
@@ -22,7 +22,7 @@
 	// SinceMs is when it was first known to be held.
 	SinceMs int64
 	// Unloading says that its unload was ordered. Requests are sent there no more,
-	// but it takes its room until a state shows it gone.
+	// but it counts as using memory until a state shows it gone.
 	Unloading bool
 	Adapters  map[string]*HeldAdapter
 }
@@ -103,7 +103,7 @@
 // ClearOrder forgets the open order and the open poll.
 func (r *Runner) ClearOrder() { r.Order, r.Confirmed, r.PollNumber = nil, false, 0 }
 
-// HasReservation says whether room is kept for something now.
+// HasReservation says whether memory is reserved for a load now.
 func (r *Runner) HasReservation(nowMs int64) bool {
 	return r.ReservedFor.Model != "" && nowMs < r.ReservedUntilMs
 }
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// UsedMb is the room in MB that counts as taken: all that the runner holds, at
+// UsedMb is the memory in MB that counts as used: all that the runner holds, at
 // full size also while it is unloaded, and what an order may be loading.
 func (r *Runner) UsedMb() float64 {
 	sum := 0.0
@@ -135,7 +135,7 @@
 	return sum
 }
 
-// UsedAdapterSlots counts the adapter slots that are taken, in the same way.
+// UsedAdapterSlots counts the adapter slots that are used, in the same way.
 func (r *Runner) UsedAdapterSlots() int {
 	sum := 0
 	for _, h := range r.Held {
--- a/internal/placement/runnerstate/service.go
+++ b/internal/placement/runnerstate/service.go
@@ -33,8 +33,8 @@
 	return s
 }
 
-// Model returns a model by name and makes it if need be: one that the service
-// map does not name may still take room on a runner.
+// Model returns a model by name and creates it on first use: a model
+// that the configuration does not name may still use memory on a runner.
 func (s *Service) Model(name string) *Model {
 	if m := s.Models[name]; m != nil {
 		return m
--- a/internal/placement/runnerstate/state.go
+++ b/internal/placement/runnerstate/state.go
@@ -3,10 +3,10 @@
 import "myrtlewinch/internal/protocol"
 
 // maxLowerCounts is how many states in a row may show a lower count of orders
-// before the count is believed.
+// before the count is trusted.
 const maxLowerCounts = 4
 
-// OrderResult is what a state showed of the order that was open.
+// OrderResult is what a reported state shows about the order that was open.
 type OrderResult int
 
 const (
@@ -16,15 +16,16 @@
 	// OrderDone means that the order has ended, or another primary's order came
 	// after it.
 	OrderDone
-	// OrderLost means that the order was given up, or there was none.
+	// OrderLost means that the order was abandoned, or there was none.
 	OrderLost
 )
 
-// ApplyState takes a state of the runner that was requested at requestedMs.
+// ApplyState applies a state that the runner reported to a poll sent at
+// requestedMs.
 //
 // States show the past: one with a lower count than is known is too old to use.
 // The count falls only at a restart, after which the runner has a new id; it is
-// believed nonetheless if states insist on it.
+// trusted nonetheless if further states repeat it.
 func (r *Runner) ApplyState(nowMs, requestedMs int64, state protocol.RunnerState, observer Observer) OrderResult {
 	r.State, r.StateMs, r.LastReplyMs = state, nowMs, nowMs
 	if state.Calls < r.orderCount {
