--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -35,8 +35,9 @@
 	// connection that was just used is the least likely to have been closed.
 	clientDialTimeout = 300 * time.Millisecond
 	clientIdleTimeout = time.Second
-	// userTimeoutMs is how long the other side may acknowledge nothing before
-	// the connection counts as broken. A machine that lost power sends no reset.
+	// userTimeoutMs is how long the other side may leave sent bytes
+	// unacknowledged before the connection counts as broken. A machine that lost
+	// power sends no reset.
 	userTimeoutMs = 2000
 	// callHeadBytes bounds the head of a response to a call of this process,
 	// clientHeadBytes that of a response to a client's request.
--- a/internal/httpclient/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -175,7 +175,7 @@
 	return nil
 }
 
-// setResponse takes the final response.
+// setResponse stores the final response.
 func (x *Exchange) setResponse(response *http.Response) {
 	isKeepAlive := !response.Close && response.ProtoMajor == 1 && response.ProtoMinor >= 1
 	if !x.requestSent() || !isKeepAlive {
--- a/internal/process/outbound.go
+++ b/internal/process/outbound.go
@@ -48,7 +48,8 @@
 	inFlight   atomic.Int64
 }
 
-// reserve takes a place for a call; false means that there is none.
+// reserve counts a call against the limit of open calls; false means that the
+// limit is reached.
 func (o *outboundCaller) reserve() bool {
 	if o.inFlight.Add(1) > maxOutboundCalls {
 		o.inFlight.Add(-1)
@@ -57,7 +58,7 @@
 	return true
 }
 
-// release gives the place of a call back.
+// release ends the reservation of a call.
 func (o *outboundCaller) release() { o.inFlight.Add(-1) }
 
 // call makes one call and returns its result.
--- a/internal/process/runtime.go
+++ b/internal/process/runtime.go
@@ -47,7 +47,7 @@
 	Self protocol.Node
 	// Clock gives the time that is passed to the machine.
 	Clock Clock
-	// Log takes the log lines of the machine and of the process.
+	// Log receives the log lines of the machine and of the process.
 	Log *log.Logger
 	// TickMs is the time between two protocol.Tick inputs.
 	TickMs int64
@@ -135,7 +135,7 @@
 }
 
 func (r *Runtime) tick() {
-	// Ticks that queue up while the machine is paused would say nothing new.
+	// While the machine is paused, ticks must not fill the queue of inputs.
 	if waiting, _ := r.inputs.Stats(); waiting < maxInputs/2 {
 		r.inputs.Push(protocol.Tick{})
 	}
--- a/internal/simulation/scalesim/scalesim_test.go
+++ b/internal/simulation/scalesim/scalesim_test.go
@@ -19,8 +19,8 @@
 	return s
 }
 
-// A small site runs: every request is looked up once and answered, and service
-// maps and states arrive.
+// A small site runs: every request is looked up once and answered, and
+// configurations and runner states arrive.
 func TestSmallSite(t *testing.T) {
 	r, err := Run(smallSize(), stepClock())
 	qt.Assert(t, err, qt.IsNil)
--- a/internal/statetable/table.go
+++ b/internal/statetable/table.go
@@ -118,7 +118,7 @@
 // that earlier releases wrote have them.
 var emptyLedgerRows = map[string]string{"revision": `{"number":0,"text":""}`, "past": "null", "orders": "0"}
 
-// Load brings rows into the state, as a follower or a restart does. Keys without
+// Load reads rows into the state, as a follower or a restart does. Keys without
 // Prefix are passed over.
 func (t *Table) Load(rows map[string]string) error {
 	for key, text := range rows {
