--- a/internal/simulation/localcluster/operate.go
+++ b/internal/simulation/localcluster/operate.go
@@ -1,6 +1,7 @@
 package localcluster
 
 import (
+	"bytes"
 	"encoding/json"
 	"net/http"
 	"time"
@@ -45,25 +46,43 @@
 }
 
 // SubmitDescription submits a description, which replaces the revision base, to
-// whichever controller is the primary. It tries again until one accepts it.
+// whichever controller is the primary. It tries again until one accepts it, or
+// says that it is in force: a primary that is lost while it accepts can't tell
+// whether it did, and from then on the base is stale.
 func (c *Cluster) SubmitDescription(base string, text []byte, within time.Duration) error {
 	return retryFor(within, func() error {
-		err := errors.New("no controller")
+		var rejections error
 		for _, daemon := range c.Controllers {
-			var status int
-			var answer []byte
-			status, answer, err = operatorclient.Call(http.MethodPut, daemon.Settings.HTTP, "/description", base, text)
-			if err == nil && status == http.StatusOK {
-				return nil
-			}
+			err := submitTo(daemon, base, text)
 			if err == nil {
-				err = errors.Newf("%s: %s", daemon.Settings.Name, answer)
+				return nil
 			}
+			rejections = errors.CombineErrors(rejections, errors.Wrap(err, daemon.Settings.Name))
 		}
-		return err
+		return rejections
 	})
 }
 
+// submitTo submits a description to one controller.
+func submitTo(daemon *Daemon, base string, text []byte) error {
+	status, answer, err := operatorclient.Call(http.MethodPut, daemon.Settings.HTTP, "/description", base, text)
+	switch {
+	case err != nil:
+		return err
+	case status == http.StatusOK:
+		return nil
+	case status == http.StatusPreconditionFailed && isInForce(daemon, text):
+		return nil
+	}
+	return errors.Newf("status %d: %s", status, answer)
+}
+
+// isInForce says whether a controller has the description in force.
+func isInForce(daemon *Daemon, text []byte) bool {
+	status, inForce, err := operatorclient.Call(http.MethodGet, daemon.Settings.HTTP, "/description", "", nil)
+	return err == nil && status == http.StatusOK && bytes.Equal(inForce, text)
+}
+
 // WaitReady waits until every router would send requests to runners.
 func (c *Cluster) WaitReady(within time.Duration) error {
 	return retryFor(within, func() error {
