--- a/cmd/journalcheck/entry.go
+++ b/cmd/journalcheck/entry.go
@@ -10,10 +10,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Entry is what daycheck needs of one entry of the bench's journal.
+// Entry is the part of an entry of the bench's journal that is reported: one
+// run, of one or several days, of one deployment.
 type Entry struct {
-	ID    string  `json:"id"`
-	Site  string  `json:"site"`
+	ID string `json:"id"`
+	// Site names the deployment.
+	Site string `json:"site"`
+	// OK says that the run finished, and Error why it did not.
 	OK    bool    `json:"ok"`
 	Error *string `json:"error"`
 	Days  []Day   `json:"days"`
@@ -21,16 +24,21 @@
 	Digest string `json:"digest"`
 }
 
-// Day is the verdict on one day that was played.
+// Day is the bench's verdict on one day.
 type Day struct {
-	Name   string         `json:"name"`
-	Seed   uint64         `json:"seed"`
-	Rules  map[string]int `json:"rules"`
-	Fault  *string        `json:"fault"`
-	Gate   bool           `json:"gate"`
-	Short  []string       `json:"short"`
-	Missed int            `json:"missed"`
-	Served float64        `json:"served"`
+	Name string `json:"name"`
+	Seed uint64 `json:"seed"`
+	// Rules counts the violations of each rule.
+	Rules map[string]int `json:"rules"`
+	// Fault is set if the software failed outright.
+	Fault *string `json:"fault"`
+	// Gate says that the day was passed; Short says what it lacked otherwise.
+	Gate  bool     `json:"gate"`
+	Short []string `json:"short"`
+	// Missed counts the missed duties.
+	Missed int `json:"missed"`
+	// Served is the share of the requests that were served.
+	Served float64 `json:"served"`
 }
 
 // Tally counts the days of one deployment.
@@ -42,7 +50,7 @@
 	Unfinished  int
 }
 
-// Failed says whether a rule was broken or a verdict is missing.
+// Failed says whether a rule was violated or a verdict is missing.
 func (t Tally) Failed() bool {
 	return t.RulesBroken > 0 || t.Faults > 0 || t.Unfinished > 0
 }
@@ -59,8 +67,8 @@
 	return entry, nil
 }
 
-// firstViolationPrefix begins the line of a report that tells the first
-// violation.
+// firstViolationPrefix begins the line of the bench's report that describes the
+// first violation.
 const firstViolationPrefix = "the first that is wrong"
 
 // firstViolation returns the lines of the report on the first violation.
@@ -79,8 +87,8 @@
 	return lines[start:end]
 }
 
-// Report writes a line on each day of the entries, with the first violation
-// where a rule is broken, and returns the tally by deployment.
+// Report writes a line for each day of the entries, with the first violation if
+// there is one, and returns the tally of each deployment.
 func Report(out io.Writer, entries []Entry) map[string]Tally {
 	tallies := map[string]Tally{}
 	for _, entry := range entries {
@@ -116,7 +124,7 @@
 	}
 }
 
-// line says in one line how a day went.
+// line describes a day in one line.
 func (d Day) line() string {
 	parts := []string{fmt.Sprintf("%s seed %d: served %.3f", d.Name, d.Seed, d.Served)}
 	if len(d.Rules) == 0 {
--- a/internal/simulation/eventqueue/eventqueue.go
+++ b/internal/simulation/eventqueue/eventqueue.go
@@ -7,7 +7,7 @@
 
 // Queue is a virtual clock with its scheduled events. Events run in the order
 // of their times, and those of the same time in the order in which they were
-// scheduled. The zero Queue is empty and its clock stands at 0.
+// scheduled. The zero Queue is empty and its clock shows 0.
 //
 // A Queue is not safe for concurrent use. Events may schedule further events.
 type Queue struct {
@@ -18,7 +18,7 @@
 	stopped   bool
 }
 
-// New makes an empty queue whose clock stands at startMs.
+// New makes an empty queue whose clock shows startMs.
 func New(startMs int64) *Queue { return &Queue{nowMs: startMs} }
 
 // NowMs is the virtual time. While an event runs it is the time of that event.
@@ -37,9 +37,9 @@
 func (q *Queue) After(delayMs int64, run func()) { q.At(q.nowMs+delayMs, run) }
 
 // RunUntil runs all events up to and including those at endMs, with the ones
-// that they schedule in that span, and leaves the clock at endMs. It returns
-// early, with the clock where it stands, when an event calls Stop. The clock
-// never goes back: where endMs has passed, nothing happens.
+// that they schedule in that span, and sets the clock to endMs. If an event
+// calls Stop, RunUntil returns early, with the clock at the time of that event.
+// The clock never goes back: if endMs is in the past, nothing happens.
 func (q *Queue) RunUntil(endMs int64) {
 	q.stopped = false
 	for len(q.pending) > 0 && q.pending[0].atMs <= endMs {
@@ -56,9 +56,9 @@
 // RunFor is RunUntil for a span from now.
 func (q *Queue) RunFor(spanMs int64) { q.RunUntil(q.nowMs + spanMs) }
 
-// Stop makes the RunUntil that is under way return once the current event is
-// done. The events that are left stay scheduled.
+// Stop makes the running RunUntil return after the current event. The other
+// events stay scheduled.
 func (q *Queue) Stop() { q.stopped = true }
 
-// Clear removes all events and lets go of what they refer to.
+// Clear removes all events and the references to their functions.
 func (q *Queue) Clear() { q.pending = nil }
--- a/internal/simulation/eventqueue/heap.go
+++ b/internal/simulation/eventqueue/heap.go
@@ -30,8 +30,8 @@
 // Push implements heap.Interface.
 func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
 
-// Pop implements heap.Interface. It clears the slot, so that the array keeps
-// nothing alive that the event referred to.
+// Pop implements heap.Interface. It clears the slot, so that the array does not
+// keep alive what the event refers to.
 func (h *eventHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
--- a/internal/simulation/faultsim/configurations.go
+++ b/internal/simulation/faultsim/configurations.go
@@ -20,7 +20,7 @@
 var services = []string{plainService, otherService, modelService}
 
 // requestHost is the host that all routes are for.
-const requestHost = "drill.example"
+const requestHost = "faultsim.example"
 
 // The models and what runners can hold.
 const (
--- a/internal/simulation/faultsim/simulation.go
+++ b/internal/simulation/faultsim/simulation.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	siteName = "drill"
+	siteName = "faultsim"
 	// startMs is the virtual time at which a simulation begins.
 	startMs = 1_000_000
 	// maxTraceLines bounds the trace that a report prints.
